--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 
 lint: build
 	$(BIN)/ruff check .
+	$(BIN)/ruff format --check .
 	$(BIN)/lint-imports
 
 demo: build
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -50,9 +50,7 @@
             await stream.send_all(command(*words))
             while (message := reader.next()) is None:
                 reader.feed(await stream.receive_some())
-            done[
-                "settled" if isinstance(message.value, bytes) and message.value[:1] == b"v" else "else"
-            ] += 1
+            done["settled" if isinstance(message.value, bytes) and message.value[:1] == b"v" else "else"] += 1
 
 
 async def ready(where: tuple[str, int]) -> None:
@@ -104,9 +102,7 @@
                 count = sum(done.values())
                 each = (cpu_of(router.pid) - before) / count * 1000.0
                 name = "platform" if platform else "cluster"
-                click.echo(
-                    f"| {turn // 2} | {name} | {count} | {done['settled'] / count:.4f} | {each:.3f} |"
-                )
+                click.echo(f"| {turn // 2} | {name} | {count} | {done['settled'] / count:.4f} | {each:.3f} |")
         finally:
             router.terminate()
             router.wait()
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -57,9 +57,7 @@
     senders = [Sender("flood", rate=Rate(share * FLOOD if flood else 0.0), allowance=Rate(share))]
     senders += [Sender(f"t{i}", rate=Rate(share * CALM), allowance=Rate(share)) for i in range(1, tenants)]
     if all_at:
-        senders = [
-            Sender(f"t{i}", rate=Rate(share * all_at), allowance=Rate(share)) for i in range(tenants)
-        ]
+        senders = [Sender(f"t{i}", rate=Rate(share * all_at), allowance=Rate(share)) for i in range(tenants)]
     return Script(
         (read,),
         tuple(senders),
@@ -126,9 +124,7 @@
 
 @main.command()
 @click.option("--tenants", default="5,20,80", show_default=True)
-@click.option(
-    "--capacity", default=800.0, show_default=True, help="Operations a second that are shared out."
-)
+@click.option("--capacity", default=800.0, show_default=True, help="Operations a second that are shared out.")
 @click.option("--lasts", default=10.0, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 def fair(tenants: str, capacity: float, lasts: float, seed: int) -> None:
@@ -179,9 +175,7 @@
     os.sched_setaffinity(0, PLAY)
     folder = Path(tempfile.mkdtemp(prefix="door-", dir="/tmp"))
     print(
-        "| times | offered, /s | door | settled, /s | of the peak | p99, ms | broken |\n"
-        + "| --- " * 7
-        + "|"
+        "| times | offered, /s | door | settled, /s | of the peak | p99, ms | broken |\n" + "| --- " * 7 + "|"
     )
     peaks: dict[bool, float] = {}
     for factor in map(float, factors.split(",")):
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -35,8 +35,16 @@
         zones = tuple((draw.choice("abc"),) for _ in range(draw.choice((1, 1, 2))))
         names = tuple(f"region-{z[0]}" for z in zones)
         prefix = f"shard-{n % TENANT_SHARDS}/" + "x" * draw.randrange(8)
-        made.append(Row(1 + n // TENANT_SHARDS, f"s{n % TENANT_SHARDS}", (prefix,), Terms(True, names, zones),
-                        False, n + 1))
+        made.append(
+            Row(
+                1 + n // TENANT_SHARDS,
+                f"s{n % TENANT_SHARDS}",
+                (prefix,),
+                Terms(True, names, zones),
+                False,
+                n + 1,
+            )
+        )
     return made
 
 
@@ -62,8 +70,13 @@
     tracemalloc.stop()
     tenants = max(count // TENANT_SHARDS, 1)
     draw = random.Random(1)
-    keys = [b"%x/" % (1 + draw.randrange(tenants)) + b"shard-%d/" % draw.randrange(TENANT_SHARDS) + b"x" * 8 +
-            b"key-%d" % n for n in range(2000)]
+    keys = [
+        b"%x/" % (1 + draw.randrange(tenants))
+        + b"shard-%d/" % draw.randrange(TENANT_SHARDS)
+        + b"x" * 8
+        + b"key-%d" % n
+        for n in range(2000)
+    ]
     others = [b"%x/other-%d" % (1 + draw.randrange(tenants), n) for n in range(2000)]
     began = time.process_time()
     table.change(told, [], whole=True)
@@ -105,8 +118,15 @@
     desk = Desk(rev=count + 1)
     for told in rows(count):
         terms = told.terms
-        desk._take(f"{told.incarnation}/{told.shard}", told.rev, msgspec.json.encode(Pinned(
-            told.incarnation, "t", told.shard, told.prefixes, 1.0, told.rev, "confined", 0.0, terms)))
+        desk._take(
+            f"{told.incarnation}/{told.shard}",
+            told.rev,
+            msgspec.json.encode(
+                Pinned(
+                    told.incarnation, "t", told.shard, told.prefixes, 1.0, told.rev, "confined", 0.0, terms
+                )
+            ),
+        )
     began = time.process_time()
     body = msgspec.json.encode(desk.told(0)[1])
     whole = time.process_time() - began
@@ -118,13 +138,18 @@
     for count in (0, 100, 10_000):
         hit, miss, memory, all_rows, one_row = look_ups(count)
         whole, nothing, size = keeper(count)
-        print(f"{count:6} shards: look {hit:.2f} us, miss {miss:.2f} us, table {memory / 1024:.0f} KiB, "
-              f"taken over in {all_rows:.1f} ms, one row in {one_row:.2f} ms; "
-              f"keeper tells the whole in {whole:.1f} ms ({size / 1024:.0f} KiB), "
-              f"nothing new in {nothing:.4f} ms")
-    for name, regions in [("none", None), ("one region", (frozenset("a"),)),
-                          ("two regions", (frozenset("a"), frozenset("b"))),
-                          ("prefer", (frozenset("a"), None))]:
+        print(
+            f"{count:6} shards: look {hit:.2f} us, miss {miss:.2f} us, table {memory / 1024:.0f} KiB, "
+            f"taken over in {all_rows:.1f} ms, one row in {one_row:.2f} ms; "
+            f"keeper tells the whole in {whole:.1f} ms ({size / 1024:.0f} KiB), "
+            f"nothing new in {nothing:.4f} ms"
+        )
+    for name, regions in [
+        ("none", None),
+        ("one region", (frozenset("a"),)),
+        ("two regions", (frozenset("a"), frozenset("b"))),
+        ("prefer", (frozenset("a"), None)),
+    ]:
         print(f"decisions of an operation, regions {name}: {decisions(regions):.1f} us")
 
 
--- a/gaugehinge/admin/app.py
+++ b/gaugehinge/admin/app.py
@@ -187,8 +187,7 @@
     def app(self) -> Starlette:
         """The ASGI application."""
         routes = [
-            Route(path, self._guarded(handler), methods=[method])
-            for method, path, *_, handler in self.table
+            Route(path, self._guarded(handler), methods=[method]) for method, path, *_, handler in self.table
         ]
         routes.append(Route("/v1/openapi.json", self._openapi, methods=["GET"]))
         routes.append(Route("/healthz", self._health, methods=["GET"]))
@@ -339,9 +338,7 @@
 
     async def _order(self, request: Request, caller: Caller, drain: bool) -> Response:
         caller.need("operator")
-        return answer(
-            await self.administration.order_server(request.path_params["name"], drain, caller.name)
-        )
+        return answer(await self.administration.order_server(request.path_params["name"], drain, caller.name))
 
     async def routers(self, request: Request, caller: Caller) -> Response:
         """GET /v1/routers."""
--- a/gaugehinge/admin/keep.py
+++ b/gaugehinge/admin/keep.py
@@ -98,9 +98,7 @@
     closing: Annotated[
         Seconds, Meta(description="within which a store closes what a silent router left open")
     ] = default(Seconds(15.0))
-    most_busy: Annotated[
-        float, Meta(description="part of its core that a router bears", gt=0, le=1)
-    ] = 0.8
+    most_busy: Annotated[float, Meta(description="part of its core that a router bears", gt=0, le=1)] = 0.8
     new_installation: Annotated[
         bool, Meta(description="an empty store is a first start: no node is there that it does not know")
     ] = False
--- a/gaugehinge/admin/service.py
+++ b/gaugehinge/admin/service.py
@@ -301,9 +301,7 @@
             item = _expected(store, name, None)
             kept = _kept(item)
             after = list(rotate(kept.credentials, credential, overlap, now))
-            return [
-                Wanted(TENANT, name, encode(msgspec.structs.replace(kept, credentials=after)), item.rev)
-            ]
+            return [Wanted(TENANT, name, encode(msgspec.structs.replace(kept, credentials=after)), item.rev)]
 
         await self._change(plan, who, **key)
         return Secret(credential.ident, secret)
@@ -488,8 +486,16 @@
 
 def _row(kept: Kept) -> TenantRow:
     return TenantRow(
-        kept.name, kept.incarnation, kept.place, kept.stage, kept.share, kept.allowance, kept.credentials,
-        kept.traffic, kept.longest_wait, kept.most_value,
+        kept.name,
+        kept.incarnation,
+        kept.place,
+        kept.stage,
+        kept.share,
+        kept.allowance,
+        kept.credentials,
+        kept.traffic,
+        kept.longest_wait,
+        kept.most_value,
     )
 
 
--- a/gaugehinge/admin/types.py
+++ b/gaugehinge/admin/types.py
@@ -242,9 +242,7 @@
 def openapi(routes: list[tuple[str, str, str, type | None, type | None]]) -> dict[str, Any]:
     """The OpenAPI description of routes: method, path, summary, what goes in, what comes out."""
     bodies = [each for route in routes for each in route[3:] if each is not None]
-    _, parts = msgspec.json.schema_components(
-        [*bodies, Problem], ref_template="#/components/schemas/{name}"
-    )
+    _, parts = msgspec.json.schema_components([*bodies, Problem], ref_template="#/components/schemas/{name}")
 
     def content(kind: type, form: str = "application/json") -> dict[str, Any]:
         return {"content": {form: {"schema": {"$ref": f"#/components/schemas/{kind.__name__}"}}}}
--- a/gaugehinge/cli/check_command.py
+++ b/gaugehinge/cli/check_command.py
@@ -7,8 +7,14 @@
 
 @click.command("check", epilog="Example: gaugehinge check rehearsals/bad-morning.toml --as script")
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--as", "kind", type=click.Choice(["installation", "script"]), default="installation",
-              show_default=True, help="What the file is.")
+@click.option(
+    "--as",
+    "kind",
+    type=click.Choice(["installation", "script"]),
+    default="installation",
+    show_default=True,
+    help="What the file is.",
+)
 def command(file: str, kind: str) -> None:
     """Read a file and say whether it makes sense; nothing is started."""
     from ..forms.toml import BadFile
--- a/gaugehinge/cli/main.py
+++ b/gaugehinge/cli/main.py
@@ -13,8 +13,19 @@
 
 FORM = "{time:HH:mm:ss.SSS} {level.name} {message}"
 COMMANDS = (
-    "check", "demo", "emulate", "keep", "load", "rehearse", "report", "schema", "serve", "server", "store",
-    "tenant", "tier",
+    "check",
+    "demo",
+    "emulate",
+    "keep",
+    "load",
+    "rehearse",
+    "report",
+    "schema",
+    "serve",
+    "server",
+    "store",
+    "tenant",
+    "tier",
 )
 
 
--- a/gaugehinge/cli/running.py
+++ b/gaugehinge/cli/running.py
@@ -33,8 +33,9 @@
     return script if seed is None else msgspec.structs.replace(script, seed=seed)
 
 
-def rehearse(script: Any, folder: Path, replay: tuple[str, ...] = (), speed: float = 1.0,
-             report: bool = True) -> int:
+def rehearse(
+    script: Any, folder: Path, replay: tuple[str, ...] = (), speed: float = 1.0, report: bool = True
+) -> int:
     """Run a script, work its records off, show them; the exit code."""
     import trio
 
--- a/gaugehinge/cli/schema_command.py
+++ b/gaugehinge/cli/schema_command.py
@@ -6,8 +6,14 @@
 
 
 @click.command("schema", epilog="Example: gaugehinge schema > installation.schema.json")
-@click.option("--of", "kind", type=click.Choice(["installation", "script"]), default="installation",
-              show_default=True, help="Which file's form.")
+@click.option(
+    "--of",
+    "kind",
+    type=click.Choice(["installation", "script"]),
+    default="installation",
+    show_default=True,
+    help="Which file's form.",
+)
 @click.option("--page", is_flag=True, help="The reference page in Markdown instead.")
 def command(kind: str, page: bool) -> None:
     """Print the JSON Schema of a file, or its reference page."""
--- a/gaugehinge/cluster/front.py
+++ b/gaugehinge/cluster/front.py
@@ -156,9 +156,7 @@
                 raise Refused(f"ERR unknown command '{shown}'")
             told = plain(client, words)
         except (Refused, IndexError) as bad:
-            told = Error(
-                (str(bad) if isinstance(bad, Refused) else "ERR wrong number of arguments").encode()
-            )
+            told = Error((str(bad) if isinstance(bad, Refused) else "ERR wrong number of arguments").encode())
         if told is LATER:
             return
         self.put(client, encode(told, client.version))
@@ -261,8 +259,15 @@
         behind = b"$%d\r\n%b\r\n" % (len(value), value) if entry.write else b""
         told = before + b"%d" % (entry.abandon * 1000) + after
         return Cargo(
-            ident, piece.key, (before, after), told, head, behind, value if entry.write else None,
-            piece.words, partial(self.present, client),
+            ident,
+            piece.key,
+            (before, after),
+            told,
+            head,
+            behind,
+            value if entry.write else None,
+            piece.words,
+            partial(self.present, client),
         )
 
     def _answerer(
--- a/gaugehinge/cluster/slots.py
+++ b/gaugehinge/cluster/slots.py
@@ -61,9 +61,7 @@
         last = -1
         for each in self.ranges:
             if not last < each.first <= each.last < SLOTS or not each.nodes:
-                raise ValueError(
-                    f"range {each.first}-{each.last}: outside, overlapping, or served by nobody"
-                )
+                raise ValueError(f"range {each.first}-{each.last}: outside, overlapping, or served by nobody")
             last = each.last
 
     def __eq__(self, other: object) -> bool:
--- a/gaugehinge/cluster/table.py
+++ b/gaugehinge/cluster/table.py
@@ -61,8 +61,7 @@
         if count % 2:
             raise _arguments(entry)
         pieces = [
-            Piece(words[i], command(b"SET", words[i], words[i + 1]), words[i + 1])
-            for i in range(1, count, 2)
+            Piece(words[i], command(b"SET", words[i], words[i + 1]), words[i + 1]) for i in range(1, count, 2)
         ]
     else:
         single = b"GET" if entry.joined == "list" else entry.name
--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -161,11 +161,16 @@
             found = []
             for item in store.items(LIMIT, most=100_000):
                 most = msgspec.json.decode(item.body, type=LimitOrder).most
-                found.append(LimitShown(
-                    item.ident, most, grants.spent(slots, item.ident),
-                    max(grants.most_nodes * figure(grants.floors, item.ident), 1),
-                    grants.reached(slots, item.ident, most, now), item.rev,
-                ))
+                found.append(
+                    LimitShown(
+                        item.ident,
+                        most,
+                        grants.spent(slots, item.ident),
+                        max(grants.most_nodes * figure(grants.floors, item.ident), 1),
+                        grants.reached(slots, item.ident, most, now),
+                        item.rev,
+                    )
+                )
             return found
 
     async def limits(self, request: Request, caller: Caller) -> Response:
@@ -242,10 +247,19 @@
                 elif last is not None and last.said.leaving:
                     stage = "leaving"
                 held: Figures = {store: grants.charge(slot, store) for store in limits}
-                nodes.append(NodeShown(
-                    node, slot.run, slot.number, slot.values, held, word.counted if word else {},
-                    word.need if word else {}, round(now - heard, 3) if heard is not None else -1.0, stage,
-                ))
+                nodes.append(
+                    NodeShown(
+                        node,
+                        slot.run,
+                        slot.number,
+                        slot.values,
+                        held,
+                        word.counted if word else {},
+                        word.need if word else {},
+                        round(now - heard, 3) if heard is not None else -1.0,
+                        stage,
+                    )
+                )
             settled = max(grants.settled_at - now, 0.0)
             if grants.raises(now) and not grants.ground.doubt:
                 settled = 0.0
@@ -290,9 +304,11 @@
                 grants.ground = msgspec.structs.replace(grants.ground, doubt="")
                 item = store.get("drains-ground", "ground")
                 body = encode(grants.ground)
-                return [] if item and item.body == body else [
-                    Wanted("drains-ground", "ground", body, item.rev if item else 0)
-                ]
+                return (
+                    []
+                    if item and item.body == body
+                    else [Wanted("drains-ground", "ground", body, item.rev if item else 0)]
+                )
 
         await self.administration._change(plan, caller.name)
         part.news.set()
@@ -356,7 +372,11 @@
         return await self._once(request, caller, body, make, made)
 
     async def _once(
-        self, request: Request, caller: Caller, body: bytes, make: Callable[..., Awaitable[Response]],
+        self,
+        request: Request,
+        caller: Caller,
+        body: bytes,
+        make: Callable[..., Awaitable[Response]],
         made: list[str],
     ) -> Response:
         """A call with an idempotency key is made once; its repeat is shown what it made."""
@@ -391,7 +411,9 @@
         return await self._tell(request, caller, go_back)
 
     async def _tell(
-        self, request: Request, caller: Caller,
+        self,
+        request: Request,
+        caller: Caller,
         alter: Callable[[Roll, list[Step]], tuple[Roll, list[Step], list[str]]],
     ) -> Response:
         caller.need("operator")
@@ -439,8 +461,18 @@
     """A roll as the API shows it."""
     stages = [Stage(step.stage) for step in steps]
     return RollShown(
-        roll.ident, roll.status, roll.order, len(steps), stages.count(Stage.WAITING),
-        sum(stage in OUT for stage in stages), stages.count(Stage.DONE), stages.count(Stage.SKIPPED),
-        roll.back, roll.why, roll.who, roll.at, revision,
+        roll.ident,
+        roll.status,
+        roll.order,
+        len(steps),
+        stages.count(Stage.WAITING),
+        sum(stage in OUT for stage in stages),
+        stages.count(Stage.DONE),
+        stages.count(Stage.SKIPPED),
+        roll.back,
+        roll.why,
+        roll.who,
+        roll.at,
+        revision,
         [StepShown(step.node, step.stage, step.why) for step in steps] if whole else [],
     )
--- a/gaugehinge/drains/forms.py
+++ b/gaugehinge/drains/forms.py
@@ -60,8 +60,19 @@
     def word(self, run: str) -> Word:
         """What of it grants go by."""
         return Word(
-            self.node, run, self.run_number, self.turn, self.number, self.mark, dict(self.holds),
-            dict(self.counted), dict(self.need), dict(self.floors), self.admitted, self.closed, self.zone,
+            self.node,
+            run,
+            self.run_number,
+            self.turn,
+            self.number,
+            self.mark,
+            dict(self.holds),
+            dict(self.counted),
+            dict(self.need),
+            dict(self.floors),
+            self.admitted,
+            self.closed,
+            self.zone,
         )
 
 
--- a/gaugehinge/drains/grants.py
+++ b/gaugehinge/drains/grants.py
@@ -291,8 +291,12 @@
     # -- the plan
 
     def plan(
-        self, slots: Mapping[str, Slot], limits: Mapping[str, int], now: float,
-        leaving: frozenset[str] = frozenset(), worst: Mapping[str, float] | None = None,
+        self,
+        slots: Mapping[str, Slot],
+        limits: Mapping[str, int],
+        now: float,
+        leaving: frozenset[str] = frozenset(),
+        worst: Mapping[str, float] | None = None,
     ) -> dict[str, Slot]:
         """Slots to be changed, all in one transaction. `leaving`: nodes told to end, which get nothing more;
         `worst`: connections that tenants would use in all by their allowances."""
@@ -382,8 +386,18 @@
             remains = floors  # of runs before it that this store does not know of either
             self.gone_by[word.node] = now + self.closed_after
         return Slot(
-            word.node, word.run, word.run_number, word.number + 1, self.mark, dict(word.holds),
-            _most(word.holds, word.counted), remains, floors, False, number, word.zone,
+            word.node,
+            word.run,
+            word.run_number,
+            word.number + 1,
+            self.mark,
+            dict(word.holds),
+            _most(word.holds, word.counted),
+            remains,
+            floors,
+            False,
+            number,
+            word.zone,
         )
 
     def _succeed(self, slot: Slot, word: Word, now: float) -> Slot:
@@ -410,12 +424,17 @@
     # -- who is to have how many
 
     def _arrange(
-        self, table: dict[str, Slot], limits: Mapping[str, int], now: float, leaving: frozenset[str],
+        self,
+        table: dict[str, Slot],
+        limits: Mapping[str, int],
+        now: float,
+        leaving: frozenset[str],
         worst: Mapping[str, float],
     ) -> None:
         """Bring values nearer to need: first what is lowered, then what room there is to raise."""
         live = [
-            node for node, slot in table.items()
+            node
+            for node, slot in table.items()
             if self.live(node, now) and not slot.closed and self._same_run(slot)
         ]
         if not live:
@@ -457,8 +476,14 @@
         return goal < value and (press == OVER or ((press > 0.0 or not calm) and value - goal >= least))
 
     def _goals(
-        self, goals: dict[str, Figures], table: dict[str, Slot], live: list[str], store: str, most: int,
-        leaving: frozenset[str], worst: float,
+        self,
+        goals: dict[str, Figures],
+        table: dict[str, Slot],
+        live: list[str],
+        store: str,
+        most: int,
+        leaving: frozenset[str],
+        worst: float,
     ) -> float:
         """What each that is heard is to have of one store. Returns how pressing it is: NEED where somebody
         waits for what others have, OVER where all have more than there is."""
@@ -495,8 +520,13 @@
         return NEED if starved and sum(values.values()) >= room else 0.0
 
     def _raise(
-        self, table: dict[str, Slot], goals: dict[str, Figures], live: list[str], limits: Mapping[str, int],
-        leaving: frozenset[str], calm: bool,
+        self,
+        table: dict[str, Slot],
+        goals: dict[str, Figures],
+        live: list[str],
+        limits: Mapping[str, int],
+        leaving: frozenset[str],
+        calm: bool,
     ) -> bool:
         free = {store: most - self.spent(table.values(), store) for store, most in limits.items()}
         moved = False
@@ -541,9 +571,12 @@
             return None  # the next plan takes its number over
         self.given[slot.node] = Given(now, self.lease, slot.number)
         return Grant(
-            slot.number, slot.mark, slot.values,
+            slot.number,
+            slot.mark,
+            slot.values,
             {store: min(floor, figure(slot.floors, store)) for store, floor in self.floors.items()},
-            self.lease, not slot.remains,
+            self.lease,
+            not slot.remains,
         )
 
 
--- a/gaugehinge/drains/keeper.py
+++ b/gaugehinge/drains/keeper.py
@@ -30,7 +30,11 @@
 from .rolls import ENDED, MOST_NODES, Fact, Roll, Rolls, Stage, Status, Step, told_as
 
 LIMIT, NODE, GROUND, ROLL, STEP = (
-    "drains-limit", "drains-node", "drains-ground", "drains-roll", "drains-step",
+    "drains-limit",
+    "drains-node",
+    "drains-ground",
+    "drains-roll",
+    "drains-step",
 )
 TICK = 1.0  # seconds between two plans with no news
 LEAST_GAP = 0.1  # and at least between two with
@@ -103,8 +107,15 @@
         floors = {ORIGIN: told.floor_origin, SERVERS: told.floor_servers}
         desk = self.administration
         self.grants = Grants(
-            self.clock(), desk.lease, float(told.closing), told.most_nodes, floors, told.reserve,
-            desk.run_mark, desk.life, Ground(),
+            self.clock(),
+            desk.lease,
+            float(told.closing),
+            told.most_nodes,
+            floors,
+            told.reserve,
+            desk.run_mark,
+            desk.life,
+            Ground(),
         )
         self.last_word = LastWord.beside(desk.keeper.path)
 
@@ -132,7 +143,10 @@
                 self._list(said.servers, now)
             values = figure(known.holds, ORIGIN) if known is not None else 0
             if (
-                known is None or known.run != report.run or known.number != said.number or said.closed
+                known is None
+                or known.run != report.run
+                or known.number != said.number
+                or said.closed
                 or said.counted.get(ORIGIN, 0) < known.counted.get(ORIGIN, 0)
                 or figure(said.need, ORIGIN) > values
             ):
@@ -182,14 +196,22 @@
             if leave:
                 self.sent_out[said.node] = report.run
             told = Told(
-                life, closing=self.grants.closing, leave=leave, hard=hard and bool(leave),
+                life,
+                closing=self.grants.closing,
+                leave=leave,
+                hard=hard and bool(leave),
                 servers=self._asks_list(said.node, now),
                 refused=self.grants.refused.get(said.node, ""),
             )
         if grant is not None:
             told = msgspec.structs.replace(
-                told, number=grant.number, mark=grant.mark, values=grant.values, floors=grant.floors,
-                lease=grant.lease, clear=grant.clear,
+                told,
+                number=grant.number,
+                mark=grant.mark,
+                values=grant.values,
+                floors=grant.floors,
+                lease=grant.lease,
+                clear=grant.clear,
             )
         return msgspec.json.encode(told)
 
@@ -239,8 +261,10 @@
             ground = msgspec.json.decode(held.body, type=Ground) if held else Ground()
             doubt = ground.doubt or self._suspicion(held is None, ground)
             ground = Ground(
-                max(ground.longest, self.grants.lease), max(ground.closing, float(told.closing)),
-                ground.admissions, doubt,
+                max(ground.longest, self.grants.lease),
+                max(ground.closing, float(told.closing)),
+                ground.admissions,
+                doubt,
             )
             slots = [slot for _, slot in self.slots(store).values()]
             with self.lock:
@@ -332,7 +356,8 @@
                 self.worst, self.worst_at = self._worst(store), now
             with self.lock:
                 leaving = frozenset(
-                    node for node, last in self.lasts.items()
+                    node
+                    for node, last in self.lasts.items()
                     if last.said.leaving or self.orders.get(last.router, ("", "", False))[1] == last.run
                 )
                 slots = {node: slot for node, (_, slot) in held.items()}
@@ -459,14 +484,21 @@
         """Which run of which router is told to end, by which roll, and whether at once."""
         return {
             step.node: (told_as(roll), step.run, step.hard)
-            for ident, roll in rolls.items() if roll.order.kind == "routers" and roll.status != "cancelled"
-            for step in steps[ident].values() if step.stage == Stage.TOLD.value
+            for ident, roll in rolls.items()
+            if roll.order.kind == "routers" and roll.status != "cancelled"
+            for step in steps[ident].values()
+            if step.stage == Stage.TOLD.value
         }
 
     @staticmethod
     def write(
-        store: Store, rolls: dict[str, tuple[int, Roll]], revisions: dict[str, int], changed: dict[str, Roll],
-        steps: dict[str, list[Step]], drain: list[str], restore: list[str],
+        store: Store,
+        rolls: dict[str, tuple[int, Roll]],
+        revisions: dict[str, int],
+        changed: dict[str, Roll],
+        steps: dict[str, list[Step]],
+        drain: list[str],
+        restore: list[str],
     ) -> list[Wanted]:
         """Rows for what is due, each for the revision that it was decided by."""
         wanted = [
@@ -506,9 +538,19 @@
                 leaving = said.leaving or self.sent_out.get(node) == last.run
                 up = now - at < self.grants.lease and said.ready_for > 0.0 and bool(slot.values)
                 fact = Fact(
-                    router, last.run, said.zone, up, self._region(said.zone), said.build,
-                    frozenset(said.labels), said.ready_for + now - at, leaving, said.closed,
-                    said.busy if up else 0.0, self.told.most_busy if up else 0.0, held,
+                    router,
+                    last.run,
+                    said.zone,
+                    up,
+                    self._region(said.zone),
+                    said.build,
+                    frozenset(said.labels),
+                    said.ready_for + now - at,
+                    leaving,
+                    said.closed,
+                    said.busy if up else 0.0,
+                    self.told.most_busy if up else 0.0,
+                    held,
                     said.rolled,
                 )
             if router not in found or found[router][0] < at:
@@ -525,11 +567,18 @@
         for uid, seen in self.servers.items():
             listed = self._listed(seen)
             found[uid] = Fact(
-                uid, f"{seen.said.started:.3f}", seen.said.zone, listed, self._region(seen.said.zone),
+                uid,
+                f"{seen.said.started:.3f}",
+                seen.said.zone,
+                listed,
+                self._region(seen.said.zone),
                 seen.said.kind,
-                frozenset(), now - seen.since, not seen.said.up or (uid in ordered and uid not in ours),
+                frozenset(),
+                now - seen.since,
+                not seen.said.up or (uid in ordered and uid not in ours),
                 uid in ordered and self._empty(uid, ordered[uid], store, now),
-                attempts / len(up) if listed else 0.0, float(figure(limits, uid)) if listed else 0.0,
+                attempts / len(up) if listed else 0.0,
+                float(figure(limits, uid)) if listed else 0.0,
             )
         return found
 
@@ -542,16 +591,20 @@
         rows = placement.desk.rows.values() if placement is not None else ()
         pinned = {
             frozenset(zone for region in terms.zones for zone in region)
-            for row, _ in rows for terms in (row.now, row.then) if terms and terms.only
+            for row, _ in rows
+            for terms in (row.now, row.then)
+            if terms and terms.only
         }
 
         def last(name: str, out: frozenset[str]) -> bool:
             if name not in servers:
                 return False  # a router
             return any(
-                servers[name].zone in zones and not any(
+                servers[name].zone in zones
+                and not any(
                     fact.up and not fact.drains and fact.zone in zones and uid not in out
-                    for uid, fact in servers.items() if uid != name
+                    for uid, fact in servers.items()
+                    if uid != name
                 )
                 for zones in pinned
             )
--- a/gaugehinge/drains/rolls.py
+++ b/gaugehinge/drains/rolls.py
@@ -185,9 +185,12 @@
         if name not in known:
             raise Refused(f"no node {name} is known", "who.names")
     found = [
-        fact for fact in known.values()
-        if (not who.names or fact.name in who.names) and (not who.zones or fact.zone in who.zones)
-        and (not who.builds or fact.build in who.builds) and (not who.labels or fact.labels & set(who.labels))
+        fact
+        for fact in known.values()
+        if (not who.names or fact.name in who.names)
+        and (not who.zones or fact.zone in who.zones)
+        and (not who.builds or fact.build in who.builds)
+        and (not who.labels or fact.labels & set(who.labels))
     ]
     if not found:
         raise Refused("no node is meant", "who")
@@ -233,8 +236,12 @@
     burn: Burn = field(default_factory=Burn)
 
     def plan(
-        self, rolls: Iterable[Roll], steps: Mapping[str, list[Step]],
-        facts: Mapping[str, Mapping[str, Fact]], now: float, wall: float,
+        self,
+        rolls: Iterable[Roll],
+        steps: Mapping[str, list[Step]],
+        facts: Mapping[str, Mapping[str, Fact]],
+        now: float,
+        wall: float,
         overlaps: Callable[[int], bool] = lambda count: True,
     ) -> Due:
         """What is due. `facts` by kind and name; `now` monotonic, `wall` Unix; `overlaps`: whether so many
@@ -242,21 +249,27 @@
         due = Due()
         standing = sorted((r for r in rolls if Status(r.status) not in ENDED), key=lambda roll: roll.number)
         told = sum(
-            Stage(step.stage) in OUT for roll in standing if roll.order.kind == "routers"
+            Stage(step.stage) in OUT
+            for roll in standing
+            if roll.order.kind == "routers"
             for step in steps.get(roll.ident, ())
         )
         head = next((r for r in standing if r.status in (Status.QUEUED.value, Status.RUNNING.value)), None)
         for roll in standing:
             known = facts[roll.order.kind]
-            after = {step.node: self._advance(roll, step, known.get(step.node), now, due)
-                     for step in steps.get(roll.ident, ())}
+            after = {
+                step.node: self._advance(roll, step, known.get(step.node), now, due)
+                for step in steps.get(roll.ident, ())
+            }
             if roll is head:
                 roll = self._head(roll, after, known, now, wall, due)
                 if roll.status == Status.RUNNING.value:
                     others = [
-                        step for other in standing
+                        step
+                        for other in standing
                         if other is not head and other.order.kind == roll.order.kind
-                        for step in steps.get(other.ident, ()) if Stage(step.stage) in OUT
+                        for step in steps.get(other.ident, ())
+                        if Stage(step.stage) in OUT
                     ]
                     told = self._tell(roll, after, known, now, wall, due, told, overlaps, others)
             self._close(roll, steps.get(roll.ident, []), after, due)
@@ -359,14 +372,23 @@
         return roll
 
     def _tell(
-        self, roll: Roll, after: dict[str, Step], known: Mapping[str, Fact], now: float, wall: float,
-        due: Due, told: int, overlaps: Callable[[int], bool], others: list[Step],
+        self,
+        roll: Roll,
+        after: dict[str, Step],
+        known: Mapping[str, Fact],
+        now: float,
+        wall: float,
+        due: Due,
+        told: int,
+        overlaps: Callable[[int], bool],
+        others: list[Step],
     ) -> int:
         order = roll.order
         if wall < order.starts or (order.ends and wall >= order.ends):
             return told
         out = {
-            fact.name: fact for fact in known.values()
+            fact.name: fact
+            for fact in known.values()
             if not fact.up or fact.drains or fact.ready_for < order.warm_up
         }
         out |= {
@@ -375,7 +397,8 @@
         out |= {
             # Told by a roll that was paused or stopped since, it may not have heard that yet and seem up like
             # any. Another run of it shows by itself whether it is up, whatever that roll waits for.
-            step.node: fact for step in others
+            step.node: fact
+            for step in others
             if (fact := known.get(step.node)) is not None and fact.run == step.run
         }
         for node, step in after.items():
@@ -402,9 +425,7 @@
             out[node] = fact
         return told
 
-    def _may(
-        self, order: RollOrder, fact: Fact, out: Mapping[str, Fact], known: Mapping[str, Fact]
-    ) -> bool:
+    def _may(self, order: RollOrder, fact: Fact, out: Mapping[str, Fact], known: Mapping[str, Fact]) -> bool:
         """Whether this one may be taken out beside those that are."""
         if any(other.zone != fact.zone for other in out.values()):
             return False  # never two zones
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -327,14 +327,32 @@
         phase = self.service.lifecycle.phase
         drained = self.follower.overlay.drained
         said = Said(
-            f"{self.service.configuration.name}@{kept.ident}", kept.run_number, self.turn, holding.number,
-            holding.mark, holding.holds(now), counted, need, floors if kept.admitted else {}, kept.admitted,
+            f"{self.service.configuration.name}@{kept.ident}",
+            kept.run_number,
+            self.turn,
+            holding.number,
+            holding.mark,
+            holding.holds(now),
+            counted,
+            need,
+            floors if kept.admitted else {},
+            kept.admitted,
             holding.closed,
-            self.zone, self.build, list(self.labels), now - self.ready_since if self.ready_since else 0.0,
-            bool(self.left) or phase in (Phase.LEAVING, Phase.CLOSING), self._in_hand(), self.settled,
-            self.lost, self.busy, max(self.used, 0.0), self.rate,
-            {uid: self._out(uid) for uid in sorted(drained)[:MOST_SERVERS]}, self._attempts(),
-            self._listed() if self.asks_list else [], kept.rolled,
+            self.zone,
+            self.build,
+            list(self.labels),
+            now - self.ready_since if self.ready_since else 0.0,
+            bool(self.left) or phase in (Phase.LEAVING, Phase.CLOSING),
+            self._in_hand(),
+            self.settled,
+            self.lost,
+            self.busy,
+            max(self.used, 0.0),
+            self.rate,
+            {uid: self._out(uid) for uid in sorted(drained)[:MOST_SERVERS]},
+            self._attempts(),
+            self._listed() if self.asks_list else [],
+            kept.rolled,
         )
         return msgspec.json.encode(said)
 
@@ -356,7 +374,10 @@
         origin = self.service.dispatch.router.origin
         return [
             ServerSaid(
-                target.uid, target.listing.zone, target.listing.kind, target.listing.presence is Presence.UP,
+                target.uid,
+                target.listing.zone,
+                target.listing.kind,
+                target.listing.presence is Presence.UP,
                 target.listing.started,
             )
             for target in self.follower.overlay.told
@@ -453,4 +474,3 @@
             except Exception as bad:  # the keeper finds out by the lease, later
                 logger.info("the keeper was not told that all is closed: {}", type(bad).__name__)
         logger.info("connections closed: {} left, run {}", left, self.files.kept.run_number)
-
--- a/gaugehinge/emulator/cacheparty.py
+++ b/gaugehinge/emulator/cacheparty.py
@@ -146,9 +146,7 @@
             return b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
         return b"*3\r\n" + bulk(b"of " + words[1]) + b"$4\r\nmiss\r\n$-1\r\n"
 
-    def _write(
-        self, now: float, words: list[bytes], who: str, labels: dict[str, str], cold: bool
-    ) -> bytes:
+    def _write(self, now: float, words: list[bytes], who: str, labels: dict[str, str], cold: bool) -> bytes:
         mark = labels.get("k", "")
         receipt = "done " + own(words[2].decode("latin-1"))
         before = self.marks.first(mark, receipt, now) if mark else None
@@ -162,10 +160,22 @@
     ) -> None:
         told_at = self.drained.get(who, 0.0)
         key, ident = (word.decode("latin-1") for word in words[1:3])
-        self.recorder.put(Attempt(
-            now, self.part.name, self.part.name, self.part.zone, own(ident), key, write, own(mark), effect,
-            cold, told_at > 0.0, told_at,
-        ))
+        self.recorder.put(
+            Attempt(
+                now,
+                self.part.name,
+                self.part.name,
+                self.part.zone,
+                own(ident),
+                key,
+                write,
+                own(mark),
+                effect,
+                cold,
+                told_at > 0.0,
+                told_at,
+            )
+        )
 
     def _store(self, key: bytes, value: bytes) -> None:
         self.data.pop(key, None)
--- a/gaugehinge/emulator/faults.py
+++ b/gaugehinge/emulator/faults.py
@@ -23,8 +23,12 @@
 
 
 MANNERS = {
-    "mute": Manner.NOTHING, "half": Manner.HALF, "spoilt": Manner.SPOILT, "twice": Manner.TWICE,
-    "reset": Manner.RESET, "pause_answer": Manner.PAUSED,
+    "mute": Manner.NOTHING,
+    "half": Manner.HALF,
+    "spoilt": Manner.SPOILT,
+    "twice": Manner.TWICE,
+    "reset": Manner.RESET,
+    "pause_answer": Manner.PAUSED,
 }
 
 
@@ -71,8 +75,10 @@
         if not self.active:
             return None
         for fault in self._now(now):
-            if fault.name == name and fault.router in (-1, router) and (
-                fault.part >= 1.0 or self.draw.random() < fault.part
+            if (
+                fault.name == name
+                and fault.router in (-1, router)
+                and (fault.part >= 1.0 or self.draw.random() < fault.part)
             ):
                 return fault
         return None
--- a/gaugehinge/emulator/link.py
+++ b/gaugehinge/emulator/link.py
@@ -131,8 +131,14 @@
     """Connections from one side to the other."""
 
     def __init__(
-        self, nursery: trio.Nursery, one: str, other: str, seed: int,
-        at: Address, to: Address, source: str,
+        self,
+        nursery: trio.Nursery,
+        one: str,
+        other: str,
+        seed: int,
+        at: Address,
+        to: Address,
+        source: str,
     ) -> None:
         super().__init__(one, other, seed)
         self.nursery = nursery
@@ -292,7 +298,7 @@
             left = fault.after - joint.passed
             joint.passed += len(data)
             if len(data) >= left:
-                await send_all(sink, data[:max(left, 0)])
+                await send_all(sink, data[: max(left, 0)])
                 raise ConnectionResetError
         if data:
             await send_all(sink, data)
@@ -302,8 +308,15 @@
     """Datagrams between two sides, both ways. Each side knows the address that it reaches the other at."""
 
     def __init__(
-        self, nursery: trio.Nursery, one: str, other: str, seed: int,
-        at_one: Address, at_other: Address, one_is: Address, other_is: Address,
+        self,
+        nursery: trio.Nursery,
+        one: str,
+        other: str,
+        seed: int,
+        at_one: Address,
+        at_other: Address,
+        one_is: Address,
+        other_is: Address,
     ) -> None:
         """`at_one`: where the one side sends to; `one_is`: where it hears; the other's alike."""
         super().__init__(one, other, seed)
@@ -371,9 +384,7 @@
 class Links:
     """All links of a play, by the names of their sides."""
 
-    def __init__(
-        self, nursery: trio.Nursery, seed: int, note: Callable[[str, str, Fault], None]
-    ) -> None:
+    def __init__(self, nursery: trio.Nursery, seed: int, note: Callable[[str, str, Fault], None]) -> None:
         """`note` gets the change of each link, with its sides as they stand there."""
         self.nursery = nursery
         self.seed = seed
--- a/gaugehinge/emulator/listparty.py
+++ b/gaugehinge/emulator/listparty.py
@@ -66,9 +66,7 @@
 
     def _keep(self) -> None:
         known = {**self.directory.former, **self.directory.entries}
-        entries = [
-            Listed(e.uid, e.host, e.zone, e.kind, e.cell, e.state, e.boot_ms) for e in known.values()
-        ]
+        entries = [Listed(e.uid, e.host, e.zone, e.kind, e.cell, e.state, e.boot_ms) for e in known.values()]
         try:
             part = self.path.with_name("list.part")
             part.write_bytes(msgspec.json.encode(Kept(self.directory.rev, entries)))
--- a/gaugehinge/emulator/originparty.py
+++ b/gaugehinge/emulator/originparty.py
@@ -106,10 +106,19 @@
         receipt, before = "done " + own(name), None
         if mark:
             before = self.marks.first(mark, receipt, now)
-        self.recorder.put(Attempt(
-            now, self.part.name, self.part.name, "", own(name), key, write, own(mark),
-            write and before is None,
-        ))
+        self.recorder.put(
+            Attempt(
+                now,
+                self.part.name,
+                self.part.name,
+                "",
+                own(name),
+                key,
+                write,
+                own(mark),
+                write and before is None,
+            )
+        )
         if not write:
             value = self.data.get(key, b"of " + key.encode("latin-1"))
             self._tell(Filled(key, name, value))
--- a/gaugehinge/forms/reference.py
+++ b/gaugehinge/forms/reference.py
@@ -20,7 +20,7 @@
     if typing.get_origin(kind) is typing.Annotated:
         return _inner(typing.get_args(kind)[0])
     if kind in PATTERNS:
-        return None, f"{PATTERNS[kind][0]}, `\"{PATTERNS[kind][2]}\"`"
+        return None, f'{PATTERNS[kind][0]}, `"{PATTERNS[kind][2]}"`'
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return kind, "table"
     origin, inner = typing.get_origin(kind), typing.get_args(kind)
@@ -70,8 +70,14 @@
     while waiting:
         path, struct, kind = waiting.pop(0)
         head = f"[[{path}]]" if kind == "tables" else f"[{path}]" if path else "At the top"
-        lines += [f"## {head}", "", (struct.__doc__ or "").strip(), "",
-                  "| field | type | default | bounds | meaning |", "| --- | --- | --- | --- | --- |"]
+        lines += [
+            f"## {head}",
+            "",
+            (struct.__doc__ or "").strip(),
+            "",
+            "| field | type | default | bounds | meaning |",
+            "| --- | --- | --- | --- | --- |",
+        ]
         hints = typing.get_type_hints(struct, include_extras=True)
         for field in msgspec.structs.fields(struct):
             inner, name = _inner(hints[field.name])
--- a/gaugehinge/forms/toml.py
+++ b/gaugehinge/forms/toml.py
@@ -63,8 +63,9 @@
         if found:
             return BadFile(name, f"{path}.{found[1]}".lstrip("."), what)
     text, mark, inner = text.partition(" @")
-    return BadFile(name, ".".join(part for part in (path, inner) if part) if mark else path,
-                   " ".join(text.split()))
+    return BadFile(
+        name, ".".join(part for part in (path, inner) if part) if mark else path, " ".join(text.split())
+    )
 
 
 def unique(field: str, names: list[str]) -> None:
--- a/gaugehinge/histories/events.py
+++ b/gaugehinge/histories/events.py
@@ -173,8 +173,22 @@
 
 
 AnyEvent = (
-    OpBegan | OpEnded | Gone | Attempt | Connections | Link | Process | Change | Placed | Stall | Note
-    | ListChanged | ListAsked | ListTold | Hushed | Outage
+    OpBegan
+    | OpEnded
+    | Gone
+    | Attempt
+    | Connections
+    | Link
+    | Process
+    | Change
+    | Placed
+    | Stall
+    | Note
+    | ListChanged
+    | ListAsked
+    | ListTold
+    | Hushed
+    | Outage
 )
 
 
--- a/gaugehinge/histories/figures.py
+++ b/gaugehinge/histories/figures.py
@@ -90,8 +90,11 @@
 
 
 def windows(
-    events: Iterable[AnyEvent], width: float, by: str = "all",
-    since: float = -math.inf, until: float = math.inf,
+    events: Iterable[AnyEvent],
+    width: float,
+    by: str = "all",
+    since: float = -math.inf,
+    until: float = math.inf,
 ) -> list[Window]:
     """Operations in windows of `width` seconds from `since` on (or from the first one), group by group.
 
@@ -137,8 +140,12 @@
 
 
 def returns(
-    events: Iterable[AnyEvent], event_at: float, steady: tuple[float, float], by: str = "all",
-    hold: float = 1.0, parts: Sequence[float] = PARTS,
+    events: Iterable[AnyEvent],
+    event_at: float,
+    steady: tuple[float, float],
+    by: str = "all",
+    hold: float = 1.0,
+    parts: Sequence[float] = PARTS,
 ) -> dict[str, Return]:
     """How each group's service came back after what happened at `event_at`.
 
--- a/gaugehinge/histories/lists.py
+++ b/gaugehinge/histories/lists.py
@@ -52,7 +52,8 @@
         self.bounds, self.began = bounds, began
         self.outages = [event for event in reading.of_kind(Outage) if event.at < until]
         self.moves = [
-            event.at for event in reading.processes
+            event.at
+            for event in reading.processes
             if event.name == router and event.state == "told_anew" and began <= event.at < until
         ]
         self.watches = self._watches(reading, router, began, until)
--- a/gaugehinge/histories/operations.py
+++ b/gaugehinge/histories/operations.py
@@ -185,7 +185,8 @@
             continue
         pair = next(
             (
-                (one, other) for one, other in zip(attempts, attempts[1:], strict=False)
+                (one, other)
+                for one, other in zip(attempts, attempts[1:], strict=False)
                 if other.at - one.at < bounds.memory
             ),
             None,
--- a/gaugehinge/histories/reading.py
+++ b/gaugehinge/histories/reading.py
@@ -36,8 +36,22 @@
 GONE = ("killed", "told_to_end", "ended")
 E = TypeVar("E")
 KINDS = (
-    OpBegan, OpEnded, Gone, Attempt, Connections, Link, Process, Change, Placed, Stall, Note, ListChanged,
-    ListAsked, ListTold, Hushed, Outage,
+    OpBegan,
+    OpEnded,
+    Gone,
+    Attempt,
+    Connections,
+    Link,
+    Process,
+    Change,
+    Placed,
+    Stall,
+    Note,
+    ListChanged,
+    ListAsked,
+    ListTold,
+    Hushed,
+    Outage,
 )
 PASSES = ("up", "hangs")  # states of a link in which what is open passes as ever
 
--- a/gaugehinge/histories/registers.py
+++ b/gaugehinge/histories/registers.py
@@ -78,8 +78,13 @@
         tag = told.if_match.strip().removeprefix("W/").strip('"')
         found.append(
             Call(
-                ident, told.party, told.method.upper(), told.path.partition("?")[0].rstrip("/"), told.body,
-                int(tag) if tag.isascii() and tag.isdigit() else 0, told.key,
+                ident,
+                told.party,
+                told.method.upper(),
+                told.path.partition("?")[0].rstrip("/"),
+                told.body,
+                int(tag) if tag.isascii() and tag.isdigit() else 0,
+                told.key,
                 began.at if began else -math.inf,
                 ended.at if ended else math.inf,
                 ended.status if ended else 0,
--- a/gaugehinge/histories/stores.py
+++ b/gaugehinge/histories/stores.py
@@ -58,9 +58,13 @@
         (one, other)
         for name, events in told.items()
         for one, other in zip(events, events[1:], strict=False)
-        if one.only and one.stage == other.stage == CONFINED and other.only
-        and set(one.zones) == set(other.zones) and set(one.prefixes) == set(other.prefixes)
-        and not changed[name].any(one.at, other.at) and not between(anew, one.at, other.at)
+        if one.only
+        and one.stage == other.stage == CONFINED
+        and other.only
+        and set(one.zones) == set(other.zones)
+        and set(one.prefixes) == set(other.prefixes)
+        and not changed[name].any(one.at, other.at)
+        and not between(anew, one.at, other.at)
     ]
 
 
@@ -93,7 +97,8 @@
     for (tenant, shard), events in told.items():
         mine = {prefix.partition("/")[2] for event in events for prefix in event.prefixes}
         others = [
-            time for other, prefix, time in taken[tenant]
+            time
+            for other, prefix, time in taken[tenant]
             if other != shard and any(prefix.startswith(each) for each in mine)
         ]
         found[tenant, shard] = Spans([*own[tenant, shard], *own[tenant, ""], *others])
@@ -138,7 +143,8 @@
         if attempt.server.startswith(bounds.origin) or not attempt.zone:
             continue
         spoken = (
-            prefix for size in range(len(attempt.key), -1, -1)
+            prefix
+            for size in range(len(attempt.key), -1, -1)
             if first.get(prefix := attempt.key[:size], math.inf) <= attempt.at
         )
         prefix = next(spoken, None)  # the longest: of which shard the key is
--- a/gaugehinge/hosted/follower.py
+++ b/gaugehinge/hosted/follower.py
@@ -168,8 +168,13 @@
         said = {part.name: part.report() for part in self.parts}
         wait = 0.0 if self.first_at_once and not self.heard_at else self.wait
         report = Report(
-            self.service.configuration.name, self.run_mark, roster.store, roster.revision, wait,
-            self.in_hand(), self.run_number,
+            self.service.configuration.name,
+            self.run_mark,
+            roster.store,
+            roster.revision,
+            wait,
+            self.in_hand(),
+            self.run_number,
             {name: msgspec.Raw(body) for name, body in said.items() if body is not None},
             roster.mark,
         )
--- a/gaugehinge/hosted/gate.py
+++ b/gaugehinge/hosted/gate.py
@@ -54,9 +54,7 @@
             if wait or self._checks.statistics().tasks_waiting >= WAITING_MOST:
                 return None, "", b"-BUSY %d\r\n" % max(int(wait * 1000), 100)
             kept = list(bearer.credentials.values()) if bearer is not None else []
-            found = await trio.to_thread.run_sync(
-                self.hasher.check, secret, kept, now, limiter=self._checks
-            )
+            found = await trio.to_thread.run_sync(self.hasher.check, secret, kept, now, limiter=self._checks)
             if found is None or bearer is None:
                 self.attempts.wrong(source, pair, now)
                 return None, "", WRONG
--- a/gaugehinge/hosted/roster.py
+++ b/gaugehinge/hosted/roster.py
@@ -94,10 +94,10 @@
                 raise BadFeed(f"place {bearer.place} told for two")
             places[bearer.place] = standing[bearer.incarnation] = bearer
         anew = {
-            place for place, bearer in places.items()
-            if (before := self.by_place.get(place)) is None or (before.incarnation, before.name) != (
-                bearer.incarnation, bearer.name
-            )
+            place
+            for place, bearer in places.items()
+            if (before := self.by_place.get(place)) is None
+            or (before.incarnation, before.name) != (bearer.incarnation, bearer.name)
         }
         drained = frozenset(feed.drained)
         orders = drained if drained != self.drained or not self.known else None
@@ -120,8 +120,16 @@
             raise BadFeed(f"tenant {row.name!r}: no such stage {row.stage!r}") from None
         number = row.incarnation
         return Bearer(
-            row.name, number, row.place, stage, row.share, row.allowance,
-            {each.ident: each for each in row.credentials}, b"%x/" % number, b"%x." % number, row,
+            row.name,
+            number,
+            row.place,
+            stage,
+            row.share,
+            row.allowance,
+            {each.ident: each for each in row.credentials},
+            b"%x/" % number,
+            b"%x." % number,
+            row,
         )
 
     def _take(self, feed: Feed, standing: dict[int, Bearer], places: dict[int, Bearer]) -> None:
@@ -142,9 +150,7 @@
                 before.credentials = after.credentials
                 standing[number] = places[after.place] = before
         self.by_incarnation, self.by_place = standing, places
-        self.by_credential = {
-            ident: bearer for bearer in standing.values() for ident in bearer.credentials
-        }
+        self.by_credential = {ident: bearer for bearer in standing.values() for ident in bearer.credentials}
         self.store, self.revision, self.mark = feed.store, feed.revision, feed.mark
 
     def tenants(self) -> tuple[Tenant, ...]:
--- a/gaugehinge/installation/build.py
+++ b/gaugehinge/installation/build.py
@@ -11,8 +11,11 @@
 from ..terms import Deployment, Effect, Group, Tenant, TrafficType
 from .form import Installation, TrafficEntry
 
-EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.DEDUPLICATED,
-           "unrepeatable": Effect.UNREPEATABLE}
+EFFECTS = {
+    "idempotent": Effect.IDEMPOTENT,
+    "deduplicated": Effect.DEDUPLICATED,
+    "unrepeatable": Effect.UNREPEATABLE,
+}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 
 
@@ -23,8 +26,13 @@
 
 def _traffic(row: int, entry: TrafficEntry) -> TrafficType:
     return TrafficType(
-        row, EFFECTS[entry.effect], GROUPS[entry.group], float(entry.memory), float(entry.promised_time),
-        entry.payoff, entry.late_payoff,
+        row,
+        EFFECTS[entry.effect],
+        GROUPS[entry.group],
+        float(entry.memory),
+        float(entry.promised_time),
+        entry.payoff,
+        entry.late_payoff,
     )
 
 
--- a/gaugehinge/net/clients.py
+++ b/gaugehinge/net/clients.py
@@ -57,7 +57,12 @@
     """What may stand between a command and the dispatch: `gaugehinge.door`, where it is switched on."""
 
     def submit(
-        self, operation: Operation, cargo: Cargo, answer: Callable[[bytes], None], client: bytes, size: int,
+        self,
+        operation: Operation,
+        cargo: Cargo,
+        answer: Callable[[bytes], None],
+        client: bytes,
+        size: int,
     ) -> Any:
         """Take an operation of a client; returns what `client_gone` wants."""
 
@@ -146,8 +151,14 @@
     """All connections, within the limits."""
 
     def __init__(
-        self, charter: Charter, lifecycle: Lifecycle, dispatch: Dispatch, most_clients: int, memory: int,
-        nursery: trio.Nursery, door: Door | None = None,
+        self,
+        charter: Charter,
+        lifecycle: Lifecycle,
+        dispatch: Dispatch,
+        most_clients: int,
+        memory: int,
+        nursery: trio.Nursery,
+        door: Door | None = None,
     ) -> None:
         self.charter = charter
         self.door = door
@@ -463,7 +474,11 @@
         self.idents.add(ident)
 
     def _read_operation(
-        self, client: Client, message: Message, write: bool, now: float,
+        self,
+        client: Client,
+        message: Message,
+        write: bool,
+        now: float,
     ) -> tuple[Operation, Cargo]:
         parts = message.top.body
         if len(parts) != 4 + write:
@@ -489,12 +504,24 @@
         left = min(int(wait) / 1000.0, MOST_WAIT)
         room = min(ROOM + self.dispatch.deadlines.lag, ROOM_PART * left)
         operation = Operation(
-            0, traffic, key, tenant, write,
-            labels.get("r") == "1", now, now + left - room,
+            0,
+            traffic,
+            key,
+            tenant,
+            write,
+            labels.get("r") == "1",
+            now,
+            now + left - room,
         )
         cargo = Cargo(
-            ident, key, gap, told, message.raw[:parts[3].start], message.raw[parts[3].end:],
-            parts[4].body if write else None, wanted=partial(self.present, client),
+            ident,
+            key,
+            gap,
+            told,
+            message.raw[: parts[3].start],
+            message.raw[parts[3].end :],
+            parts[4].body if write else None,
+            wanted=partial(self.present, client),
         )
         return operation, cargo
 
@@ -661,7 +688,7 @@
         labels[name.decode()] = value.decode()
         end = place + len(part)
         if name == b"d":
-            gap = told[:end - len(value)], told[end:]
+            gap = told[: end - len(value)], told[end:]
         place = end + 1
     if gap is None:
         raise Refused("label d: missing")
--- a/gaugehinge/net/configuration.py
+++ b/gaugehinge/net/configuration.py
@@ -76,10 +76,13 @@
     """The fields that differ and cannot change in service."""
     deployment = replace(new.charter.deployment, seed=old.charter.deployment.seed)
     return [
-        name for name, same in (
-            ("listen", old.listen == new.listen), ("peer_listen", old.peer_listen == new.peer_listen),
+        name
+        for name, same in (
+            ("listen", old.listen == new.listen),
+            ("peer_listen", old.peer_listen == new.peer_listen),
             ("settings", old.charter == replace(new.charter, deployment=deployment)),
-        ) if not same
+        )
+        if not same
     ]
 
 
--- a/gaugehinge/net/discovery.py
+++ b/gaugehinge/net/discovery.py
@@ -113,8 +113,15 @@
     """Holds one watch at a time."""
 
     def __init__(
-        self, nursery: trio.Nursery, deadlines: Deadlines, where: Address, rev: int | None,
-        heard: Callable[[ListUpdate], None], failed: Callable[[], None], seed: int = 0, near: bool = False,
+        self,
+        nursery: trio.Nursery,
+        deadlines: Deadlines,
+        where: Address,
+        rev: int | None,
+        heard: Callable[[ListUpdate], None],
+        failed: Callable[[], None],
+        seed: int = 0,
+        near: bool = False,
     ) -> None:
         """`near`: lists are pushed to an agent here, which is asked again at once, whatever it answers."""
         self.nursery = nursery
--- a/gaugehinge/net/dispatch.py
+++ b/gaugehinge/net/dispatch.py
@@ -60,7 +60,10 @@
         self.tell: Callable[[tuple[int, ...], bytes], None]
 
     def bind(
-        self, pool: Pool, follow: Callable[[], None], tell: Callable[[tuple[int, ...], bytes], None],
+        self,
+        pool: Pool,
+        follow: Callable[[], None],
+        tell: Callable[[tuple[int, ...], bytes], None],
     ) -> None:
         """The ways out."""
         self.pool, self.follow, self.tell = pool, follow, tell
@@ -104,7 +107,12 @@
             freed()
 
     def attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, elapsed: float, value: bytes | None, told: bytes = b"",
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        elapsed: float,
+        value: bytes | None,
+        told: bytes = b"",
     ) -> None:
         """An attempt's outcome. The first value settles its operation."""
         exchange = self.exchanges.get(attempt.operation.ident)
--- a/gaugehinge/net/list_update.py
+++ b/gaugehinge/net/list_update.py
@@ -35,7 +35,9 @@
     """Discovery's JSON to a list; one bad entry spoils it, as a failed call would."""
     page = Page(told)
     return ListUpdate(
-        int(page.number("rev")), page.flag("all"), tuple(_target(entry) for entry in page.pages("targets")),
+        int(page.number("rev")),
+        page.flag("all"),
+        tuple(_target(entry) for entry in page.pages("targets")),
     )
 
 
--- a/gaugehinge/net/origin.py
+++ b/gaugehinge/net/origin.py
@@ -37,7 +37,11 @@
         self._early = bytearray()  # of a head that is not whole yet
 
     def request(
-        self, method: str, target: str, headers: list[tuple[str, bytes]], body: bytes | None = None,
+        self,
+        method: str,
+        target: str,
+        headers: list[tuple[str, bytes]],
+        body: bytes | None = None,
     ) -> bytes:
         """The bytes of one request."""
         if body is not None:
@@ -109,7 +113,9 @@
         before, behind = cargo.labels
         labels = b"%b%d%b" % (before, max(int(left * 1000), 1), behind)
         headers = [
-            ("Host", f"{host}:{port}".encode()), ("X-Txn", cargo.ident), ("X-Labels", labels),
+            ("Host", f"{host}:{port}".encode()),
+            ("X-Txn", cargo.ident),
+            ("X-Labels", labels),
         ]
         method = "GET" if cargo.value is None else "PUT"
         return connection.parser.request(method, "/" + quote(cargo.key, safe=""), headers, cargo.value)
--- a/gaugehinge/net/pool.py
+++ b/gaugehinge/net/pool.py
@@ -188,7 +188,12 @@
     """Connections to all servers, within a limit, and the attempts that are out."""
 
     def __init__(
-        self, nursery: trio.Nursery, deadlines: Deadlines, most: int, connect_time: float, idle_time: float,
+        self,
+        nursery: trio.Nursery,
+        deadlines: Deadlines,
+        most: int,
+        connect_time: float,
+        idle_time: float,
         ended: Callable[[Attempt, Outcome, float, bytes | None, bytes], None],
     ) -> None:
         self.nursery = nursery
@@ -324,7 +329,7 @@
                     self._abandon(pending)
                     self._end_soon(pending, Outcome.NEVER_SENT)
                     return
-                rest = rest[send_some(connection.raw, rest):]
+                rest = rest[send_some(connection.raw, rest) :]
             connection.written = True
         except (OSError, trio.ClosedResourceError):
             pass
@@ -337,7 +342,11 @@
         self.deadlines.at(self.clock(), self._end, pending, outcome)
 
     def _end(
-        self, pending: PendingAttempt, outcome: Outcome, value: bytes | None = None, told: bytes = b"",
+        self,
+        pending: PendingAttempt,
+        outcome: Outcome,
+        value: bytes | None = None,
+        told: bytes = b"",
     ) -> None:
         if self.pending.pop(pending.attempt, None) is None:
             return
@@ -359,8 +368,10 @@
         while rested:
             rested -= 1
             connection = endpoint.idle.pop(rested)
-            if connection.idle_since > now - self.keep_time and silent(connection.raw) and (
-                self.warden is None or self.warden.may_use(connection)
+            if (
+                connection.idle_since > now - self.keep_time
+                and silent(connection.raw)
+                and (self.warden is None or self.warden.may_use(connection))
             ):
                 return connection
             self._close(connection)
@@ -490,4 +501,3 @@
             while endpoint.idle and endpoint.idle[0].idle_since <= oldest:
                 self._close(endpoint.idle.pop(0))
         self.deadlines.at(self.clock() + SWEEP_EVERY, self._sweep)
-
--- a/gaugehinge/net/resp.py
+++ b/gaugehinge/net/resp.py
@@ -38,7 +38,7 @@
 
     def part(self, frame: Frame) -> bytes:
         """A part's own bytes, head and end included."""
-        return self.raw[frame.start:frame.end]
+        return self.raw[frame.start : frame.end]
 
 
 class Parser:
@@ -73,8 +73,8 @@
             raw = bytes(self._buffer)
             self._buffer.clear()
         else:
-            raw = bytes(self._buffer[:top.end])
-            del self._buffer[:top.end]
+            raw = bytes(self._buffer[: top.end])
+            del self._buffer[: top.end]
         return Message(raw, top)
 
     def _frame(self, start: int, depth: int) -> Frame | None:
@@ -88,7 +88,7 @@
             if len(self._buffer) - start >= MOST_LINE:
                 raise Malformed("line too long")
             return None
-        line = bytes(self._buffer[start + 1:stop])
+        line = bytes(self._buffer[start + 1 : stop])
         if kind == BULK:
             return self._bulk(start, stop + 2, line)
         if kind == ARRAY:
@@ -105,9 +105,9 @@
         if len(self._buffer) < end:
             self._wanted = end
             return None
-        if self._buffer[end - 2:end] != b"\r\n":
+        if self._buffer[end - 2 : end] != b"\r\n":
             raise Malformed("value longer than told")
-        return Frame(BULK, start, end, bytes(self._buffer[body:end - 2]))
+        return Frame(BULK, start, end, bytes(self._buffer[body : end - 2]))
 
     def _array(self, start: int, place: int, line: bytes, depth: int) -> Frame | None:
         if line == b"-1":
--- a/gaugehinge/net/run.py
+++ b/gaugehinge/net/run.py
@@ -18,9 +18,12 @@
 
 
 def run(
-    configuration: Configuration, reread: Callable[[], Configuration],
-    new_door: Callable[..., Any] | None = None, early: EarlyHangup | None = None,
-    extend: Callable[..., None] | None = None, kind: type[Clients] = Clients,
+    configuration: Configuration,
+    reread: Callable[[], Configuration],
+    new_door: Callable[..., Any] | None = None,
+    early: EarlyHangup | None = None,
+    extend: Callable[..., None] | None = None,
+    kind: type[Clients] = Clients,
 ) -> int:
     """Serve until told to leave; the exit code. `new_door`: where a door is on; `early`: what came by now."""
     gc.freeze()
--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -44,9 +44,13 @@
     """One router."""
 
     def __init__(
-        self, configuration: Configuration, reread: Callable[[], Configuration],
-        new_door: Callable[[Charter, Dispatch, int], Door] | None = None, early: EarlyHangup | None = None,
-        extend: Callable[[Service, trio.Nursery], None] | None = None, kind: type[Clients] = Clients,
+        self,
+        configuration: Configuration,
+        reread: Callable[[], Configuration],
+        new_door: Callable[[Charter, Dispatch, int], Door] | None = None,
+        early: EarlyHangup | None = None,
+        extend: Callable[[Service, trio.Nursery], None] | None = None,
+        kind: type[Clients] = Clients,
     ) -> None:
         """`reread` brings the configuration as it is now, or raises BadCharter; `new_door` a door; `extend`
         adds what an installation switched on, once all else is made; `kind` serves the first front."""
@@ -87,13 +91,22 @@
             with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
                 known, near = self._known(), charter.pushed
                 pool = self.pool = Pool(
-                    nursery, self.deadlines, int(configuration.sockets * CONNECTION_PART),
-                    charter.connect_time, charter.idle_time, self.dispatch.attempt_ended,
+                    nursery,
+                    self.deadlines,
+                    int(configuration.sockets * CONNECTION_PART),
+                    charter.connect_time,
+                    charter.idle_time,
+                    self.dispatch.attempt_ended,
                 )
                 discovery = self.discovery = Discovery(
-                    nursery, self.deadlines, configuration.discovery,
+                    nursery,
+                    self.deadlines,
+                    configuration.discovery,
                     None if known is None or near else known.rev,
-                    self._hear_list, self.dispatch.list_failed, charter.deployment.seed, near,
+                    self._hear_list,
+                    self.dispatch.list_failed,
+                    charter.deployment.seed,
+                    near,
                 )
                 self.dispatch.bind(pool, discovery.follow, peers.tell if peers else lambda *told: None)
                 if known is not None and not near:
@@ -101,8 +114,13 @@
                 memory = configuration.memory
                 door = self.new_door(charter, self.dispatch, memory) if self.new_door else None
                 self.clients = self.kind(
-                    charter, self.lifecycle, self.dispatch, int(configuration.sockets * CLIENT_PART), memory,
-                    nursery, door,
+                    charter,
+                    self.lifecycle,
+                    self.dispatch,
+                    int(configuration.sockets * CLIENT_PART),
+                    memory,
+                    nursery,
+                    door,
                 )
                 nursery.start_soon(self.deadlines.run)
                 self.fronts.append((self.clients, self.listening))
@@ -176,7 +194,11 @@
         for field in lasting(old, new):
             logger.warning("configuration: {} changes at the next start only", field)
         self.configuration = replace(
-            old, discovery=new.discovery, peers=new.peers, memory=new.memory, sockets=new.sockets,
+            old,
+            discovery=new.discovery,
+            peers=new.peers,
+            memory=new.memory,
+            sockets=new.sockets,
         )
         logger.info("configuration read again: discovery at {}:{}", *new.discovery)
         self._divide(new)
--- a/gaugehinge/net/sockets.py
+++ b/gaugehinge/net/sockets.py
@@ -54,7 +54,7 @@
     while raw.fileno() >= 0:
         await trio.lowlevel.wait_readable(raw)
         try:
-            return bytes(SPACE[:raw.recv_into(SPACE)])
+            return bytes(SPACE[: raw.recv_into(SPACE)])
         except BlockingIOError:
             continue
     raise trio.ClosedResourceError
@@ -71,7 +71,7 @@
 async def send_all(raw: socket.socket, data: bytes) -> None:
     view = memoryview(data)
     while True:
-        view = view[send_some(raw, view):]
+        view = view[send_some(raw, view) :]
         if not view:
             return
         await trio.lowlevel.wait_writable(raw)
--- a/gaugehinge/placement/desk.py
+++ b/gaugehinge/placement/desk.py
@@ -19,24 +19,33 @@
 
 def life_of(row: Pinned) -> Life:
     """Its life, as the decisions want it."""
-    return Life(
-        Stage(row.stage), row.now, row.then, row.at, row.end, row.held, row.known, row.far, row.left
-    )
+    return Life(Stage(row.stage), row.now, row.then, row.at, row.end, row.held, row.known, row.far, row.left)
 
 
 def living(row: Pinned, life: Life, now: float) -> Pinned:
     """The same with another life, at `now` (Unix seconds)."""
     since = now if life.stage.value != row.stage else row.since
     return msgspec.structs.replace(
-        row, stage=life.stage.value, since=since, now=life.now, then=life.then, at=life.at, end=life.end,
-        held=life.held, known=life.known, far=life.far, left=life.left,
+        row,
+        stage=life.stage.value,
+        since=since,
+        now=life.now,
+        then=life.then,
+        at=life.at,
+        end=life.end,
+        held=life.held,
+        known=life.known,
+        far=life.far,
+        left=life.left,
     )
 
 
 def restless(row: Pinned) -> bool:
     """Whether the keeper has something to do for it by itself."""
-    return Stage(row.stage) not in (*REST, Stage.HELD) or bool(row.at) or (
-        row.held and row.stage != Stage.HELD.value
+    return (
+        Stage(row.stage) not in (*REST, Stage.HELD)
+        or bool(row.at)
+        or (row.held and row.stage != Stage.HELD.value)
     )
 
 
--- a/gaugehinge/placement/keeper.py
+++ b/gaugehinge/placement/keeper.py
@@ -126,9 +126,16 @@
         noted = who in self.near.given and who in self.far.given
         return msgspec.json.encode(
             KeeperTold(
-                self.desk.rev, self.administration.mark_of(self.desk.rev), whole, rows, gone,
-                self.administration.lease if noted else 0.0, float(self.told.alone) if noted else 0.0,
-                self._unsure(store), self.servers.digest, back,
+                self.desk.rev,
+                self.administration.mark_of(self.desk.rev),
+                whole,
+                rows,
+                gone,
+                self.administration.lease if noted else 0.0,
+                float(self.told.alone) if noted else 0.0,
+                self._unsure(store),
+                self.servers.digest,
+                back,
             )
         )
 
@@ -237,9 +244,7 @@
             return False
         return self.clock() - self.since.setdefault((ident, rev), self.clock()) >= span
 
-    def _carry_out(
-        self, store: Store, now: float, events: dict[str, tuple[Event, int]]
-    ) -> list[Wanted]:
+    def _carry_out(self, store: Store, now: float, events: dict[str, tuple[Event, int]]) -> list[Wanted]:
         self.desk.refresh(store)
         wanted: list[Wanted] = []
         for ident, (event, rev) in events.items():
@@ -320,7 +325,10 @@
             logger.log(
                 "WARNING" if pinned > bears else "INFO",
                 "region {} bears {} what is pinned: {:.1f}/s with a zone or server lost, {:.1f}/s pinned",
-                region, told, bears, pinned,
+                region,
+                told,
+                bears,
+                pinned,
             )
             self.crammed ^= {region}
 
@@ -438,10 +446,21 @@
             except Refused as bad:
                 raise Wrong(409, "conflict", str(bad)) from None
             after = Pinned(
-                kept.incarnation, name, shard, prefixes, allowance, store.rev + 1, life.stage.value, now,
-                regions=wanted.regions, hold=wanted.hold, asked_allowance=wanted.allowance,
-                asked_at=wanted.at, crowd=row.crowd if row else "",
-                confined_at=row.confined_at if row else 0.0, former=_former(row, life),
+                kept.incarnation,
+                name,
+                shard,
+                prefixes,
+                allowance,
+                store.rev + 1,
+                life.stage.value,
+                now,
+                regions=wanted.regions,
+                hold=wanted.hold,
+                asked_allowance=wanted.allowance,
+                asked_at=wanted.at,
+                crowd=row.crowd if row else "",
+                confined_at=row.confined_at if row else 0.0,
+                former=_former(row, life),
             )
             ident = f"{kept.incarnation}/{shard}"
             return [Wanted(SHARD, ident, encode(living(after, life, now)), rev), budget]
@@ -506,7 +525,8 @@
         key of an `only` shard: neither is room to pin to."""
         return [
             replace(each, up=False)
-            if each.uid in self.ordered or self.doubtful.get(each.uid) == each.started else each
+            if each.uid in self.ordered or self.doubtful.get(each.uid) == each.started
+            else each
             for each in list(self.servers.known.values())
         ]
 
@@ -532,9 +552,24 @@
         if until and self.keeper.clock() >= until:
             copies = []
         return ShardShown(
-            row.tenant, row.incarnation, row.shard, row.prefixes, row.regions, row.hold, row.asked_allowance,
-            row.asked_at, row.allowance, stage, row.since, row.version, _terms_shown(life.now),
-            _terms_shown(life.then), row.held, waits[:20], copies, until,
+            row.tenant,
+            row.incarnation,
+            row.shard,
+            row.prefixes,
+            row.regions,
+            row.hold,
+            row.asked_allowance,
+            row.asked_at,
+            row.allowance,
+            stage,
+            row.since,
+            row.version,
+            _terms_shown(life.now),
+            _terms_shown(life.then),
+            row.held,
+            waits[:20],
+            copies,
+            until,
         )
 
     def _copies(self, store: Store, row: Pinned, life: Life) -> list[Copy]:
@@ -628,7 +663,4 @@
 
 
 def _tenants(store: Store) -> list[tuple[int, str]]:
-    return [
-        (kept.incarnation, kept.name)
-        for kind in (TENANT, TOMBSTONE) for kept in _all(store, kind, Kept)
-    ]
+    return [(kept.incarnation, kept.name) for kind in (TENANT, TOMBSTONE) for kept in _all(store, kind, Kept)]
--- a/gaugehinge/policy.py
+++ b/gaugehinge/policy.py
@@ -354,8 +354,15 @@
         self._unjoin(thing)
         return self._route(thing, now)
 
-    def after(self, attempt: Attempt, outcome: Outcome, elapsed: float, over: bool, now: float,
-              held: float | None = None) -> list[Step]:
+    def after(
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        elapsed: float,
+        over: bool,
+        now: float,
+        held: float | None = None,
+    ) -> list[Step]:
         """What to do after this outcome, for its operation and for those that it frees."""
         if now >= self.next_bucket:
             self._turn(now)
@@ -818,8 +825,19 @@
             near = self.own if own else Zone(Latency(now, ALIKE_KEEP, ALIKE_FADE))
             near = near if origin else self.zones.setdefault(listing.zone, near)
             known = Cache(
-                listing.ident, listing.zone, near, listing.cell, listing.started, listing.presence, origin,
-                kind, Latency(now), Rate(now), now, now, xxh64_intdigest(b"fade-%d" % listing.ident),
+                listing.ident,
+                listing.zone,
+                near,
+                listing.cell,
+                listing.started,
+                listing.presence,
+                origin,
+                kind,
+                Latency(now),
+                Rate(now),
+                now,
+                now,
+                xxh64_intdigest(b"fade-%d" % listing.ident),
             )
             if self.usual_weight and listing.weight > 0.0:
                 known.weight = min(max(listing.weight / self.usual_weight, 1 / MOST_WEIGHT), MOST_WEIGHT)
@@ -914,7 +932,7 @@
             self.lateness = LATE_KEEP * self.lateness + (1 - LATE_KEEP) * self.late_sum / self.late_count
             self.late_sum, self.late_count = 0.0, 0
         else:
-            self.lateness *= IDLE_KEEP ** beats
+            self.lateness *= IDLE_KEEP**beats
         # A sparse router has seen few caches of a slow kind when all of them are already overrun.
         mean = self.latency.beside(1.0)
         quickest = min((kind.beside(mean) for kind in self.kinds.values() if kind.finished), default=mean)
@@ -924,7 +942,7 @@
         if len(self.rings) > 1:
             others = [z.latency.beside(mean) for z in self.zones.values() if z is not self.own]
             away = min(others, default=mean) / self.own.latency.beside(mean)
-            self.own.keep = max(min(away ** NEAR_POWER, 1.0), KEEP_LEAST)
+            self.own.keep = max(min(away**NEAR_POWER, 1.0), KEEP_LEAST)
         before, over = self.valve, self.lateness / CALM - 1.0
         self.valve += VALVE_RISE * min(over, 1.0) if over > 0.0 else VALVE_FALL * over * beats
         self.valve = min(max(self.valve, 0.0), 0.95)
@@ -934,7 +952,7 @@
         self._set_drops(beats)
 
     def _set_drops(self, beats: float) -> None:
-        self.asked = [a * 0.95 ** beats for a in self.asked]
+        self.asked = [a * 0.95**beats for a in self.asked]
         if not self.valve:
             self.drop = [0.0] * len(self.drop)
             return
--- a/gaugehinge/recovery/datagram.py
+++ b/gaugehinge/recovery/datagram.py
@@ -41,9 +41,29 @@
     def write(self, told: Told) -> bytes:
         """A message as it goes out."""
         body = FORM.pack(
-            MAGIC, VERSION, told.me, told.to, told.zone, told.run, told.mark, told.uptime, told.echo,
-            told.echo_uptime, told.you_run, told.lived, told.lived_ago, told.epoch, told.verdict, told.ready,
-            told.wall, told.list_rev, told.list_sum, told.keeper, told.store, told.revision, told.lost_ago,
+            MAGIC,
+            VERSION,
+            told.me,
+            told.to,
+            told.zone,
+            told.run,
+            told.mark,
+            told.uptime,
+            told.echo,
+            told.echo_uptime,
+            told.you_run,
+            told.lived,
+            told.lived_ago,
+            told.epoch,
+            told.verdict,
+            told.ready,
+            told.wall,
+            told.list_rev,
+            told.list_sum,
+            told.keeper,
+            told.store,
+            told.revision,
+            told.lost_ago,
             sum(getattr(told, name) << bit for bit, name in enumerate(FLAGS)),
         )
         return body + self._mark(body)
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -51,8 +51,13 @@
     name = "recovery"
 
     def __init__(
-        self, service: Service, entry: RecoveryEntry, key: bytes, follower: Follower | None = None,
-        wall: Callable[[], float] = time.time, steady: Callable[[], float] = time.monotonic,
+        self,
+        service: Service,
+        entry: RecoveryEntry,
+        key: bytes,
+        follower: Follower | None = None,
+        wall: Callable[[], float] = time.time,
+        steady: Callable[[], float] = time.monotonic,
         boot: Callable[[], str] = boot_of,
     ) -> None:
         """`key`: of the tier's messages; the clocks and the machine's boot may be played by a test."""
@@ -77,8 +82,10 @@
         self.opening = Opening(deployment, secrets.randbits(32))
         self.order = Order(
             Waits(
-                float(entry.keeper_wait) if follower is not None else 0.0, float(entry.list_wait),
-                float(entry.keeper_wait) if follower is not None else 0.0, float(entry.decide),
+                float(entry.keeper_wait) if follower is not None else 0.0,
+                float(entry.list_wait),
+                float(entry.keeper_wait) if follower is not None else 0.0,
+                float(entry.decide),
             )
         )
         self.facts = Facts(keeper=follower is None, parts=follower is None)
@@ -123,9 +130,14 @@
         known = tuple(kept.runs[: self.routers]) if kept else ()
         lately = tuple(kept.lately[: self.routers]) if kept and trust.belief("lately", self.age) else ()
         self.mind = evidence.begin(
-            self.me, digest(self.deployment.zone), run, secrets.randbits(63) | 1,
-            (*known, *[0] * (self.routers - len(known))), (*lately, *[-1] * (self.routers - len(lately))),
-            float(self.entry.decide), kept.epoch if kept else 0,
+            self.me,
+            digest(self.deployment.zone),
+            run,
+            secrets.randbits(63) | 1,
+            (*known, *[0] * (self.routers - len(known))),
+            (*lately, *[-1] * (self.routers - len(lately))),
+            float(self.entry.decide),
+            kept.epoch if kept else 0,
         )
         try:
             self.file.save(self._snapshot())
@@ -276,7 +288,9 @@
                 self.old_list_until = self.clock() + float(self.entry.doubt)
                 logger.warning(
                     "recovery: list {} is older than {} that was known: reads only, for {:.0f} s at most",
-                    update.rev, self.known_rev, float(self.entry.doubt),
+                    update.rev,
+                    self.known_rev,
+                    float(self.entry.doubt),
                 )
                 self._part(True)
             return
@@ -326,8 +340,13 @@
             where = address(each.endpoint, "snapshot")
             ident = xxh64_intdigest(each.uid.encode())  # as net.list_update makes it
             listing = Listing(
-                ident, each.zone, each.kind, each.cell, PRESENCES.get(each.state, Presence.DRAINING),
-                each.started, each.weight,
+                ident,
+                each.zone,
+                each.kind,
+                each.cell,
+                PRESENCES.get(each.state, Presence.DRAINING),
+                each.started,
+                each.weight,
             )
             targets.append(Target(listing, each.uid, where))
         logger.warning("recovery: no list: {} servers as kept, for reads only", len(targets))
@@ -436,8 +455,15 @@
         self.heard[told.me] = uptime
         self.walls[told.me] = told.wall - self.wall()
         self.said[told.me] = trust.Said(
-            told.epoch, told.run, told.ready, Verdict(told.verdict), told.list_rev, told.list_sum,
-            told.store, told.revision, told.lost_ago,
+            told.epoch,
+            told.run,
+            told.ready,
+            Verdict(told.verdict),
+            told.list_rev,
+            told.list_sum,
+            told.store,
+            told.revision,
+            told.lost_ago,
         )
         if told.lived and told.lost_ago >= 0.0:
             self.lived_lost[told.me] = uptime - told.lost_ago
@@ -462,7 +488,12 @@
         lived = sum(peer.lived for peer in mind.peers)
         logger.info(
             "recovery: {} after {:.1f} s: of {} peers {} lived on, {} began anew; epoch {}",
-            mind.verdict.name.lower(), self.uptime(), self.routers - 1, lived, anew, mind.epoch,
+            mind.verdict.name.lower(),
+            self.uptime(),
+            self.routers - 1,
+            lived,
+            anew,
+            mind.epoch,
         )
         uptime = self.uptime()
         self.effects.decided(mind.verdict, [uptime - at for at in self.lived_lost.values()], now)
@@ -491,7 +522,10 @@
         now, effects = self.clock(), self.effects
         settled = self.mind.verdict is not Verdict.DECIDING
         told = evidence.say(
-            self.mind, number, now - self.began, echo,
+            self.mind,
+            number,
+            now - self.began,
+            echo,
             ready=self.service.lifecycle.phase is Phase.READY,
             wall=self.wall(),
             list_rev=min(max(self.list_rev, 0), MOST_FIGURE),
@@ -512,8 +546,9 @@
 
     def hear(self, feed: Feed, asked_at: float) -> None:
         """A feed was followed."""
-        before, same = self.mind, bool(self.former and self.former.keeper_run) and (
-            feed.keeper_run == self.former.keeper_run
+        before, same = (
+            self.mind,
+            bool(self.former and self.former.keeper_run) and (feed.keeper_run == self.former.keeper_run),
         )
         self.mind = evidence.hear_keeper(before, same, self.uptime())
         self.keeper_run = feed.keeper_run
@@ -626,8 +661,12 @@
         router = self.dispatch.router
         learnt, entry = self.learnt, self.entry
         bearing = Bearing(
-            self.routers, len(router.caches), float(entry.origin), float(entry.cold_reads),
-            learnt.reads, learnt.writes,
+            self.routers,
+            len(router.caches),
+            float(entry.origin),
+            float(entry.cold_reads),
+            learnt.reads,
+            learnt.writes,
         )
         if self.mind.verdict is Verdict.LONE:
             self.opening.open = True
@@ -635,7 +674,10 @@
             self.opening.begin(bearing, [tenant.share for tenant in router.tenants], now)
         logger.info(
             "recovery: ready after {:.1f} s, {}: {} servers, {:.1f} reads and {:.1f} writes a second before",
-            now - self.began, "open" if self.opening.open else "in steps", len(router.caches), learnt.reads,
+            now - self.began,
+            "open" if self.opening.open else "in steps",
+            len(router.caches),
+            learnt.reads,
             learnt.writes,
         )
         if self.service.lifecycle.phase is Phase.RECOVERING:
@@ -676,7 +718,11 @@
                 if body is not None:
                     parts[part.name] = body
         return Kept(
-            self.file.identity, mind.run, self.wall(), self.steady(), self.boot(),
+            self.file.identity,
+            mind.run,
+            self.wall(),
+            self.steady(),
+            self.boot(),
             epoch=mind.epoch,
             runs=[max(peer.run, peer.known_run) for peer in mind.peers],
             lately=list(evidence.heard_lately(mind, self.uptime(), self.slack)),
@@ -684,8 +730,11 @@
             servers=self._entries(),
             learnt=self.learnt,
             keeper_run=self.keeper_run or (self.former.keeper_run if self.former else ""),
-            store=store.name, revision=store.revision, incarnations=dict(store.incarnations),
-            floor=store.floor, parts=parts,
+            store=store.name,
+            revision=store.revision,
+            incarnations=dict(store.incarnations),
+            floor=store.floor,
+            parts=parts,
         )
 
     def _entries(self) -> list[Entry]:
@@ -693,11 +742,17 @@
             return self.former.servers if self.former else []
         return [
             Entry(
-                target.uid, f"{target.address[0]}:{target.address[1]}", target.listing.zone,
-                target.listing.kind, target.listing.cell, STATES[target.listing.presence],
-                target.listing.started, target.listing.weight,
+                target.uid,
+                f"{target.address[0]}:{target.address[1]}",
+                target.listing.zone,
+                target.listing.kind,
+                target.listing.cell,
+                STATES[target.listing.presence],
+                target.listing.started,
+                target.listing.weight,
             )
-            for target in self.servers.values() if target.address is not None
+            for target in self.servers.values()
+            if target.address is not None
         ]
 
     async def _save(self) -> None:
--- a/gaugehinge/recovery/effects.py
+++ b/gaugehinge/recovery/effects.py
@@ -32,8 +32,11 @@
         self.aside = deployment.aside
         self.origin_kind = deployment.origin_kind
         self.memory = [
-            each.memory if each.effect is Effect.DEDUPLICATED
-            else unrepeatable if each.effect is Effect.UNREPEATABLE else 0.0
+            each.memory
+            if each.effect is Effect.DEDUPLICATED
+            else unrepeatable
+            if each.effect is Effect.UNREPEATABLE
+            else 0.0
             for each in self.types
         ]
         self.until = [now + memory if memory else -inf for memory in self.memory]
--- a/gaugehinge/recovery/evidence.py
+++ b/gaugehinge/recovery/evidence.py
@@ -120,7 +120,13 @@
 
 
 def begin(
-    me: int, zone: int, run: int, mark: int, known: tuple[int, ...], before: tuple[int, ...], bound: float,
+    me: int,
+    zone: int,
+    run: int,
+    mark: int,
+    known: tuple[int, ...],
+    before: tuple[int, ...],
+    bound: float,
     epoch: int,
 ) -> Mind:
     """A router starts. `known`: the highest run of each router that its files tell of; `before`: those that
@@ -142,18 +148,27 @@
     return max(LEAST_SLACK, 1.5 * (routers - 1) / told_each) if routers > 1 else LEAST_SLACK
 
 
-def say(
-    mind: Mind, to: int, uptime: float, echo: tuple[int, float] | None = None, **more: object
-) -> Told:
+def say(mind: Mind, to: int, uptime: float, echo: tuple[int, float] | None = None, **more: object) -> Told:
     """The next message to a peer. `echo`: of the message that it answers, where it answers one; `more`: what
     goes with it and is no evidence of runs."""
     peer = mind.peers[to]
     mark, mark_uptime = echo or (peer.echo, peer.echo_uptime)
     lived = bool(peer.mark) and (peer.changes > 0 or mark != peer.mark)
     told = Told(
-        mind.me, to, mind.zone, mind.run, mind.mark, uptime, mark, mark_uptime,
-        max(peer.known_run, peer.run), lived, uptime - peer.last_at if lived else 0.0, mind.epoch,
-        mind.verdict.value, **more,
+        mind.me,
+        to,
+        mind.zone,
+        mind.run,
+        mind.mark,
+        uptime,
+        mark,
+        mark_uptime,
+        max(peer.known_run, peer.run),
+        lived,
+        uptime - peer.last_at if lived else 0.0,
+        mind.epoch,
+        mind.verdict.value,
+        **more,
     )
     if not (mind.leaving or mind.ordered or peer.former_left):
         return told
@@ -193,17 +208,32 @@
     began = told.echo_uptime - told.uptime * (1.0 + DRIFT)
     if told.mark == peer.mark:
         return peer._replace(
-            run=max(peer.run, told.run), began=max(peer.began, began), lived=peer.lived or told.lived,
-            heard_at=uptime, zone=told.zone, left=peer.left or told.left,
-            ordered=peer.ordered or told.ordered, alive_at=max(peer.alive_at, told.echo_uptime),
+            run=max(peer.run, told.run),
+            began=max(peer.began, began),
+            lived=peer.lived or told.lived,
+            heard_at=uptime,
+            zone=told.zone,
+            left=peer.left or told.left,
+            ordered=peer.ordered or told.ordered,
+            alive_at=max(peer.alive_at, told.echo_uptime),
         )
     changes = min(peer.changes + 1, 2) if peer.mark else peer.changes
     changed_at, last_at = (uptime, peer.heard_at) if peer.mark else (0.0, 0.0)
     return peer._replace(
-        run=told.run, mark=told.mark, zone=told.zone, began=began, lived=told.lived, changes=changes,
-        changed_at=changed_at, last_at=last_at, heard_at=uptime, left=told.left,
+        run=told.run,
+        mark=told.mark,
+        zone=told.zone,
+        began=began,
+        lived=told.lived,
+        changes=changes,
+        changed_at=changed_at,
+        last_at=last_at,
+        heard_at=uptime,
+        left=told.left,
         # What one run said is never said of the next but one, whose end nobody may have heard of.
-        former_left=peer.left and told.run == peer.run + 1, ordered=told.ordered, alive_at=told.echo_uptime,
+        former_left=peer.left and told.run == peer.run + 1,
+        ordered=told.ordered,
+        alive_at=told.echo_uptime,
         former_alive_at=peer.alive_at if peer.mark else 0.0,
     )
 
@@ -228,8 +258,11 @@
 
 def in_order(mind: Mind, mates: list[int]) -> bool:
     """Whether no router of our zone ended otherwise than in order since our files, and its servers lived."""
-    return mind.ordered and mind.kept and not mind.stale and all(
-        mind.peers[n].ordered and mind.peers[n].run <= mind.known[n] + 1 for n in mates
+    return (
+        mind.ordered
+        and mind.kept
+        and not mind.stale
+        and all(mind.peers[n].ordered and mind.peers[n].run <= mind.known[n] + 1 for n in mates)
     )
 
 
@@ -249,9 +282,7 @@
 
 def heard_lately(mind: Mind, uptime: float, within: float) -> tuple[int, ...]:
     """Runs by number that were heard within so many seconds, -1 for others: what the snapshot keeps."""
-    return tuple(
-        peer.run if peer.mark and uptime - peer.heard_at <= within else -1 for peer in mind.peers
-    )
+    return tuple(peer.run if peer.mark and uptime - peer.heard_at <= within else -1 for peer in mind.peers)
 
 
 def elsewhere(mind: Mind, uptime: float, within: float) -> int:
@@ -282,9 +313,7 @@
 
 def _mates(mind: Mind) -> list[int]:
     """The other routers of our zone, of those that were heard."""
-    return [
-        n for n, peer in enumerate(mind.peers) if n != mind.me and peer.mark and peer.zone == mind.zone
-    ]
+    return [n for n, peer in enumerate(mind.peers) if n != mind.me and peer.mark and peer.zone == mind.zone]
 
 
 def _judge(mind: Mind, bound_over: bool) -> Verdict:
--- a/gaugehinge/recovery/lives.py
+++ b/gaugehinge/recovery/lives.py
@@ -81,8 +81,13 @@
         self.up &= named
         self.doubted &= named
 
-    def see(self, ident: int, connections: Iterable[tuple[Hashable, float]], open_connections: set[Hashable],
-            now: float) -> None:
+    def see(
+        self,
+        ident: int,
+        connections: Iterable[tuple[Hashable, float]],
+        open_connections: set[Hashable],
+        now: float,
+    ) -> None:
         """Connections to a server that stand idle, and when each was answered last; all that are open."""
         life = self.lives.setdefault(ident, Life())
         for connection, answered in connections:
--- a/gaugehinge/recovery/opening.py
+++ b/gaugehinge/recovery/opening.py
@@ -332,5 +332,7 @@
         self.reads.rate = max(rate, LEAST_RATE)
 
     def _figures(self, warmth: float) -> str:
-        return (f"writes {self.writes.rate:.1f}, reads {self.reads.rate:.1f} a second, "
-                f"misses {self.misses:.2f}, warm {warmth:.2f}")
+        return (
+            f"writes {self.writes.rate:.1f}, reads {self.reads.rate:.1f} a second, "
+            f"misses {self.misses:.2f}, warm {warmth:.2f}"
+        )
--- a/gaugehinge/recovery/trust.py
+++ b/gaugehinge/recovery/trust.py
@@ -34,28 +34,64 @@
 
 
 ITEMS = (
-    Item("run", Rule.TRUSTED, "two runs of one number: peers tell it on, the keeper refuses a grant",
-         "nobody could tell a new run from an old one"),
+    Item(
+        "run",
+        Rule.TRUSTED,
+        "two runs of one number: peers tell it on, the keeper refuses a grant",
+        "nobody could tell a new run from an old one",
+    ),
     Item("epoch", Rule.TRUSTED, "none: it only ever counts as a least", "nothing"),
     Item("runs", Rule.TRUSTED, "none: each only ever counts as a least", "nothing"),
-    Item("lately", Rule.DOUBTED, "a peer that lived on counts as begun anew: caution that was not needed",
-         "a loss of all is known later, or only as one of most"),
-    Item("list", Rule.ASKED, "commands go to what has these addresses now",
-         "nothing is served until discovery answers, for `list_wait` at most"),
-    Item("learnt", Rule.DOUBTED, "cold servers or the origin get too much, or too little, for some steps",
-         "opening starts from the floor: some steps more"),
-    Item("tenants", Rule.TRUSTED, "none: the revision only ever counts as a least",
-         "a keeper restored from a backup would not be noticed"),
-    Item("incarnations", Rule.TRUSTED, "a tenant is refused that could be served",
-         "two tenants could meet in one key space"),
-    Item("placement", Rule.ASKED, "an `only` key goes to a server outside its region",
-         "`only` shards are bounced until the keeper answers"),
-    Item("grants", Rule.NEVER, "the origin is pushed over its limit", "the floor is used until the keeper"
-         " answers"),
+    Item(
+        "lately",
+        Rule.DOUBTED,
+        "a peer that lived on counts as begun anew: caution that was not needed",
+        "a loss of all is known later, or only as one of most",
+    ),
+    Item(
+        "list",
+        Rule.ASKED,
+        "commands go to what has these addresses now",
+        "nothing is served until discovery answers, for `list_wait` at most",
+    ),
+    Item(
+        "learnt",
+        Rule.DOUBTED,
+        "cold servers or the origin get too much, or too little, for some steps",
+        "opening starts from the floor: some steps more",
+    ),
+    Item(
+        "tenants",
+        Rule.TRUSTED,
+        "none: the revision only ever counts as a least",
+        "a keeper restored from a backup would not be noticed",
+    ),
+    Item(
+        "incarnations",
+        Rule.TRUSTED,
+        "a tenant is refused that could be served",
+        "two tenants could meet in one key space",
+    ),
+    Item(
+        "placement",
+        Rule.ASKED,
+        "an `only` key goes to a server outside its region",
+        "`only` shards are bounced until the keeper answers",
+    ),
+    Item(
+        "grants",
+        Rule.NEVER,
+        "the origin is pushed over its limit",
+        "the floor is used until the keeper answers",
+    ),
     Item("leases", Rule.NEVER, "two act where one may", "as placement and grants"),
     Item("marks", Rule.NEVER, "an effect takes place twice", "repeats get a final answer for the memory"),
-    Item("wall", Rule.DOUBTED, "an age is taken for another: doubt too great or too small",
-         "nothing that was learnt would be of use after a boot"),
+    Item(
+        "wall",
+        Rule.DOUBTED,
+        "an age is taken for another: doubt too great or too small",
+        "nothing that was learnt would be of use after a boot",
+    ),
 )
 
 LEARNT_HALF = 3600.0  # seconds in which half of what was learnt is lost
@@ -163,7 +199,8 @@
     """Incarnations of a feed that another tenant bore: a store that went back, or that was made anew, gives a
     number again, and its bearer would be let into the keys of the one before."""
     return [
-        number for number, name in rows
+        number
+        for number, name in rows
         if known.incarnations.get(str(number), "" if number <= known.floor else name) != name
     ]
 
@@ -196,7 +233,8 @@
     """What counts where answers contradict: the highest epoch, then those that lived on or are ready, then
     the highest revision and list. Never who says that his clock is right, never how many say so."""
     return max(
-        said, key=lambda one: (one.epoch, one.verdict.lived or one.ready, one.revision, one.list_rev),
+        said,
+        key=lambda one: (one.epoch, one.verdict.lived or one.ready, one.revision, one.list_rev),
         default=None,
     )
 
--- a/gaugehinge/rehearsal/allcases.py
+++ b/gaugehinge/rehearsal/allcases.py
@@ -75,7 +75,8 @@
         with suppress(httpx.HTTPError, KeyError, ValueError):
             told = (await desk.get("/v1/routers")).json()["routers"]
             know = {
-                each["name"] for each in told
+                each["name"]
+                for each in told
                 if each["revision"] >= least and not each["in_hand"].get(str(incarnation))
             }
             if names <= know:
@@ -91,9 +92,7 @@
 # -- what operators do all the while
 
 
-async def comes_and_goes(
-    all_: Company, draw: random.Random, told: dict[str, float], asker: Asker
-) -> None:
+async def comes_and_goes(all_: Company, draw: random.Random, told: dict[str, float], asker: Asker) -> None:
     """A tenant is made, serves, is removed, and is made again under the same name, until cancelled."""
     number = 0
     async with all_.api(party="guest") as desk:
@@ -110,8 +109,13 @@
                 continue
             secrets = {label: made.json()["secret"]}
             crowd = Crowd(
-                all_.nursery, draw.randrange(1 << 30), all_.crowd.doors, secrets, all_.record_of,
-                all_.crowd.source, f"guest-{number}",
+                all_.nursery,
+                draw.randrange(1 << 30),
+                all_.crowd.doors,
+                secrets,
+                all_.record_of,
+                all_.crowd.source,
+                f"guest-{number}",
             )
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(guests, crowd)
@@ -195,9 +199,20 @@
                 return ""
             self.count += 1
             ident, labels = f"asks-{self.count}", f"c=read,d={int(ASKS * 1000)}"
-            put(OpBegan(
-                now(), "asks", ident, f"router-{router}", label, "read", "idempotent", KEY, False, ASKS,
-            ))
+            put(
+                OpBegan(
+                    now(),
+                    "asks",
+                    ident,
+                    f"router-{router}",
+                    label,
+                    "read",
+                    "idempotent",
+                    KEY,
+                    False,
+                    ASKS,
+                )
+            )
             reply = None
             with trio.move_on_after(ASKS + LATE):
                 reply = await crowd._ask(line, ["KV.GET", KEY, ident, labels])
--- a/gaugehinge/rehearsal/allchecks.py
+++ b/gaugehinge/rehearsal/allchecks.py
@@ -72,12 +72,17 @@
             found.append(Break(GONE, op.ident, (op.party, op.router), op.at, ends[0].at, why, (op, *ends)))
     found += [
         Break(
-            GONE, attempt.ident, (attempt.server, op.router if op else ""), told.began, attempt.at,
+            GONE,
+            attempt.ident,
+            (attempt.server, op.router if op else ""),
+            told.began,
+            attempt.at,
             f"{attempt.key!r} of {tenant} {attempt.at - told.began:.3f} s after all routers knew "
             "that it is removed",
             (op, attempt) if op else (attempt,),
         )
-        for attempt, op in _attempts(reading, told) if attempt.key.startswith(space)
+        for attempt, op in _attempts(reading, told)
+        if attempt.key.startswith(space)
     ]
     return found
 
@@ -86,11 +91,16 @@
     """`SERVER`: by the keeper's order, once all routers follow it: nothing that begins then goes there."""
     return [
         Break(
-            DRAINED, attempt.ident, (attempt.server, op.router), op.at, attempt.at,
+            DRAINED,
+            attempt.ident,
+            (attempt.server, op.router),
+            op.at,
+            attempt.at,
             f"sent {op.at - told.began:.3f} s after all routers knew the order to drain {attempt.server}",
             (op, attempt),
         )
-        for attempt, op in _attempts(reading, told) if op is not None and attempt.server == told.what
+        for attempt, op in _attempts(reading, told)
+        if op is not None and attempt.server == told.what
     ]
 
 
--- a/gaugehinge/rehearsal/allplay.py
+++ b/gaugehinge/rehearsal/allplay.py
@@ -26,12 +26,28 @@
 from .outcome import Outcome, judged
 
 CASES = (
-    "plain", "zone", "again", "router older", "router torn", "discovery last", "keeper last", "keeper older",
-    "surge", "router last",
+    "plain",
+    "zone",
+    "again",
+    "router older",
+    "router torn",
+    "discovery last",
+    "keeper last",
+    "keeper older",
+    "surge",
+    "router last",
 )
 FURTHER = (  # of seeds whose last two digits are 50 or more
-    "zones apart", "disk full", "other snapshot", "half old", "guests", "limit", "disk lost", "clocks",
-    "orders", "mixed",
+    "zones apart",
+    "disk full",
+    "other snapshot",
+    "half old",
+    "guests",
+    "limit",
+    "disk lost",
+    "clocks",
+    "orders",
+    "mixed",
 )
 TENANTS = ("acme", "bolt", "coda")
 LEASE, WORK = 3.0, 0.004  # seconds; of a hit: the origin takes ten times as long
@@ -64,7 +80,13 @@
 
 FULL = Cast()
 SMALL = Cast(
-    routers=3, servers=4, zones=("a", "b"), tenants=("acme", "bolt"), rate=30.0, deeds=3, before=3.0,
+    routers=3,
+    servers=4,
+    zones=("a", "b"),
+    tenants=("acme", "bolt"),
+    rate=30.0,
+    deeds=3,
+    before=3.0,
     after=2.0,
 )
 
@@ -87,15 +109,30 @@
     drains = drainsplay.plan_of(cast.routers, cast.servers, cast.zones)
     regions = {name: [zone] for name, zone in placementplay.ZONES.items() if zone in cast.zones}
     recovery = {
-        "on": True, "key_file": str(folder / "key"), "snapshot": "{files}/recovery", "every": "0.5s",
-        "decide": "2s", "keeper_wait": "4s", "list_wait": "4s", "doubt": "3s", "repeats": "4s",
-        "origin": f"{BORNE * ORIGIN_DOES}/s", "cold_reads": f"{BORNE * SERVER_DOES}/s",
+        "on": True,
+        "key_file": str(folder / "key"),
+        "snapshot": "{files}/recovery",
+        "every": "0.5s",
+        "decide": "2s",
+        "keeper_wait": "4s",
+        "list_wait": "4s",
+        "doubt": "3s",
+        "repeats": "4s",
+        "origin": f"{BORNE * ORIGIN_DOES}/s",
+        "cold_reads": f"{BORNE * SERVER_DOES}/s",
     }
     placement = {**placementplay.KEEP, "regions": regions, "alone": f"{ALONE}s"}
     return replace(
-        drains, tenants=cast.tenants, work=WORK, lease=LEASE, warm_up=1.5, falls=True,
+        drains,
+        tenants=cast.tenants,
+        work=WORK,
+        lease=LEASE,
+        warm_up=1.5,
+        falls=True,
         keep={**drains.keep, "placement": placement},
-        serve={**drains.serve, "recovery": recovery, "placement": {"on": True}}, serve_of=old, wall_off=off,
+        serve={**drains.serve, "recovery": recovery, "placement": {"on": True}},
+        serve_of=old,
+        wall_off=off,
     )
 
 
@@ -424,8 +461,13 @@
     async def ordered(self, desk: httpx.AsyncClient, kind: str) -> str:
         """A roll of all of a kind, asked for until it is there; its name."""
         order = {
-            "who": {"all": True}, "kind": kind, "most_out": 2, "warm_up": 0.5, "deadline": 20.0,
-            "hangs": ("skip", "end")[self.seed % 2], "headroom": 0.1,
+            "who": {"all": True},
+            "kind": kind,
+            "most_out": 2,
+            "warm_up": 0.5,
+            "deadline": 20.0,
+            "hangs": ("skip", "end")[self.seed % 2],
+            "headroom": 0.1,
             "most_burn": (1000.0, 20.0)[self.seed // 2 % 2],  # with the latter it may stop by itself
         }
         key = {"Idempotency-Key": f"roll-{kind}-{self.seed}"}
@@ -467,6 +509,7 @@
 
     async def settled(self) -> None:
         """Every shard stands where it was asked for last, or that is a break."""
+
         async def one(tenant: Tenant, name: str) -> None:
             if not await tenant.settle(name, f"{name}/"):
                 shown = tenant.shown.get(name)
@@ -567,8 +610,10 @@
 
 def _moved(moves: placementplay.Moves) -> dict[str, float]:
     return {
-        "moves": float(moves.asked), "moves.arrived": float(len(moves.took)),
-        "moves.refused": float(moves.refused), "moves.unknown": float(moves.unknown),
+        "moves": float(moves.asked),
+        "moves.arrived": float(len(moves.took)),
+        "moves.refused": float(moves.refused),
+        "moves.unknown": float(moves.unknown),
     }
 
 
@@ -589,7 +634,6 @@
     return {name: value for name, value in told.items() if math.isfinite(value)}
 
 
-
 def _served(history: list[AnyEvent], since: float, until: float) -> float:
     """Of what clients wanted, the part that settled by one try or another."""
     began, ended = figures.ends(history)
--- a/gaugehinge/rehearsal/broken.py
+++ b/gaugehinge/rehearsal/broken.py
@@ -36,10 +36,21 @@
 ATTEMPT_TIME = 5.0
 
 FINDS = {
-    "double": "answers", "late": "late", "mute": "unanswered", "twice": "effects_by_id",
-    "unmarked": "effects_by_mark", "ghost": "unasked", "swaps": "bounced_though_ran",
-    "lies": "settled_without_effect", "mixes": "tenants", "crashes": "crashes", "drains": "drains",
-    "wanders": "confined", "opens": "connections", "forgets": "acknowledged", "blind": "registers",
+    "double": "answers",
+    "late": "late",
+    "mute": "unanswered",
+    "twice": "effects_by_id",
+    "unmarked": "effects_by_mark",
+    "ghost": "unasked",
+    "swaps": "bounced_though_ran",
+    "lies": "settled_without_effect",
+    "mixes": "tenants",
+    "crashes": "crashes",
+    "drains": "drains",
+    "wanders": "confined",
+    "opens": "connections",
+    "forgets": "acknowledged",
+    "blind": "registers",
 }
 
 
@@ -258,7 +269,19 @@
 ROUTERS = {
     each.__name__: each
     for each in (
-        double, mute, late, swaps, mixes, lies, crashes, twice, unmarked, ghost, drains, wanders, opens,
+        double,
+        mute,
+        late,
+        swaps,
+        mixes,
+        lies,
+        crashes,
+        twice,
+        unmarked,
+        ghost,
+        drains,
+        wanders,
+        opens,
     )
 }
 KEEPERS = {each.__name__: each for each in (forgets, blind)}
--- a/gaugehinge/rehearsal/brokenplay.py
+++ b/gaugehinge/rehearsal/brokenplay.py
@@ -14,7 +14,10 @@
 from .placementplay import KEEP, LOOK, Moves, Size, Tenant
 
 PLAN = Plan(
-    routers=1 + len(ROUTERS), servers=6, server_bears=60, keep={"placement": {**KEEP, "alone": "2.25s"}},
+    routers=1 + len(ROUTERS),
+    servers=6,
+    server_bears=60,
+    keep={"placement": {**KEEP, "alone": "2.25s"}},
     serve={"placement": {"on": True}},
 )
 MIX = (("read", 0.5), ("put", 0.15), ("move", 0.15), ("book", 0.2))
--- a/gaugehinge/rehearsal/clusterrun.py
+++ b/gaugehinge/rehearsal/clusterrun.py
@@ -133,9 +133,7 @@
         while not self.stopped:
             slot = slot_of(self.draw.choice([b"k", b"bk", b"lk"]) + b"%d" % self.draw.randrange(KEYS))
             source = shards.owner[slot]
-            owners = [
-                name for name in set(shards.owner) if shards.all[name].up and name not in self.leaving
-            ]
+            owners = [name for name in set(shards.owner) if shards.all[name].up and name not in self.leaving]
             targets = sorted(name for name in owners if name != source)
             if not targets or source in self.leaving or slot in shards.all[source].migrating:
                 await trio.sleep(0.01)
@@ -184,9 +182,7 @@
             f"drains kept: a leg to {name} {late:.3f} s late" for name, late in self.made.late_attempts()
         ]
         told.redirections = self.made.shards.redirections
-        told.fetches = sum(
-            service.dispatch.locate.__self__.keeper.fetches for service in self.made.services
-        )
+        told.fetches = sum(service.dispatch.locate.__self__.keeper.fetches for service in self.made.services)
 
 
 async def _answer(stream: trio.SocketStream, reader: Reader) -> object:
--- a/gaugehinge/rehearsal/company.py
+++ b/gaugehinge/rehearsal/company.py
@@ -145,8 +145,12 @@
         self.dark: set[str] = set()  # killed with their machines, and not back
         self.desks = 0
         self.crowd = Crowd(
-            nursery, seed, [ground.door(number) for number in range(plan.routers)], self.secrets,
-            self.record_of, ground.at(211, 1),
+            nursery,
+            seed,
+            [ground.door(number) for number in range(plan.routers)],
+            self.secrets,
+            self.record_of,
+            ground.at(211, 1),
         )
 
     def record_of(self, party: str) -> Recorder:
@@ -201,8 +205,11 @@
                 tcp_link(router, f"server-{server}", at, ground.server(server), source)
             for other in range(number):
                 self.links.udp(
-                    f"router-{other}", router, ground.seen(other, 120 + number, 7946),
-                    ground.seen(number, 120 + other, 7946), ground.router_peers(other),
+                    f"router-{other}",
+                    router,
+                    ground.seen(other, 120 + number, 7946),
+                    ground.seen(number, 120 + other, 7946),
+                    ground.router_peers(other),
                     ground.router_peers(number),
                 )
         tcp_link("operators", "keeper", ground.desk(), ground.keeper(), ground.at(211, 1))
@@ -229,7 +236,8 @@
     def _write_files(self) -> None:
         ground, plan = self.ground, self.plan
         keeper: dict[str, Any] = {
-            "store": str(self.children["keeper"].files / "store.db"), "listen": _told(ground.keeper()),
+            "store": str(self.children["keeper"].files / "store.db"),
+            "listen": _told(ground.keeper()),
             "leases": {"on": True, "time": f"{plan.lease}s"},
         }
         _write(self.children["keeper"], keeper, plan.keep, 0)
@@ -246,17 +254,33 @@
             host = ground.at(0, 10 + number).replace(".0.", ".{router}.")
             zone = self.children[name].zone
             self.listed[name] = Listed(name, f"{host}:6379", zone, "std", 0 if plan.asks_origin else number)
-            self._write_part(ServerPart(
-                *common(name, ground.server(number)), zone, plan.asks_origin, plan.work, plan.server_bears,
-                plan.warm_up, MEMORY, False, plan.falls, keep_idle=plan.keep_idle,
-            ))
+            self._write_part(
+                ServerPart(
+                    *common(name, ground.server(number)),
+                    zone,
+                    plan.asks_origin,
+                    plan.work,
+                    plan.server_bears,
+                    plan.warm_up,
+                    MEMORY,
+                    False,
+                    plan.falls,
+                    keep_idle=plan.keep_idle,
+                )
+            )
         host = ground.at(0, 3).replace(".0.", ".{router}.")
         if plan.asks_origin:
             self.listed["origin"] = Listed("origin", f"{host}:8000", "", "origin", 0)
-        self._write_part(OriginPart(
-            *common("origin", ground.origin()), plan.work * ORIGIN_PART, plan.origin_bears, MEMORY,
-            [ground.server(number) for number in range(plan.servers)], keep_idle=plan.keep_idle,
-        ))
+        self._write_part(
+            OriginPart(
+                *common("origin", ground.origin()),
+                plan.work * ORIGIN_PART,
+                plan.origin_bears,
+                MEMORY,
+                [ground.server(number) for number in range(plan.servers)],
+                keep_idle=plan.keep_idle,
+            )
+        )
 
     def _more(self, number: int) -> dict[str, Any]:
         return _merged(self.plan.serve, self.plan.serve_of.get(number, {}))
@@ -267,11 +291,20 @@
     def _write_list(self, starts: int) -> None:
         """Discovery is told at its start what it would know with no file."""
         child, ground = self.children["discovery"], self.ground
-        self._write_part(DirectoryPart(
-            "discovery", str(self.folder), str(child.files), *ground.discovery(0), {},
-            [ground.discovery(number) for number in range(self.plan.routers)],
-            list(self.listed.values()) if starts == 0 else [], LATENESS, self.seed, 1 + REV_STEP * starts,
-        ))
+        self._write_part(
+            DirectoryPart(
+                "discovery",
+                str(self.folder),
+                str(child.files),
+                *ground.discovery(0),
+                {},
+                [ground.discovery(number) for number in range(self.plan.routers)],
+                list(self.listed.values()) if starts == 0 else [],
+                LATENESS,
+                self.seed,
+                1 + REV_STEP * starts,
+            )
+        )
 
     def _router_file(self, number: int, child: Child) -> dict[str, Any]:
         plan, ground = self.plan, self.ground
@@ -281,17 +314,23 @@
         ]
         group = "all" if plan.asks_origin else "cell"
         return {
-            "name": child.name, "seed": 1 + self.seed * 1000 + number,
+            "name": child.name,
+            "seed": 1 + self.seed * 1000 + number,
             "listen": {"clients": _told(ground.router(number))},
             "discovery": {"address": _told(ground.seen(number, 2, 7300))},
             "tier": {
-                "me": number, "routers": plan.routers, "listen": _told(ground.router_peers(number)),
-                "peers": [_told(peer) for peer in peers], "zone": child.zone,
+                "me": number,
+                "routers": plan.routers,
+                "listen": _told(ground.router_peers(number)),
+                "peers": [_told(peer) for peer in peers],
+                "zone": child.zone,
             },
             "rules": {"asks_origin": plan.asks_origin, "cold_time": f"{max(plan.warm_up, 0.01)}s"},
             "follow": {
-                "keeper": _told(ground.seen(number, 1, 7400)), "secret_file": str(self.folder / "secret"),
-                "snapshot": str(child.files / "snapshot"), "most_tenants": TENANTS_MOST,
+                "keeper": _told(ground.seen(number, 1, 7400)),
+                "secret_file": str(self.folder / "secret"),
+                "snapshot": str(child.files / "snapshot"),
+                "most_tenants": TENANTS_MOST,
             },
             "traffic": [{**each, **ALL_TYPES, "group": group} for each in TRAFFIC],
         }
@@ -529,7 +568,9 @@
             return request
 
         return httpx.AsyncClient(
-            base_url=f"http://{_told(self.ground.desk())}", transport=Recorded(recorder), auth=bears,
+            base_url=f"http://{_told(self.ground.desk())}",
+            transport=Recorded(recorder),
+            auth=bears,
             timeout=httpx.Timeout(10.0, connect=2.0),
         )
 
--- a/gaugehinge/rehearsal/crowd.py
+++ b/gaugehinge/rehearsal/crowd.py
@@ -98,8 +98,14 @@
     """All clients of a play."""
 
     def __init__(
-        self, nursery: trio.Nursery, seed: int, doors: list[tuple[str, int]], secrets: dict[str, str],
-        recorder: Callable[[str], Recorder], source: str, head: str = "client",
+        self,
+        nursery: trio.Nursery,
+        seed: int,
+        doors: list[tuple[str, int]],
+        secrets: dict[str, str],
+        recorder: Callable[[str], Recorder],
+        source: str,
+        head: str = "client",
     ) -> None:
         """`doors`: where routers are found; `recorder` makes a party's history; `source`: their address;
         `head`: before the numbers in their names. A tenant's name may have `#` and a number behind it, by
@@ -225,13 +231,34 @@
         if kind.write:
             words.append(f"{party.tenant}|{ident}")
         self.tally.sent += 1
-        return ident, words, OpBegan(
-            party.recorder.now(), party.name, ident, f"router-{router}", party.tenant, kind.traffic,
-            kind.effect, key, kind.write, shape.wait, mark, first,
+        return (
+            ident,
+            words,
+            OpBegan(
+                party.recorder.now(),
+                party.name,
+                ident,
+                f"router-{router}",
+                party.tenant,
+                kind.traffic,
+                kind.effect,
+                key,
+                kind.write,
+                shape.wait,
+                mark,
+                first,
+            ),
         )
 
     async def _exchange(
-        self, party: Party, router: int, line: Line, kind: Kind, key: str, shape: Shape, mark: str = "",
+        self,
+        party: Party,
+        router: int,
+        line: Line,
+        kind: Kind,
+        key: str,
+        shape: Shape,
+        mark: str = "",
         first: str = "",
     ) -> tuple[str, str, float]:
         """An operation on a connection, and its answer."""
--- a/gaugehinge/rehearsal/drainsmodel.py
+++ b/gaugehinge/rehearsal/drainsmodel.py
@@ -75,7 +75,14 @@
     def keep(self, began: float, sure: bool = False) -> None:
         self.runs += 1
         self.keeper = self.grants_kind(
-            began, LEASE, CLOSING, self.most_nodes, {ORIGIN: self.floor}, 0.0, f"k{self.runs}", "life",
+            began,
+            LEASE,
+            CLOSING,
+            self.most_nodes,
+            {ORIGIN: self.floor},
+            0.0,
+            f"k{self.runs}",
+            "life",
             self.ground,
         )
         self.keeper.witnessed = self.ground.admissions
@@ -149,9 +156,18 @@
         held = node.holding
         holds = held.holds(node.clock(self.now))
         return Word(
-            node.name, f"{node.name}.{node.run_number}", node.run_number, node.turn, held.number, held.mark,
-            holds, {ORIGIN: node.open}, {ORIGIN: node.want or node.open + 1}, dict(node.floors),
-            node.admitted, held.closed,
+            node.name,
+            f"{node.name}.{node.run_number}",
+            node.run_number,
+            node.turn,
+            held.number,
+            held.mark,
+            holds,
+            {ORIGIN: node.open},
+            {ORIGIN: node.want or node.open + 1},
+            dict(node.floors),
+            node.admitted,
+            held.closed,
         )
 
     def answer(self, word: Word) -> Grant | None:
@@ -308,25 +324,36 @@
 
         nodes = tuple(
             (
-                n.admitted, n.open, n.paused, n.holding.number - self._base(n),
+                n.admitted,
+                n.open,
+                n.paused,
+                n.holding.number - self._base(n),
                 n.holding.mark == self._mark(n),
-                tuple(n.holding.values.items()), ago(n.holding.held.until),
+                tuple(n.holding.values.items()),
+                ago(n.holding.held.until),
                 ago(max(n.holding.floor_from, -99.0)),
-                tuple((c, ago(t)) for c, t in n.left), ago(n.used_at) if n.paused else 0.0,
+                tuple((c, ago(t)) for c, t in n.left),
+                ago(n.used_at) if n.paused else 0.0,
             )
             for n in self.nodes
         )
         slots = tuple(
             (
-                s.node, s.run == f"{s.node}.{self._node(s.node).run_number}", tuple(s.values.items()),
-                tuple(s.ceilings.items()), tuple(s.remains.items()),
+                s.node,
+                s.run == f"{s.node}.{self._node(s.node).run_number}",
+                tuple(s.values.items()),
+                tuple(s.ceilings.items()),
+                tuple(s.remains.items()),
             )
             for s in self.slots.values()
         )
         words = tuple(
             (
-                w.node, w.run_number - self._node(w.node).run_number, w.number - self.slots[w.node].number
-                if w.node in self.slots else w.number, tuple(w.counted.items()), tuple(w.need.items()),
+                w.node,
+                w.run_number - self._node(w.node).run_number,
+                w.number - self.slots[w.node].number if w.node in self.slots else w.number,
+                tuple(w.counted.items()),
+                tuple(w.need.items()),
                 ago(keeper.heard[w.node]),
             )
             for w in keeper.words.values()
@@ -434,9 +461,10 @@
         super()._learn(table, node, word, now)
         slot = table.get(node)
         if slot is not None and slot.run == word.run:
-            table[node] = Slot(**{f: getattr(slot, f) for f in slot.__struct_fields__} | {
-                "ceilings": {s: max(v, word.counted.get(s, 0)) for s, v in slot.values.items()}
-            })
+            table[node] = Slot(
+                **{f: getattr(slot, f) for f in slot.__struct_fields__}
+                | {"ceilings": {s: max(v, word.counted.get(s, 0)) for s, v in slot.values.items()}}
+            )
 
 
 class BelievesAnyStore(World):
@@ -552,10 +580,16 @@
             rolls = Rolls()
         facts = {
             peer.name: Fact(
-                peer.name, str(seen[peer.name][0]), peer.zone, seen[peer.name][1] >= 0 or
-                seen[peer.name][1] == -1000.0, ready_for=now - seen[peer.name][1], load=0.3, capacity=0.8,
+                peer.name,
+                str(seen[peer.name][0]),
+                peer.zone,
+                seen[peer.name][1] >= 0 or seen[peer.name][1] == -1000.0,
+                ready_for=now - seen[peer.name][1],
+                load=0.3,
+                capacity=0.8,
             )
-            for peer in peers if peer.name in seen
+            for peer in peers
+            if peer.name in seen
         }
         due = rolls.plan([roll], {roll.ident: steps}, {"routers": facts, "servers": {}}, now, now)
         if faults and due and draw.random() < 0.1:
@@ -600,11 +634,22 @@
             name = f"r{i}"
             slot = slots.get(name, Slot(name))
             values = dict(slot.values)
-            keeper.hear(Word(
-                name, name, 1, now, slot.number if values else 0, slot.mark if values else "", values,
-                {ORIGIN: min(3, values.get(ORIGIN, 0))}, {ORIGIN: need[i], SERVERS: 2},
-                floors if values else {}, "life" if name in slots else "",
-            ), float(now))
+            keeper.hear(
+                Word(
+                    name,
+                    name,
+                    1,
+                    now,
+                    slot.number if values else 0,
+                    slot.mark if values else "",
+                    values,
+                    {ORIGIN: min(3, values.get(ORIGIN, 0))},
+                    {ORIGIN: need[i], SERVERS: 2},
+                    floors if values else {},
+                    "life" if name in slots else "",
+                ),
+                float(now),
+            )
         began = time.perf_counter()
         changed = keeper.plan(slots, limits, float(now))
         spent.append((time.perf_counter() - began) * 1000)
--- a/gaugehinge/rehearsal/drainsplay.py
+++ b/gaugehinge/rehearsal/drainsplay.py
@@ -42,19 +42,36 @@
 ) -> Plan:
     """A company with limits on its stores. With no `spare` all of them is given."""
     nodes = routers + spare
-    keep: dict[str, Any] = {"drains": {
-        "on": True, "origin": nodes + 3 * routers, "servers": nodes + 3 * routers,
-        "floor_origin": 1, "floor_servers": 1, "most_nodes": nodes, "closing": f"{CLOSING}s",
-        "new_installation": True, "most_busy": 1.0, "reserve": 0.1 if spare else 0.0,
-    }}
+    keep: dict[str, Any] = {
+        "drains": {
+            "on": True,
+            "origin": nodes + 3 * routers,
+            "servers": nodes + 3 * routers,
+            "floor_origin": 1,
+            "floor_servers": 1,
+            "most_nodes": nodes,
+            "closing": f"{CLOSING}s",
+            "new_installation": True,
+            "most_busy": 1.0,
+            "reserve": 0.1 if spare else 0.0,
+        }
+    }
     serve: dict[str, Any] = {"limits": {"idle_time": "1.5s"}}
     if drains:
         serve["drains"] = {"on": True, "file": "{files}/node"}
     told = keep["drains"]
     return Plan(
-        routers=routers, servers=servers, zones=zones, work=WORK, origin_bears=told["origin"],
-        server_bears=told["servers"], keep_idle=KEEP_IDLE, lease=LEASE, warm_up=0.5,
-        keep=keep if drains else {}, serve=serve,
+        routers=routers,
+        servers=servers,
+        zones=zones,
+        work=WORK,
+        origin_bears=told["origin"],
+        server_bears=told["servers"],
+        keep_idle=KEEP_IDLE,
+        lease=LEASE,
+        warm_up=0.5,
+        keep=keep if drains else {},
+        serve=serve,
     )
 
 
@@ -72,7 +89,13 @@
     plan, count = size()
     kinds = ("kill", "kill", "lose", "stop", "link", "link", "link")
     found = draw(
-        seed, plan, 3.0 * count, count, kinds, spared=("discovery", "origin"), most_time=3.0,
+        seed,
+        plan,
+        3.0 * count,
+        count,
+        kinds,
+        spared=("discovery", "origin"),
+        most_time=3.0,
         files=("same", "same", "same", "older", "torn"),
     )
     chance = random.Random(f"{seed} keeper")
@@ -119,7 +142,7 @@
         lines = self.orders(name)
         if len(lines) <= self.seen[name]:
             return
-        for line in lines[self.seen[name]:]:
+        for line in lines[self.seen[name] :]:
             self.all.recorder.put(Process(self._when(line), "play", name, "told_to_end"))
         self.seen[name] = len(lines)
         self.all.nursery.start_soon(self._again, name)
@@ -146,7 +169,6 @@
                     self.all.kill(step["node"])
                     self.all.start(step["node"])
 
-
     async def _nodes(self, desk: httpx.AsyncClient) -> None:
         """As an operator would: a node whose files were lost is no more, and all that are there are known."""
         told = (await desk.get("/v1/grants")).json()
@@ -197,8 +219,15 @@
     """Ask for a roll and wait for it; its name."""
     began = trio.current_time()
     order = {
-        "who": {"all": True}, "kind": kind, "most_out": 2, "warm_up": 0.5, "deadline": 15.0, "hangs": "skip",
-        "headroom": 0.1, "most_burn": 1000.0, **more,
+        "who": {"all": True},
+        "kind": kind,
+        "most_out": 2,
+        "warm_up": 0.5,
+        "deadline": 15.0,
+        "hangs": "skip",
+        "headroom": 0.1,
+        "most_burn": 1000.0,
+        **more,
     }
     async with all_.api(party=f"roller-{kind}") as desk:
         answer = None
@@ -309,7 +338,8 @@
     why = f"not done after {ROLL_TIME:.0f} s"
     return [
         Break("rolls", kind, ("keeper",), 0.0, 0.0, why)
-        for kind in ("routers", "servers") if not told.get(f"{kind}.ended")
+        for kind in ("routers", "servers")
+        if not told.get(f"{kind}.ended")
     ]
 
 
--- a/gaugehinge/rehearsal/faultplan.py
+++ b/gaugehinge/rehearsal/faultplan.py
@@ -20,8 +20,13 @@
 FILES = ("same", "same", "older", "torn", "empty", "unwritable")
 ROUND = 3  # decimals of a drawn figure, so that a printed plan is the plan
 LINKS = (
-    Fault(State.REFUSED), Fault(State.SILENT), Fault(State.SILENT_THERE), Fault(State.SILENT_BACK),
-    Fault(State.RESET, after=400), Fault(State.SLOW, rate=4000.0), Fault(State.LATE, delay=0.1),
+    Fault(State.REFUSED),
+    Fault(State.SILENT),
+    Fault(State.SILENT_THERE),
+    Fault(State.SILENT_BACK),
+    Fault(State.RESET, after=400),
+    Fault(State.SLOW, rate=4000.0),
+    Fault(State.LATE, delay=0.1),
     Fault(State.LOSSY, part=0.3),
 )
 LIST_FAULTS = ("down", "stale", "empty")
@@ -43,7 +48,8 @@
         words = [f"{self.at:7.3f} s  {self.action}", " ".join(self.names)]
         if self.action == "link":
             figures = [
-                f"{name} {value}" for name in ("after", "rate", "delay", "part")
+                f"{name} {value}"
+                for name in ("after", "rate", "delay", "part")
                 if (value := getattr(self.fault, name))
             ]
             words.append(" ".join([self.fault.state.value, *figures]))
@@ -61,8 +67,14 @@
 
 
 def draw(
-    seed: int, plan: Plan, lasts: float, count: int, kinds: Sequence[str] = KINDS,
-    spared: Sequence[str] = (), most_time: float = 1.5, files: Sequence[str] = FILES,
+    seed: int,
+    plan: Plan,
+    lasts: float,
+    count: int,
+    kinds: Sequence[str] = KINDS,
+    spared: Sequence[str] = (),
+    most_time: float = 1.5,
+    files: Sequence[str] = FILES,
 ) -> list[Deed]:
     """So many deeds within the first `lasts` seconds, none for longer than `most_time`. `spared`: parties
     that no deed stops (their links may break). The same seed, the same plan."""
@@ -174,7 +186,7 @@
     while best and left > 0:
         size = max(len(best) // parts, 1)
         for start in range(0, len(best), size):
-            shorter = best[:start] + best[start + size:]
+            shorter = best[:start] + best[start + size :]
             if left > 0 and await still(shorter):
                 best, parts = shorter, max(parts - 1, 2)
                 break
--- a/gaugehinge/rehearsal/faultydrains.py
+++ b/gaugehinge/rehearsal/faultydrains.py
@@ -46,8 +46,11 @@
     right = Rolls.plan
 
     def plan(
-        self: Rolls, rolls: Iterable[Roll], steps: Mapping[str, list[Step]],
-        facts: Mapping[str, Mapping[str, Any]], *more: Any,
+        self: Rolls,
+        rolls: Iterable[Roll],
+        steps: Mapping[str, list[Step]],
+        facts: Mapping[str, Mapping[str, Any]],
+        *more: Any,
     ) -> Due:
         due = Due()
         for roll in rolls:
--- a/gaugehinge/rehearsal/ground.py
+++ b/gaugehinge/rehearsal/ground.py
@@ -132,9 +132,12 @@
             self.process = subprocess.Popen(
                 [sys.executable, "-m", *words],
                 stdin=subprocess.PIPE if self.speaks else subprocess.DEVNULL,
-                stdout=subprocess.PIPE if self.speaks else log, stderr=log,
+                stdout=subprocess.PIPE if self.speaks else log,
+                stderr=log,
                 env={**os.environ, "PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1", **self.environment},
-                cwd=ROOT, start_new_session=True, preexec_fn=_die_with_parent,
+                cwd=ROOT,
+                start_new_session=True,
+                preexec_fn=_die_with_parent,
             )
         if self.speaks:  # one that stands still does not read; nobody may wait for it
             os.set_blocking(self.process.stdin.fileno(), False)
--- a/gaugehinge/rehearsal/hardplay.py
+++ b/gaugehinge/rehearsal/hardplay.py
@@ -95,8 +95,14 @@
     async def roll(self, desk: httpx.AsyncClient, **order: Any) -> str:
         """Ask for one; its name."""
         body = {
-            "who": {"all": True}, "most_out": 1, "warm_up": 0.5, "deadline": 30.0, "hangs": "skip",
-            "headroom": 0.0, "most_burn": 1000.0, **order,
+            "who": {"all": True},
+            "most_out": 1,
+            "warm_up": 0.5,
+            "deadline": 30.0,
+            "hangs": "skip",
+            "headroom": 0.0,
+            "most_burn": 1000.0,
+            **order,
         }
         key = {"Idempotency-Key": f"{self.chance.random()}"}
         while True:
@@ -250,7 +256,8 @@
             scene.broken("steps", new, "it was rolled")
         with trio.move_on_after(30) as limit:
             while not any(
-                each["values"] for each in (await desk.get("/v1/grants")).json()["nodes"]
+                each["values"]
+                for each in (await desk.get("/v1/grants")).json()["nodes"]
                 if each["node"].startswith(f"{new}@")
             ):
                 await trio.sleep(LOOK)
@@ -413,7 +420,15 @@
 
 
 CASES: tuple[Callable[[Scene], Awaitable[None]], ...] = (
-    lowered, zone, added, three, steps, older, woken, hangs, servers,
+    lowered,
+    zone,
+    added,
+    three,
+    steps,
+    older,
+    woken,
+    hangs,
+    servers,
 )
 
 
--- a/gaugehinge/rehearsal/hostedplay.py
+++ b/gaugehinge/rehearsal/hostedplay.py
@@ -42,7 +42,12 @@
     TrafficEntry("read", "idempotent", Seconds(0.5), abandon_time=Seconds(2.0), late_payoff=0.2),
     TrafficEntry("put", "idempotent", Seconds(0.5), abandon_time=Seconds(2.0), late_payoff=0.2),
     TrafficEntry(
-        "move", "deduplicated", Seconds(0.5), abandon_time=Seconds(2.0), group="all", memory=Seconds(9.0),
+        "move",
+        "deduplicated",
+        Seconds(0.5),
+        abandon_time=Seconds(2.0),
+        group="all",
+        memory=Seconds(9.0),
         late_payoff=0.2,
     ),
     TrafficEntry("book", "unrepeatable", Seconds(0.5), abandon_time=Seconds(2.0), late_payoff=0.2),
@@ -203,11 +208,10 @@
         """Until all routers that run follow the keeper's last revision, and know servers."""
         with trio.fail_after(wait):
             while not all(
-                follower is not None and follower.roster.revision >= self.keeper.rev
+                follower is not None
+                and follower.roster.revision >= self.keeper.rev
                 and service.dispatch.router.caches
-                for follower, service, scope in zip(
-                    self.followers, self.services, self.scopes, strict=True
-                )
+                for follower, service, scope in zip(self.followers, self.services, self.scopes, strict=True)
                 if not scope.cancel_called
             ):
                 await trio.sleep(0.005)
@@ -215,9 +219,18 @@
 
 @asynccontextmanager
 async def hosting(
-    routers: int = 1, servers: int = 3, seed: int = 1, work: float = 0.0, new_door: Any = None,
-    folder: Path | None = None, inside: bool = True, zones: tuple[str, ...] = ("a",), lease: float = 0.0,
-    parts: tuple[Any, ...] = (), dress: Any = lambda follow: follow, **changes: Any,
+    routers: int = 1,
+    servers: int = 3,
+    seed: int = 1,
+    work: float = 0.0,
+    new_door: Any = None,
+    folder: Path | None = None,
+    inside: bool = True,
+    zones: tuple[str, ...] = ("a",),
+    lease: float = 0.0,
+    parts: tuple[Any, ...] = (),
+    dress: Any = lambda follow: follow,
+    **changes: Any,
 ) -> AsyncIterator[Hosted]:
     """A keeper with `root` and routers that follow it; ended with the block.
 
@@ -232,7 +245,13 @@
             shelves = Shelves(clock, work)
             directory = Directory(deadlines, 0.01, lambda *told: None)
             made = Hosted(
-                nursery, folder or Path(made_folder), ports, shelves, directory, lease=lease, parts=parts,
+                nursery,
+                folder or Path(made_folder),
+                ports,
+                shelves,
+                directory,
+                lease=lease,
+                parts=parts,
                 dress=dress,
             )
             for number in range(servers):
@@ -265,12 +284,19 @@
 
 def _file(made: Hosted, number: int, routers: int, discovery: int, changes: dict[str, Any]) -> Installation:
     follow = FollowEntry(
-        made.api.removeprefix("http://"), str(made.folder / "secret"),
-        str(made.folder / f"router-{number}.snapshot"), 1200,
+        made.api.removeprefix("http://"),
+        str(made.folder / "secret"),
+        str(made.folder / f"router-{number}.snapshot"),
+        1200,
     )
     told = Installation(
-        Listen(f"{HOST}:{made.ports.free([HOST])}"), DiscoveryAt(f"{HOST}:{discovery}"), TRAFFIC,
-        name=f"router-{number}", seed=100 + number, tier=Tier(me=number, routers=routers),
-        rules=Rules(asks_origin=False), follow=follow,
+        Listen(f"{HOST}:{made.ports.free([HOST])}"),
+        DiscoveryAt(f"{HOST}:{discovery}"),
+        TRAFFIC,
+        name=f"router-{number}",
+        seed=100 + number,
+        tier=Tier(me=number, routers=routers),
+        rules=Rules(asks_origin=False),
+        follow=follow,
     )
     return msgspec.structs.replace(told, **changes)
--- a/gaugehinge/rehearsal/hostedrun.py
+++ b/gaugehinge/rehearsal/hostedrun.py
@@ -117,15 +117,17 @@
                 count += 1
                 victim = draw.choice([each for each in NAMES if each != name])
                 key = draw.choice([f"{self.own[victim]:x}/k1", "../k1", f"k{draw.randrange(KEYS)}", "1/k1"])
-                words = draw.choice([
-                    ("KV.GET", key, f"h{count}", f"c=read,d=2000,t={victim}"),
-                    ("KV.GET", key, f"h{count}", "c=read,d=2000"),
-                    ("KV.SET", key, f"h{count}", f"c=put,d=2000,t={victim}", f"{name}|spoilt"),
-                    ("KV.SET", key, f"h{count}", "c=move,d=2000,k=m1", f"{name}|spoilt"),
-                    ("AUTH", victim, "gh_" + self.secrets[victim].split("_")[1] + "_guessed"),
-                    ("AUTH", victim, self.secrets[name]),
-                    ("KV.GET", key, f"h{count}", "c=read,d=2000,t=,t=x"),
-                ])
+                words = draw.choice(
+                    [
+                        ("KV.GET", key, f"h{count}", f"c=read,d=2000,t={victim}"),
+                        ("KV.GET", key, f"h{count}", "c=read,d=2000"),
+                        ("KV.SET", key, f"h{count}", f"c=put,d=2000,t={victim}", f"{name}|spoilt"),
+                        ("KV.SET", key, f"h{count}", "c=move,d=2000,k=m1", f"{name}|spoilt"),
+                        ("AUTH", victim, "gh_" + self.secrets[victim].split("_")[1] + "_guessed"),
+                        ("AUTH", victim, self.secrets[name]),
+                        ("KV.GET", key, f"h{count}", "c=read,d=2000,t=,t=x"),
+                    ]
+                )
                 reply = await (crook if words[0] == "AUTH" else client).ask(*words, wait=WAIT + 1.0)
                 if reply is None:
                     told.breaks.append(f"one final answer: none to {words[:3]}")
@@ -205,7 +207,8 @@
             if seen.value is not None and not seen.value.startswith(name.encode() + b"|"):
                 self.told.breaks.append(f"a value of another: {seen}")
         effects = Counter(
-            (seen.ident, seen.key) for seen in self.made.shelves.seen
+            (seen.ident, seen.key)
+            for seen in self.made.shelves.seen
             if seen.write and not seen.repeat and seen.labels.get("c") == "book"
         )
         self.told.breaks += [f"no effect twice: {what}" for what, count in effects.items() if count > 1]
--- a/gaugehinge/rehearsal/invented.py
+++ b/gaugehinge/rehearsal/invented.py
@@ -41,8 +41,12 @@
 ZONES = ("a", "b", "c")
 SPACES = {"acme": "a1/", "bolt": "b2/"}
 WAIT = 1.0
-KINDS = (("read", "idempotent", False), ("put", "idempotent", True), ("move", "deduplicated", True),
-         ("book", "unrepeatable", True))
+KINDS = (
+    ("read", "idempotent", False),
+    ("put", "idempotent", True),
+    ("move", "deduplicated", True),
+    ("book", "unrepeatable", True),
+)
 SHARD = "/v1/tenants/acme/shards/s0"
 SPREAD = 0.4  # seconds from a shard's change until it is confined
 CHANGES = 0.8  # of the time in which shards change, so that the rest of it is confined
@@ -446,9 +450,22 @@
         ident = f"{client}-{next(self.numbers)}"
         if effect == "deduplicated":
             mark = mark or f"m{ident}"
-        world.put(OpBegan(
-            at, client, ident, router, tenant, traffic, effect, key, write, WAIT, mark, repeats,
-        ))
+        world.put(
+            OpBegan(
+                at,
+                client,
+                ident,
+                router,
+                tenant,
+                traffic,
+                effect,
+                key,
+                write,
+                WAIT,
+                mark,
+                repeats,
+            )
+        )
         over = at + draw.uniform(0.005, 0.1)
         if draw.random() < 0.05 and not world.during(world.down, router, at, at + 0.2):
             world.put(OpEnded(at + 0.002, client, ident, "crossed"))
@@ -502,10 +519,22 @@
         if server is not None:
             told = self._told(server, router, came)
             cold = came - self._started(server, came) < 0.5
-            world.put(Attempt(
-                came, server, server, _zone(server), ident, SPACES[tenant] + key, write, mark,
-                False, cold, came > told, told if came > told else 0.0,
-            ))
+            world.put(
+                Attempt(
+                    came,
+                    server,
+                    server,
+                    _zone(server),
+                    ident,
+                    SPACES[tenant] + key,
+                    write,
+                    mark,
+                    False,
+                    cold,
+                    came > told,
+                    told if came > told else 0.0,
+                )
+            )
         if world.during(world.down, "origin", came, came + 0.002):
             return "forfeited", ""
         if not write:
@@ -522,8 +551,9 @@
         """When the router that runs then was told that a server drains."""
         if server not in self.world.drained:
             return 1e9
-        began = max((span.until - 0.05 for span in self.world.down.get(router, ()) if span.until <= at),
-                    default=0.0)
+        began = max(
+            (span.until - 0.05 for span in self.world.down.get(router, ()) if span.until <= at), default=0.0
+        )
         return min((told for told in self.world.told.get(router, ()) if told >= began), default=1e9)
 
     def _server(self, at: float, tenant: str, key: str, router: str) -> str | None:
@@ -533,8 +563,10 @@
         if tenant == "acme" and key.startswith("p/"):
             zones = world.placed(at)[1]
         fit = [
-            name for n in range(world.servers)
-            if _zone(name := f"server-{n}") in zones and not world.during(world.down, name, at, at)
+            name
+            for n in range(world.servers)
+            if _zone(name := f"server-{n}") in zones
+            and not world.during(world.down, name, at, at)
             and at < self._told(name, router, at) + BOUNDS.drain * 0.9
         ]
         return self.draw.choice(fit) if fit else None
--- a/gaugehinge/rehearsal/mutations.py
+++ b/gaugehinge/rehearsal/mutations.py
@@ -78,7 +78,8 @@
     return [
         (op, ends[0])
         for op in reading.ops.values()
-        if len(ends := reading.ends.get(op.ident, ())) == 1 and ends[0].outcome not in UNANSWERED
+        if len(ends := reading.ends.get(op.ident, ())) == 1
+        and ends[0].outcome not in UNANSWERED
         and ends[0].outcome == (outcome or ends[0].outcome)
         and not reading.stalled(op.at - 2.0, op.at + 3.0)
         and not any(reading.life(op.router, op.at - 1.0, op.at + 9.0)[1])
@@ -129,13 +130,19 @@
 @_finds("unanswered")
 def _taken_before_sigterm(reading: Reading, bounds: Bounds, draw: random.Random) -> History | None:
     told = {e.name: e.at for e in reading.processes if e.state == "told_to_end"}
-    pair = _one(draw, (
-        (op, ends[0]) for op in reading.ops.values()
-        if 0.1 < told.get(op.router, -9.0) - op.at < 0.4
-        and len(ends := reading.ends.get(op.ident, ())) == 1 and ends[0].outcome not in UNANSWERED
-        and not reading.stood(op.router, op.at, op.at + 2.0) and not reading.stalled(op.at - 2.0, op.at + 3.0)
-        and not reading.faulty(op.party, op.router, op.at, op.at + 2.0)
-    ))
+    pair = _one(
+        draw,
+        (
+            (op, ends[0])
+            for op in reading.ops.values()
+            if 0.1 < told.get(op.router, -9.0) - op.at < 0.4
+            and len(ends := reading.ends.get(op.ident, ())) == 1
+            and ends[0].outcome not in UNANSWERED
+            and not reading.stood(op.router, op.at, op.at + 2.0)
+            and not reading.stalled(op.at - 2.0, op.at + 3.0)
+            and not reading.faulty(op.party, op.router, op.at, op.at + 2.0)
+        ),
+    )
     return pair and _swapped(reading, pair[1], outcome="lost", value="", at=told[pair[0].router] + 0.05)
 
 
@@ -151,9 +158,7 @@
     if pair is None:
         return None
     lost = msgspec.structs.replace(pair[1], outcome="lost", value="", at=pair[0].at + pair[0].wait)
-    return _with(
-        _swapped(reading, pair[1], at=pair[0].at + pair[0].wait + bounds.slack + 0.2), lost
-    )
+    return _with(_swapped(reading, pair[1], at=pair[0].at + pair[0].wait + bounds.slack + 0.2), lost)
 
 
 # -- effects
@@ -161,7 +166,8 @@
 
 def _effects(reading: Reading, effect: str) -> list[Attempt]:
     return [
-        attempt for attempt in reading.attempts
+        attempt
+        for attempt in reading.attempts
         if attempt.effect and (op := reading.op_of(attempt.ident)) is not None and op.effect == effect
     ]
 
@@ -176,11 +182,17 @@
 def _mark_forgotten_early(reading: Reading, bounds: Bounds, draw: random.Random) -> History | None:
     """A repeat within the memory runs again."""
     firsts = {attempt.mark: attempt.at for attempt in _effects(reading, "deduplicated")}
-    attempt = _one(draw, (
-        attempt for attempt in reading.attempts
-        if attempt.mark and not attempt.effect and attempt.server == bounds.origin
-        and 0 < attempt.at - firsts.get(attempt.mark, -99.0) < bounds.memory
-    ))
+    attempt = _one(
+        draw,
+        (
+            attempt
+            for attempt in reading.attempts
+            if attempt.mark
+            and not attempt.effect
+            and attempt.server == bounds.origin
+            and 0 < attempt.at - firsts.get(attempt.mark, -99.0) < bounds.memory
+        ),
+    )
     return attempt and _swapped(reading, attempt, effect=True)
 
 
@@ -218,10 +230,15 @@
 
 @_finds("bounced_though_ran")
 def _bounced_and_ran_before(reading: Reading, bounds: Bounds, draw: random.Random) -> History | None:
-    pair = _one(draw, (
-        (op, end) for op, end in _real(reading)
-        if op.effect == "unrepeatable" and any(each.effect for each in reading.attempts_of.get(op.ident, ()))
-    ))
+    pair = _one(
+        draw,
+        (
+            (op, end)
+            for op, end in _real(reading)
+            if op.effect == "unrepeatable"
+            and any(each.effect for each in reading.attempts_of.get(op.ident, ()))
+        ),
+    )
     return pair and _swapped(reading, pair[1], outcome="bounced", value="")
 
 
@@ -238,8 +255,10 @@
 @_finds("settled_without_effect")
 def _settled_and_never_ran(reading: Reading, bounds: Bounds, draw: random.Random) -> History | None:
     pairs = [
-        (op, attempts[0]) for op, end in _real(reading, "settled")
-        if op.write and op.effect != "idempotent"
+        (op, attempts[0])
+        for op, end in _real(reading, "settled")
+        if op.write
+        and op.effect != "idempotent"
         and len(attempts := reading.effects.get(reading.write_of(op), ())) == 1
     ]
     pair = _one(draw, pairs)
@@ -284,10 +303,14 @@
     if pair is None:
         return None
     op, end = pair
-    other = _one(draw, (
-        value for value, write in _values(reading).items()
-        if write.tenant == op.tenant and write.key != op.key and write.at < end.at
-    ))
+    other = _one(
+        draw,
+        (
+            value
+            for value, write in _values(reading).items()
+            if write.tenant == op.tenant and write.key != op.key and write.at < end.at
+        ),
+    )
     return other and _swapped(reading, end, value=other)
 
 
@@ -335,17 +358,24 @@
     """Whether nothing was the matter with an operation's router in that time."""
     state, changes = reading.life(op.router, since, until)
     others = (op.party, *(f"server-{number}" for number in range(4)))
-    return state in ("ready", "continued") and not changes and not reading.stalled(since, until) and not any(
-        reading.faulty(op.router, other, since, until) for other in others
+    return (
+        state in ("ready", "continued")
+        and not changes
+        and not reading.stalled(since, until)
+        and not any(reading.faulty(op.router, other, since, until) for other in others)
     )
 
 
 @_finds("crossed")
 def _read_and_its_connection_ended(reading: Reading, bounds: Bounds, draw: random.Random) -> History | None:
-    pair = _one(draw, (
-        (op, end) for op, end in _real(reading)
-        if reading.attempts_of.get(op.ident) and _calm(reading, op, op.at, end.at + bounds.slack)
-    ))
+    pair = _one(
+        draw,
+        (
+            (op, end)
+            for op, end in _real(reading)
+            if reading.attempts_of.get(op.ident) and _calm(reading, op, op.at, end.at + bounds.slack)
+        ),
+    )
     return pair and _swapped(reading, pair[1], outcome="crossed", value="")
 
 
@@ -366,10 +396,14 @@
 def _sent_on_for_nobody(reading: Reading, bounds: Bounds, draw: random.Random) -> History | None:
     late = bounds.left + 0.5
     found = [
-        op for op, _ in _real(reading)
-        if reading.attempts_of.get(op.ident) and _calm(reading, op, op.at, op.at + late + 0.2)
-        and not any(reading.life(attempt.server, op.at, op.at + late + 0.2)[1]
-                    for attempt in reading.attempts_of[op.ident])
+        op
+        for op, _ in _real(reading)
+        if reading.attempts_of.get(op.ident)
+        and _calm(reading, op, op.at, op.at + late + 0.2)
+        and not any(
+            reading.life(attempt.server, op.at, op.at + late + 0.2)[1]
+            for attempt in reading.attempts_of[op.ident]
+        )
     ]
     if len(found) < 12:
         return None
@@ -396,20 +430,23 @@
 
 def _attempt_at(at: float, server: str) -> list[AnyEvent]:
     op = OpBegan(at, "client-9", "late-1", "router-0", "acme", "read", "idempotent", "k1", False, 1.0)
-    return [op, Attempt(at + 0.01, server, server, "a", "late-1", "a1/k1", False),
-            OpEnded(at + 0.02, "client-9", "late-1", "settled", "of a1/k1")]
+    return [
+        op,
+        Attempt(at + 0.01, server, server, "a", "late-1", "a1/k1", False),
+        OpEnded(at + 0.02, "client-9", "late-1", "settled", "of a1/k1"),
+    ]
 
 
 @_finds("clock")
-def _a_silent_watch_never_begun_anew(
-    reading: Reading, bounds: Bounds, draw: random.Random
-) -> History | None:
+def _a_silent_watch_never_begun_anew(reading: Reading, bounds: Bounds, draw: random.Random) -> History | None:
     place = _behind(reading)
     if place is None:
         return None
     at, server = place
-    asked = [ListAsked(at, "discovery", "router-0", 9001, 2, 2.5),
-             Hushed(at + 0.5, "discovery", "router-0", 9001)]
+    asked = [
+        ListAsked(at, "discovery", "router-0", 9001, 2, 2.5),
+        Hushed(at + 0.5, "discovery", "router-0", 9001),
+    ]
     drain = ListChanged(at + draw.uniform(0.5, 3.0), "discovery", 9, server, "draining")
     return _with(reading, *asked, drain, *_attempt_at(at + 0.5 + bounds.silence + bounds.drain + 0.1, server))
 
@@ -421,8 +458,10 @@
         return None
     at, server = place
     drain = ListChanged(at, "discovery", 9, server, "draining")
-    told = [ListAsked(at + 0.1, "discovery", "router-0", 9001, 2, 2.5),
-            ListTold(at + 0.11, "discovery", "router-0", 9001, 9, 200)]
+    told = [
+        ListAsked(at + 0.1, "discovery", "router-0", 9001, 2, 2.5),
+        ListTold(at + 0.11, "discovery", "router-0", 9001, 9, 200),
+    ]
     return _with(reading, drain, *told, *_attempt_at(at + 0.11 + bounds.drain + 0.1, server))
 
 
@@ -432,8 +471,10 @@
     if place is None:
         return None
     at, server = place
-    told = [ListAsked(at, "discovery", "router-0", 9001, 2, 0.5),
-            ListTold(at + 0.5, "discovery", "router-0", 9001, 9, 200)]
+    told = [
+        ListAsked(at, "discovery", "router-0", 9001, 2, 0.5),
+        ListTold(at + 0.5, "discovery", "router-0", 9001, 9, 200),
+    ]
     drain = ListChanged(at + 1.0, "discovery", 10, server, "draining")
     return _with(reading, *told, drain, *_attempt_at(at + 1.0 + bounds.ask + bounds.drain + 0.1, server))
 
@@ -443,27 +484,38 @@
 
 @_finds("drains")
 def _attempt_long_after_a_drain(reading: Reading, bounds: Bounds, draw: random.Random) -> History | None:
-    pair = _one(draw, (
-        (attempt, op) for attempt in reading.attempts
-        if attempt.server != bounds.origin and (op := reading.op_of(attempt.ident)) is not None
-        and not any(reading.life(op.router, attempt.at - bounds.drain - 0.2, attempt.at)[1])
-        and not reading.stalled(attempt.at - bounds.drain - 0.2, attempt.at)
-        and reading.life(op.router, 0.0, attempt.at)[1][-1:][0].state in ("ready", "continued")
-        and not reading.faulty(op.router, attempt.server, attempt.at - bounds.drain - 0.2, attempt.at)
-    ))
+    pair = _one(
+        draw,
+        (
+            (attempt, op)
+            for attempt in reading.attempts
+            if attempt.server != bounds.origin
+            and (op := reading.op_of(attempt.ident)) is not None
+            and not any(reading.life(op.router, attempt.at - bounds.drain - 0.2, attempt.at)[1])
+            and not reading.stalled(attempt.at - bounds.drain - 0.2, attempt.at)
+            and reading.life(op.router, 0.0, attempt.at)[1][-1:][0].state in ("ready", "continued")
+            and not reading.faulty(op.router, attempt.server, attempt.at - bounds.drain - 0.2, attempt.at)
+        ),
+    )
     return pair and _swapped(reading, pair[0], draining=True, told_at=pair[0].at - bounds.drain - 0.1)
 
 
 def _confined_attempt(reading: Reading, bounds: Bounds, draw: random.Random) -> Attempt | None:
     times = confined_times(reading, bounds)
-    return _one(draw, (
-        attempt for attempt in reading.attempts
-        if attempt.zone and any(
-            one.at <= attempt.at <= other.at and attempt.key.startswith(one.prefixes[0])
-            and (reading.op_of(attempt.ident) or attempt).at > one.at
-            for one, other in times
-        )
-    ))
+    return _one(
+        draw,
+        (
+            attempt
+            for attempt in reading.attempts
+            if attempt.zone
+            and any(
+                one.at <= attempt.at <= other.at
+                and attempt.key.startswith(one.prefixes[0])
+                and (reading.op_of(attempt.ident) or attempt).at > one.at
+                for one, other in times
+            )
+        ),
+    )
 
 
 @_finds("confined")
@@ -483,7 +535,8 @@
     op = reading.ops[attempt.ident]
     op = msgspec.structs.replace(op, ident="client-0-old", router="router-9", at=attempt.at - 2.0)
     more = [
-        op, Process(attempt.at - 1.9, "play", "router-9", "stopped"),
+        op,
+        Process(attempt.at - 1.9, "play", "router-9", "stopped"),
         Process(attempt.at - 0.01, "play", "router-9", "continued"),
         OpEnded(attempt.at + 0.01, op.party, op.ident, "forfeited"),
     ]
@@ -540,7 +593,8 @@
         for change in reading.changes
         if change.method in methods and 200 <= change.status < 300 and change.revision
         for read in _reads_behind(reading, _path(change))
-        if _begin(reading, read) > change.at and read.revision >= change.revision
+        if _begin(reading, read) > change.at
+        and read.revision >= change.revision
         and not any(change.at < at < read.at for at in _set_back(reading))
     ]
     return _one(draw, pairs)
@@ -618,16 +672,22 @@
 @_finds("registers")
 def _two_changes_of_one_revision(reading: Reading, bounds: Bounds, draw: random.Random) -> History | None:
     """Of two changes for the same revision both are told that they were made: one is lost."""
-    change = _one(draw, (
-        e for e in reading.changes
-        if e.method == "PATCH" and e.status == 200
-        and not any(abs(e.at - at) < 0.5 for at in _set_back(reading))
-    ))
+    change = _one(
+        draw,
+        (
+            e
+            for e in reading.changes
+            if e.method == "PATCH"
+            and e.status == 200
+            and not any(abs(e.at - at) < 0.5 for at in _set_back(reading))
+        ),
+    )
     if change is None:
         return None
     began = msgspec.structs.replace(change, ident="call-twin", party="admin-9", body='{"share":55}')
     return _with(
-        reading, msgspec.structs.replace(began, at=change.at + 0.001, status=-1, answer="", revision=0),
+        reading,
+        msgspec.structs.replace(began, at=change.at + 0.001, status=-1, answer="", revision=0),
         msgspec.structs.replace(
             began, at=change.at + 0.01, revision=change.revision + 1000, answer='{"share":55}'
         ),
@@ -637,7 +697,8 @@
 @_finds("registers")
 def _two_at_once_for_one_revision(reading: Reading, bounds: Bounds, draw: random.Random) -> History | None:
     return _calls(
-        reading, MADE,
+        reading,
+        MADE,
         (1.1, 2.1, "PATCH", 200, {"body": TWO, "if_match": '"501"', "revision": 502}),
         (1.2, 2.0, "PATCH", 200, {"body": THREE, "if_match": '"501"', "revision": 503}),
     )
@@ -662,7 +723,8 @@
 def _unknown_change_seen_and_unseen(reading: Reading, bounds: Bounds, draw: random.Random) -> History | None:
     """A change of unknown result is seen by one reader, and by a later one not any more."""
     return _calls(
-        reading, MADE,
+        reading,
+        MADE,
         (1.1, 1.5, "PUT", 0, {"body": TWO}),
         (1.6, 1.7, "GET", 200, {"answer": TWO, "revision": 502}),
         (1.8, 1.9, "GET", 200, {"answer": ONE, "revision": 501}),
@@ -673,7 +735,8 @@
 def _reads_that_see_two_orders(reading: Reading, bounds: Bounds, draw: random.Random) -> History | None:
     """Two readers beside two changes: the second one sees the first change undone."""
     return _calls(
-        reading, MADE,
+        reading,
+        MADE,
         (0.1, 1.1, "PUT", 200, {"body": TWO, "revision": 502}),
         (0.2, 0.4, "GET", 200, {"answer": TWO, "revision": 502}),
         (0.5, 0.9, "GET", 200, {"answer": ONE, "revision": 501}),
--- a/gaugehinge/rehearsal/placementcases.py
+++ b/gaugehinge/rehearsal/placementcases.py
@@ -102,13 +102,21 @@
     # -- calls
 
     async def ask(
-        self, owner: Owner, shard: str, regions: list[str], hold: str = ONLY,
-        prefixes: list[str] | None = None, allowance: float = 1.0, tag: str | None = None,
+        self,
+        owner: Owner,
+        shard: str,
+        regions: list[str],
+        hold: str = ONLY,
+        prefixes: list[str] | None = None,
+        allowance: float = 1.0,
+        tag: str | None = None,
     ) -> httpx.Response | None:
         """One change for the revision that stands, or `tag`; None: nobody knows what came of it."""
         path = f"{owner.path}/{shard}"
         body = {
-            "regions": regions, "hold": hold, "allowance": allowance,
+            "regions": regions,
+            "hold": hold,
+            "allowance": allowance,
             "prefixes": [f"{shard}/"] if prefixes is None else prefixes,
         }
         with suppress(httpx.HTTPError):
@@ -199,16 +207,33 @@
     # -- claims
 
     async def claim(
-        self, rule: str, look: Callable[..., Any], owner: Owner, prefix: str, lasts: float = LONG,
-        servers: tuple[str, ...] = (), zones: str = "", but: str = "", since: float | None = None,
+        self,
+        rule: str,
+        look: Callable[..., Any],
+        owner: Owner,
+        prefix: str,
+        lasts: float = LONG,
+        servers: tuple[str, ...] = (),
+        zones: str = "",
+        but: str = "",
+        since: float | None = None,
     ) -> None:
         """From now on for a time. Several at once: in a nursery."""
         since = self.now() if since is None else since
         await trio.sleep(lasts)
-        self.claims.append(Claim(
-            rule, owner.name, owner.head + prefix, since, self.now(), look, frozenset(servers),
-            frozenset(zones), owner.head + but if but else "",
-        ))
+        self.claims.append(
+            Claim(
+                rule,
+                owner.name,
+                owner.head + prefix,
+                since,
+                self.now(),
+                look,
+                frozenset(servers),
+                frozenset(zones),
+                owner.head + but if but else "",
+            )
+        )
 
     async def together(self, *claims: Awaitable[None]) -> None:
         """Claims of the same time."""
@@ -297,9 +322,7 @@
     async def hand(number: int, line: Any) -> None:
         ident, now = f"waker-{number}", reader.now()
         key = f"s0/k{number}"
-        reader.put(OpBegan(
-            now, "waker", ident, name, "acme", "read", "idempotent", key, False, 2.0
-        ))
+        reader.put(OpBegan(now, "waker", ident, name, "acme", "read", "idempotent", key, False, 2.0))
         got = None
         with trio.move_on_after(4.0):
             got = await all_.crowd._ask(line, ["KV.GET", key, ident, "c=read,d=2000"])
@@ -328,7 +351,9 @@
     """A region loses its last server: `only` goes nowhere and is told when to come back, `prefer` goes on."""
     acme, bolt, all_, draw = scene.acme, scene.bolt, scene.all, scene.draw
     await scene.pinned(
-        (acme, "s0", ["eu"], ONLY), (acme, "s1", ["eu", "us"], PREFER), (bolt, "s0", ["us"], ONLY),
+        (acme, "s0", ["eu"], ONLY),
+        (acme, "s1", ["eu", "us"], PREFER),
+        (bolt, "s0", ["us"], ONLY),
         (bolt, "s1", ["eu"], PREFER),
     )
     gone = list(SERVERS["a"])
@@ -420,10 +445,12 @@
     got = await scene.ask(*standing, ["eu"], allowance=51.0)
     if got is None or got.status_code != 409:
         scene.wrong(standing[1], f"more is taken: {got.text if got is not None else got}")
-    await scene.together(*(
-        scene.claim("full", placementclaims.inside, owner, f"{shard}/", servers=("server-3",))
-        for owner, shard in (taken[1], taken[2], waiting)
-    ))
+    await scene.together(
+        *(
+            scene.claim("full", placementclaims.inside, owner, f"{shard}/", servers=("server-3",))
+            for owner, shard in (taken[1], taken[2], waiting)
+        )
+    )
     await scene.serves(standing[0], f"{standing[1]}/k1", 0)
 
 
@@ -458,10 +485,12 @@
     for router in range(scene.size.routers):
         await scene.serves(acme, "s0/k1", router)
     scene.reads("s0/", "s1/")
-    await scene.together(*(
-        scene.claim("nothing_left", placementclaims.spread, acme, prefix, BURST_TIME, zones="abc")
-        for prefix in ("s0/", "s1/")
-    ))
+    await scene.together(
+        *(
+            scene.claim("nothing_left", placementclaims.spread, acme, prefix, BURST_TIME, zones="abc")
+            for prefix in ("s0/", "s1/")
+        )
+    )
     await scene.pinned((acme, "s0", ["ap"], ONLY))
     scene.reads("s1/")
     await scene.together(
@@ -500,7 +529,12 @@
     await scene.stands(acme, "s0", ["us"], "confined")
     scene.reads("s0/")
     await scene.claim(
-        "started", placementclaims.reached, acme, "s0/", BURST_TIME + WARM, (name, *SERVERS["b"]),
+        "started",
+        placementclaims.reached,
+        acme,
+        "s0/",
+        BURST_TIME + WARM,
+        (name, *SERVERS["b"]),
     )
 
 
@@ -626,7 +660,17 @@
 
 
 CASES: tuple[Callable[[Scene], Awaitable[None]], ...] = (
-    races, woken, emptied, full, again, relabelled, split, drained, list_back, power, older,
+    races,
+    woken,
+    emptied,
+    full,
+    again,
+    relabelled,
+    split,
+    drained,
+    list_back,
+    power,
+    older,
 )
 
 
@@ -673,9 +717,7 @@
     told = {**scene.told, "stalled.s": sum(until - since for since, until in stalls)}
     outcome = judged(reading, bounds, told)
     breaks = placementplay.timely(outcome.breaks, stalls)
-    return replace(
-        outcome, breaks=[*breaks, *scene.breaks, *broken], looked_at={**outcome.looked_at, **seen}
-    )
+    return replace(outcome, breaks=[*breaks, *scene.breaks, *broken], looked_at={**outcome.looked_at, **seen})
 
 
 async def _planted(all_: Company, faults: Mapping[str, str]) -> None:
--- a/gaugehinge/rehearsal/placementclaims.py
+++ b/gaugehinge/rehearsal/placementclaims.py
@@ -71,7 +71,8 @@
         (op, end)
         for op in reading.ops.values()
         if not op.write and op.tenant == claim.tenant and op.key.startswith(own) and op.at >= claim.since
-        for end in reading.ends.get(op.ident, ()) if end.at <= claim.until
+        for end in reading.ends.get(op.ident, ())
+        if end.at <= claim.until
     ]
 
 
@@ -100,7 +101,8 @@
     attempts = attempts_of(reading, claim)
     breaks = [
         claim.broken(each.ident, (each.server, op.router if op else "?"), "a leg at another server", (each,))
-        for each, op in attempts if each.server not in claim.servers
+        for each, op in attempts
+        if each.server not in claim.servers
     ]
     if not attempts:
         breaks.append(claim.broken("", (), "no leg at any server"))
--- a/gaugehinge/rehearsal/placementplay.py
+++ b/gaugehinge/rehearsal/placementplay.py
@@ -31,8 +31,12 @@
 TIMED = ("unanswered", "late", "drains")  # rules that a play which stalled itself cannot judge
 LOOK = 0.08  # seconds between two looks at a tenant's shards
 KEEP = {
-    "on": True, "regions": {name: [zone] for name, zone in ZONES.items()}, "bears": "5000/s",
-    "flight": "0.3s", "memory": f"{MEMORY}s", "changes": 10_000,
+    "on": True,
+    "regions": {name: [zone] for name, zone in ZONES.items()},
+    "bears": "5000/s",
+    "flight": "0.3s",
+    "memory": f"{MEMORY}s",
+    "changes": 10_000,
 }
 
 
@@ -56,8 +60,12 @@
 def plan_of(size: Size, pinned: bool = True) -> Plan:
     """The company of a play."""
     return Plan(
-        routers=size.routers, servers=size.servers, zones=tuple(ZONES.values()), tenants=("acme", "bolt"),
-        lease=size.lease, keep={"placement": {**KEEP, "alone": f"{1.5 * size.lease}s"}} if pinned else {},
+        routers=size.routers,
+        servers=size.servers,
+        zones=tuple(ZONES.values()),
+        tenants=("acme", "bolt"),
+        lease=size.lease,
+        keep={"placement": {**KEEP, "alone": f"{1.5 * size.lease}s"}} if pinned else {},
         serve={"placement": {"on": True}} if pinned else {},
     )
 
@@ -103,10 +111,19 @@
     def put(self, shown: dict[str, Any]) -> None:
         """One shard as the keeper showed it."""
         now = shown["now"] or {"hold": "", "regions": [], "zones": []}
-        self.party.put(Placed(
-            self.party.now(), self.party.party, self.name, shown["shard"], shown["stage"], now["regions"],
-            now["zones"], [self.head + prefix for prefix in shown["prefixes"]], now["hold"] == "only",
-        ))
+        self.party.put(
+            Placed(
+                self.party.now(),
+                self.party.party,
+                self.name,
+                shown["shard"],
+                shown["stage"],
+                now["regions"],
+                now["zones"],
+                [self.head + prefix for prefix in shown["prefixes"]],
+                now["hold"] == "only",
+            )
+        )
 
     async def begin(self, names: Sequence[str]) -> None:
         """Pin all its shards, and wait until that is so."""
@@ -219,7 +236,8 @@
 def timely(breaks: Sequence[Break], stalls: Sequence[tuple[float, float]]) -> list[Break]:
     """Those that a play which stood still at these times can judge."""
     return [
-        each for each in breaks
+        each
+        for each in breaks
         if each.rule not in TIMED or not any(s <= each.ended and each.began <= u for s, u in stalls)
     ]
 
@@ -299,11 +317,15 @@
     took = sorted(moves.took) or [0.0]
     confined = sum(event.stage == "confined" for event in history if isinstance(event, Placed))
     return {
-        "moves": float(moves.asked), "moves.arrived": float(len(moves.took)),
+        "moves": float(moves.asked),
+        "moves.arrived": float(len(moves.took)),
         "moves.refused": float(moves.refused),
-        "moves.unknown": float(moves.unknown), "confined.told": float(confined),
-        "move.p50.s": statistics.median(took), "move.most.s": took[-1],
+        "moves.unknown": float(moves.unknown),
+        "confined.told": float(confined),
+        "move.p50.s": statistics.median(took),
+        "move.most.s": took[-1],
         "settled.moving": counts[True][1] / max(counts[True][0], 1),
         "settled.resting": counts[False][1] / max(counts[False][0], 1),
-        "sent.moving": float(counts[True][0]), "sent.resting": float(counts[False][0]),
+        "sent.moving": float(counts[True][0]),
+        "sent.resting": float(counts[False][0]),
     }
--- a/gaugehinge/rehearsal/plays.py
+++ b/gaugehinge/rehearsal/plays.py
@@ -173,8 +173,13 @@
 
 
 async def run_many(
-    parts: Sequence[str], seeds: Sequence[int], jobs: int, folder: Path, life: float = LIFE,
-    keep: bool = False, shrinks: bool = False,
+    parts: Sequence[str],
+    seeds: Sequence[int],
+    jobs: int,
+    folder: Path,
+    life: float = LIFE,
+    keep: bool = False,
+    shrinks: bool = False,
 ) -> Summary:
     """Play all, `jobs` at a time, each told when it is over."""
     summary = Summary()
@@ -245,8 +250,15 @@
 @click.option("--one", nargs=3, default=None, hidden=True)
 @click.option("--deeds", default=None, type=click.Path(path_type=Path), hidden=True)
 def main(
-    part: str, seeds: str, jobs: int, folder: Path, life: float, keep: bool, shrinks: bool,
-    one: tuple[str, str, str] | None, deeds: Path | None,
+    part: str,
+    seeds: str,
+    jobs: int,
+    folder: Path,
+    life: float,
+    keep: bool,
+    shrinks: bool,
+    one: tuple[str, str, str] | None,
+    deeds: Path | None,
 ) -> None:
     """Play seeds of parts, check their histories, say what broke."""
     if one is not None:
--- a/gaugehinge/rehearsal/recoveryplay.py
+++ b/gaugehinge/rehearsal/recoveryplay.py
@@ -28,8 +28,18 @@
 HELD = 0.3  # seconds for which the origin's answers are held just before the loss
 MONTH = 30 * 86400.0
 CASES = (
-    "plain", "again", "snapshots", "keeper lost", "keeper older", "discovery last", "discovery older",
-    "clock off", "surge", "zone", "zone first", "one stays away",
+    "plain",
+    "again",
+    "snapshots",
+    "keeper lost",
+    "keeper older",
+    "discovery last",
+    "discovery older",
+    "clock off",
+    "surge",
+    "zone",
+    "zone first",
+    "one stays away",
 )
 
 
@@ -66,16 +76,30 @@
 def plan_of(cast: Cast, folder: Path, seed: int, case: str, on: bool, more: dict[str, Any]) -> Plan:
     """What plays. `more`: further fields of `[recovery]`."""
     recovery = {
-        "on": on, "key_file": str(folder / "key"), "snapshot": "{files}/recovery", "every": "0.5s",
-        "decide": "2s", "keeper_wait": "4s", "list_wait": "4s", "doubt": "3s", "repeats": "4s",
-        "origin": "600/s", "cold_reads": "300/s",  # of 800 and 600 that they can do
+        "on": on,
+        "key_file": str(folder / "key"),
+        "snapshot": "{files}/recovery",
+        "every": "0.5s",
+        "decide": "2s",
+        "keeper_wait": "4s",
+        "list_wait": "4s",
+        "doubt": "3s",
+        "repeats": "4s",
+        "origin": "600/s",
+        "cold_reads": "300/s",  # of 800 and 600 that they can do
         **more,
     }
     off = (("router-1", 3600.0),) if case == "clock off" else ()
     return Plan(
-        routers=cast.routers, servers=cast.servers, tenants=("acme", "bolt", "coda"),
-        origin_bears=cast.origin_bears, server_bears=cast.routers * 24, warm_up=cast.warm_up, falls=True,
-        wall_off=off, serve={"recovery": recovery},
+        routers=cast.routers,
+        servers=cast.servers,
+        tenants=("acme", "bolt", "coda"),
+        origin_bears=cast.origin_bears,
+        server_bears=cast.routers * 24,
+        warm_up=cast.warm_up,
+        falls=True,
+        wall_off=off,
+        serve={"recovery": recovery},
     )
 
 
--- a/gaugehinge/rehearsal/routers.py
+++ b/gaugehinge/rehearsal/routers.py
@@ -40,8 +40,13 @@
     """One router through its starts and ends."""
 
     def __init__(
-        self, script: Script, number: int, folder: Path, discovery: tuple[str, int],
-        addresses: list[tuple[str, int]], note: Callable[..., None],
+        self,
+        script: Script,
+        number: int,
+        folder: Path,
+        discovery: tuple[str, int],
+        addresses: list[tuple[str, int]],
+        note: Callable[..., None],
     ) -> None:
         self.script = script
         self.number = number
@@ -81,11 +86,15 @@
         self.told_to_end = False
         log = self.folder / f"router-{self.number}-{self.starts}.log"
         faulty = self.script.routers.faulty
-        words = ["gaugehinge.rehearsal.faulty", str(self.file), faulty] if faulty else [
-            "gaugehinge.cli", "--log", "json", "serve", str(self.file)]
+        words = (
+            ["gaugehinge.rehearsal.faulty", str(self.file), faulty]
+            if faulty
+            else ["gaugehinge.cli", "--log", "json", "serve", str(self.file)]
+        )
         with open(log, "wb") as out:
-            self.process = subprocess.Popen([sys.executable, "-m", *words], stdout=out, stderr=out,
-                                            stdin=subprocess.DEVNULL)
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", *words], stdout=out, stderr=out, stdin=subprocess.DEVNULL
+            )
         if self.script.routers.cpus:
             os.sched_setaffinity(self.process.pid, self.script.routers.cpus)
         self.note("router", self.number, "started", time.monotonic())
--- a/gaugehinge/rehearsal/standingplay.py
+++ b/gaugehinge/rehearsal/standingplay.py
@@ -44,13 +44,27 @@
 CASES = ("hush", "reset", "outage", "hangup", "roll", "herd", "late", "crowd")
 RATE = 60.0  # operations a second
 PLAN = Plan(
-    routers=4, servers=8, zones=("a", "b"), tenants=("acme",), work=0.004, warm_up=1.0, keep_idle=IDLE,
+    routers=4,
+    servers=8,
+    zones=("a", "b"),
+    tenants=("acme",),
+    work=0.004,
+    warm_up=1.0,
+    keep_idle=IDLE,
 )
 FAULTS = {
-    "late": Fault(State.HANGS), "cut": Fault(State.SILENT), "reset_under": Fault(State.RESET, after=300),
+    "late": Fault(State.HANGS),
+    "cut": Fault(State.SILENT),
+    "reset_under": Fault(State.RESET, after=300),
 }
 ENDS = {  # seconds of load after the last deed's begin: silences count after six
-    "hush": 9.5, "reset": 7.0, "outage": 7.5, "hangup": 8.5, "roll": 3.0, "herd": 4.0, "late": 3.0,
+    "hush": 9.5,
+    "reset": 7.0,
+    "outage": 7.5,
+    "hangup": 8.5,
+    "roll": 3.0,
+    "herd": 4.0,
+    "late": 3.0,
     "crowd": 3.0,
 }
 
@@ -88,7 +102,8 @@
             for child in self._routers():
                 child.words = ["gaugehinge"]
                 child.environment = {
-                    "LB_NAME": child.name, "LB_CONFIG": str(self.folder / f"{child.name}.config"),
+                    "LB_NAME": child.name,
+                    "LB_CONFIG": str(self.folder / f"{child.name}.config"),
                 }
 
     def _routers(self) -> list[Child]:
@@ -126,17 +141,33 @@
             ground.seen(number, 120 + other, 7946) if other != number else ground.router_peers(number)
             for other in range(plan.routers)
         ]
-        known = {"rev": 1, "all": True, "targets": [
-            {"uid": each.uid, "endpoint": each.host.format(router=number + 1), "az": each.zone,
-             "model": each.kind, "pod_group": each.cell, "state": "ready", "capacity_hint": 1.0, "boot_ms": 0}
-            for each in self.listed.values()
-        ]}
+        known = {
+            "rev": 1,
+            "all": True,
+            "targets": [
+                {
+                    "uid": each.uid,
+                    "endpoint": each.host.format(router=number + 1),
+                    "az": each.zone,
+                    "model": each.kind,
+                    "pod_group": each.cell,
+                    "state": "ready",
+                    "capacity_hint": 1.0,
+                    "boot_ms": 0,
+                }
+                for each in self.listed.values()
+            ],
+        }
         told = {
-            "name": name, "seed": f"{1 + self.seed * 1000 + number:x}",
-            "listen": _told(ground.router(number)), "discovery": _told(ground.seen(number, discovery, 7300)),
+            "name": name,
+            "seed": f"{1 + self.seed * 1000 + number:x}",
+            "listen": _told(ground.router(number)),
+            "discovery": _told(ground.seen(number, discovery, 7300)),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "peer_listen": _told(ground.router_peers(number)), "peers": [_told(peer) for peer in peers],
-            "known": known, "settings": self._settings(number),
+            "peer_listen": _told(ground.router_peers(number)),
+            "peers": [_told(peer) for peer in peers],
+            "known": known,
+            "settings": self._settings(number),
         }
         (self.folder / f"{name}.config").write_text(json.dumps(told))
 
@@ -145,23 +176,40 @@
         effects = {"idempotent": "repeatable", "deduplicated": "by_key", "unrepeatable": "once"}
         return {
             "allowed": {
-                "mostLegs": 4, "mayCancel": True, "peers": True, "retryAfter": True,
-                "maxRetryAfterUs": 1_000_000, "connectTimeoutUs": int(CONNECT * 1e6),
+                "mostLegs": 4,
+                "mayCancel": True,
+                "peers": True,
+                "retryAfter": True,
+                "maxRetryAfterUs": 1_000_000,
+                "connectTimeoutUs": int(CONNECT * 1e6),
                 "connIdleUs": int(plan.keep_idle * 1e6),
             },
-            "az": self.children[f"router-{number}"].zone, "granularityUs": 5000, "me": number,
-            "replicasOfMe": plan.routers, "shapes": ["std", "origin"],
+            "az": self.children[f"router-{number}"].zone,
+            "granularityUs": 5000,
+            "me": number,
+            "replicasOfMe": plan.routers,
+            "shapes": ["std", "origin"],
             "discovery": "pushed" if self.start_kind == "pushed" else "on_request",
             "domain": {"mode": "aside", "originKind": 1},
             "parties": [{"name": name, "share": 1.0, "allowancePerS": 1000.0} for name in plan.tenants],
             "rules": {
-                "coldFrom": 0.3, "coldUs": int(plan.warm_up * 1e6), "fallMultiple": 2.5,
-                "fallUs": 1_000_000, "askWithinUs": 10_000_000, "drainGraceUs": int(DRAIN * 1e6),
+                "coldFrom": 0.3,
+                "coldUs": int(plan.warm_up * 1e6),
+                "fallMultiple": 2.5,
+                "fallUs": 1_000_000,
+                "askWithinUs": 10_000_000,
+                "drainGraceUs": int(DRAIN * 1e6),
             },
             "trafficTypes": [
-                {"name": each["name"], "effect": effects[each["effect"]], "group": "all",
-                 "windowUs": int(MEMORY * 1e6), "promisedTimeUs": 500_000, "abandonTimeUs": int(WAIT * 1e6),
-                 "overduePayoff": 0.2}
+                {
+                    "name": each["name"],
+                    "effect": effects[each["effect"]],
+                    "group": "all",
+                    "windowUs": int(MEMORY * 1e6),
+                    "promisedTimeUs": 500_000,
+                    "abandonTimeUs": int(WAIT * 1e6),
+                    "overduePayoff": 0.2,
+                }
                 for each in TRAFFIC
             ],
         }
@@ -176,11 +224,21 @@
         child, ground, count = self.children["discovery"], self.ground, self.plan.routers
         listen = [ground.discovery(number) for number in range(count)]
         listen += [self._again_at(number) for number in range(count)]
-        self._write_part(DirectoryPart(
-            "discovery", str(self.folder), str(child.files), *ground.discovery(0), {}, listen,
-            list(self.listed.values()) if starts == 0 else [], LATENESS, self.seed, 1 + REV_STEP * starts,
-            True,
-        ))
+        self._write_part(
+            DirectoryPart(
+                "discovery",
+                str(self.folder),
+                str(child.files),
+                *ground.discovery(0),
+                {},
+                listen,
+                list(self.listed.values()) if starts == 0 else [],
+                LATENESS,
+                self.seed,
+                1 + REV_STEP * starts,
+                True,
+            )
+        )
 
     def _is_up(self, child: Child) -> None:
         super()._is_up(child)
@@ -444,6 +502,7 @@
             return
         shape = replace(self.shape, leaves=0.0)
         closing = trio.current_time() + 0.3 + CLOSING
+
         # Some write when their connection ends, some all around the times at which it may.
         def at(turn: int) -> float:
             return 0.0 if turn % 3 == 0 else closing + self.chance.uniform(-0.06, 0.06)
@@ -481,9 +540,7 @@
     for name in servers[2:]:
         draw.put(2.7, "drain", [name])
     draw.put(3.0, "end", ["router-3"], 0.3)
-    builds = {
-        name: ["gaugehinge.rehearsal.brokenterms", mode] for name, mode in BROKEN.items()
-    }
+    builds = {name: ["gaugehinge.rehearsal.brokenterms", mode] for name, mode in BROKEN.items()}
     return await played(folder, seed, draw.deeds, "hush", "pushed", builds)
 
 
@@ -494,14 +551,22 @@
 
 
 async def played(
-    folder: Path, seed: int, plan: Sequence[Deed], case: str, start: str,
+    folder: Path,
+    seed: int,
+    plan: Sequence[Deed],
+    case: str,
+    start: str,
     builds: dict[str, Sequence[str]] | None = None,
 ) -> Outcome:
     """One play of a plan. `builds`: the words that start a router, in place of the shipped ones."""
     short = case == "roll" and seed % 2 == 0
     shape = Shape(
-        wait=SHORT if short else WAIT, tries=2, crosses=True, keys=120,
-        leaves=0.15 if case in ("crowd", "late") else 0.03, leaves_after=(0.01, 0.3),
+        wait=SHORT if short else WAIT,
+        tries=2,
+        crosses=True,
+        keys=120,
+        leaves=0.15 if case in ("crowd", "late") else 0.03,
+        leaves_after=(0.01, 0.3),
         mix=(("read", 0.5), ("put", 0.2), ("move", 0.15), ("book", 0.15)),
     )
     async with company(folder, seed, PLAN, KINDS[start]) as all_:
--- a/gaugehinge/simhost/host.py
+++ b/gaugehinge/simhost/host.py
@@ -45,9 +45,14 @@
     def submit(self, values: dict[str, str], now: float) -> None:
         ident, tenant = values["id"], values.get("billing", "")
         operation = Operation(
-            ident, self.table[self.types[values["profile"]]], values.get("nameKey", ident).encode(),
-            self.tenants.get(tenant, -1), values.get("isWrite") == "1",
-            values.get("isRetry") == "1", now, now + int(values["leftUs"]) / 1e6,
+            ident,
+            self.table[self.types[values["profile"]]],
+            values.get("nameKey", ident).encode(),
+            self.tenants.get(tenant, -1),
+            values.get("isWrite") == "1",
+            values.get("isRetry") == "1",
+            now,
+            now + int(values["leftUs"]) / 1e6,
         )
         self.operations[ident] = operation
         if tenant and self.tenants and tenant not in self.tenants:  # another customer's: beside all shares
@@ -62,8 +67,11 @@
         if operation is None or number >= len(operation.attempts) or not operation.attempts[number].out:
             return
         steps = self.router.after(
-            operation.attempts[number], wire.OUTCOMES.get(values["stateCode"], Outcome.UNKNOWN),
-            int(values.get("tookUs", 0)) / 1e6, values.get("terminal") == "1", now,
+            operation.attempts[number],
+            wire.OUTCOMES.get(values["stateCode"], Outcome.UNKNOWN),
+            int(values.get("tookUs", 0)) / 1e6,
+            values.get("terminal") == "1",
+            now,
             read_held(values.get("gauge", ""), ":") if self.tells_held else None,
         )
         for each, answer in steps:
--- a/gaugehinge/simhost/wire.py
+++ b/gaugehinge/simhost/wire.py
@@ -48,7 +48,11 @@
         # An unknown state may mean anything: nothing new is sent there.
         presence = Presence.DRAINING
     return Listing(
-        int(values["server"]), values.get("az", ""), values.get("classOfHost", ""),
-        int(values.get("stripe", 0)), presence, seconds(values.get("cameUpUs", 0)),
+        int(values["server"]),
+        values.get("az", ""),
+        values.get("classOfHost", ""),
+        int(values.get("stripe", 0)),
+        presence,
+        seconds(values.get("cameUpUs", 0)),
         figure(values.get("weight", "")) or 0.0,
     )
--- a/gaugehinge/store/store.py
+++ b/gaugehinge/store/store.py
@@ -27,8 +27,12 @@
 OPEN_TIME = 15.0  # the same at the start: whoever copies a file that was just left behind locks all of it
 MOST_BODY = 256 * 1024  # bytes of one thing
 WRITES_FAILED = (  # all say that a write was not taken, none that anything that stands is wrong
-    sqlite3.SQLITE_FULL, sqlite3.SQLITE_IOERR_WRITE, sqlite3.SQLITE_IOERR_FSYNC,
-    sqlite3.SQLITE_IOERR_TRUNCATE, sqlite3.SQLITE_IOERR_SHMSIZE, sqlite3.SQLITE_IOERR_SHMOPEN,
+    sqlite3.SQLITE_FULL,
+    sqlite3.SQLITE_IOERR_WRITE,
+    sqlite3.SQLITE_IOERR_FSYNC,
+    sqlite3.SQLITE_IOERR_TRUNCATE,
+    sqlite3.SQLITE_IOERR_SHMSIZE,
+    sqlite3.SQLITE_IOERR_SHMOPEN,
 )
 
 
@@ -210,9 +214,7 @@
         """Everything at one revision."""
         self.db.execute("BEGIN")
         try:
-            rows = self.db.execute(
-                "SELECT kind, ident, rev, body FROM state ORDER BY kind, ident"
-            ).fetchall()
+            rows = self.db.execute("SELECT kind, ident, rev, body FROM state ORDER BY kind, ident").fetchall()
             return self.rev, [(kind, Item(ident, rev, body)) for kind, ident, rev, body in rows]
         finally:
             self.db.execute("COMMIT")
--- a/gaugehinge/store/trial.py
+++ b/gaugehinge/store/trial.py
@@ -53,9 +53,7 @@
         lines += process.stdout.read().splitlines()  # not by communicate, which loses what was read ahead
         process.stdout.close()
         process.wait()
-    words = [
-        line.split() for line in lines
-    ]  # the last line may be cut off: its figures then tell too little
+    words = [line.split() for line in lines]  # the last line may be cut off: its figures then tell too little
     told = [int(each[1] if each[0] == "ready" else each[0]) for each in words if len(each) == 2]
     last = max(told)
     store = Store(path)
--- a/gaugehinge/tenancy/credentials.py
+++ b/gaugehinge/tenancy/credentials.py
@@ -64,9 +64,7 @@
         return found.ident if found else None
 
 
-def rotate(
-    kept: Sequence[Credential], new: Credential, overlap: float, now: float
-) -> tuple[Credential, ...]:
+def rotate(kept: Sequence[Credential], new: Credential, overlap: float, now: float) -> tuple[Credential, ...]:
     """Add a credential; the one in use goes on for `overlap` seconds, older ones end at once."""
     valid = [each for each in kept if each.ends is None or now < each.ends]
     newest = max(valid, key=lambda each: each.made, default=None)
--- a/gaugehinge/tenancy/life.py
+++ b/gaugehinge/tenancy/life.py
@@ -42,9 +42,7 @@
     (Stage.SUSPENDED, Order.REMOVE): Stage.LEAVING,
 }
 CLOCKS_APART = 2.0  # seconds by which the clocks of two machines may differ: a mark is kept so much longer
-UNHEARD = (
-    30.0  # a router of which nothing was heard for so long has ended: what it had in hand was forfeited
-)
+UNHEARD = 30.0  # a router of which nothing was heard for so long has ended: what it had in hand was forfeited
 
 
 class Refused(Exception):
