--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -48,8 +48,15 @@
 
 # The steps of a request's life, in their order.
 HALF_SENT, SENT, CONNECTING, HALF_WRITTEN, WRITTEN, HALF_READ, ORIGIN, JOINED, UNREAD = STEPS = (
-    "half sent", "sent whole", "connection coming up", "attempt half written", "attempt written",
-    "answer half read", "origin being asked", "joined another's fetch", "answered, not read",
+    "half sent",
+    "sent whole",
+    "connection coming up",
+    "attempt half written",
+    "attempt written",
+    "answer half read",
+    "origin being asked",
+    "joined another's fetch",
+    "answered, not read",
 )
 FREE = 4  # seeds without a meeting, behind one of each
 LISTS = ("drain", "gone", "anew", "mixed")
@@ -137,8 +144,10 @@
         flags = "".join(f" {name}" for name in named if getattr(self, name))
         mode = "aside" if self.aside else f"through group={self.group}"
         events = ", ".join(map(str, self.events))
-        return (f"{mode} window={self.window:g} caches={self.caches}{flags} | requests: {subjects} | "
-                f"events: {events}")
+        return (
+            f"{mode} window={self.window:g} caches={self.caches}{flags} | requests: {subjects} | "
+            f"events: {events}"
+        )
 
 
 def draw(seed: int) -> Plan:
@@ -182,8 +191,18 @@
     if "copy" in names:
         held = False  # the copy follows what its client has
     return Plan(
-        seed, aside, "all" if aside else chance.choice(("all", "cell")), window, chance.choice((2, 3)), warm,
-        chance.random() < 0.3, "idle" in names, chance.random() < 0.5, held, subjects, order,
+        seed,
+        aside,
+        "all" if aside else chance.choice(("all", "cell")),
+        window,
+        chance.choice((2, 3)),
+        warm,
+        chance.random() < 0.3,
+        "idle" in names,
+        chance.random() < 0.5,
+        held,
+        subjects,
+        order,
     )
 
 
@@ -332,8 +351,8 @@
         data = request.command()
         request.customer = self
         self.owed.append(request)
-        self.write(data[:len(data) // 2])
-        return data[len(data) // 2:]
+        self.write(data[: len(data) // 2])
+        return data[len(data) // 2 :]
 
     async def _read(self) -> None:
         parser = Parser(MOST_ANSWER)
@@ -436,8 +455,16 @@
 
     def entry(self) -> dict:
         """As the list has it."""
-        return {"uid": self.uid, "endpoint": f"127.0.0.1:{self.port}", "az": "a", "model": self.kind,
-                "pod_group": self.cell, "state": self.state, "capacity_hint": 1.0, "boot_ms": self.boot}
+        return {
+            "uid": self.uid,
+            "endpoint": f"127.0.0.1:{self.port}",
+            "az": "a",
+            "model": self.kind,
+            "pod_group": self.cell,
+            "state": self.state,
+            "capacity_hint": 1.0,
+            "boot_ms": self.boot,
+        }
 
     async def serve(self, stream: trio.SocketStream) -> None:
         self.streams.add(stream)
@@ -497,13 +524,13 @@
         reply = self._reply(request, action)
         half = request.hold(HALF_READ)
         if half is not None and action == "answer":
-            await stream.send_all(reply[:len(reply) // 2])
+            await stream.send_all(reply[: len(reply) // 2])
             action = await half.here(self)
             if action != "answer":
                 return await self._end(stream, action)
-            reply = reply[len(reply) // 2:]
+            reply = reply[len(reply) // 2 :]
         if action == "half":
-            await stream.send_all(reply[:len(reply) // 2])
+            await stream.send_all(reply[: len(reply) // 2])
             return await self._end(stream, "close")
         await stream.send_all(reply)
         if action == "copy":
@@ -719,8 +746,11 @@
 
     def settings(self) -> dict:
         plan = self.plan
-        allowed = {**SETTINGS["allowed"], "connectTimeoutUs": 400_000,
-                   "connIdleUs": 200_000 if plan.idle else 10_000_000}
+        allowed = {
+            **SETTINGS["allowed"],
+            "connectTimeoutUs": 400_000,
+            "connIdleUs": 200_000 if plan.idle else 10_000_000,
+        }
         times = {"promisedTimeUs": int(LONGEST * 1e6), "abandonTimeUs": int(LONGEST * 1e6)}
         types = [{**each, **times} for each in SETTINGS["trafficTypes"]]
         types[1].update(group=plan.group, windowUs=int(plan.window * 1e6))
@@ -1183,7 +1213,8 @@
     made = Play(draw(seed))
     sink = logger.add(
         lambda text: made.broke(DEFECT, f"logged: {text.strip()[-300:]}"),
-        level="ERROR", format="{message} {exception}",
+        level="ERROR",
+        format="{message} {exception}",
     )
     try:
         with made.patches(), tempfile.TemporaryDirectory() as folder:
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -35,10 +35,25 @@
 COUNT = itertools.count()
 
 PLAIN = Deployment(
-    seed=7, me=0, routers=2, traffic_types=(READ, MARKED, ONCE), tenants=(), aside=True,
-    origin_kind="origin", tick=0.005, most_attempts=5, cold_from=0.2, cold_time=20.0,
-    fall_multiple=2.0, fall_time=2.0, may_cancel=True, may_message=False, must_ask=False,
-    longest_come_back=0.0, beyond_share=1.0, payoff_by_work=False,
+    seed=7,
+    me=0,
+    routers=2,
+    traffic_types=(READ, MARKED, ONCE),
+    tenants=(),
+    aside=True,
+    origin_kind="origin",
+    tick=0.005,
+    most_attempts=5,
+    cold_from=0.2,
+    cold_time=20.0,
+    fall_multiple=2.0,
+    fall_time=2.0,
+    may_cancel=True,
+    may_message=False,
+    must_ask=False,
+    longest_come_back=0.0,
+    beyond_share=1.0,
+    payoff_by_work=False,
 )
 
 
@@ -84,16 +99,34 @@
 
 WAIT = {"abandonTimeUs": 500_000}  # a stop need not wait for longer
 SETTINGS = {
-    "allowed": {"mostLegs": 4, "mayCancel": True, "peers": True, "retryAfter": True,
-                "maxRetryAfterUs": 2_000_000, "connectTimeoutUs": 2_000_000, "connIdleUs": 10_000_000},
-    "discovery": "on_request", "domain": {"mode": "aside", "originKind": 1}, "granularityUs": 5000,
-    "me": 0, "replicasOfMe": 2, "shapes": ["std", "origin"],
+    "allowed": {
+        "mostLegs": 4,
+        "mayCancel": True,
+        "peers": True,
+        "retryAfter": True,
+        "maxRetryAfterUs": 2_000_000,
+        "connectTimeoutUs": 2_000_000,
+        "connIdleUs": 10_000_000,
+    },
+    "discovery": "on_request",
+    "domain": {"mode": "aside", "originKind": 1},
+    "granularityUs": 5000,
+    "me": 0,
+    "replicasOfMe": 2,
+    "shapes": ["std", "origin"],
     "parties": [{"name": "acme", "share": 1.0, "allowancePerS": 1000.0}],
     "rules": {"coldFrom": 0.3, "coldUs": 8_000_000, "fallMultiple": 2.5, "fallUs": 3_000_000},
     "trafficTypes": [
         {"name": "read", "effect": "repeatable", "promisedTimeUs": 3_000_000, "overduePayoff": 0.2, **WAIT},
-        {"name": "mark", "effect": "by_key", "group": "all", "windowUs": 9_000_000,
-         "promisedTimeUs": 3_000_000, "overduePayoff": 0.2, **WAIT},
+        {
+            "name": "mark",
+            "effect": "by_key",
+            "group": "all",
+            "windowUs": 9_000_000,
+            "promisedTimeUs": 3_000_000,
+            "overduePayoff": 0.2,
+            **WAIT,
+        },
         {"name": "once", "effect": "once", "promisedTimeUs": 3_000_000, "overduePayoff": 0.2, **WAIT},
     ],
 }
@@ -110,7 +143,7 @@
     if mode == "stall":
         await trio.sleep_forever()
     elif mode == "half":
-        await stream.send_all(half[:len(half) // 2])
+        await stream.send_all(half[: len(half) // 2])
     elif mode == "garbage":
         await stream.send_all(b"\x00no protocol of ours\r\n\r\n")
         await trio.sleep_forever()
@@ -150,8 +183,12 @@
     async def answer(self, stream, command) -> None:
         mode = self.mode(command) if callable(self.mode) else self.mode
         value = b"*3\r\n" + bulk(b"of " + command[1]) + b"$3\r\nhit\r\n$-1\r\n"
-        words = {"hit": value, "miss": b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n", "error": b"-ERR failed\r\n",
-                 "busy": b"-BUSY\r\n"}
+        words = {
+            "hit": value,
+            "miss": b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n",
+            "error": b"-ERR failed\r\n",
+            "busy": b"-BUSY\r\n",
+        }
         if mode in words:
             await stream.send_all(words[mode])
         elif mode == "late":
@@ -258,28 +295,51 @@
 
 
 @asynccontextmanager
-async def fleet(tmp_path, caches=(), origin=None, discovery=None, sockets=256, settings=None, peers=(),
-                new_door=None, extend=None):
+async def fleet(
+    tmp_path,
+    caches=(),
+    origin=None,
+    discovery=None,
+    sockets=256,
+    settings=None,
+    peers=(),
+    new_door=None,
+    extend=None,
+):
     """Start stand-ins and a router; the router ends by itself or with the block."""
     origin = Web(origin or (lambda method, target, headers, body: (200, "", b"fetched")))
     caches = list(caches) or [Cache()]
     async with trio.open_nursery() as nursery:
+
         async def stand(handler) -> str:
             listeners = await nursery.start(_serve, handler)
             return f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
 
         kinds = ["std"] * len(caches) + ["origin"]
         targets = [
-            {"uid": f"s-{i}", "endpoint": await stand(each.serve), "az": "a", "model": kind, "pod_group": 0,
-             "state": "ready", "capacity_hint": 1.0, "boot_ms": 0}
+            {
+                "uid": f"s-{i}",
+                "endpoint": await stand(each.serve),
+                "az": "a",
+                "model": kind,
+                "pod_group": 0,
+                "state": "ready",
+                "capacity_hint": 1.0,
+                "boot_ms": 0,
+            }
             for i, (each, kind) in enumerate(zip([*caches, origin], kinds, strict=True))
         ]
         web = Web(discovery or (lambda *call: "stall"))
         port = free_port()
         config = {
-            "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": await stand(web.serve), "seed": "0a",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "settings": settings or SETTINGS,
-            "known": {"rev": 1, "all": True, "targets": targets}, **dict(peers),
+            "name": "n0",
+            "listen": f"127.0.0.1:{port}",
+            "discovery": await stand(web.serve),
+            "seed": "0a",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
+            "settings": settings or SETTINGS,
+            "known": {"rev": 1, "all": True, "targets": targets},
+            **dict(peers),
         }
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config))
@@ -304,6 +364,23 @@
 
 
 __all__ = [
-    "FAILURES", "MARKED", "ONCE", "ORIGIN", "PLAIN", "READ", "SETTINGS", "Answer", "Bench", "Cache",
-    "Outcome", "Presence", "Tenant", "Verdict", "Web", "fleet", "free_port", "origin_row", "row",
+    "FAILURES",
+    "MARKED",
+    "ONCE",
+    "ORIGIN",
+    "PLAIN",
+    "READ",
+    "SETTINGS",
+    "Answer",
+    "Bench",
+    "Cache",
+    "Outcome",
+    "Presence",
+    "Tenant",
+    "Verdict",
+    "Web",
+    "fleet",
+    "free_port",
+    "origin_row",
+    "row",
 ]
--- a/tests/test_all_checks.py
+++ b/tests/test_all_checks.py
@@ -70,16 +70,38 @@
 @pytest.mark.parametrize(
     "history",
     [
-        [*GUEST, op(9.0, "x", tenant="dora#1"), attempt(11.1, "x", key="4/k"),
-         OpEnded(11.2, "c", "x", "settled", "v")],  # begun before
+        [
+            *GUEST,
+            op(9.0, "x", tenant="dora#1"),
+            attempt(11.1, "x", key="4/k"),
+            OpEnded(11.2, "c", "x", "settled", "v"),
+        ],  # begun before
         [*GUEST, op(11.0, "x", tenant="dora#1"), OpEnded(11.1, "c", "x", "forfeited", "-ERR")],
-        [*GUEST, op(11.0, "x", tenant="dora#2"), attempt(11.1, "x", key="5/k"),
-         OpEnded(11.1, "c", "x", "settled", "v")],  # its successor
-        [*ORDER, op(9.9, "x"), attempt(10.5, "x"), op(11.0, "y"), attempt(11.1, "y", "server-2"),
-         op(21.0, "z"), attempt(21.1, "z")],
+        [
+            *GUEST,
+            op(11.0, "x", tenant="dora#2"),
+            attempt(11.1, "x", key="5/k"),
+            OpEnded(11.1, "c", "x", "settled", "v"),
+        ],  # its successor
+        [
+            *ORDER,
+            op(9.9, "x"),
+            attempt(10.5, "x"),
+            op(11.0, "y"),
+            attempt(11.1, "y", "server-2"),
+            op(21.0, "z"),
+            attempt(21.1, "z"),
+        ],
         [count(9.0, 13), count(9.5, 12), *LIMIT, count(15.0, 12), count(21.0, 20)],
-        [*ALONE, op(14.0, "x"), attempt(14.1, "x"), op(16.0, "y", "router-1"), attempt(16.1, "y"),
-         op(30.5, "z"), attempt(30.6, "z")],
+        [
+            *ALONE,
+            op(14.0, "x"),
+            attempt(14.1, "x"),
+            op(16.0, "y", "router-1"),
+            attempt(16.1, "y"),
+            op(30.5, "z"),
+            attempt(30.6, "z"),
+        ],
         [*ZONES, Note(9.0, "play", f"router-1|{ALL_LOST}"), Note(12.0, "play", "router-1|lone after 0.5 s")],
     ],
 )
@@ -104,5 +126,9 @@
 def test_seeds_below_fifty_of_each_hundred_keep_their_cases():
     assert [case_of(seed) for seed in (1, 20, 49, 101)] == ["zone", "plain", "router last", "zone"]
     assert [case_of(seed) for seed in (50, 59, 96, 150)] == [
-        "zones apart", "mixed", "disk lost", "zones apart"]
+        "zones apart",
+        "mixed",
+        "disk lost",
+        "zones apart",
+    ]
     assert len(CASES) == len(FURTHER) == 10
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -401,9 +401,7 @@
             client = Plain(await trio.open_tcp_stream("127.0.0.1", port))
             assert await client.ask("GET", "k1") == b"of k1"
             word, key, ident, labels = next(c for cache in made.caches for c in cache.commands)
-            assert (
-                (word, key) == (b"KV.GET", b"k1") and len(ident) == 18 and labels.startswith(b"c=read,d=")
-            )
+            assert (word, key) == (b"KV.GET", b"k1") and len(ident) == 18 and labels.startswith(b"c=read,d=")
             assert await client.ask("MGET", "{a}1", "{a}2") == [b"of {a}1", b"of {a}2"]
             assert await client.ask("SET", "k1", "new") == b"fetched"  # the origin's receipt
             [written] = [seen for seen in made.origin.seen if seen[0] == "PUT"]
@@ -490,9 +488,7 @@
                 made.shards.all[name].view[slot_of(key)] = names
             began = trio.current_time()
             told = await client.ask("GET", key)
-            assert (
-                isinstance(told, Error) and told.startswith(b"BUSY") and trio.current_time() - began < 0.5
-            )
+            assert isinstance(told, Error) and told.startswith(b"BUSY") and trio.current_time() - began < 0.5
             assert made.shards.redirections <= 7
 
     run(scene)
--- a/tests/test_cluster_model.py
+++ b/tests/test_cluster_model.py
@@ -94,9 +94,7 @@
             if address is None:
                 self.endpoints.pop(listing.ident, None)
             else:
-                self.endpoints[listing.ident] = SimpleNamespace(
-                    address=address, uid=uid, ident=listing.ident
-                )
+                self.endpoints[listing.ident] = SimpleNamespace(address=address, uid=uid, ident=listing.ident)
 
     def send(self, attempt, cargo, time_out, dialect) -> None:
         asking, attempt.operation.asking = attempt.operation.asking, False
@@ -219,9 +217,7 @@
         if slot in self.shards.all[self.shards.owner[slot]].migrating:
             self.shards.end_move(slot)
 
-    @rule(
-        name=st.sampled_from(NAMES), state=st.sampled_from([Presence.DRAINING, Presence.UP, Presence.GONE])
-    )
+    @rule(name=st.sampled_from(NAMES), state=st.sampled_from([Presence.DRAINING, Presence.UP, Presence.GONE]))
     def list_says(self, name, state):
         if state is not Presence.UP and sum(each is Presence.UP for each in self.states.values()) <= 2:
             return
@@ -246,9 +242,7 @@
 
     @rule(name=st.sampled_from(NAMES))
     def fetch(self, name):
-        if self.keeper.due(self.time.now) > self.time.now or not self.keeper.begin(
-            [("h", 1)], self.time.now
-        ):
+        if self.keeper.due(self.time.now) > self.time.now or not self.keeper.begin([("h", 1)], self.time.now):
             return
         shard = self.shards.all[name]
         told = read_slots(self.shards.answer(shard, Wire(), [b"CLUSTER", b"SLOTS"]), shard.address)
--- a/tests/test_cluster_parts.py
+++ b/tests/test_cluster_parts.py
@@ -97,7 +97,7 @@
     reader = Reader()
     try:
         for i in range(len(head + data)):
-            reader.feed((head + data)[i:i + 1])
+            reader.feed((head + data)[i : i + 1])
             while reader.next() is not None:
                 pass
     except Malformed as bad:
@@ -148,16 +148,39 @@
     assert read(b"-ASK 1 h:2\r\n")[0].value.code == b"ASK"
 
 
-@pytest.mark.parametrize("data", [
-    b"*?\r\n", b"$?\r\n", b";4\r\n", b".\r\n", b"%?\r\n",  # streamed
-    b"$07\r\n", b"$+1\r\n", b"*1x\r\n", b"$-2\r\n", b"*\r\n",
-    b":1.5\r\n", b":\r\n", b":99999999999999999999\r\n", b"#x\r\n",
-    b"_x\r\n", b",1..2\r\n", b"(1e3\r\n", b"?x\r\n",
-    b"=2\r\nab\r\n", b"=4\r\ntxt-\r\n", b"$3\r\nabcd\r\n",
-    b"+" + b"x" * 2000,
-    b"*5000\r\n", b"%3000\r\n", b"$70000\r\n", b"$9999999999\r\n", b"*1\r\n" * 9,
-    b"*2\r\n*4000\r\n" + b":1\r\n" * 4000 + b"*200\r\n",
-])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"*?\r\n",
+        b"$?\r\n",
+        b";4\r\n",
+        b".\r\n",
+        b"%?\r\n",  # streamed
+        b"$07\r\n",
+        b"$+1\r\n",
+        b"*1x\r\n",
+        b"$-2\r\n",
+        b"*\r\n",
+        b":1.5\r\n",
+        b":\r\n",
+        b":99999999999999999999\r\n",
+        b"#x\r\n",
+        b"_x\r\n",
+        b",1..2\r\n",
+        b"(1e3\r\n",
+        b"?x\r\n",
+        b"=2\r\nab\r\n",
+        b"=4\r\ntxt-\r\n",
+        b"$3\r\nabcd\r\n",
+        b"+" + b"x" * 2000,
+        b"*5000\r\n",
+        b"%3000\r\n",
+        b"$70000\r\n",
+        b"$9999999999\r\n",
+        b"*1\r\n" * 9,
+        b"*2\r\n*4000\r\n" + b":1\r\n" * 4000 + b"*200\r\n",
+    ],
+)
 def test_what_is_malformed_or_past_a_limit_is_refused(data):
     with pytest.raises(Malformed):
         read(data)
@@ -175,7 +198,7 @@
 
     reader._step = counted
     for i in range(0, len(data), 64):
-        reader.feed(data[i:i + 64])
+        reader.feed(data[i : i + 64])
         message = reader.next()
     assert len(message.value) == 4000 and steps < 4001 + 2 * len(data) / 64
 
@@ -245,9 +268,16 @@
     assert found.nodes(50) == (Node("h1", 1, "a"), Node("h2", 2, "b"))
     assert found.nodes(150) == (Node("asked", 5, ""),) and found.nodes(201) == ()
     for bad in (
-        b"x", [b"x"], [[0, 1]], [[0, b"1", [b"h", 1]]],
-        [[0, 1, [b"h", 0]]], [[0, 1, [b"h"]]], [[0, 1, [5, 5]]],
-        [[5, 4, [b"h", 1]]], [[0, 5, [b"h", 1]], [5, 6, [b"h", 1]]], [[0, SLOTS, [b"h", 1]]],
+        b"x",
+        [b"x"],
+        [[0, 1]],
+        [[0, b"1", [b"h", 1]]],
+        [[0, 1, [b"h", 0]]],
+        [[0, 1, [b"h"]]],
+        [[0, 1, [5, 5]]],
+        [[5, 4, [b"h", 1]]],
+        [[0, 5, [b"h", 1]], [5, 6, [b"h", 1]]],
+        [[0, SLOTS, [b"h", 1]]],
     ):
         with pytest.raises(ValueError):
             read_slots(bad, ("asked", 9))
@@ -260,7 +290,13 @@
     assert read_redirection(b"ASK 1 [::1]:7", ("a", 1)) == (True, 1, Node("::1", 7))
     assert read_redirection(b"MOVED 1 :7", ("a", 1)).node == Node("a", 7)
     for bad in (
-        b"MOVED", b"MOVED 1", b"MOVED 16384 h:1", b"MOVED x h:1", b"MOVED 1 h", b"MOVED 1 h:0", b"ERR a b c",
+        b"MOVED",
+        b"MOVED 1",
+        b"MOVED 16384 h:1",
+        b"MOVED x h:1",
+        b"MOVED 1 h",
+        b"MOVED 1 h:0",
+        b"ERR a b c",
         b"MOVED 1 h:99999999",
     ):
         assert read_redirection(bad, ("a", 1)) is None
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -23,8 +23,16 @@
     told = charter(1, SETTINGS).deployment
     made = []
     for seed in range(routers):
-        terms = replace(told, seed=seed, routers=routers, tenants=(), must_ask=False, aside=False,
-                        origin_kind=None, **rules)
+        terms = replace(
+            told,
+            seed=seed,
+            routers=routers,
+            tenants=(),
+            must_ask=False,
+            aside=False,
+            origin_kind=None,
+            **rules,
+        )
         router = Router(terms, 0.0)
         router.hear_list([row(i + 1) for i in range(CACHES)], True, False, 0.0)
         made.append(router)
--- a/tests/test_company.py
+++ b/tests/test_company.py
@@ -95,7 +95,8 @@
     names = ("keeper", "discovery", "origin", "server-0", "server-1")
     assert all(states[name, "ready"] >= 2 for name in names)
     assert [(e.one, e.state) for e in history if isinstance(e, Link)] == [
-        ("router-0", "refused"), ("router-0", "up"),
+        ("router-0", "refused"),
+        ("router-0", "up"),
     ]
     last = max(e.at for e in history if isinstance(e, Process) and e.state == "ready")
     settled = {e.ident for e in history if isinstance(e, OpEnded) and e.outcome == "settled"}
@@ -217,7 +218,19 @@
 
 def test_a_played_server_is_cold_falls_over_and_remembers_marks_but_not_without_power(tmp_path):
     part = ServerPart(
-        "server-0", str(tmp_path), str(tmp_path), "127.0.0.1", 0, {}, "a", True, 0.001, 0, 60.0, 9.0, True,
+        "server-0",
+        str(tmp_path),
+        str(tmp_path),
+        "127.0.0.1",
+        0,
+        {},
+        "a",
+        True,
+        0.001,
+        0,
+        60.0,
+        9.0,
+        True,
         True,
     )
 
@@ -246,7 +259,10 @@
     trio.run(scene)
     attempts = list(read_history(tmp_path))
     assert [(attempt.ident, attempt.mark, attempt.effect, attempt.cold) for attempt in attempts] == [
-        ("i1", "m", True, True), ("i2", "m", False, True), ("i3", "", False, True), ("i4", "m", True, True),
+        ("i1", "m", True, True),
+        ("i2", "m", False, True),
+        ("i3", "", False, True),
+        ("i4", "m", True, True),
     ]
 
 
--- a/tests/test_crossings_generated.py
+++ b/tests/test_crossings_generated.py
@@ -57,6 +57,7 @@
 
 def lost_at_the_end(monkeypatch):
     """Connections are closed at the end whatever they are owed."""
+
     def cut(self, client):
         self._cut(client)
         return True
@@ -141,6 +142,7 @@
 
 def raises(monkeypatch):
     """The end fails."""
+
     async def fail(self, accepting):
         raise RuntimeError("at the end")
 
@@ -149,6 +151,7 @@
 
 def has(names, steps=crossings.STEPS, kinds=("read", "once", "mark")):
     """Plans with such an event at such a request: others cannot meet the mutant, and need not be played."""
+
     def fits(plan):
         return any(
             event.name in names and event.step in steps and plan.subjects[event.subject].kind in kinds
@@ -169,15 +172,24 @@
 WRITES = ("once", "mark")
 
 
-@pytest.mark.parametrize("mutant, rule, fits", [
-    (answer_twice, ANSWER, has(("repeat", *LISTS))), (no_forfeit, ANSWER, long_wait),
-    (lost_at_the_end, ANSWER, long_wait), (copies_kept, ANSWER, has(("copy",))),
-    (written_forgotten, EFFECT, has(FAILS, (WRITTEN,), WRITES)), (window_forgotten, EFFECT, short_window),
-    (always_dropped, EFFECT, has(FAILS, (WRITTEN,), WRITES)),
-    (presence_unread, DRAIN, has(LISTS, (CONNECTING,))), (drains_unheard, DRAIN, has(("drain", "mixed"))),
-    (close_untold, CLOSE, has(GOES, (WRITTEN, ORIGIN, JOINED))),
-    (never_ends, END, has(("sigterm",))), (raises, DEFECT, has(("sigterm",))),
-], ids=lambda given: given.__name__ if callable(given) else str(given))
+@pytest.mark.parametrize(
+    "mutant, rule, fits",
+    [
+        (answer_twice, ANSWER, has(("repeat", *LISTS))),
+        (no_forfeit, ANSWER, long_wait),
+        (lost_at_the_end, ANSWER, long_wait),
+        (copies_kept, ANSWER, has(("copy",))),
+        (written_forgotten, EFFECT, has(FAILS, (WRITTEN,), WRITES)),
+        (window_forgotten, EFFECT, short_window),
+        (always_dropped, EFFECT, has(FAILS, (WRITTEN,), WRITES)),
+        (presence_unread, DRAIN, has(LISTS, (CONNECTING,))),
+        (drains_unheard, DRAIN, has(("drain", "mixed"))),
+        (close_untold, CLOSE, has(GOES, (WRITTEN, ORIGIN, JOINED))),
+        (never_ends, END, has(("sigterm",))),
+        (raises, DEFECT, has(("sigterm",))),
+    ],
+    ids=lambda given: given.__name__ if callable(given) else str(given),
+)
 def test_a_mutant_is_found(mutant, rule, fits, monkeypatch):
     """At a seed where the program itself keeps the rule."""
     for seed in filter(lambda seed: fits(draw(seed)), range(MOST_SEEDS)):
--- a/tests/test_crossings_retries.py
+++ b/tests/test_crossings_retries.py
@@ -72,8 +72,10 @@
 
 def settings(window: int = 9_000_000, wait: int = 4_000_000, **allowed):
     """With so many microseconds for which an idempotency key is remembered."""
-    types = [{**each, "abandonTimeUs": wait, **({"windowUs": window} if each["name"] == "mark" else {})}
-             for each in SETTINGS["trafficTypes"]]
+    types = [
+        {**each, "abandonTimeUs": wait, **({"windowUs": window} if each["name"] == "mark" else {})}
+        for each in SETTINGS["trafficTypes"]
+    ]
     return {**SETTINGS, "trafficTypes": types, "allowed": {**SETTINGS["allowed"], **allowed}}
 
 
@@ -99,8 +101,11 @@
     def idle():
         return [line for place in parts.endpoints.values() for line in place.idle]
 
-    await until(lambda: len(idle()) >= count and all(
-        line.idle_since <= parts.clock() - pool.REST_TIME for line in idle()))
+    await until(
+        lambda: (
+            len(idle()) >= count and all(line.idle_since <= parts.clock() - pool.REST_TIME for line in idle())
+        )
+    )
     return idle()
 
 
@@ -139,6 +144,7 @@
 def test_a_write_on_a_connection_that_ends_as_it_is_written(tmp_path, monkeypatch, labels, how):
     """By FIN it went out whole and may have run: with a key it is sent again, without one it never is, and
     its client is not told that a repeat is harmless. By RST it never went out."""
+
     async def scene():
         async with fleet(tmp_path) as made:
             streams, plain, client = [], made.origin.answer, await made.client()
@@ -169,7 +175,10 @@
 @pytest.mark.parametrize("how", ["FIN", "RST"])
 @pytest.mark.parametrize("labels", [MARKS.format(2), ONCES])
 def test_a_server_that_reached_its_idle_time_while_a_request_is_half_written_never_ran_it(
-    tmp_path, monkeypatch, labels, how,
+    tmp_path,
+    monkeypatch,
+    labels,
+    how,
 ):
     async def scene():
         async with fleet(tmp_path) as made:
@@ -189,7 +198,7 @@
                 calls.append(raw)
                 if len(calls) > 1:
                     return sockets.send_some(raw, data)
-                sent = sockets.send_some(raw, data[:len(data) // 2])
+                sent = sockets.send_some(raw, data[: len(data) // 2])
                 close(streams[-1], how)
                 return sent
 
@@ -228,9 +237,12 @@
 
 @pytest.mark.parametrize("behind", [5, 9, 11])
 def test_a_second_copy_so_many_milliseconds_behind_an_answer_is_not_the_next_ones(
-    tmp_path, monkeypatch, behind,
+    tmp_path,
+    monkeypatch,
+    behind,
 ):
     """The next request comes half a millisecond before the copy does."""
+
     async def scene():
         async def script(stream, command):
             if command[1] == b"k2" and stream is cache.streams[0]:
@@ -264,6 +276,7 @@
 
 def test_an_answer_that_comes_before_the_last_byte_of_a_request_is_not_its_own(tmp_path, monkeypatch):
     """A second copy of the receipt before: what has not gone out whole has not run, nor is it called done."""
+
     async def scene():
         async with fleet(tmp_path) as made:
             streams, plain, client = [], made.origin.answer, await made.client()
@@ -321,6 +334,7 @@
 
 def scene_of_pool(scene, most: int):
     """A pool alone, one server that reads and holds, and what ended."""
+
     async def main():
         bench, ended, cache = Bench(8), [], Scripted(lambda stream, command: trio.sleep_forever())
         with trio.fail_after(30):
@@ -335,8 +349,15 @@
                     ident = answer.attempt.server.ident
                     if ident not in made.endpoints:
                         made.endpoints[ident] = Endpoint(ident, "s", listener.socket.getsockname(), 0.0)
-                    cargo = Cargo(b"i", b"k", (b"d=", b""), b"d=1", b"*4\r\n" + bulk(b"KV.GET") + bulk(b"k")
-                                  + bulk(key.encode()), b"", None)
+                    cargo = Cargo(
+                        b"i",
+                        b"k",
+                        (b"d=", b""),
+                        b"d=1",
+                        b"*4\r\n" + bulk(b"KV.GET") + bulk(b"k") + bulk(key.encode()),
+                        b"",
+                        None,
+                    )
                     made.send(answer.attempt, cargo, 5.0, RespDialect())
                     return answer.attempt
 
@@ -409,6 +430,7 @@
 
 def test_an_attempt_called_off_after_its_unused_connection_was_given_to_the_next_leaves_that_alone():
     """The loop stands still for longer than a connection rests, between the steps of the first one's end."""
+
     async def scene(made, send, ended, cache, bench):
         start, attempts = made._start, []
 
@@ -460,10 +482,13 @@
 @pytest.mark.parametrize("hold", [0.0, 0.3, 0.75])
 @pytest.mark.parametrize("window", [0.2, 0.8, 1.2])
 def test_a_key_that_may_be_forgotten_is_not_sent_again_nor_its_client_told_that_this_is_harmless(
-    tmp_path, window, hold,
+    tmp_path,
+    window,
+    hold,
 ):
     """Each answer of the origin is cut after a hold; its client does as it is told: -BUSY MS, and it comes
     again with the same key after MS. Whatever the window, the effect is there once."""
+
     async def scene():
         origin = Remembering(window)
         async with fleet(tmp_path, origin=origin.hear, settings=settings(int(window * 1e6))) as made:
@@ -496,7 +521,9 @@
 
 @pytest.mark.parametrize("how", ["comes up late", "is half written"])
 def test_a_retry_held_up_until_the_key_is_forgotten_is_neither_sent_nor_called_harmless(
-    tmp_path, monkeypatch, how,
+    tmp_path,
+    monkeypatch,
+    how,
 ):
     """The first attempt ran and its answer was cut; the retry is held between its start and its last byte."""
     window = 1.0
@@ -504,6 +531,7 @@
     async def scene():
         origin = Remembering(window)
         async with fleet(tmp_path, origin=origin.hear, settings=settings(int(window * 1e6))) as made:
+
             async def cut(stream, told):
                 if len(origin.came) == 1:
                     close(stream, "RST")
@@ -525,7 +553,7 @@
                     return send(raw, data)
                 if not held:
                     held.append(raw)
-                    return send(raw, data[:len(data) // 2])
+                    return send(raw, data[: len(data) // 2])
                 return 0
 
             if how == "comes up late":
@@ -544,6 +572,7 @@
 
 def test_a_first_attempt_that_comes_up_late_counts_for_no_longer_than_its_key(tmp_path, monkeypatch):
     """The time runs from the start of the attempt and not from its last byte: never longer than the key's."""
+
     async def scene():
         origin = Remembering(1.2)
         async with fleet(tmp_path, origin=origin.hear, settings=settings(1_200_000)) as made:
@@ -572,6 +601,7 @@
 
 def test_a_first_attempt_that_was_half_written_leaves_the_key_unused(tmp_path, monkeypatch):
     """The server ends the connection before the last byte: nothing ran, so no time runs for the retry."""
+
     async def scene():
         origin = Remembering(0.1)
         async with fleet(tmp_path, origin=origin.hear, settings=settings(100_000)) as made:
@@ -624,6 +654,7 @@
 @pytest.mark.parametrize("kind", ["once", "read"])
 def test_an_answer_of_the_origin_that_is_cut_does_not_count_as_served(tmp_path, kind, form, how, read):
     """With no length FIN is its end, RST is not; `read first`: the router has read what came before."""
+
     async def scene():
         async with fleet(tmp_path, [Cache("miss")]) as made:
             ends = []
@@ -674,7 +705,10 @@
             await client.send("PING")
             release.set()
             assert [await client.answer() for _ in range(3)] == [
-                b"$5\r\nof k1\r\n", b"-ERR id in use\r\n", b"+PONG\r\n"]
+                b"$5\r\nof k1\r\n",
+                b"-ERR id in use\r\n",
+                b"+PONG\r\n",
+            ]
             assert txns(made) == [] and len(cache.commands) == 1
 
     run(scene)
@@ -682,6 +716,7 @@
 
 def test_an_id_whose_attempt_is_still_out_is_not_sent_on_again_though_its_client_has_gone(tmp_path):
     """Attempts are not called off here: one goes on for longer than the id of a gone client is kept."""
+
     async def scene():
         allowed = settings(mayCancel=False)
         async with fleet(tmp_path, origin=lambda *call: "stall", settings=allowed) as made:
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -141,8 +141,10 @@
 def nothing_left(made) -> bool:
     parts = made.service
     return (
-        len(parts.clients.connections) == 0 and len(parts.dispatch.exchanges) == 0
-        and parts.clients.held == 0 and not parts.clients.idents_open
+        len(parts.clients.connections) == 0
+        and len(parts.dispatch.exchanges) == 0
+        and parts.clients.held == 0
+        and not parts.clients.idents_open
     )
 
 
@@ -309,12 +311,14 @@
 @pytest.mark.parametrize("crossing", ["nothing", "in hand", "idle", "crowded", "quit"])
 @both
 def test_a_long_answer_that_is_read_slowly_comes_whole_though_a_request_crosses_the_end(
-    tmp_path, crossing,
+    tmp_path,
+    crossing,
 ):
     """`in hand`: the answer is the last thing in its connection when it is written while closing; `idle`: it
     was written before, and its connection is closed for being idle; `crowded`: the same with no end of
     the router, to make room; `quit`: it lingers behind QUIT. The next request comes while the answer stands
     in the kernel still: closed over that, or before, the connection would be reset and the rest be gone."""
+
     async def scene():
         cache = Holding(b"v" * LONG)
         async with fleet(tmp_path, [cache]) as made:
@@ -338,6 +342,7 @@
             if crossing != "nothing":
                 now(client, put("o0"))
             async with trio.open_nursery() as nursery:
+
                 async def looks():
                     while len(door.connections):
                         look()
@@ -346,10 +351,10 @@
                 nursery.start_soon(looks)
                 got = await read_all(client)
             whole = bulk(b"v" * LONG)
-            assert got[:len(whole)] == whole
+            assert got[: len(whole)] == whole
             # What was read is answered, and what was not, or behind QUIT, is sent on to nobody.
             rest = {"quit": b"+OK\r\n", "nothing": b""}.get(crossing, b"$7\r\nfetched\r\n")
-            assert got[len(whole):] == rest
+            assert got[len(whole) :] == rest
             assert sent_on(made) == ([b"r0"] if crossing in ("quit", "nothing") else [b"r0", b"o0"])
 
     run(scene)
@@ -375,6 +380,7 @@
 @both
 def test_a_client_that_does_not_read_its_answer_does_not_hold_the_end_up(tmp_path):
     """A platform kills what has not ended by then: the stated end is the longest wait and KILL_SLACK."""
+
     async def scene():
         cache = Holding(b"v" * LONG)
         async with fleet(tmp_path, [cache]) as made:
@@ -426,6 +432,7 @@
     """Behind its FIN (F) a client counts as gone: what it still asked for may be given up, not sent again.
 
     With no FIN each request in hand and QUIT (Q) has its one answer."""
+
     async def scene():
         origin = HoldingWeb()
         async with fleet(tmp_path, [Cache()]) as made:
@@ -440,8 +447,11 @@
             def gone():
                 return door.connections.get(one.slot) is None
 
-            noticed = {"S": lambda: made.service.lifecycle.phase is not Phase.READY,
-                       "Q": lambda: one.last, "F": gone}
+            noticed = {
+                "S": lambda: made.service.lifecycle.phase is not Phase.READY,
+                "Q": lambda: one.last,
+                "F": gone,
+            }
             for step in order:
                 if step == "S":
                     signalled()
@@ -456,7 +466,7 @@
             answers = await rest_of(client)
             whole = ([b"$7\r\nfetched\r\n"] if in_hand else []) + ([b"+OK\r\n"] if "Q" in order else [])
             if "F" in order and in_hand:
-                assert answers == whole[:len(answers)]
+                assert answers == whole[: len(answers)]
             else:
                 assert answers == whole
             await made.ended.wait()
@@ -490,6 +500,7 @@
 @both
 def test_half_a_request_when_closing_begins(tmp_path, comes):
     """Its rest still comes: it is answered. It does not: it is sent on to nobody and holds nothing up."""
+
     async def scene():
         async with fleet(tmp_path) as made:
             client, whole = await made.client(), put("o0")
@@ -541,6 +552,7 @@
 @both
 def test_sigterm_before_the_router_is_ready_with_discovery_silent(tmp_path, listed):
     """With no list (or one that names nobody who serves) and a client that has already connected."""
+
     async def scene():
         known = {"rev": 1, "all": True, "targets": []} if listed else None
         async with fleet(tmp_path, peers={"known": known}) as made:
@@ -616,40 +628,70 @@
 
 @pytest.mark.parametrize("door", ["door", "none"])
 @pytest.mark.parametrize("most", [64, 100, 256])
-@pytest.mark.parametrize("first, comes", [("servers", True), ("servers", False), ("clients", True)], ids=[
-    "servers first", "servers first and discovery stays down", "clients first"])
+@pytest.mark.parametrize(
+    "first, comes",
+    [("servers", True), ("servers", False), ("clients", True)],
+    ids=["servers first", "servers first and discovery stays down", "clients first"],
+)
 def test_with_all_places_of_clients_and_servers_taken_discovery_and_the_end_are_still_had(
-    tmp_path, most, door, first, comes,
+    tmp_path,
+    most,
+    door,
+    first,
+    comes,
 ):
     """The process has just as many descriptors as its configuration tells it. Discovery is down until all
     places are taken: clients that rest, more of them than are let in, and requests whose answers are held."""
+
     async def scene():
         caches = [Holding() for _ in range(int(0.4 * most) + 6)]
         async with trio.open_nursery() as nursery:
+
             async def stand(each, port=0) -> str:
                 serve = partial(trio.serve_tcp, each.serve, port, host="127.0.0.1")
                 [listener] = await nursery.start(serve)
                 return f"127.0.0.1:{listener.socket.getsockname()[1]}"
 
             targets = [
-                {"uid": f"s-{i}", "endpoint": await stand(each), "az": "a", "model": "std", "pod_group": 0,
-                 "state": "ready", "capacity_hint": 1.0, "boot_ms": 0}
+                {
+                    "uid": f"s-{i}",
+                    "endpoint": await stand(each),
+                    "az": "a",
+                    "model": "std",
+                    "pod_group": 0,
+                    "state": "ready",
+                    "capacity_hint": 1.0,
+                    "boot_ms": 0,
+                }
                 for i, each in enumerate(caches)
             ]
             port, listed = free_port(), free_port()
             config = {
-                "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{listed}", "seed": "0a",
+                "name": "n0",
+                "listen": f"127.0.0.1:{port}",
+                "discovery": f"127.0.0.1:{listed}",
+                "seed": "0a",
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": most},
-                "settings": SETTINGS, "known": {"rev": 1, "all": True, "targets": targets},
-                "peer_listen": (own := f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}"), "peers": [own],
+                "settings": SETTINGS,
+                "known": {"rev": 1, "all": True, "targets": targets},
+                "peer_listen": (own := f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}"),
+                "peers": [own],
             }
             path, log = tmp_path / "config.json", tmp_path / "log"
             path.write_text(json.dumps(config))
             environment = {**os.environ, "LB_CONFIG": str(path)}
-            with log.open("w") as out, children.child(
-                "-c", ROUTER, str(most), door, env=environment, stderr=out,
-                cwd=Path(__file__).parent.parent,
-            ) as process:
+            with (
+                log.open("w") as out,
+                children.child(
+                    "-c",
+                    ROUTER,
+                    str(most),
+                    door,
+                    env=environment,
+                    stderr=out,
+                    cwd=Path(__file__).parent.parent,
+                ) as process,
+            ):
                 await until(lambda: "ready" in log.read_text())
                 seen: list[int] = []
 
@@ -695,8 +737,10 @@
                     count()
                     await trio.sleep(0.02)
                 text = log.read_text()
-                print(f"{held()} at servers, failed: accept {text.count('accept failed')}, to a server "
-                      f"{text.count('no socket to be had')}")
+                print(
+                    f"{held()} at servers, failed: accept {text.count('accept failed')}, to a server "
+                    f"{text.count('no socket to be had')}"
+                )
                 calls: list[str] = []
 
                 def discovery(method, target, headers, body):
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -35,9 +35,26 @@
 
 ONE = replace(PLAIN, tenants=(Tenant(0.6, 40.0), Tenant(0.4, 20.0)), may_message=True, longest_come_back=2.0)
 OTHER = replace(
-    PLAIN, seed=31, me=2, routers=5, aside=False, most_attempts=2, tick=0.001, cold_from=0.1, cold_time=6.0,
-    fall_multiple=1.5, fall_time=0.5, may_message=True, must_ask=True, longest_come_back=0.3,
-    beyond_share=0.1, payoff_by_work=True, weighted=True, zone="b", cross_price=0.2, one_a_connection=True,
+    PLAIN,
+    seed=31,
+    me=2,
+    routers=5,
+    aside=False,
+    most_attempts=2,
+    tick=0.001,
+    cold_from=0.1,
+    cold_time=6.0,
+    fall_multiple=1.5,
+    fall_time=0.5,
+    may_message=True,
+    must_ask=True,
+    longest_come_back=0.3,
+    beyond_share=0.1,
+    payoff_by_work=True,
+    weighted=True,
+    zone="b",
+    cross_price=0.2,
+    one_a_connection=True,
     connection_price=0.01,
     tenants=(Tenant(0.1, 5.0), Tenant(0.2, 9.0), Tenant(0.7, 3.0)),
     traffic_types=(
@@ -53,17 +70,56 @@
 def figures(router: Router) -> str:
     """All that a router counts, number by number."""
     caches = [
-        (c.ident, c.load, c.multiplier, c.share, c.tokens, c.out, c.connections, c.fault, c.late, c.told,
-         c.aside_until, c.full_until, c.latency, c.pace, c.kind, c.near.keep, sorted(c.near.failed),
-         c.presence, c.started)
+        (
+            c.ident,
+            c.load,
+            c.multiplier,
+            c.share,
+            c.tokens,
+            c.out,
+            c.connections,
+            c.fault,
+            c.late,
+            c.told,
+            c.aside_until,
+            c.full_until,
+            c.latency,
+            c.pace,
+            c.kind,
+            c.near.keep,
+            sorted(c.near.failed),
+            c.presence,
+            c.started,
+        )
         for c in router.caches.values()
     ]
-    return repr((
-        caches, router.used, router.came, router.tokens, router.elsewhere, router.peers, router.gate,
-        router.latency, router.rate, router.work, router.asked, router.drop, router.valve, router.lateness,
-        router.mean_delay, router.repeats, router.excused, router.counter, router.total, router.width,
-        router.points, list(router.fetches), router.pressed_until,
-    ))
+    return repr(
+        (
+            caches,
+            router.used,
+            router.came,
+            router.tokens,
+            router.elsewhere,
+            router.peers,
+            router.gate,
+            router.latency,
+            router.rate,
+            router.work,
+            router.asked,
+            router.drop,
+            router.valve,
+            router.lateness,
+            router.mean_delay,
+            router.repeats,
+            router.excused,
+            router.counter,
+            router.total,
+            router.width,
+            router.points,
+            list(router.fetches),
+            router.pressed_until,
+        )
+    )
 
 
 class RouterPlay:
@@ -100,9 +156,14 @@
             self.count += 1
             traffic = draw.choice(self.deployment.traffic_types)
             operation = Operation(
-                f"same-{self.count}", traffic, b"same key %d" % draw.randrange(20),
-                draw.randrange(-1, len(self.deployment.tenants)), draw.random() < 0.3, draw.random() < 0.1,
-                self.now, self.now + draw.choice([0.05, 0.5, 3.0]),
+                f"same-{self.count}",
+                traffic,
+                b"same key %d" % draw.randrange(20),
+                draw.randrange(-1, len(self.deployment.tenants)),
+                draw.random() < 0.3,
+                draw.random() < 0.1,
+                self.now,
+                self.now + draw.choice([0.05, 0.5, 3.0]),
             )
             self.operations = [*self.operations[-40:], operation]
             self.note(operation, router.where(operation, self.now))
@@ -166,28 +227,54 @@
 
 INFO = {
     "one": {
-        "allowed": {"mostLegs": 3, "mayCancel": True, "peers": True, "retryAfter": True,
-                    "maxRetryAfterUs": 900000},
-        "domain": {"mode": "aside", "originKind": 1}, "shapes": ["std", "origin"], "granularityUs": 5000,
-        "replicasOfMe": 3, "rules": {"coldUs": 1000000}, "discovery": "on_request",
+        "allowed": {
+            "mostLegs": 3,
+            "mayCancel": True,
+            "peers": True,
+            "retryAfter": True,
+            "maxRetryAfterUs": 900000,
+        },
+        "domain": {"mode": "aside", "originKind": 1},
+        "shapes": ["std", "origin"],
+        "granularityUs": 5000,
+        "replicasOfMe": 3,
+        "rules": {"coldUs": 1000000},
+        "discovery": "on_request",
         "parties": [{"name": "lys", "share": 0.5, "allowancePerS": 10.0}],
         "trafficTypes": [
             {"name": "page", "effect": "repeatable", "promisedTimeUs": 500000, "abandonTimeUs": 900000},
-            {"name": "pay", "effect": "by_key", "group": "all", "windowUs": 4000000,
-             "promisedTimeUs": 300000},
+            {
+                "name": "pay",
+                "effect": "by_key",
+                "group": "all",
+                "windowUs": 4000000,
+                "promisedTimeUs": 300000,
+            },
         ],
     },
     "other": {
-        "allowed": {"mostLegs": 2, "peers": True}, "shapes": ["std"], "granularityUs": 1000,
-        "replicasOfMe": 4, "me": 1,
-        "rules": {"coldUs": 9000000, "fallUs": 100000}, "az": "b", "prices": {"crossZone": 0.3},
+        "allowed": {"mostLegs": 2, "peers": True},
+        "shapes": ["std"],
+        "granularityUs": 1000,
+        "replicasOfMe": 4,
+        "me": 1,
+        "rules": {"coldUs": 9000000, "fallUs": 100000},
+        "az": "b",
+        "prices": {"crossZone": 0.3},
         "parties": [{"name": "mond", "share": 0.1}, {"name": "sol", "share": 0.9, "allowancePerS": 2.0}],
-        "report": {"source": "inline", "names": ["active"]}, "weights": "nominal", "payoffBy": "work",
+        "report": {"source": "inline", "names": ["active"]},
+        "weights": "nominal",
+        "payoffBy": "work",
         "trafficTypes": [
             {"name": "scan", "effect": "once", "promisedTimeUs": 60000, "abandonTimeUs": 100000},
             {"name": "pay", "effect": "repeatable", "promisedTimeUs": 2000000, "overduePayoff": 0.9},
-            {"name": "note", "effect": "by_key", "group": "zone", "windowUs": 700000,
-             "promisedTimeUs": 90000},
+            {
+                "name": "note",
+                "effect": "by_key",
+                "group": "zone",
+                "windowUs": 700000,
+                "promisedTimeUs": 90000,
+            },
         ],
     },
 }
@@ -212,7 +299,8 @@
         ] + ["row\tserver=9\tavailability=U\tclassOfHost=origin"]
         return [
             f"hello\ti={self.number}\trandomSeed={7 + int(self.number)}\tinfo={json.dumps(self.info)}",
-            f"list\tlist={self.number}\tmembers={len(rows)}", *rows,
+            f"list\tlist={self.number}\tmembers={len(rows)}",
+            *rows,
             f"fleet\ti={self.number}\tform=disk\tlist={self.number}\tserial=1",
         ]
 
@@ -328,17 +416,33 @@
 # -- two services on sockets
 
 THEIRS = {
-    "allowed": {"mostLegs": 1, "mayCancel": False, "peers": False, "connectTimeoutUs": 700_000,
-                "connIdleUs": 4_000_000, "openCap": 2},
-    "discovery": "on_request", "granularityUs": 1000, "me": 3, "replicasOfMe": 6, "shapes": ["std", "origin"],
+    "allowed": {
+        "mostLegs": 1,
+        "mayCancel": False,
+        "peers": False,
+        "connectTimeoutUs": 700_000,
+        "connIdleUs": 4_000_000,
+        "openCap": 2,
+    },
+    "discovery": "on_request",
+    "granularityUs": 1000,
+    "me": 3,
+    "replicasOfMe": 6,
+    "shapes": ["std", "origin"],
     "domain": {"originKind": 1},
     "parties": [{"name": "lys", "share": 0.3, "allowancePerS": 7.0}, {"name": "mond", "share": 0.7}],
     "rules": {"coldFrom": 0.1, "coldUs": 2_000_000, "fallMultiple": 1.5, "fallUs": 1_000_000},
     "trafficTypes": [
         {"name": "page", "effect": "once", "promisedTimeUs": 900_000, "abandonTimeUs": 1_200_000},
         {"name": "mark", "effect": "repeatable", "promisedTimeUs": 400_000, "abandonTimeUs": 1_200_000},
-        {"name": "pay", "effect": "by_key", "group": "zone", "windowUs": 1_000_000, "promisedTimeUs": 800_000,
-         "abandonTimeUs": 1_200_000},
+        {
+            "name": "pay",
+            "effect": "by_key",
+            "group": "zone",
+            "windowUs": 1_000_000,
+            "promisedTimeUs": 800_000,
+            "abandonTimeUs": 1_200_000,
+        },
     ],
 }
 OURS_ASKED = [(key, f"c={kind},t=acme,d=4000,k=m{key}") for key in range(12) for kind in ("read", "mark")]
@@ -415,8 +519,12 @@
         async with AsyncExitStack() as stack:
             ours, theirs = await both(stack, tmp_path)
             one, other = await ours.client(), await theirs.client()
-            for client, labels in ((one, "c=page,t=acme,d=900"), (other, "c=read,t=lys,d=900"),
-                                   (one, "c=pay,d=900,k=m"), (other, "c=once,d=900")):
+            for client, labels in (
+                (one, "c=page,t=acme,d=900"),
+                (other, "c=read,t=lys,d=900"),
+                (one, "c=pay,d=900,k=m"),
+                (other, "c=once,d=900"),
+            ):
                 assert await client.get(labels=labels) == b"-ERR label c: no such class\r\n"
             # Of a name that both have, each goes by its own: there by idempotency key, here without one.
             assert await one.put(labels="c=mark,t=acme,d=900") == b"-ERR label k: missing\r\n"
@@ -447,21 +555,43 @@
     service = made.service
     router, clients, pool = service.dispatch.router, service.clients, service.pool
     router_figures = (
-        router.used, router.came, router.tokens, router.elsewhere, router.peers, router.gate.limit,
-        router.gate.out, router.work, router.mean_delay, router.repeats, router.excused, list(router.fetches),
+        router.used,
+        router.came,
+        router.tokens,
+        router.elsewhere,
+        router.peers,
+        router.gate.limit,
+        router.gate.out,
+        router.work,
+        router.mean_delay,
+        router.repeats,
+        router.excused,
+        list(router.fetches),
         router.valve,
         [(c.ident, c.out, c.busy, c.fault, c.latency.finished, c.pace.value) for c in router.caches.values()],
     )
-    return repr((
-        router_figures, sorted(clients.idents_open), sorted(clients.idents | clients.idents_before),
-        clients.held, clients.most, clients.most_held, clients.most_in_hand, pool.connections, pool.most,
-        pool.connect_time, pool.keep_time, len(service.dispatch.exchanges),
-        [len(place.idle) for place in pool.endpoints.values()],
-    ))
+    return repr(
+        (
+            router_figures,
+            sorted(clients.idents_open),
+            sorted(clients.idents | clients.idents_before),
+            clients.held,
+            clients.most,
+            clients.most_held,
+            clients.most_in_hand,
+            pool.connections,
+            pool.most,
+            pool.connect_time,
+            pool.keep_time,
+            len(service.dispatch.exchanges),
+            [len(place.idle) for place in pool.endpoints.values()],
+        )
+    )
 
 
 def test_requests_in_hand_at_one_touch_nothing_of_the_other(tmp_path):
     """The same ids, idempotency keys and keys; one's limits are full while the other takes more."""
+
     async def scene():
         async with AsyncExitStack() as stack:
             slow = [Cache("stall") for _ in range(4)]
@@ -518,12 +648,22 @@
 # -- the scan
 
 SCANNED = [
-    *sorted((ROOT / "gaugehinge/net").glob("*.py")), *sorted((ROOT / "gaugehinge/simhost").glob("*.py")),
+    *sorted((ROOT / "gaugehinge/net").glob("*.py")),
+    *sorted((ROOT / "gaugehinge/simhost").glob("*.py")),
     *(ROOT / "gaugehinge" / name for name in ("policy.py", "charter.py", "terms.py")),
 ]
 # Constructors whose results nobody can change, or that make a value for each instance.
 UNCHANGING = {
-    "auto", "field", "re.compile", "TypeVar", "float", "int", "frozenset", "tuple", "object", "Answer",
+    "auto",
+    "field",
+    "re.compile",
+    "TypeVar",
+    "float",
+    "int",
+    "frozenset",
+    "tuple",
+    "object",
+    "Answer",
 }
 HARMLESS = {
     "charter.EFFECTS": "the operators' words for effects, read only: the test of that is below",
@@ -589,17 +729,37 @@
     assert found == set(HARMLESS), (sorted(found - set(HARMLESS)), sorted(set(HARMLESS) - found))
 
 
-@pytest.mark.parametrize("source", [
-    "X = []", "X = {}", "X: dict = {1: 2}", "X = set()", "X = bytearray(9)", "X = memoryview(b'')", "X = y.z",
-    "X = Router(1)", "X = [n for n in y]", "X, Y = [], 1", "class A:\n    x = []",
-    "class A:\n    x: list = []", "if a:\n    X = []", "try:\n    X = {}\nfinally:\n    pass",
-    "def f(a=[]):\n    pass",
-    "X = y = {}",
-    "def f(*, a={}):\n    pass", "@lru_cache\ndef f():\n    pass", "@functools.cache\ndef f():\n    pass",
-    "X = 1\ndef f():\n    global X\n    X = 2", "X = (1, [])", "X = itertools.count()", "with a:\n    X = {}",
-    "class A:\n    class B:\n        x = deque()", "class A:\n    def f(self, a=[]):\n        pass",
-    "def f():\n    def g():\n        global X",
-])
+@pytest.mark.parametrize(
+    "source",
+    [
+        "X = []",
+        "X = {}",
+        "X: dict = {1: 2}",
+        "X = set()",
+        "X = bytearray(9)",
+        "X = memoryview(b'')",
+        "X = y.z",
+        "X = Router(1)",
+        "X = [n for n in y]",
+        "X, Y = [], 1",
+        "class A:\n    x = []",
+        "class A:\n    x: list = []",
+        "if a:\n    X = []",
+        "try:\n    X = {}\nfinally:\n    pass",
+        "def f(a=[]):\n    pass",
+        "X = y = {}",
+        "def f(*, a={}):\n    pass",
+        "@lru_cache\ndef f():\n    pass",
+        "@functools.cache\ndef f():\n    pass",
+        "X = 1\ndef f():\n    global X\n    X = 2",
+        "X = (1, [])",
+        "X = itertools.count()",
+        "with a:\n    X = {}",
+        "class A:\n    class B:\n        x = deque()",
+        "class A:\n    def f(self, a=[]):\n        pass",
+        "def f():\n    def g():\n        global X",
+    ],
+)
 def test_the_scan_finds_what_is_planted(source):
     assert mutables(source), source
 
@@ -626,8 +786,10 @@
     lines = (ROOT / "gaugehinge/door/turnstile.py").read_text().splitlines()
     uses = [line.strip() for line in lines if re.search(r"\bSPACE\b|\b_space\b", line)]
     assert uses == [
-        "from ..net.sockets import SPACE", "self._space = SPACE[:READ_MOST]",
-        "size = client.raw.recv_into(self._space)", "if size == len(self._space) or number in self._ending:",
+        "from ..net.sockets import SPACE",
+        "self._space = SPACE[:READ_MOST]",
+        "size = client.raw.recv_into(self._space)",
+        "if size == len(self._space) or number in self._ending:",
         "data = bytes(self._space[:size])",
     ]
     between = "\n".join(lines).partition("recv_into")[2].partition("bytes(self._space")[0]
@@ -714,21 +876,46 @@
 
 
 FIGURES = {
-    "allowed": {"connectTimeoutUs": 300_000, "connIdleUs": 5_000_000, "openCap": 100, "mostLegs": 3,
-                "retryAfter": True, "maxRetryAfterUs": 400_000, "maxStreams": 2},
-    "granularityUs": 2000, "me": 1, "replicasOfMe": 3, "beyondSharePayoff": 0.5,
-    "rules": {"coldFrom": 0.2, "coldUs": 3_000_000, "fallMultiple": 2.5, "fallUs": 500_000,
-              "askWithinUs": 7_000_000},
+    "allowed": {
+        "connectTimeoutUs": 300_000,
+        "connIdleUs": 5_000_000,
+        "openCap": 100,
+        "mostLegs": 3,
+        "retryAfter": True,
+        "maxRetryAfterUs": 400_000,
+        "maxStreams": 2,
+    },
+    "granularityUs": 2000,
+    "me": 1,
+    "replicasOfMe": 3,
+    "beyondSharePayoff": 0.5,
+    "rules": {
+        "coldFrom": 0.2,
+        "coldUs": 3_000_000,
+        "fallMultiple": 2.5,
+        "fallUs": 500_000,
+        "askWithinUs": 7_000_000,
+    },
     "prices": {"crossZone": 0.1, "handshake": 0.2},
     "parties": [{"name": "a", "share": 0.3, "allowancePerS": 7.0}],
-    "trafficTypes": [{"name": "b", "effect": "by_key", "group": "all", "windowUs": 800_000, "payoff": 2.0,
-                      "promisedTimeUs": 600_000, "overduePayoff": 0.3, "abandonTimeUs": 900_000}],
+    "trafficTypes": [
+        {
+            "name": "b",
+            "effect": "by_key",
+            "group": "all",
+            "windowUs": 800_000,
+            "payoff": 2.0,
+            "promisedTimeUs": 600_000,
+            "overduePayoff": 0.3,
+            "abandonTimeUs": 900_000,
+        }
+    ],
 }
 
 
 def changes(told, path=()):
     """A copy of the settings for each figure in them, with that one lower."""
-    for place, value in (told.items() if isinstance(told, dict) else enumerate(told)):
+    for place, value in told.items() if isinstance(told, dict) else enumerate(told):
         if isinstance(value, (dict, list)):
             yield from changes(value, (*path, place))
         elif isinstance(value, (int, float)) and not isinstance(value, bool):
@@ -858,5 +1045,3 @@
     assert (router.used[0], router.came[0], router.tokens[0]) == (0.0, 0, 1.0)
     assert (router.used[1], router.came[1], router.tokens[1]) == kept
     assert not router.peers and not router.elsewhere  # a peer told of the one before
-
-
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -61,15 +61,21 @@
 
 def play(scene, monkeypatch, seed: int = 1, near: bool = False):
     """A discovery that heard its first list, before a played service, on a clock that jumps."""
+
     async def main():
         service = Service(trio.current_time)
         monkeypatch.setattr(module, "Watch", lambda where, deadlines: service)
         heard, failed = [], []
         async with trio.open_nursery() as nursery:
             made = Discovery(
-                nursery, Deadlines(trio.current_time), ("127.0.0.1", 1), 0,
+                nursery,
+                Deadlines(trio.current_time),
+                ("127.0.0.1", 1),
+                0,
                 lambda update: heard.append((trio.current_time(), update.rev)),
-                lambda: failed.append(trio.current_time()), seed, near,
+                lambda: failed.append(trio.current_time()),
+                seed,
+                near,
             )
             made.follow()
             await scene(service, heard, failed)
@@ -81,6 +87,7 @@
 @pytest.mark.parametrize("times", [1, 2])
 def test_news_behind_a_silence_arrives_before_it_counts_as_told(monkeypatch, times):
     for seed in range(40):
+
         async def scene(service, heard, failed, seed=seed):
             await trio.sleep(5.0 + seed * 0.13)
             last, wait = service.calls[-1]
@@ -101,6 +108,7 @@
 def test_many_that_fall_silent_in_one_instant_do_not_come_back_in_one(monkeypatch):
     back = []
     for seed in range(200):
+
         async def scene(service, heard, failed):
             await trio.sleep(1.0)
             service.tell()  # wakes all of a fleet: from here on their calls go out together
@@ -150,9 +158,22 @@
     """Each call of a kind is silent in its way once, then the list comes, indented and in pieces."""
     monkeypatch.setattr(module, "FIRST_SILENCE", 0.3)
     monkeypatch.setattr(module, "AGAIN_SILENCE", 0.3)
-    told = {"rev": 5, "all": True, "targets": [
-        {"uid": "s-9", "endpoint": "127.0.0.1:9", "az": "a", "model": "std", "pod_group": 0, "state": "ready",
-         "capacity_hint": 1.0, "boot_ms": 0}]}
+    told = {
+        "rev": 5,
+        "all": True,
+        "targets": [
+            {
+                "uid": "s-9",
+                "endpoint": "127.0.0.1:9",
+                "az": "a",
+                "model": "std",
+                "pod_group": 0,
+                "state": "ready",
+                "capacity_hint": 1.0,
+                "boot_ms": 0,
+            }
+        ],
+    }
     body = json.dumps(told, indent=4).encode()
     calls = []
 
@@ -176,8 +197,14 @@
             deadlines = Deadlines(trio.current_time)
             nursery.start_soon(deadlines.run)
             [listener] = await nursery.start(partial(trio.serve_tcp, silent_at_first, 0, host="127.0.0.1"))
-            made = Discovery(nursery, deadlines, listener.socket.getsockname(), 1, heard.append,
-                             lambda: (failed.append(1), made.follow()))
+            made = Discovery(
+                nursery,
+                deadlines,
+                listener.socket.getsockname(),
+                1,
+                heard.append,
+                lambda: (failed.append(1), made.follow()),
+            )
             made.follow()
             with trio.fail_after(60):
                 while not heard:
@@ -198,8 +225,16 @@
         asked.append(target)
         if "index" in target:
             return "stall"
-        entry = {"uid": "s-0", "state": "draining", "endpoint": "127.0.0.1:9", "az": "a", "model": "std",
-                 "pod_group": 0, "capacity_hint": 1.0, "boot_ms": 0}
+        entry = {
+            "uid": "s-0",
+            "state": "draining",
+            "endpoint": "127.0.0.1:9",
+            "az": "a",
+            "model": "std",
+            "pod_group": 0,
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+        }
         return 200, "", json.dumps({"rev": 9, "all": True, "targets": [entry]}).encode()
 
     async def main():
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -161,7 +161,9 @@
         many.serve(1)
     assert not many.queue.lines[0].newest_first
     assert [text.split(":")[0] for text in many.queue.log] == [
-        "door line 0 newest first", "door line 0 oldest first"]
+        "door line 0 newest first",
+        "door line 0 oldest first",
+    ]
 
 
 def test_the_tenant_furthest_beyond_its_weight_yields_its_least_payoff():
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -458,7 +458,11 @@
         deadlines = Deadlines(clock)
         nursery.start_soon(deadlines.run)
         pool = Pool(
-            nursery, deadlines, 100, 1.0, 60.0,
+            nursery,
+            deadlines,
+            100,
+            1.0,
+            60.0,
             lambda attempt, outcome, *rest: ended.append((attempt, outcome)),
         )
         port = next(x for x in listeners if x.socket.family == socket.AF_INET).socket.getsockname()[1]
--- a/tests/test_drains_model.py
+++ b/tests/test_drains_model.py
@@ -125,7 +125,10 @@
     run_state_machine_as_test(
         Days,
         settings=settings(
-            max_examples=60, stateful_step_count=60, deadline=None, derandomize=True,
+            max_examples=60,
+            stateful_step_count=60,
+            deadline=None,
+            derandomize=True,
             phases=[Phase.generate, Phase.shrink],
         ),
     )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -151,15 +151,25 @@
         made = Stage(nursery, tmp_path, caches, origin)
         for i, each in enumerate([*caches, origin]):
             kind = "origin" if each is origin else "std"
-            made.targets.append({
-                "uid": f"s-{i}", "endpoint": await made.stand(each.serve, getattr(each, "room", 0)),
-                "az": "a", "model": kind, "pod_group": 0, "state": "ready", "capacity_hint": 1.0,
-                "boot_ms": 1000,
-            })
+            made.targets.append(
+                {
+                    "uid": f"s-{i}",
+                    "endpoint": await made.stand(each.serve, getattr(each, "room", 0)),
+                    "az": "a",
+                    "model": kind,
+                    "pod_group": 0,
+                    "state": "ready",
+                    "capacity_hint": 1.0,
+                    "boot_ms": 1000,
+                }
+            )
         made.config = {
-            "name": "n0", "listen": f"127.0.0.1:{free_port()}",
-            "discovery": await made.stand(made.directory.serve), "seed": "0a",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": settings,
+            "name": "n0",
+            "listen": f"127.0.0.1:{free_port()}",
+            "discovery": await made.stand(made.directory.serve),
+            "seed": "0a",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+            "settings": settings,
             "known": {"rev": 1, "all": True, "targets": made.targets},
         }
         yield made
@@ -237,10 +247,13 @@
 
 def test_the_new_process_hears_the_peers_of_the_old_one_and_only_them(tmp_path):
     """What a peer tells is a whole table of this deployment's tenants, or nothing."""
+
     async def scene():
         async with staged(tmp_path) as made:
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer, \
-                    socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+            with (
+                socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer,
+                socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger,
+            ):
                 for each in (peer, stranger):
                     each.bind(("127.0.0.1", 0))
                 own = f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}"
@@ -258,8 +271,15 @@
                 assert new.error is None, new.error
                 router = new.service.dispatch.router
                 assert not router.peers
-                bad = [b"", b"x", b"x" * 300, struct.pack("<ff", 3.0, 4.0), struct.pack("<f", -1.0),
-                       struct.pack("<f", float("nan")), struct.pack("<f", float("inf"))]
+                bad = [
+                    b"",
+                    b"x",
+                    b"x" * 300,
+                    struct.pack("<ff", 3.0, 4.0),
+                    struct.pack("<f", -1.0),
+                    struct.pack("<f", float("nan")),
+                    struct.pack("<f", float("inf")),
+                ]
                 for payload in bad:
                     peer.sendto(stamp + payload, where)
                 stranger.sendto(stamp + struct.pack("<f", 5.0), where)
@@ -273,6 +293,7 @@
 
 def test_a_peer_of_the_old_settings_tells_no_rate_of_another_tenant(tmp_path):
     """The tenants' order differs, their count does not: one's rate must not count as the other's."""
+
     def of(names) -> dict:
         parties = [{"name": name, "share": 0.5, "allowancePerS": 50.0} for name in names]
         return {**SETTINGS, "parties": parties}
@@ -283,7 +304,9 @@
             peers = [first, second]
             new = await made.start(peer_listen=first, peers=peers, settings=of(["acme", "bolt"]))
             behind = await made.start(
-                peer_listen=second, peers=peers, listen=f"127.0.0.1:{free_port()}",
+                peer_listen=second,
+                peers=peers,
+                listen=f"127.0.0.1:{free_port()}",
                 settings={**of(["bolt", "acme"]), "me": 1},
             )
             client, dispatch = await behind.client(), behind.service.dispatch
@@ -402,13 +425,23 @@
 
 
 KNOWN = {
-    "absent": "absent", "null": None, "text": "x", "row": [], "nought": 0, "false": False, "bare": {},
-    "no targets": {"rev": 3, "all": True}, "rev that is no number": {"rev": "x", "all": True, "targets": []},
+    "absent": "absent",
+    "null": None,
+    "text": "x",
+    "row": [],
+    "nought": 0,
+    "false": False,
+    "bare": {},
+    "no targets": {"rev": 3, "all": True},
+    "rev that is no number": {"rev": "x", "all": True, "targets": []},
     "entry with no endpoint": {"rev": 3, "all": True, "targets": [{"uid": "s-0", "state": "ready"}]},
     "entry with a name": {"rev": 3, "all": True, "targets": [{"uid": "s-0", "endpoint": "host:1"}]},
     "entry with no uid": {"rev": 3, "all": True, "targets": [{"endpoint": "127.0.0.1:1"}]},
-    "boot_ms below nought": {"rev": 3, "all": True, "targets": [
-        {"uid": "s-0", "endpoint": "127.0.0.1:1", "boot_ms": -5}]},
+    "boot_ms below nought": {
+        "rev": 3,
+        "all": True,
+        "targets": [{"uid": "s-0", "endpoint": "127.0.0.1:1", "boot_ms": -5}],
+    },
     "empty": {"rev": 3, "all": True, "targets": []},
 }
 
@@ -478,8 +511,10 @@
 async def change(made: Stage, new: Running, number: int, how: str, rev: int = 2) -> None:
     """Tell a change of one server and wait until it was heard."""
     changes = {
-        "draining": {"state": "draining"}, "gone": {"state": "gone"},
-        "anew": {"boot_ms": time.time() * 1000}, "moved": {"endpoint": made.targets[1 - number]["endpoint"]},
+        "draining": {"state": "draining"},
+        "gone": {"state": "gone"},
+        "anew": {"boot_ms": time.time() * 1000},
+        "moved": {"endpoint": made.targets[1 - number]["endpoint"]},
     }[how]
     made.directory.tell(rev, [made.listed(number, **changes)], whole=False)
     await until(lambda: rev in new.heard)
@@ -524,7 +559,7 @@
             let_go.set()
             reply = await client.answer()
             assert reply.startswith((b"$", b"-BUSY")), reply
-            assert made.seen()[0] == before[0], made.caches[0].commands[before[0]:]
+            assert made.seen()[0] == before[0], made.caches[0].commands[before[0] :]
             assert await client.ask("PING") == b"+PONG\r\n"  # one final answer
 
     play(scene)
@@ -571,9 +606,12 @@
             new = await made.start()
             client, pool = await new.client(), new.service.pool
             await client.send("KV.SET", "k", "big-1", f"c={kind},t=acme,d=4000", b"v" * 60_000)
-            await until(lambda: any(
-                each.connection is not None and not each.connection.written for each in pool.pending.values()
-            ))
+            await until(
+                lambda: any(
+                    each.connection is not None and not each.connection.written
+                    for each in pool.pending.values()
+                )
+            )
             await until(lambda: slow.connections == 1)
             [pending] = pool.pending.values()
             line = pending.connection
@@ -652,6 +690,7 @@
 @pytest.mark.parametrize("when", ["before", "with", "behind"])
 def test_a_list_of_the_former_discovery_does_not_undo_that_of_the_new_one(tmp_path, when):
     """The old watch is answered before the order is read, in the same step, or behind the new list."""
+
     async def scene():
         async with staged(tmp_path) as made:
             new = await made.start()
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -262,7 +262,9 @@
     history = [*served(0.0), *served(0.5, outcome="bounced"), *served(2.1, tenant="bolt"), *served(2.2)[:1]]
     told = figures.windows(history, 1.0)
     assert [(w.sent, w.settled, w.bounced, w.lost, w.share) for w in told] == [
-        (2, 1, 1, 0, 0.5), (0, 0, 0, 0, 1.0), (2, 1, 0, 1, 0.5),
+        (2, 1, 1, 0, 0.5),
+        (0, 0, 0, 0, 1.0),
+        (2, 1, 0, 1, 0.5),
     ]
     assert {w.group for w in figures.windows(history, 1.0, by="tenant")} == {"acme", "bolt"}
     assert figures.totals(history, since=2.0)["all"].sent == 2
@@ -283,10 +285,13 @@
 
 def test_peaks_and_times():
     history = [
-        Connections(0.0, "origin", "origin", 5), Connections(0.4, "origin", "origin", 9),
+        Connections(0.0, "origin", "origin", 5),
+        Connections(0.4, "origin", "origin", 9),
         Connections(0.6, "origin", "origin", 3),
         Attempt(1.2, "s", "server-0", "a", "x", "k", False, cold=True),
-        Attempt(1.3, "s", "server-0", "a", "x", "k", False), *served(0.1, 0.2), *served(0.2, 0.4),
+        Attempt(1.3, "s", "server-0", "a", "x", "k", False),
+        *served(0.1, 0.2),
+        *served(0.2, 0.4),
     ]
     first, second = figures.peaks(history, 1.0)
     assert first.connections == {"origin": 9} and second.connections == {"origin": 3}
@@ -318,6 +323,7 @@
 
 def test_builds_with_a_fault_are_found_and_what_cannot_be_played_is_told(tmp_path, capsys):
     """Each router of the company but one, and the keeper, has a fault of its own."""
+
     async def all_of_them():
         summary = await plays.run_many(["broken"], [1, 2], 2, tmp_path)
         summary.played += (await plays.run_many(["nowhere"], [1], 1, tmp_path)).played
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -177,7 +177,8 @@
     assert seen(overlay.hear_list(ListUpdate(5, False, (listed("a", up, 9.0),)))) == {"a": draining}
     # A whole list does not forget it either; an order of a server that nobody lists says nothing yet.
     assert seen(overlay.hear_list(ListUpdate(6, True, (listed("a", up), listed("b", up))))) == {
-        "a": draining, "b": up,
+        "a": draining,
+        "b": up,
     }
     assert overlay.order(frozenset("az")) is None and seen(overlay.order(frozenset("z"))) == {"a": up}
 
@@ -283,13 +284,18 @@
             client = await made.client(0)
             assert (await client.ask("KV.GET", "k", "i0", "c=read,d=2000")).startswith(b"-ERR auth")
             # In one piece: what stands behind AUTH is taken as the tenant's, in order.
-            await client.stream.send_all(b"".join(
-                b"*%d\r\n" % len(words) + b"".join(map(bulk, words)) for words in (
-                    [b"PING"], [b"AUTH", b"acme", acme.encode()],
-                    [b"KV.SET", b"k", b"i1", b"c=put,d=2000", b"of acme"],
-                    [b"AUTH", b"wrong"], [b"KV.GET", b"k", b"i2", b"c=read,d=2000"],
+            await client.stream.send_all(
+                b"".join(
+                    b"*%d\r\n" % len(words) + b"".join(map(bulk, words))
+                    for words in (
+                        [b"PING"],
+                        [b"AUTH", b"acme", acme.encode()],
+                        [b"KV.SET", b"k", b"i1", b"c=put,d=2000", b"of acme"],
+                        [b"AUTH", b"wrong"],
+                        [b"KV.GET", b"k", b"i2", b"c=read,d=2000"],
+                    )
                 )
-            ))
+            )
             found = [await client.answer() for _ in range(5)]
             assert found[:2] == [b"+PONG\r\n", b"+OK\r\n"] and found[2].startswith(b"$")
             assert found[3].startswith(b"-WRONGPASS") and found[4] == b"$7\r\nof acme\r\n"
@@ -298,7 +304,8 @@
             assert await other.ask("KV.GET", "k", "i2", "c=read,d=2000") == b"$0\r\n\r\n"
             assert (await other.ask("AUTH")).startswith(b"-ERR wrong number")
             assert {(seen.key, seen.labels["t"]) for seen in made.shelves.seen} == {
-                (b"1/k", "acme"), (b"2/k", "bolt"),
+                (b"1/k", "acme"),
+                (b"2/k", "bolt"),
             }
 
     run(scene)
@@ -308,7 +315,8 @@
     async def scene():
         port = Ports(23).free(["127.0.0.1"])
         commands = (
-            CommandEntry("GET", "read"), CommandEntry("SET", "put", write=True, least=2, most=2),
+            CommandEntry("GET", "read"),
+            CommandEntry("SET", "put", write=True, least=2, most=2),
             CommandEntry("MGET", "read", keys="all", joined="list", most=8),
             CommandEntry("MSET", "put", write=True, keys="pairs", joined="ok", least=2, most=8),
         )
@@ -373,6 +381,7 @@
 
             assert await told() == {b"$0\r\n\r\n"}
             async with made.desk() as desk:
+
                 async def tell(method, end="", body=None):
                     etag = (await desk.get("/v1/tenants/acme")).headers["etag"]
                     reply = await desk.request(
@@ -416,7 +425,8 @@
             # Its tombstone keeps the place, so that figures of the two do not mix.
             roster = made.followers[0].roster
             assert {b.incarnation: (b.place, b.stage.value) for b in roster.by_place.values()} == {
-                1: (0, "leaving"), 2: (1, "active"),
+                1: (0, "leaving"),
+                2: (1, "active"),
             }
             assert (await client.ask("KV.GET", "k", "i2", "c=read,d=2000")).startswith(b"-ERR auth")
             assert (await (await made.client(0)).ask("AUTH", "acme", old)).startswith(b"-WRONGPASS")
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -87,7 +87,8 @@
         await again.send_all(b"b")
         assert await answer(again) == b"B"
         assert [(one, other, fault.state) for one, other, fault in told] == [
-            ("router-0", "server-0", State.REFUSED), ("router-0", "server-0", State.UP),
+            ("router-0", "server-0", State.REFUSED),
+            ("router-0", "server-0", State.UP),
         ]
 
     run(scene)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -129,7 +129,15 @@
 
 
 def attempt(
-    number, began=1.0, ended=1.05, ran=True, uid="origin", router=0, mark="", kind="book", how="write",
+    number,
+    began=1.0,
+    ended=1.05,
+    ran=True,
+    uid="origin",
+    router=0,
+    mark="",
+    kind="book",
+    how="write",
 ):
     return ["leg", uid, router, b"%016x" % number, ZERO + began, ZERO + ended, how, ran, mark, False, kind]
 
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -16,7 +16,10 @@
 
 OLD = SETTINGS
 NEW = {
-    **SETTINGS, "az": "a", "failureDomains": ["a"], "weights": "rough",
+    **SETTINGS,
+    "az": "a",
+    "failureDomains": ["a"],
+    "weights": "rough",
     "report": {"source": "inline", "names": ["active", "rps"]},
     "prices": {"handshake": 0.08, "crossZone": 0.2},
     "allowed": {**SETTINGS["allowed"], "maxStreams": 1, "probes": False, "peers": False},
@@ -78,8 +81,10 @@
         rules = SETTINGS["rules"]
         most = rules["fallMultiple"] * rules["coldFrom"] * self.warm  # in its first second
         found = {
-            "answers": not whole, "effects": any(count > 1 for count in self.effects.values()),
-            "drain": self.after_drain > 0, "cold": self.at_cold > most,
+            "answers": not whole,
+            "effects": any(count > 1 for count in self.effects.values()),
+            "drain": self.after_drain > 0,
+            "cold": self.at_cold > most,
         }
         return [name for name, wrong in found.items() if wrong]
 
@@ -160,19 +165,25 @@
         assert both.share(kind) > STARVED * alone[kind].share(kind) > 0.3
 
 
-@pytest.mark.parametrize("rule, name, wrong", [
-    ("effects", "_may_repeat", lambda self, operation, now: True),
-    ("drain", "_hear_server", None),
-    ("cold", "_may_take", None),
-])
+@pytest.mark.parametrize(
+    "rule, name, wrong",
+    [
+        ("effects", "_may_repeat", lambda self, operation, now: True),
+        ("drain", "_hear_server", None),
+        ("cold", "_may_take", None),
+    ],
+)
 def test_the_mixed_test_sees_a_rule_that_is_broken(tmp_path, monkeypatch, rule, name, wrong):
     right = getattr(Router, name)
     if name == "_hear_server":
+
         def wrong(self, listing, now):
             right(self, listing._replace(presence=type(listing.presence).UP), now)
     elif name == "_may_take":
+
         def wrong(self, cache, operation, key):
             return cache not in operation.tried and cache.share < 1.0 or right(self, cache, operation, key)
+
     monkeypatch.setattr(Router, name, wrong)
     if name == "_may_repeat":
         monkeypatch.setattr(Router, "_drops_repeats", lambda self, cache, operation: True)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -90,7 +90,10 @@
             await client.send("KV.GET", "k2", "b", "c=read,d=4000")
             await client.send("PING")
             assert [await client.answer() for _ in range(3)] == [
-                b"$5\r\nof k1\r\n", b"$5\r\nof k2\r\n", b"+PONG\r\n"]
+                b"$5\r\nof k1\r\n",
+                b"$5\r\nof k2\r\n",
+                b"+PONG\r\n",
+            ]
 
     run(scene)
 
@@ -217,10 +220,17 @@
 TURNED = (503, "X-Turned-Away: 1\r\n", b"")
 
 
-@pytest.mark.parametrize("told, ran", [
-    *[(mode, True) for mode in FAILURES], ((500, "", b""), True), ((503, "", b""), True),
-    ((404, "", b""), True), ((200, "", b"v" * (MOST_ANSWER + 1)), True), (TURNED, False),
-])
+@pytest.mark.parametrize(
+    "told, ran",
+    [
+        *[(mode, True) for mode in FAILURES],
+        ((500, "", b""), True),
+        ((503, "", b""), True),
+        ((404, "", b""), True),
+        ((200, "", b"v" * (MOST_ANSWER + 1)), True),
+        (TURNED, False),
+    ],
+)
 def test_what_may_have_run_once_is_never_sent_twice_nor_called_harmless(tmp_path, told, ran):
     async def scene():
         async with fleet(tmp_path, origin=lambda *call: told) as made:
@@ -463,8 +473,16 @@
     run(scene)
 
 
-@pytest.mark.parametrize("bad", [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n:1\r\n", b"*0\r\n", b"+PING\r\n",
-                                 b"*5\r\n$6\r\nKV.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$1\r\nl\r\n$70000\r\n"])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"*1\r\n:1\r\n",
+        b"*0\r\n",
+        b"+PING\r\n",
+        b"*5\r\n$6\r\nKV.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$1\r\nl\r\n$70000\r\n",
+    ],
+)
 @both
 def test_malformed_input_gets_an_error_and_the_end(tmp_path, bad):
     async def scene():
@@ -477,14 +495,24 @@
     run(scene)
 
 
-@pytest.mark.parametrize("words", [
-    ["FLUSHALL"], ["HELLO", "3"], ["KV.GET", "k"], ["KV.GET", "k", "i", "d=5", "x"],
-    ["KV.GET", "k", "i", "c=no,d=5"],
-    ["KV.GET", "k", "i", "c=read"], ["KV.GET", "k", "i", "c=read,d=-5"], ["KV.GET", "k", "i", "nonsense"],
-    ["KV.GET", "k", "i", "c=read,d=5,x=a\r\nX-Evil: 1"], ["KV.GET", "k", "i d", "c=read,d=5"],
-    ["KV.SET", "k", "i", "c=mark,d=5", "v"], ["KV.GET", "k", "i", "c=read,d=\xb2"],
-    ["kv.get", "k", "i", "c=read,d=5"],
-])
+@pytest.mark.parametrize(
+    "words",
+    [
+        ["FLUSHALL"],
+        ["HELLO", "3"],
+        ["KV.GET", "k"],
+        ["KV.GET", "k", "i", "d=5", "x"],
+        ["KV.GET", "k", "i", "c=no,d=5"],
+        ["KV.GET", "k", "i", "c=read"],
+        ["KV.GET", "k", "i", "c=read,d=-5"],
+        ["KV.GET", "k", "i", "nonsense"],
+        ["KV.GET", "k", "i", "c=read,d=5,x=a\r\nX-Evil: 1"],
+        ["KV.GET", "k", "i d", "c=read,d=5"],
+        ["KV.SET", "k", "i", "c=mark,d=5", "v"],
+        ["KV.GET", "k", "i", "c=read,d=\xb2"],
+        ["kv.get", "k", "i", "c=read,d=5"],
+    ],
+)
 @both
 def test_a_command_that_cannot_be_taken_gets_an_error_and_the_connection_goes_on(tmp_path, words):
     async def scene():
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -22,10 +22,17 @@
 from tests.helper import SETTINGS
 
 MESSAGES = [
-    b"*4\r\n$6\r\nKV.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$9\r\nc=x,d=480\r\n", b"+PONG\r\n", b"-BUSY 40\r\n",
+    b"*4\r\n$6\r\nKV.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$9\r\nc=x,d=480\r\n",
+    b"+PONG\r\n",
+    b"-BUSY 40\r\n",
     b":-7\r\n",
-    b"$0\r\n\r\n", b"$-1\r\n", b"*-1\r\n", b"*0\r\n", b"*3\r\n$-1\r\n$4\r\nmiss\r\n*1\r\n:1\r\n",
-    b"$5\r\na\r\nb\n\r\n", b"$65536\r\n" + b"v" * 65536 + b"\r\n",
+    b"$0\r\n\r\n",
+    b"$-1\r\n",
+    b"*-1\r\n",
+    b"*0\r\n",
+    b"*3\r\n$-1\r\n$4\r\nmiss\r\n*1\r\n:1\r\n",
+    b"$5\r\na\r\nb\n\r\n",
+    b"$65536\r\n" + b"v" * 65536 + b"\r\n",
 ]
 
 
@@ -59,32 +66,56 @@
         assert found == told
 
 
-@pytest.mark.parametrize("bad", [
-    b"GET / HTTP/1.1\r\n", b"$x\r\n", b"$-2\r\n", b"$+5\r\nhello\r\n", b"$005\r\nhello\r\n",
-    b"*01\r\n$1\r\nv\r\n", b"$65537\r\n", b"$99999999999999\r\n",
-    b"$3\r\nabcd\r\n", b"*17\r\n", b"*1\r\n*1\r\n*1\r\n:1\r\n", b":1_0\r\n", b"\x00", b"+" + b"x" * 2000,
-    b"*9\r\n" + 8 * (b"$65000\r\n" + b"v" * 65000 + b"\r\n"),
-])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"GET / HTTP/1.1\r\n",
+        b"$x\r\n",
+        b"$-2\r\n",
+        b"$+5\r\nhello\r\n",
+        b"$005\r\nhello\r\n",
+        b"*01\r\n$1\r\nv\r\n",
+        b"$65537\r\n",
+        b"$99999999999999\r\n",
+        b"$3\r\nabcd\r\n",
+        b"*17\r\n",
+        b"*1\r\n*1\r\n*1\r\n:1\r\n",
+        b":1_0\r\n",
+        b"\x00",
+        b"+" + b"x" * 2000,
+        b"*9\r\n" + 8 * (b"$65000\r\n" + b"v" * 65000 + b"\r\n"),
+    ],
+)
 def test_what_is_not_the_protocol_is_malformed(bad):
     parser = resp.Parser()
     with pytest.raises(resp.Malformed):
         for start in range(0, len(bad), 32768):
-            parser.feed(bad[start:start + 32768])
+            parser.feed(bad[start : start + 32768])
             parse_all(parser)
 
 
-@pytest.mark.parametrize("answer, outcome, value", [
-    (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n", Outcome.SETTLED, b"$1\r\nv\r\n"),
-    (b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", Outcome.SETTLED, b"$0\r\n\r\n"),
-    (b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n", Outcome.MISSED, None),
-    (b"-ERR failed\r\n", Outcome.ERRORED, None), (b"-ERR failed inflight=7\r\n", Outcome.ERRORED, None),
-    (b"-BUSY\r\n", Outcome.TURNED_AWAY, None), (b"-BUSYNESS\r\n", Outcome.ERRORED, None),
-    (b"-NOPERM\r\n", Outcome.ERRORED, None),
-    (b"+OK\r\n", None, None), (b":1\r\n", None, None), (b"$1\r\nv\r\n", None, None), (b"*0\r\n", None, None),
-    (b"*-1\r\n", None, None), (b"*1\r\n:1\r\n", None, None),
-    (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n:8\r\n", Outcome.SETTLED, b"$1\r\nv\r\n"),
-    (b"*3\r\n$1\r\nv\r\n:1\r\n$-1\r\n", None, None), (b"*2\r\n$1\r\nv\r\n$3\r\nhit\r\n", None, None),
-])
+@pytest.mark.parametrize(
+    "answer, outcome, value",
+    [
+        (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n", Outcome.SETTLED, b"$1\r\nv\r\n"),
+        (b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", Outcome.SETTLED, b"$0\r\n\r\n"),
+        (b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n", Outcome.MISSED, None),
+        (b"-ERR failed\r\n", Outcome.ERRORED, None),
+        (b"-ERR failed inflight=7\r\n", Outcome.ERRORED, None),
+        (b"-BUSY\r\n", Outcome.TURNED_AWAY, None),
+        (b"-BUSYNESS\r\n", Outcome.ERRORED, None),
+        (b"-NOPERM\r\n", Outcome.ERRORED, None),
+        (b"+OK\r\n", None, None),
+        (b":1\r\n", None, None),
+        (b"$1\r\nv\r\n", None, None),
+        (b"*0\r\n", None, None),
+        (b"*-1\r\n", None, None),
+        (b"*1\r\n:1\r\n", None, None),
+        (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n:8\r\n", Outcome.SETTLED, b"$1\r\nv\r\n"),
+        (b"*3\r\n$1\r\nv\r\n:1\r\n$-1\r\n", None, None),
+        (b"*2\r\n$1\r\nv\r\n$3\r\nhit\r\n", None, None),
+    ],
+)
 def test_a_cache_servers_answer_by_the_table(answer, outcome, value):
     parser = resp.Parser()
     parser.feed(answer)
@@ -117,7 +148,7 @@
             talk.answer(bad)
     odd = b"HTTP/1.1 103 Wait\r\nx-pressure: \x01\r\n\r\n"
     odd += whole.replace(b"\r\n", b"\r\nX-Pressure:\x00=\xff\r\n", 1)
-    for pieces in ([odd], [odd[i:i + 1] for i in range(len(odd))]):
+    for pieces in ([odd], [odd[i : i + 1] for i in range(len(odd))]):
         talk = Talk(100)
         talk.request("GET", "/k", [("Host", b"h")])
         answers = [talk.answer(piece) for piece in pieces]
@@ -189,34 +220,55 @@
     assert len(deadlines) < 200 and kept.action is print
 
 
-ENTRY = {"uid": "s-1", "endpoint": "127.0.0.1:6379", "az": "a", "model": "m", "pod_group": 3,
-         "state": "ready", "boot_ms": 1500}
+ENTRY = {
+    "uid": "s-1",
+    "endpoint": "127.0.0.1:6379",
+    "az": "a",
+    "model": "m",
+    "pod_group": 3,
+    "state": "ready",
+    "boot_ms": 1500,
+}
 
 
 def test_a_server_is_the_same_in_the_ring_wherever_it_is_reached():
     here = read_list_update({"rev": 4, "all": True, "targets": [ENTRY]}).targets[0]
-    there = read_list_update({"rev": 9, "all": False, "targets": [
-        {"uid": "s-0", "endpoint": "127.0.0.1:1"}, {**ENTRY, "endpoint": "127.9.9.9:7000"}]}).targets[1]
+    there = read_list_update(
+        {
+            "rev": 9,
+            "all": False,
+            "targets": [{"uid": "s-0", "endpoint": "127.0.0.1:1"}, {**ENTRY, "endpoint": "127.9.9.9:7000"}],
+        }
+    ).targets[1]
     other = read_list_update({"rev": 9, "all": False, "targets": [{**ENTRY, "uid": "s-2"}]}).targets[0]
     assert here.listing == there.listing and here.address != there.address
     assert here.listing.started == 1.5 and other.listing.ident != here.listing.ident
 
 
 def test_an_unknown_state_gets_nothing_new_and_a_server_gone_needs_no_endpoint():
-    told = read_list_update({"rev": 4, "all": False, "targets": [
-        {**ENTRY, "state": "resting"}, {"uid": "s-9", "state": "gone"}]})
+    told = read_list_update(
+        {"rev": 4, "all": False, "targets": [{**ENTRY, "state": "resting"}, {"uid": "s-9", "state": "gone"}]}
+    )
     assert [t.listing.presence for t in told.targets] == [Presence.DRAINING, Presence.GONE]
 
 
-@pytest.mark.parametrize("bad", [
-    [], None, {"rev": 1}, {"all": True, "targets": []}, {"rev": "x", "all": True, "targets": []},
-    {"rev": 1, "all": "yes", "targets": []}, {"rev": 1, "all": True, "targets": 5},
-    {"rev": 1, "all": True, "targets": [7]},
-    {"rev": 1, "all": True, "targets": [{**ENTRY, "endpoint": "x:1"}]},
-    {"rev": 1, "all": True, "targets": [{**ENTRY, "uid": 5}]},
-    {"rev": 1, "all": True, "targets": [{**ENTRY, "boot_ms": "late"}]},
-    {"rev": 1, "all": True, "targets": [{**ENTRY, "endpoint": "127.0.0.1:99999"}]},
-])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        [],
+        None,
+        {"rev": 1},
+        {"all": True, "targets": []},
+        {"rev": "x", "all": True, "targets": []},
+        {"rev": 1, "all": "yes", "targets": []},
+        {"rev": 1, "all": True, "targets": 5},
+        {"rev": 1, "all": True, "targets": [7]},
+        {"rev": 1, "all": True, "targets": [{**ENTRY, "endpoint": "x:1"}]},
+        {"rev": 1, "all": True, "targets": [{**ENTRY, "uid": 5}]},
+        {"rev": 1, "all": True, "targets": [{**ENTRY, "boot_ms": "late"}]},
+        {"rev": 1, "all": True, "targets": [{**ENTRY, "endpoint": "127.0.0.1:99999"}]},
+    ],
+)
 def test_a_bad_list_is_refused_whole(bad):
     with pytest.raises(BadCharter):
         read_list_update(bad)
@@ -232,18 +284,35 @@
             read_labels(bad)
 
 
-CONFIG = {"listen": "127.0.0.1:7000", "discovery": "127.0.0.1:7001", "seed": "8c1f", "settings": SETTINGS,
-          "peers": ["127.0.0.1:7002"], "limits": {"memory_mb": 192, "sockets": 1024}}
-
-
-@pytest.mark.parametrize("change, field", [
-    ({"listen": "here"}, "listen"), ({"listen": None}, "listen"), ({"discovery": "127.0.0.1:0"}, "discovery"),
-    ({"seed": "xyz"}, "seed"), ({"settings": None}, "settings"), ({"settings": 7}, "settings"),
-    ({"peers": ["127.0.0.1:7002", 5]}, "peers[1]"), ({"limits": {"sockets": 3}}, "limits.sockets"),
-    ({"limits": {"memory_mb": "big"}}, "limits.memory_mb"),
-    ({"settings": {**SETTINGS, "trafficTypes": [{"name": "x"}]}}, "settings.trafficTypes[0].promisedTimeUs"),
-    ({"settings": {**SETTINGS, "allowed": {"mostLegs": -1}}}, "settings.allowed.mostLegs"),
-])
+CONFIG = {
+    "listen": "127.0.0.1:7000",
+    "discovery": "127.0.0.1:7001",
+    "seed": "8c1f",
+    "settings": SETTINGS,
+    "peers": ["127.0.0.1:7002"],
+    "limits": {"memory_mb": 192, "sockets": 1024},
+}
+
+
+@pytest.mark.parametrize(
+    "change, field",
+    [
+        ({"listen": "here"}, "listen"),
+        ({"listen": None}, "listen"),
+        ({"discovery": "127.0.0.1:0"}, "discovery"),
+        ({"seed": "xyz"}, "seed"),
+        ({"settings": None}, "settings"),
+        ({"settings": 7}, "settings"),
+        ({"peers": ["127.0.0.1:7002", 5]}, "peers[1]"),
+        ({"limits": {"sockets": 3}}, "limits.sockets"),
+        ({"limits": {"memory_mb": "big"}}, "limits.memory_mb"),
+        (
+            {"settings": {**SETTINGS, "trafficTypes": [{"name": "x"}]}},
+            "settings.trafficTypes[0].promisedTimeUs",
+        ),
+        ({"settings": {**SETTINGS, "allowed": {"mostLegs": -1}}}, "settings.allowed.mostLegs"),
+    ],
+)
 def test_a_bad_configuration_names_its_field(tmp_path, change, field):
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**CONFIG, **change}))
@@ -265,17 +334,20 @@
             read_configuration(missing)
 
 
-@pytest.mark.parametrize("field, value, told", [
-    ("weights", "heavy", "weights: none of off, nominal, rough, live"),
-    ("weights", 2, "weights: none of"),
-    ("report.source", "sometimes", "report.source: none of off, inline, on_probe"),
-    ("report.names", "active", "report.names: not a list"),
-    ("report.names", [7], "report.names[0]: not text"),
-    ("prices.crossZone", -0.1, "prices.crossZone: -0.1 is under 0"),
-    ("prices.handshake", "dear", "prices.handshake: not a number"),
-    ("allowed.maxStreams", 0, "allowed.maxStreams: 0 is under 1"),
-    ("az", 4, "az: not text"),
-])
+@pytest.mark.parametrize(
+    "field, value, told",
+    [
+        ("weights", "heavy", "weights: none of off, nominal, rough, live"),
+        ("weights", 2, "weights: none of"),
+        ("report.source", "sometimes", "report.source: none of off, inline, on_probe"),
+        ("report.names", "active", "report.names: not a list"),
+        ("report.names", [7], "report.names[0]: not text"),
+        ("prices.crossZone", -0.1, "prices.crossZone: -0.1 is under 0"),
+        ("prices.handshake", "dear", "prices.handshake: not a number"),
+        ("allowed.maxStreams", 0, "allowed.maxStreams: 0 is under 1"),
+        ("az", 4, "az: not text"),
+    ],
+)
 def test_a_wrong_setting_of_the_new_shape_is_named(field, value, told):
     page, _, name = field.rpartition(".")
     changed = {page: {**SETTINGS.get(page, {}), name: value}} if page else {name: value}
@@ -293,23 +365,50 @@
     assert Router(charter(1, many).deployment, 0.0).starts == 1
     one = {**many, "allowed": {**SETTINGS["allowed"], "maxStreams": 1}, "weights": "live"}
     assert Router(charter(1, one).deployment, 0.0).starts > 1 and not charter(1, one).deployment.weighted
-    for source, names, tells in (("inline", ["rps", "active"], True), ("inline", ["rps"], False),
-                                 ("on_probe", ["active"], False)):
+    for source, names, tells in (
+        ("inline", ["rps", "active"], True),
+        ("inline", ["rps"], False),
+        ("on_probe", ["active"], False),
+    ):
         assert charter(1, {**SETTINGS, "report": {"source": source, "names": names}}).tells_held is tells
 
 
-@pytest.mark.parametrize("text, told", [
-    ("active=7,rps=3.5", 7.0), ("rps=3,active=0", 0.0), ("active=7", 7.0), ("active=7,rps=x", 7.0),
-    ("", None), ("rps=3", None), ("active=-1", None), ("active=nan", None), ("active=inf", None),
-    ("active", None), ("active=", None), ("\x00\xff,=,=", None), ("active:7", None),
-])
+@pytest.mark.parametrize(
+    "text, told",
+    [
+        ("active=7,rps=3.5", 7.0),
+        ("rps=3,active=0", 0.0),
+        ("active=7", 7.0),
+        ("active=7,rps=x", 7.0),
+        ("", None),
+        ("rps=3", None),
+        ("active=-1", None),
+        ("active=nan", None),
+        ("active=inf", None),
+        ("active", None),
+        ("active=", None),
+        ("\x00\xff,=,=", None),
+        ("active:7", None),
+    ],
+)
 def test_a_load_report_counts_only_as_far_as_it_makes_sense(text, told):
     assert read_held(text, "=") == told
 
 
-@pytest.mark.parametrize("hint, weight", [
-    (2.5, 2.5), (1, 1.0), (0, 0.0), (-1, 0.0), (None, 0.0), ("2", 2.0), ("x", 0.0), (True, 0.0), ([], 0.0),
-])
+@pytest.mark.parametrize(
+    "hint, weight",
+    [
+        (2.5, 2.5),
+        (1, 1.0),
+        (0, 0.0),
+        (-1, 0.0),
+        (None, 0.0),
+        ("2", 2.0),
+        ("x", 0.0),
+        (True, 0.0),
+        ([], 0.0),
+    ],
+)
 def test_a_servers_weight_counts_only_as_far_as_it_makes_sense(hint, weight):
     row = {"uid": "s", "endpoint": "127.0.0.1:1", "az": "a", "model": "m", "capacity_hint": hint}
     [target] = read_list_update({"rev": 1, "all": True, "targets": [row]}).targets
@@ -320,7 +419,8 @@
     for answer, told in (
         (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$8\r\nactive=7\r\n", b"active=7"),
         (b"*3\r\n$-1\r\n$4\r\nmiss\r\n$8\r\nactive=7\r\n", b"active=7"),
-        (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n", b""), (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n:8\r\n", b""),
+        (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n", b""),
+        (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n:8\r\n", b""),
         (b"-ERR failed active=7\r\n", b"active=7"),
     ):
         parser = resp.Parser()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -35,8 +35,10 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(st.tuples(st.text("ab/", max_size=4), st.sampled_from([EU, US, NEAR_EU, None])), max_size=12),
-       st.lists(st.text("ab/c", max_size=6), max_size=12))
+@given(
+    st.lists(st.tuples(st.text("ab/", max_size=4), st.sampled_from([EU, US, NEAR_EU, None])), max_size=12),
+    st.lists(st.text("ab/c", max_size=6), max_size=12),
+)
 def test_the_longest_prefix_wins_however_they_were_told(rules, keys):
     by_prefix = dict(rules)
     rows = [Row(7, f"s{i}", (p,), terms, False, i) for i, (p, terms) in enumerate(by_prefix.items())]
@@ -63,9 +65,16 @@
 
 GROUND = Ground(
     {"eu": ("a", "b"), "us": ("c",), "ap": ("d",)},
-    [Server("1", "a", 2.0, 0.0, True), Server("2", "a", 1.0, 0.0, True), Server("3", "b", 1.0, 0.0, True),
-     Server("4", "c", 1.0, 0.0, True), Server("5", "c", 3.0, 0.0, True), Server("6", "d", 1.0, 0.0, False)],
-    100.0, {"eu": 60.0},
+    [
+        Server("1", "a", 2.0, 0.0, True),
+        Server("2", "a", 1.0, 0.0, True),
+        Server("3", "b", 1.0, 0.0, True),
+        Server("4", "c", 1.0, 0.0, True),
+        Server("5", "c", 3.0, 0.0, True),
+        Server("6", "d", 1.0, 0.0, False),
+    ],
+    100.0,
+    {"eu": 60.0},
 )
 
 
@@ -73,7 +82,8 @@
     assert GROUND.bears("eu") == 100.0 and GROUND.bears("us") == 100.0 and GROUND.bears("ap") == 0.0
     GROUND.check(("eu", "us"), 40.0)
     for asked, allowance, status, field, word in [
-        (("mars",), 1.0, 422, "regions[0]", "ap, eu, us"), (("eu", "ap"), 1.0, 409, "regions[1]", "eu, us"),
+        (("mars",), 1.0, 422, "regions[0]", "ap, eu, us"),
+        (("eu", "ap"), 1.0, 409, "regions[1]", "eu, us"),
         (("us", "us"), 1.0, 422, "regions[1]", "twice"),
         (("eu",), 40.1, 409, "regions[0]", "up to 40.0, or first in us"),
         (("us",), 500.0, 409, "regions[0]", "up to 100.0, or first in no other region"),
@@ -141,7 +151,7 @@
         for life in front:
             for event in Event:
                 terms = {Event.ASK: US, Event.LATER: EU}.get(event)
-                for wanted in ([EU, US, NEAR_EU] if event is Event.ASK else [terms]):
+                for wanted in [EU, US, NEAR_EU] if event is Event.ASK else [terms]:
                     try:
                         after = step(life, event, wanted, 9.0 if event is Event.LATER else 0.0)
                     except NotNow:
@@ -250,8 +260,15 @@
 
 LONG = Seconds(2.6)  # `alone`, where it has to stand out from the lease
 PLACE = KeepPlacement(
-    True, {"eu": ("a",), "us": ("b",), "ap": ("c",)}, Rate(1000.0), Seconds(1.4), Seconds(0.05), Seconds(0.2),
-    Seconds(0.0), 8, 600,
+    True,
+    {"eu": ("a",), "us": ("b",), "ap": ("c",)},
+    Rate(1000.0),
+    Seconds(1.4),
+    Seconds(0.05),
+    Seconds(0.2),
+    Seconds(0.0),
+    8,
+    600,
 )
 
 
@@ -316,8 +333,13 @@
 @asynccontextmanager
 async def playing(routers=2, lease=0.9, told=PLACE, allowance=900.0, **more):
     async with hosting(
-        routers=routers, servers=6, zones=("a", "b", "c"), lease=lease, dress=placed,
-        parts=(lambda administration: Placement(administration, told),), placement=PlacementEntry(True),
+        routers=routers,
+        servers=6,
+        zones=("a", "b", "c"),
+        lease=lease,
+        dress=placed,
+        parts=(lambda administration: Placement(administration, told),),
+        placement=PlacementEntry(True),
         **more,
     ) as all_:
         secret = await all_.tenant("acme", allowance=allowance)
@@ -397,8 +419,10 @@
         async with playing(routers=1) as play:
             for status, field, shard, regions, more in [
                 (422, "regions[0]", "x", ["mars"], {"prefixes": ["x"]}),
-                (422, "prefixes", "x", ["eu"], {}), (422, "prefixes", "default", ["eu"], {"prefixes": ["x"]}),
-                (422, "shard", "X_", ["eu"], {"prefixes": ["x"]}), (422, "hold", "x", ["eu"], {"hold": "no"}),
+                (422, "prefixes", "x", ["eu"], {}),
+                (422, "prefixes", "default", ["eu"], {"prefixes": ["x"]}),
+                (422, "shard", "X_", ["eu"], {"prefixes": ["x"]}),
+                (422, "hold", "x", ["eu"], {"hold": "no"}),
                 (409, "allowance", "x", ["eu"], {"prefixes": ["x"], "allowance": 950.0}),
                 (422, "", "x", ["eu"], {"prefixes": ["x"], "colour": 1}),
             ]:
@@ -800,14 +824,20 @@
 # -- bad input
 
 
-@pytest.mark.parametrize("text, field", [
-    ("[placement]\non = true\nregions = {eu = ['a']}", "leases.on"),
-    ("[leases]\non = true\n[placement]\non = true", "placement.regions"),
-    ("[placement.regions]\neu = ['a']\nus = ['a']", "placement.regions.us"),
-    ("[placement.regions]\nEU = ['a']", "placement.regions"),
-    ("[leases]\non = true\n[placement]\non = true\nalone = '1s'\nregions = {eu = ['a']}", "placement.alone"),
-    ("[placement]\nbears = 100", "placement.bears"),
-])
+@pytest.mark.parametrize(
+    "text, field",
+    [
+        ("[placement]\non = true\nregions = {eu = ['a']}", "leases.on"),
+        ("[leases]\non = true\n[placement]\non = true", "placement.regions"),
+        ("[placement.regions]\neu = ['a']\nus = ['a']", "placement.regions.us"),
+        ("[placement.regions]\nEU = ['a']", "placement.regions"),
+        (
+            "[leases]\non = true\n[placement]\non = true\nalone = '1s'\nregions = {eu = ['a']}",
+            "placement.alone",
+        ),
+        ("[placement]\nbears = 100", "placement.bears"),
+    ],
+)
 def test_a_wrong_field_of_the_keepers_file_is_named(tmp_path, text, field):
     path = tmp_path / "keep.toml"
     path.write_text(f"store = 's'\nlisten = '127.0.0.1:7400'\n{text}\n")
--- a/tests/test_placement_cases.py
+++ b/tests/test_placement_cases.py
@@ -12,7 +12,8 @@
     """The first seed of a case whose woken router is cut off from the keeper."""
     names = [each.__name__ for each in placementcases.CASES]
     return next(
-        seed for seed in range(placementcases.FIRST, placementcases.FIRST + 1000)
+        seed
+        for seed in range(placementcases.FIRST, placementcases.FIRST + 1000)
         if placementcases.case_of(seed).__name__ == case and seed // len(names) % 2
     )
 
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -35,8 +35,15 @@
 
 LEASE, ALONE, FLIGHT, MEMORY = 2.0, 5.0, 0.5, 3.0
 PLACE = KeepPlacement(
-    True, {"eu": ("a",), "us": ("b",), "ap": ("c",)}, Rate(1000.0), Seconds(ALONE), Seconds(FLIGHT),
-    Seconds(MEMORY), Seconds(0.0), 8, 100_000,
+    True,
+    {"eu": ("a",), "us": ("b",), "ap": ("c",)},
+    Rate(1000.0),
+    Seconds(ALONE),
+    Seconds(FLIGHT),
+    Seconds(MEMORY),
+    Seconds(0.0),
+    8,
+    100_000,
 )
 MARKED = TrafficType(0, Effect.DEDUPLICATED, Group.ALL, MEMORY, 1.0, 1.0, 0.0)
 SERVERS = [(10 + n, f"server-{n}", "abc"[n % 3]) for n in range(6)]
@@ -341,10 +348,14 @@
             (0.5, lambda: self.restart(number)),
             (0.3, self.restart_keeper),
             (12, self.look),
-            (3, lambda: self.put(
-                draw.choice(sorted(SHARDS)), tuple(draw.sample(("eu", "us", "ap"), draw.choice((1, 1, 2)))),
-                draw.choice(("only", "only", "only", "prefer")),
-            )),
+            (
+                3,
+                lambda: self.put(
+                    draw.choice(sorted(SHARDS)),
+                    tuple(draw.sample(("eu", "us", "ap"), draw.choice((1, 1, 2)))),
+                    draw.choice(("only", "only", "only", "prefer")),
+                ),
+            ),
             (0.5, lambda: self.remove(draw.choice(sorted(SHARDS)))),
             (5, lambda: self.begin(number, draw.randrange(3))),
             (6, lambda: self.send(number, zone, draw.random())),
@@ -417,9 +428,11 @@
     """Sends what is in hand by the placement that it came under."""
 
     def guard(self, attempt) -> bool:
-        return attempt.operation.over is False and any(
-            zones is None or attempt.server.zone in zones for zones in attempt.operation.regions
-        ) and self.lease.good(self.clock())
+        return (
+            attempt.operation.over is False
+            and any(zones is None or attempt.server.zone in zones for zones in attempt.operation.regions)
+            and self.lease.good(self.clock())
+        )
 
 
 class Forgetful(Placing):
@@ -554,10 +567,17 @@
 
 def test_the_same_by_a_state_machine(folder):
     Machine.folders = folder
-    run_state_machine_as_test(Machine, settings=settings(
-        max_examples=25, stateful_step_count=40, derandomize=True, deadline=None, database=None,
-        suppress_health_check=list(HealthCheck),
-    ))
+    run_state_machine_as_test(
+        Machine,
+        settings=settings(
+            max_examples=25,
+            stateful_step_count=40,
+            derandomize=True,
+            deadline=None,
+            database=None,
+            suppress_health_check=list(HealthCheck),
+        ),
+    )
 
 
 def test_a_keeper_counts_a_lease_as_over_only_after_its_router():
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -15,9 +15,13 @@
         self.dice = random.Random(seed)
         self.sparse = routers > 100
         self.bench = Bench(
-            caches=6, seed=seed, routers=routers, aside=self.dice.random() < 0.8,
+            caches=6,
+            seed=seed,
+            routers=routers,
+            aside=self.dice.random() < 0.8,
             must_ask=self.dice.random() < 0.5,
-            tenants=(Tenant(0.5, 20.0), Tenant(0.5, 20.0)) if seed % 2 else (), beyond_share=0.1,
+            tenants=(Tenant(0.5, 20.0), Tenant(0.5, 20.0)) if seed % 2 else (),
+            beyond_share=0.1,
         )
         self.presence = {i: Presence.UP for i in range(1, 7)}
         self.started = {}
@@ -89,7 +93,9 @@
             if self.dice.random() < (0.05 if self.sparse else 0.3):
                 traffic = self.dice.choice([READ] * 4 + [MARKED, ONCE])
                 operation, answer = self.bench.ask(
-                    f"key-{int(self.dice.paretovariate(0.7)) % 200}", traffic, self.dice.uniform(0.3, 4.0),
+                    f"key-{int(self.dice.paretovariate(0.7)) % 200}",
+                    traffic,
+                    self.dice.uniform(0.3, 4.0),
                     tenant=self.dice.choice([0, 0, 0, 1]) if self.bench.router.deployment.tenants else -1,
                 )
                 self.open.append(operation)
@@ -137,8 +143,10 @@
     def leave(self, operation) -> None:
         self.finals.add(operation.ident)
         for attempt in self.bench.router.gone(operation):
-            self.attempts = [(self.bench.now, each, False) if each is attempt else (at, each, late)
-                             for at, each, late in self.attempts]
+            self.attempts = [
+                (self.bench.now, each, False) if each is attempt else (at, each, late)
+                for at, each, late in self.attempts
+            ]
 
     def overdue(self) -> None:
         for operation in self.open:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -56,9 +56,15 @@
     file.save(told)
     assert file.load() == (told, "")
     data = path.read_bytes()
-    spoilt = [data[:-1], data[:20], b"", b"x" * 50, data[:-1] + bytes([data[-1] ^ 1]),
-              encode(msgspec.structs.replace(told, identity="another")),
-              encode(msgspec.structs.replace(told, version=2))]
+    spoilt = [
+        data[:-1],
+        data[:20],
+        b"",
+        b"x" * 50,
+        data[:-1] + bytes([data[-1] ^ 1]),
+        encode(msgspec.structs.replace(told, identity="another")),
+        encode(msgspec.structs.replace(told, version=2)),
+    ]
     for number, body in enumerate(spoilt, 1):
         path.write_bytes(body)
         found, why = file.load()
@@ -288,8 +294,12 @@
 
 
 def test_where_the_fleet_lived_on_marks_are_known_to_be_kept():
-    for verdict, open_ in ((Verdict.LONE, False), (Verdict.ALL, True), (Verdict.MOST, True),
-                           (Verdict.APART, True)):
+    for verdict, open_ in (
+        (Verdict.LONE, False),
+        (Verdict.ALL, True),
+        (Verdict.MOST, True),
+        (Verdict.APART, True),
+    ):
         made = effects()
         made.decided(verdict, [], 101.0)
         assert made.final(1, True, True, b"m", 101.0) is open_ is made.open(101.0)
@@ -367,8 +377,11 @@
         self.settled = [[0, 0] for _ in range(int(seconds))]
         now, tick = 0.0, 0.25
         while now < seconds:
-            new = [(now, tenant, draw.randrange(keys), draw.randrange(routers), now)
-                   for tenant, rate in ((0, 500), (1, 500)) for _ in range(int(rate * tick))]
+            new = [
+                (now, tenant, draw.randrange(keys), draw.randrange(routers), now)
+                for tenant, rate in ((0, 500), (1, 500))
+                for _ in range(int(rate * tick))
+            ]
             due = [each for each in waiting if each[0] <= now] + new
             waiting = [each for each in waiting if each[0] > now]
             draw.shuffle(due)
@@ -548,9 +561,9 @@
         self.marks.clear()
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
-                await nursery.start(partial(
-                    trio.serve_tcp, Web(self.reply).serve, self.port, host="127.0.0.1"
-                ))
+                await nursery.start(
+                    partial(trio.serve_tcp, Web(self.reply).serve, self.port, host="127.0.0.1")
+                )
                 task_status.started(scope)
                 await trio.sleep_forever()
 
@@ -633,8 +646,7 @@
 def keep_snapshot(tmp_path, targets, **more):
     """A snapshot of this router's run before."""
     servers = [
-        Entry(each["uid"], each["endpoint"], each["az"], each["model"], 0, "ready", 50.0)
-        for each in targets
+        Entry(each["uid"], each["endpoint"], each["az"], each["model"], 0, "ready", 50.0) for each in targets
     ]
     told = kept(servers=servers, list_rev=40, **more)
     SnapshotFile(str(tmp_path / "snap"), told.identity).save(told)
@@ -744,14 +756,17 @@
 """
 
 
-@pytest.mark.parametrize("change, field", [
-    (('snapshot = "snap"', ""), "recovery.snapshot"),
-    (('key_file = "key"', ""), "recovery.key_file"),
-    (('snapshot = "snap"', 'snapshot = "snap"\ndecide = "0s"'), "recovery.decide"),
-    (('snapshot = "snap"', 'snapshot = "snap"\norigin = "fast"'), "recovery.origin"),
-    (('snapshot = "snap"', 'snapshot = "snap"\nhold = "1s"'), "recovery.hold"),
-    (("[recovery]", "tier.routers = 2\n[recovery]"), "recovery.on"),
-])
+@pytest.mark.parametrize(
+    "change, field",
+    [
+        (('snapshot = "snap"', ""), "recovery.snapshot"),
+        (('key_file = "key"', ""), "recovery.key_file"),
+        (('snapshot = "snap"', 'snapshot = "snap"\ndecide = "0s"'), "recovery.decide"),
+        (('snapshot = "snap"', 'snapshot = "snap"\norigin = "fast"'), "recovery.origin"),
+        (('snapshot = "snap"', 'snapshot = "snap"\nhold = "1s"'), "recovery.hold"),
+        (("[recovery]", "tier.routers = 2\n[recovery]"), "recovery.on"),
+    ],
+)
 def test_a_wrong_field_is_named(change, field):
     assert parse(FILE.encode(), Installation).recovery.on
     with pytest.raises(BadFile, match=f"^file: {field}: "):
--- a/tests/test_recovery_model.py
+++ b/tests/test_recovery_model.py
@@ -93,9 +93,7 @@
         each._replace(witnesses=each.witnesses & ~(1 << one)) if each.mind is None else each
         for each in world.routers
     ]
-    routers[one] = router._replace(
-        mind=None, ended=world.tick, witnesses=alive, order=order, forced=forced
-    )
+    routers[one] = router._replace(mind=None, ended=world.tick, witnesses=alive, order=order, forced=forced)
     return world._replace(routers=tuple(routers), late=late)
 
 
@@ -196,9 +194,7 @@
         old = before.routers[one].mind
         if router.ended < 0 or (old is not None and old.verdict is mind.verdict):
             continue
-        lived = [
-            each.mind is not None and each.started < router.ended - SLACK for each in world.routers
-        ]
+        lived = [each.mind is not None and each.started < router.ended - SLACK for each in world.routers]
         lived[one] = False
         if mind.verdict.lived and not router.witnesses:
             return f"{one} claims {mind.verdict.name}, and nobody lived through its end"
@@ -387,28 +383,28 @@
 
 def mates_words_suffice(monkeypatch):
     monkeypatch.setattr(
-        evidence, "in_order",
+        evidence,
+        "in_order",
         lambda mind, mates: mind.kept and all(mind.peers[n].ordered for n in mates),
     )
 
 
 def words_prove_servers_lives(monkeypatch):
     in_order = evidence.in_order
-    monkeypatch.setattr(
-        evidence, "in_order", lambda mind, mates: in_order(mind._replace(kept=True), mates)
-    )
+    monkeypatch.setattr(evidence, "in_order", lambda mind, mates: in_order(mind._replace(kept=True), mates))
 
 
 def any_number_of_runs_since(monkeypatch):
     in_order = evidence.in_order
     many = (evidence.MOST_NUMBER,) * N
-    monkeypatch.setattr(
-        evidence, "in_order", lambda mind, mates: in_order(mind._replace(known=many), mates)
-    )
+    monkeypatch.setattr(evidence, "in_order", lambda mind, mates: in_order(mind._replace(known=many), mates))
 
 
 ORDERLY_MUTANTS = [
-    said_with_something_in_hand, one_runs_word_is_anothers, mates_words_suffice, words_prove_servers_lives,
+    said_with_something_in_hand,
+    one_runs_word_is_anothers,
+    mates_words_suffice,
+    words_prove_servers_lives,
     any_number_of_runs_since,
 ]
 
@@ -426,7 +422,12 @@
 
 
 MUTANTS = [
-    no_echo, old_runs_prove, silence_proves, apart_is_most, who_is_up_for_longer_lived_on, never_decides
+    no_echo,
+    old_runs_prove,
+    silence_proves,
+    apart_is_most,
+    who_is_up_for_longer_lived_on,
+    never_decides,
 ]
 
 
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -8,12 +8,18 @@
 from gaugehinge.policy import Router
 from gaugehinge.simhost.host import Host
 
-INFO = json.dumps({
-    "allowed": {"mostLegs": 3, "mayCancel": True, "later": 1},
-    "domain": {"mode": "aside", "originKind": 1}, "shapes": ["std", "origin"], "granularityUs": 5000,
-    "rules": {"coldUs": 1000000}, "trafficTypes": [
-        {"name": "page", "effect": "repeatable", "promisedTimeUs": 500000, "abandonTimeUs": 900000}],
-})
+INFO = json.dumps(
+    {
+        "allowed": {"mostLegs": 3, "mayCancel": True, "later": 1},
+        "domain": {"mode": "aside", "originKind": 1},
+        "shapes": ["std", "origin"],
+        "granularityUs": 5000,
+        "rules": {"coldUs": 1000000},
+        "trafficTypes": [
+            {"name": "page", "effect": "repeatable", "promisedTimeUs": 500000, "abandonTimeUs": 900000}
+        ],
+    }
+)
 START = (
     f"frame\tatTimeUs=1000000\nhello\ti=0\trandomSeed=5\tinfo={INFO}\nlist\tlist=0\tmembers=2\n"
     "row\tserver=1\tavailability=U\tclassOfHost=std\nrow\tserver=2\tavailability=U\tclassOfHost=origin\n"
@@ -31,10 +37,18 @@
 def test_an_operation_goes_to_its_cache_then_to_the_origin_and_ends():
     done = "completed\ti=0\tid=00aa\tserver={}\ttrial={}\ttookUs=9000\tterminal={}\tstateCode={}\n"
     code, out = play(
-        START + "frame\tatTimeUs=1005000\n" + SUBMIT + "go\n"
-        + "frame\tatTimeUs=1015000\n" + done.format(1, 0, 0, "empty") + "go\n"
-        + "frame\tatTimeUs=1025000\n" + done.format(2, 1, 1, "delivered") + "go\n"
-        + "frame\tatTimeUs=1035000\n" + done.format(2, 1, 1, "delivered")
+        START
+        + "frame\tatTimeUs=1005000\n"
+        + SUBMIT
+        + "go\n"
+        + "frame\tatTimeUs=1015000\n"
+        + done.format(1, 0, 0, "empty")
+        + "go\n"
+        + "frame\tatTimeUs=1025000\n"
+        + done.format(2, 1, 1, "delivered")
+        + "go\n"
+        + "frame\tatTimeUs=1035000\n"
+        + done.format(2, 1, 1, "delivered")
         + "abandoned\ti=0\tid=00aa\ntimeout_fired\ti=0\tname=9\ngo\n"
     )
     replies = out.split("ok\n")
@@ -44,15 +58,18 @@
     assert replies[3] == replies[4] == ""
 
 
-@pytest.mark.parametrize("text, told", [
-    ("go\n", "line 1"),
-    ("frame\tatTimeUs=x\ngo\n", "line 1"),
-    ("frame\tatTimeUs=1\nwonder\ti=0\ngo\n", "line 2: unknown message 'wonder'"),
-    (START + "frame\tatTimeUs=1005000\nsubmit\ti=0\tprofile=page\tleftUs=1\ngo\n", "'id'"),
-    (START + "frame\tatTimeUs=1005000\nsubmit\ti=0\tid=1\tprofile=page\tleftUs=soon\ngo\n", "soon"),
-    (START + "frame\tatTimeUs=1005000\n", "ends within a batch"),
-    ("frame\tatTimeUs=1\nlist\tlist=0\tmembers=2\nrow\tserver=1\n", "ends within a list"),
-])
+@pytest.mark.parametrize(
+    "text, told",
+    [
+        ("go\n", "line 1"),
+        ("frame\tatTimeUs=x\ngo\n", "line 1"),
+        ("frame\tatTimeUs=1\nwonder\ti=0\ngo\n", "line 2: unknown message 'wonder'"),
+        (START + "frame\tatTimeUs=1005000\nsubmit\ti=0\tprofile=page\tleftUs=1\ngo\n", "'id'"),
+        (START + "frame\tatTimeUs=1005000\nsubmit\ti=0\tid=1\tprofile=page\tleftUs=soon\ngo\n", "soon"),
+        (START + "frame\tatTimeUs=1005000\n", "ends within a batch"),
+        ("frame\tatTimeUs=1\nlist\tlist=0\tmembers=2\nrow\tserver=1\n", "ends within a list"),
+    ],
+)
 def test_bad_input_gets_one_plain_line_and_no_half_reply(text, told, capsys):
     code, out = play(text)
     said = capsys.readouterr().err
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -27,8 +27,12 @@
 
 def begun(*more, at=0.0):
     """A router, and a server that drains from `at` 10 on."""
-    return [Process(0.0, "play", R, "started"), ListChanged(0.0, "discovery", 1, S, "ready"),
-            ListChanged(10.0 + at, "discovery", 2, S, "draining"), *more]
+    return [
+        Process(0.0, "play", R, "started"),
+        ListChanged(0.0, "discovery", 1, S, "ready"),
+        ListChanged(10.0 + at, "discovery", 2, S, "draining"),
+        *more,
+    ]
 
 
 def asked(call, at, wait=2.5, over=None, rev=1, status=200):
@@ -39,8 +43,11 @@
 def sent(at):
     """An operation of this router that comes to that server."""
     name = f"c{at}"
-    return [OpBegan(at - 0.01, "client-0", name, R, "acme", "read", "idempotent", "k", False, 1.0),
-            Attempt(at, S, S, "a", name, "k", False), OpEnded(at + 0.01, "client-0", name, "settled", "of k")]
+    return [
+        OpBegan(at - 0.01, "client-0", name, R, "acme", "read", "idempotent", "k", False, 1.0),
+        Attempt(at, S, S, "a", name, "k", False),
+        OpEnded(at + 0.01, "client-0", name, "settled", "of k"),
+    ]
 
 
 def told_from(history, bounds):
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -93,9 +93,7 @@
     first, second = Tenancy("a", one, Stage.ACTIVE, 0.0), Tenancy("b", other, Stage.ACTIVE, 0.0)
     assert client_key(own_key(first, key)) == key
     if one != other:
-        assert own_key(first, key) != own_key(second, also) and own_mark(first, key) != own_mark(
-            second, also
-        )
+        assert own_key(first, key) != own_key(second, also) and own_mark(first, key) != own_mark(second, also)
 
 
 class Lives(RuleBasedStateMachine):
@@ -176,9 +174,7 @@
         for number, tenancy in getattr(self, "all", {}).items():
             if tenancy.stage is Stage.GONE:
                 assert not any(n == number for _, n in self.in_hand), "gone with operations in hand"
-                assert self.marks.get(number, 0.0) <= tenancy.since, (
-                    "gone with a mark remembered"
-                )
+                assert self.marks.get(number, 0.0) <= tenancy.since, "gone with a mark remembered"
                 assert not any(view.get(number) for view in self.views.values()), "gone and still taken"
         names = [
             t.name for t in getattr(self, "all", {}).values() if t.stage not in (Stage.LEAVING, Stage.GONE)
@@ -186,7 +182,5 @@
         assert len(names) == len(set(names))
 
 
-Lives.TestCase.settings = settings(
-    max_examples=100, stateful_step_count=50, deadline=None, derandomize=True
-)
+Lives.TestCase.settings = settings(max_examples=100, stateful_step_count=50, deadline=None, derandomize=True)
 TestLives = Lives.TestCase
--- a/tests/test_turnstile.py
+++ b/tests/test_turnstile.py
@@ -34,9 +34,7 @@
         parts = [part.body for part in message.top.body]
         assert all(part.kind == BULK for part in message.top.body)
         labels, _ = read_labels(parts[3])
-        return Glimpse(
-            labels["c"], labels.get("t", ""), int(labels["d"]) / 1000.0, labels.get("r") == "1"
-        )
+        return Glimpse(labels["c"], labels.get("t", ""), int(labels["d"]) / 1000.0, labels.get("r") == "1")
     except (Malformed, Refused, LookupError, ValueError, AssertionError, TypeError):
         return None
 
@@ -50,11 +48,21 @@
 def test_what_is_not_exactly_one_whole_read_is_the_parsers():
     whole = command()
     for data in (
-        whole[:-1], whole + b"*", whole + whole, command(word=b"KV.SET"), command(word=b"kv.get"),
-        command(told=b"c=read"), command(told=b"d=1,d=2,c=read"), command(told=b"c=read,d=x"),
-        whole.replace(b"$1\r\nk", b"$01\r\nk"), whole.replace(b"$1\r\nk", b"$2\r\nk"),
-        whole.replace(b"*4", b"*5"), whole.replace(b"$2\r\ni1", b"$3\r\ni1"), command(told=b"c=read,d=1,,"),
-        command(ident=b"a b"), command(b"k" * LONGEST),
+        whole[:-1],
+        whole + b"*",
+        whole + whole,
+        command(word=b"KV.SET"),
+        command(word=b"kv.get"),
+        command(told=b"c=read"),
+        command(told=b"d=1,d=2,c=read"),
+        command(told=b"c=read,d=x"),
+        whole.replace(b"$1\r\nk", b"$01\r\nk"),
+        whole.replace(b"$1\r\nk", b"$2\r\nk"),
+        whole.replace(b"*4", b"*5"),
+        whole.replace(b"$2\r\ni1", b"$3\r\ni1"),
+        command(told=b"c=read,d=1,,"),
+        command(ident=b"a b"),
+        command(b"k" * LONGEST),
     ):
         assert glance(data) is None, data
 
@@ -68,7 +76,7 @@
 @example(b"k", b"i", b"c=read,d=5", 30, b"")
 def test_whatever_comes_the_first_look_never_sees_what_the_parser_does_not(key, ident, told, place, spoilt):
     data = command(key, ident, told)
-    data = data[:place] + spoilt + data[place + len(spoilt):]
+    data = data[:place] + spoilt + data[place + len(spoilt) :]
     seen = glance(data)
     assert seen is None or seen == by_the_parser(data)
 
@@ -326,9 +334,9 @@
             await trio.sleep(0.05)
             await other.stream.send_all(whole[30:])
             assert await other.answer() == b"$5\r\nof k1\r\n"
-            await other.stream.send_all(b"".join(
-                command(b"k1", b"behind-%d" % i, b"c=read,d=4000") for i in range(2)
-            ))
+            await other.stream.send_all(
+                b"".join(command(b"k1", b"behind-%d" % i, b"c=read,d=4000") for i in range(2))
+            )
             assert [await other.answer() for _ in range(2)] == [b"$5\r\nof k1\r\n"] * 2
             assert (await other.get(labels="c=nonsense,d=4000")).startswith(b"-ERR label c")
             assert (await one.put(labels="c=once,t=acme,d=4000")).startswith(b"$")
@@ -342,9 +350,9 @@
     async def scene():
         async with fleet(tmp_path, [Cache(), Cache()], new_door=Door) as made:
             client = await made.client()
-            await client.stream.send_all(b"".join(
-                command(b"k%d" % i, b"i%d" % i, b"c=read,d=8000") for i in range(count)
-            ))
+            await client.stream.send_all(
+                b"".join(command(b"k%d" % i, b"i%d" % i, b"c=read,d=8000") for i in range(count))
+            )
             found = [await client.answer() for _ in range(count)]
             # The decisions bounce some, at once: the start's few attempts a cache. Each stands in its own
             # place.
