--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -115,7 +115,7 @@
 
 
 async def _move_all(made: Play, waiting: int) -> None:
-    keeper = made.services[0].dispatch.locate.__self__.keeper
+    keeper = made.services[0].dispatcher.locate.__self__.keeper
     stream, reader = await trio.open_tcp_stream(*made.clients[0]), Reader(CLIENT)
     keys = [b"k%d" % i for i in range(waiting)]
     for name in ("c-0", "c-1", "c-2", "c-3"):
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -88,7 +88,7 @@
 
 def decisions(regions: tuple | None) -> float:
     """CPU of one operation in the module, asked and settled, 24 caches in three zones."""
-    bench = Bench(caches=0, aside=False)
+    bench = Bench(caches=0, cache_aside=False)
     bench.hear([row(n, zone="abc"[n % 3]) for n in range(1, 25)] + [origin_row()])
     keys = [f"key-{n}" for n in range(500)]
     router, put = bench.router, None
@@ -100,15 +100,15 @@
         operation = bench_operation(bench, keys[n % 500])
         if regions is not None:
             operation.regions = regions
-        answer = router.where(operation, bench.now)
+        answer = router.route(operation, bench.now)
         if answer.attempt is not None:
-            router.after(answer.attempt, Outcome.SETTLED, 0.002, True, bench.now)
+            router.on_attempt_finished(answer.attempt, Outcome.SUCCEEDED, 0.002, True, bench.now)
 
     return each(one, 5000)
 
 
 def bench_operation(bench, key: str):
-    from gaugehinge.terms import Operation
+    from gaugehinge.routing.types import Operation
 
     return Operation(str(bench.count), READ, key.encode(), -1, False, False, bench.now, bench.now + 1.5)
 
--- a/gaugehinge/__main__.py
+++ b/gaugehinge/__main__.py
@@ -6,10 +6,10 @@
 
 from loguru import logger
 
-from .charter import BadCharter
 from .net.configuration import read_configuration
 from .net.early import EarlyHangup
 from .net.run import run
+from .settings import SettingsError
 
 FORM = "{time:HH:mm:ss.SSS} {level.name} {message}"
 
@@ -20,7 +20,7 @@
     logger.add(sys.stderr, format=FORM, level="INFO", diagnose=False)
     try:
         configuration = read_configuration(os.environ)
-    except BadCharter as bad:
+    except SettingsError as bad:
         print(f"bad configuration: {bad}", file=sys.stderr)
         return 2
     return run(configuration, partial(read_configuration, os.environ), early=early)
--- a/gaugehinge/cli/serve_command.py
+++ b/gaugehinge/cli/serve_command.py
@@ -19,25 +19,25 @@
     from ..net.early import EarlyHangup
 
     early = EarlyHangup().listen()
-    from ..charter import BadCharter
     from ..forms.toml import BadFile
     from ..installation.build import configuration_of, read_installation
     from ..installation.form import Installation
     from ..net.configuration import Configuration
     from ..net.run import run
+    from ..settings import SettingsError
 
     def read() -> Installation:
         try:
             return read_installation(file)
         except BadFile as bad:
-            raise BadCharter(str(bad)) from None
+            raise SettingsError(str(bad)) from None
 
     def reread() -> Configuration:
         return configuration_of(read())
 
     try:
         told = read()
-    except BadCharter as bad:
+    except SettingsError as bad:
         raise BadInput(str(bad)) from None
     new_door = None
     if told.door.on:
--- a/gaugehinge/cluster/attempts.py
+++ b/gaugehinge/cluster/attempts.py
@@ -9,8 +9,8 @@
 
 from loguru import logger
 
-from ..net.pool import Broken, Cargo, Connection, Reply, Spoilt
-from ..terms import Outcome
+from ..net.connection_pool import Connection, ConnectionLost, MalformedReply, RequestPayload, ServerReply
+from ..routing.types import Outcome
 from .resp3 import SERVER, Error, Malformed, Push, Reader, Status, command
 
 ASKING = command(b"ASKING")
@@ -30,7 +30,7 @@
     ]
 )
 MAP_WRONG = frozenset([b"CLUSTERDOWN", b"READONLY", b"MASTERDOWN"])
-REDIRECTIONS = {b"MOVED": Outcome.MOVED, b"ASK": Outcome.ASKED}
+REDIRECTIONS = {b"MOVED": Outcome.MOVED, b"ASK": Outcome.ASK_REDIRECT}
 
 
 class ConnectionState:
@@ -54,33 +54,33 @@
         """The state of a new connection."""
         return ConnectionState()
 
-    def command(self, connection: Connection, cargo: Cargo, left: float) -> bytes:
+    def command(self, connection: Connection, payload: RequestPayload, left: float) -> bytes:
         """The command as the client gave it; one of the platform's dialect as its plain like."""
         state: ConnectionState = connection.parser
-        out = cargo.words or plain(cargo)
+        out = payload.words or plain(payload)
         operation = connection.pending.attempt.operation
         state.before = 0
-        if operation.asking:
-            operation.asking = False
+        if operation.ask_redirect:
+            operation.ask_redirect = False
             state.before += 1
             out = ASKING + out
-        if not state.replica and not self.own_slots_only and not operation.write:
+        if not state.replica and not self.own_slots_only and not operation.is_write:
             state.replica = True
             state.before += 1
             out = READONLY + out
         return out
 
-    def answer(self, connection: Connection, data: bytes) -> Reply | None:
+    def answer(self, connection: Connection, data: bytes) -> ServerReply | None:
         """What came, or nothing at the end of the connection; the answer once it is whole."""
         if not data:
-            raise Broken("ended")
+            raise ConnectionLost("ended")
         state: ConnectionState = connection.parser
         state.reader.feed(data)
         while True:
             try:
                 message = state.reader.next()
             except Malformed as bad:
-                raise Spoilt(str(bad)) from None
+                raise MalformedReply(str(bad)) from None
             if message is None:
                 return None
             if isinstance(message.value, Push):
@@ -88,29 +88,29 @@
             if state.before:
                 state.before -= 1
                 if not isinstance(message.value, Status):
-                    raise Spoilt("an answer to ASKING or READONLY that is no status")
+                    raise MalformedReply("an answer to ASKING or READONLY that is no status")
                 continue
             return read_answer(message.value, message.raw)._replace(keep=not len(state.reader))
 
 
-def plain(cargo: Cargo) -> bytes:
+def plain(payload: RequestPayload) -> bytes:
     """An operation of the platform's dialect for servers that have only plain commands."""
-    if cargo.value is None:
-        return command(b"GET", cargo.key)
-    return command(b"SET", cargo.key, cargo.value)
+    if payload.value is None:
+        return command(b"GET", payload.key)
+    return command(b"SET", payload.key, payload.value)
 
 
-def read_answer(value: object, raw: bytes) -> Reply:
+def read_answer(value: object, raw: bytes) -> ServerReply:
     """What a whole answer means."""
     if not isinstance(value, Error):
-        return Reply(Outcome.SETTLED, raw)
+        return ServerReply(Outcome.SUCCEEDED, raw)
     code = value.code
     if code in REDIRECTIONS:
-        return Reply(REDIRECTIONS[code], bytes(value))
+        return ServerReply(REDIRECTIONS[code], bytes(value))
     if code in NOT_TAKEN:
         if code in MAP_WRONG:
-            return Reply(Outcome.TURNED_AWAY, bytes(value))
-        return Reply(Outcome.TURNED_AWAY)
+            return ServerReply(Outcome.REJECTED, bytes(value))
+        return ServerReply(Outcome.REJECTED)
     if code not in (b"ERR", b"WRONGTYPE"):
         logger.warning("a server answered {!r}", bytes(value[:80]))
-    return Reply(Outcome.SETTLED, raw)
+    return ServerReply(Outcome.SUCCEEDED, raw)
--- a/gaugehinge/cluster/build.py
+++ b/gaugehinge/cluster/build.py
@@ -10,7 +10,7 @@
 from ..net.configuration import address
 from ..net.service import BACKLOG, CLIENT_PART, Service
 from ..net.sockets import listener
-from ..terms import Presence
+from ..routing.types import EndpointState
 from .attempts import ClusterDialect
 from .fleet import SlotFleet
 from .front import ClusterClients, ClusterTerms, log_start
@@ -57,18 +57,18 @@
 
 def add_fleet(service: Service, nursery: trio.Nursery, replicas: bool) -> SlotFleet:
     """Attempts to cluster-mode servers, and the map that says where they go."""
-    dispatch = service.dispatch
-    caches = dispatch.router.caches
+    dispatcher = service.dispatcher
+    caches = dispatcher.router.caches
 
-    def presence(ident: int) -> Presence | None:
+    def presence(ident: int) -> EndpointState | None:
         cache = caches.get(ident)
-        return cache.presence if cache is not None else None
+        return cache.state if cache is not None else None
 
-    keeper = Keeper(service.configuration.charter.deployment.seed, service.clock())
-    fleet = SlotFleet(keeper, service.pool, service.deadlines, presence, replicas)
-    dispatch.resp = ClusterDialect(own_slots_only=not replicas)
-    dispatch.locate = fleet.locate
-    dispatch.redirected = fleet.redirected
+    keeper = Keeper(service.configuration.settings.deployment.seed, service.clock())
+    fleet = SlotFleet(keeper, service.pool, service.timers, presence, replicas)
+    dispatcher.resp = ClusterDialect(own_slots_only=not replicas)
+    dispatcher.locate = fleet.locate
+    dispatcher.redirected = fleet.redirected
     nursery.start_soon(fleet.run)
     return fleet
 
@@ -79,9 +79,9 @@
     where = address(told.cluster.listen, "cluster.listen")
     listening = listener(where, BACKLOG)
     clients = ClusterClients(
-        configuration.charter,
+        configuration.settings,
         service.lifecycle,
-        service.dispatch,
+        service.dispatcher,
         int(configuration.sockets * CLIENT_PART) // 2,
         configuration.memory // 2,
         nursery,
--- a/gaugehinge/cluster/fleet.py
+++ b/gaugehinge/cluster/fleet.py
@@ -8,10 +8,10 @@
 import trio
 from loguru import logger
 
-from ..net.deadlines import Deadlines
-from ..net.pool import Pool
+from ..net.connection_pool import ConnectionPool
 from ..net.sockets import connect, receive, send_all, shut, tcp
-from ..terms import Attempt, Operation, Outcome, Presence
+from ..net.timer_queue import TimerQueue
+from ..routing.types import Attempt, EndpointState, Operation, Outcome
 from .keeper import FETCH_TIME, Keeper
 from .resp3 import SERVER, Error, Malformed, Reader, command
 from .slots import Node, SlotMap, read_redirection, read_slots, slot_of
@@ -26,16 +26,16 @@
     def __init__(
         self,
         keeper: Keeper,
-        pool: Pool,
-        deadlines: Deadlines,
-        presence: Callable[[int], Presence | None],
+        pool: ConnectionPool,
+        timers: TimerQueue,
+        presence: Callable[[int], EndpointState | None],
         replicas: bool,
     ) -> None:
         """`presence` of a server by its number, None where not listed; `replicas`: reads may go to them."""
         self.keeper = keeper
         self.pool = pool
-        self.deadlines = deadlines
-        self.clock = deadlines.clock
+        self.timers = timers
+        self.clock = timers.clock
         self.presence = presence
         self.replicas = replicas
         self.unlisted = 0  # redirections to servers that discovery does not list
@@ -51,31 +51,31 @@
         if told is None:
             return  # any server says where it is
         nodes = told.nodes(slot_of(operation.key))
-        among = self._known(nodes if self.replicas and not operation.write else nodes[:1])
-        if not among or self.presence(among[0]) is not Presence.UP:
+        among = self._known(nodes if self.replicas and not operation.is_write else nodes[:1])
+        if not among or self.presence(among[0]) is not EndpointState.UP:
             # Its owner went away: with the old map alone all that it owned would be bounced until a fetch by
             # chance. A draining one is kept to, since any other would only name it.
             self.keeper.behind(self.clock())
             self._sooner.set()
-        operation.among = among or None
+        operation.allowed_endpoints = among or None
 
     def redirected(self, attempt: Attempt, outcome: Outcome, words: bytes) -> None:
         """An attempt was told another server, or that the map is wrong."""
         now = self.clock()
         operation = attempt.operation
-        if outcome is Outcome.TURNED_AWAY:
+        if outcome is Outcome.REJECTED:
             self.keeper.behind(now)
             self._sooner.set()
             return
-        endpoint = self.pool.endpoints.get(attempt.server.ident)
+        endpoint = self.pool.endpoints.get(attempt.endpoint.ident)
         told = read_redirection(words, endpoint.address if endpoint is not None else ("", 0))
         if told is None or told.slot != slot_of(operation.key):
-            operation.among = ()  # makes no sense: it goes nowhere, and nothing is learnt of it
+            operation.allowed_endpoints = ()  # makes no sense: it goes nowhere, and nothing is learnt of it
             return
-        operation.asking = told.ask
+        operation.ask_redirect = told.ask
         self.keeper.redirected(told, now)
-        operation.among = self._known((told.node,))
-        if not operation.among:
+        operation.allowed_endpoints = self._known((told.node,))
+        if not operation.allowed_endpoints:
             # Discovery says who may be sent anything: an address that it does not know may be anybody's.
             self.unlisted += 1
         if not told.ask:
@@ -101,7 +101,7 @@
                     await self._sooner.wait()
                 if self.keeper.due(self.clock()) > self.clock():
                     continue
-            up = [e for e in self.pool.endpoints.values() if self.presence(e.ident) is Presence.UP]
+            up = [e for e in self.pool.endpoints.values() if self.presence(e.ident) is EndpointState.UP]
             servers = [endpoint.address for endpoint in up]
             where = self.keeper.begin(servers, self.clock())
             if where is not None:
@@ -113,7 +113,7 @@
     async def _fetch(self, where: tuple[str, int]) -> None:
         told = None
         why = "no answer"
-        with self.deadlines.within(FETCH_TIME):
+        with self.timers.timeout_scope(FETCH_TIME):
             try:
                 told = await fetch(where)
             except (OSError, trio.ClosedResourceError) as bad:
--- a/gaugehinge/cluster/front.py
+++ b/gaugehinge/cluster/front.py
@@ -20,13 +20,13 @@
 from loguru import logger
 
 from .. import __version__
-from ..charter import Charter
-from ..net.clients import Client, Clients, Door, Ticket
-from ..net.dispatch import BUSY, Dispatch
-from ..net.phase import Lifecycle, Phase
-from ..net.pool import Cargo
+from ..net.client_server import AdmissionControl, ClientConnection, ClientServer, PendingReply
+from ..net.connection_pool import RequestPayload
+from ..net.dispatcher import BUSY_REPLY, Dispatcher
+from ..net.lifecycle import Lifecycle, Phase
 from ..net.resp import Malformed
-from ..terms import Operation
+from ..routing.types import Operation
+from ..settings import Settings
 from .resp3 import CLIENT, Error, Message, Pairs, Reader, Status, encode
 from .slots import SLOTS, SlotMap, slot_of
 from .table import Entry, Piece, Refused, dressed, join, keys_of, split, table_answer
@@ -81,39 +81,39 @@
 
 
 @dataclass(slots=True, eq=False)
-class ClusterClient(Client):
+class ClusterClient(ClientConnection):
     """A connection with what the dialect remembers of it."""
 
     version: int = 2
     title: bytes = b""
     parser: Any = field(default_factory=lambda: Reader(CLIENT))
     under_way: dict[bytes, int] = field(default_factory=dict)  # by key; left with its last answer
-    backlog: deque[tuple[Ticket, Whole]] = field(default_factory=deque)  # bounded with the tickets
+    backlog: deque[tuple[PendingReply, Whole]] = field(default_factory=deque)  # bounded with the tickets
     bearer: Bearer | None = None  # who comes there, where that is asked
     credential: str = ""
 
 
-class ClusterClients(Clients):
+class ClusterClients(ClientServer):
     """All connections of the cluster dialect."""
 
     def __init__(
         self,
-        charter: Charter,
+        settings: Settings,
         lifecycle: Lifecycle,
-        dispatch: Dispatch,
+        dispatcher: Dispatcher,
         most_clients: int,
         memory: int,
         nursery: trio.Nursery,
         terms: ClusterTerms,
-        door: Door | None = None,
+        door: AdmissionControl | None = None,
     ) -> None:
-        super().__init__(charter, lifecycle, dispatch, most_clients, memory, nursery, door)
+        super().__init__(settings, lifecycle, dispatcher, most_clients, memory, nursery, door)
         self.terms = terms
         nodes = [each.nodes[0] for each in terms.tier]
         self.node = nodes[terms.me]
         self.others = [node for node in nodes if node is not self.node]
         self.redirected = 0  # commands told another router, while it leaves
-        self._labels = [b"c=%b,d=" % name.encode() for name in charter.types]  # by row
+        self._labels = [b"c=%b,d=" % name.encode() for name in settings.traffic_type_rows]  # by row
         self.gate: Gate | None = None
         self._unix: Callable[[], float] = time.time
         self._run = secrets.token_hex(4)  # ids made here begin with it: new with each start
@@ -135,7 +135,7 @@
             b"INFO": self._info,
         }
 
-    def new_client(self, raw: socket.socket, now: float, source: str) -> Client:
+    def new_client(self, raw: socket.socket, now: float, source: str) -> ClientConnection:
         return ClusterClient(raw, now, quiet_since=now, source=source)
 
     # -- commands in
@@ -180,14 +180,14 @@
             return
         held = sum(len(piece.words) + len(piece.value or b"") for piece in pieces)
         full = self.held + held > self.most_held
-        full = full or len(self.dispatch.exchanges) + len(pieces) > self.most_in_hand
+        full = full or len(self.dispatcher.pending_operations) + len(pieces) > self.most_in_hand
         client.crowding = client.crowding and len(self.connections) > self.most
         if full or client.crowding or self.behind():
-            self.put(client, BUSY)  # it never ran
+            self.put(client, BUSY_REPLY)  # it never ran
             return
-        ticket = Ticket(held=held)
+        ticket = PendingReply(held=held)
         self.held += held
-        client.tickets.append(ticket)
+        client.pending_replies.append(ticket)
         whole = Whole(entry, pieces, [None] * len(pieces), len(pieces), bearer)
         if client.backlog or self._conflicts(client, whole):
             client.backlog.append((ticket, whole))
@@ -206,10 +206,10 @@
             for piece in whole.pieces
         )
 
-    def _start(self, client: ClusterClient, ticket: Ticket, whole: Whole, now: float) -> None:
+    def _start(self, client: ClusterClient, ticket: PendingReply, whole: Whole, now: float) -> None:
         entry = whole.entry
-        room = min(ROOM + self.dispatch.deadlines.lag, ROOM_PART * entry.abandon)
-        traffic = self.charter.deployment.traffic_types[entry.row]
+        room = min(ROOM + self.dispatcher.timers.lag, ROOM_PART * entry.abandon)
+        traffic = self.settings.deployment.traffic_types[entry.row]
         for piece in whole.pieces:
             # Reads under way count up; the one write that may be is a negative one.
             client.under_way[piece.key] = -1 if entry.write else client.under_way.get(piece.key, 0) + 1
@@ -227,12 +227,12 @@
                 now + entry.abandon - room,
             )
             answer = self._answerer(client, ticket, whole, place)
-            cargo = self._cargo(client, entry, piece, whole.bearer)
+            payload = self._cargo(client, entry, piece, whole.bearer)
             if self.door is None:
-                handles.append(self.dispatch.submit(operation, cargo, answer))
+                handles.append(self.dispatcher.submit(operation, payload, answer))
             else:
                 size = len(piece.words) + len(piece.value or b"")
-                handles.append(self.door.submit(operation, cargo, answer, client.name, size))
+                handles.append(self.door.submit(operation, payload, answer, client.name, size))
 
     def _go_on(self, client: ClusterClient) -> None:
         """Start what waited for the commands before it. Its time begins with its turn."""
@@ -240,7 +240,9 @@
             ticket, whole = client.backlog.popleft()
             self._start(client, ticket, whole, self.clock())
 
-    def _cargo(self, client: ClusterClient, entry: Entry, piece: Any, bearer: Bearer | None) -> Cargo:
+    def _cargo(
+        self, client: ClusterClient, entry: Entry, piece: Any, bearer: Bearer | None
+    ) -> RequestPayload:
         """What goes on to servers: as it came, or in the platform's dialect with an id made here."""
         ident = f"{self._run}{self._count:010x}".encode()
         before, after = self._labels[entry.row], b""
@@ -258,7 +260,7 @@
         value = piece.value or b""
         behind = b"$%d\r\n%b\r\n" % (len(value), value) if entry.write else b""
         told = before + b"%d" % (entry.abandon * 1000) + after
-        return Cargo(
+        return RequestPayload(
             ident,
             piece.key,
             (before, after),
@@ -271,7 +273,7 @@
         )
 
     def _answerer(
-        self, client: ClusterClient, ticket: Ticket, whole: Whole, place: int
+        self, client: ClusterClient, ticket: PendingReply, whole: Whole, place: int
     ) -> Callable[[bytes], None]:
         def answer(reply: bytes) -> None:
             whole.answers[place] = NULL3 if reply == NULL2 and client.version >= 3 else reply
@@ -293,9 +295,9 @@
 
         return answer
 
-    def close_ticket(self, ticket: Ticket) -> None:
+    def close_ticket(self, ticket: PendingReply) -> None:
         for handle in list(ticket.handle):
-            (self.door or self.dispatch).client_gone(handle, lambda: None)
+            (self.door or self.dispatcher).client_gone(handle, lambda: None)
 
     # -- who is it
 
--- a/gaugehinge/door/door.py
+++ b/gaugehinge/door/door.py
@@ -15,11 +15,11 @@
 
 from loguru import logger
 
-from ..charter import Charter
-from ..net.clients import Client, Clients
-from ..net.dispatch import BUSY, Dispatch, busy
-from ..net.pool import Cargo
-from ..terms import Operation
+from ..net.client_server import ClientConnection, ClientServer
+from ..net.connection_pool import RequestPayload
+from ..net.dispatcher import BUSY_REPLY, Dispatcher, busy_reply
+from ..routing.types import Operation
+from ..settings import Settings
 from .comeback import ComeBack
 from .costs import Costs
 from .fairness import FairQueue, Waiting
@@ -51,7 +51,7 @@
     """One operation at the door, until its answer."""
 
     operation: Operation
-    cargo: Cargo
+    payload: RequestPayload
     answer: Callable[[bytes], None]
     size: int
     bucket: int
@@ -65,20 +65,20 @@
 class Door:
     """Operations that wait, and how many are in hand."""
 
-    def __init__(self, charter: Charter, dispatch: Dispatch, memory: int, label: str = "") -> None:
+    def __init__(self, settings: Settings, dispatcher: Dispatcher, memory: int, label: str = "") -> None:
         """`label` names a client; without it each connection is one."""
-        deployment = charter.deployment
+        deployment = settings.deployment
         self.label = b"%b=" % label.encode() if label else b""
-        self.charter = charter
-        self.dispatch = dispatch
-        self.deadlines = dispatch.deadlines
-        self.clock = dispatch.clock
+        self.settings = settings
+        self.dispatcher = dispatcher
+        self.timers = dispatcher.timers
+        self.clock = dispatcher.clock
         now = self.clock()
         tenants = len(deployment.tenants)
         most = max(min(int(memory * WAITING_PART) // WAITING_MEMORY, WAITING_MOST), 16)
         self.queue = FairQueue([t.share for t in deployment.tenants], most, deployment.seed, now)
-        self.limiter = Limiter(charter.most_open, now)
-        self.come_back = ComeBack(deployment.longest_come_back, tenants, deployment.seed)
+        self.limiter = Limiter(settings.max_in_flight, now)
+        self.come_back = ComeBack(deployment.max_retry_after, tenants, deployment.seed)
         self.costs = Costs(len(deployment.traffic_types))
         self.heavy = Heavy(HEAVY_SIZE, HEAVY_HALVE, now)
         self.pace = Pace(now)
@@ -90,13 +90,15 @@
         self.writes = [0.0] * (tenants + 1)  # seconds of CPU a second let in that no first look turns away
         self._written = [0.0] * (tenants + 1)
         self._sampled = now
-        payoffs = [row.payoff for row in deployment.traffic_types]
+        payoffs = [row.priority_weight for row in deployment.traffic_types]
         self.tap = Tap(tenants + 1, payoffs, deployment.seed, now)
-        self.whose: Callable[[Client, str], int | None] = lambda client, name: charter.tenants.get(name, -1)
+        self.whose: Callable[[ClientConnection, str], int | None] = lambda client, name: (
+            settings.tenant_indexes.get(name, -1)
+        )
         self.in_hand = 0
         self.lateness = 0.0  # answer times as a part of the promised, smoothed
         rows = deployment.traffic_types
-        self.took = [FIRST_PART * row.promised for row in rows]  # in hand, smoothed
+        self.took = [FIRST_PART * row.latency_objective for row in rows]  # in hand, smoothed
         self.strays = [0.0] * len(rows)  # and how far times lie from that
         self._held: Counter[int] = Counter()  # connections by tenant, counted now and then
         self._next_count = now
@@ -104,27 +106,32 @@
         self._looking = False
         self._cpu = time.process_time()
         self._next_tell = now + TELL_EVERY
-        self._names = [*charter.tenants, "none"]
-        self.deadlines.at(now + SAMPLE_EVERY, self._sample)
+        self._names = [*settings.tenant_indexes, "none"]
+        self.timers.call_at(now + SAMPLE_EVERY, self._sample)
 
     # -- in
 
     def submit(
-        self, operation: Operation, cargo: Cargo, answer: Callable[[bytes], None], client: bytes, size: int
+        self,
+        operation: Operation,
+        payload: RequestPayload,
+        answer: Callable[[bytes], None],
+        client: bytes,
+        size: int,
     ) -> Entry:
         """Take an operation; `answer` gets its one final answer, perhaps at once."""
         now = self.clock()
         tenant = operation.tenant
-        row = operation.traffic.row
-        if not operation.write:
+        row = operation.traffic_type.row
+        if not operation.is_write:
             self.tap.come(tenant, row)
-        client = self._client(cargo) or client
+        client = self._client(payload) or client
         bucket = self.queue.bucket(tenant, client, now)
         cost = self.costs.cost(row, size)
-        self._let_in(tenant, cost, operation.write)
-        entry = Entry(operation, cargo, answer, size, bucket, cost)
+        self._let_in(tenant, cost, operation.is_write)
+        entry = Entry(operation, payload, answer, size, bucket, cost)
         if not self.queue.live and self.in_hand < self.limiter.limit:
-            if operation.repeat is False:
+            if operation.is_client_retry is False:
                 self.come_back.allow(tenant, False)
             self.queue.pass_by(tenant, bucket, cost)
             self._pass_on(entry, now)
@@ -136,7 +143,13 @@
             self._turn_away(entry)
             return entry
         entry.waiting = Waiting(
-            entry, tenant, bucket, operation.traffic.payoff, cost, now, self._leave_at(operation)
+            entry,
+            tenant,
+            bucket,
+            operation.traffic_type.priority_weight,
+            cost,
+            now,
+            self._leave_at(operation),
         )
         self.queue.put(entry.waiting)
         self._look_for_leavers()
@@ -161,11 +174,11 @@
             rooms.append(left / (self.cost_each[place] or self.costs.each))
         return rooms
 
-    def _client(self, cargo: Cargo) -> bytes:
+    def _client(self, payload: RequestPayload) -> bytes:
         """The name in the labels, where that tells clients apart; empty where there is none."""
         if not self.label:
             return b""
-        for part in cargo.told.split(b","):
+        for part in payload.told.split(b","):
             if part.startswith(self.label):
                 return part
         return b""
@@ -175,7 +188,7 @@
         operation = entry.operation
         # Repeats of a tenant that has nothing waiting take nobody's turn.
         waits = self.queue.lines[operation.tenant].live
-        if waits and not self.come_back.allow(operation.tenant, operation.repeat):
+        if waits and not self.come_back.allow(operation.tenant, operation.is_client_retry):
             return "repeats"
         left = self._leave_at(operation) - now
         if left <= 0.0 or self.queue.wait_of(operation.tenant) > left:
@@ -184,7 +197,7 @@
             return ""
         victim = self.queue.victim(now)
         if victim is None or (
-            victim.tenant == operation.tenant and victim.payoff >= operation.traffic.payoff
+            victim.tenant == operation.tenant and victim.payoff >= operation.traffic_type.priority_weight
         ):
             return "full"
         self.queue.leave(victim, "full")
@@ -193,13 +206,13 @@
 
     def _leave_at(self, operation: Operation) -> float:
         """When the time left does not cover an answer any more."""
-        traffic = operation.traffic
+        traffic = operation.traffic_type
         row = traffic.row
         expected = self.took[row] + DEVIATIONS * self.strays[row]
         end = operation.deadline
-        if not traffic.late_payoff:
-            end = min(end, operation.arrived + traffic.promised)
-        return end - SPARE - min(expected, 0.5 * (end - operation.arrived))
+        if not traffic.late_weight:
+            end = min(end, operation.arrived_at + traffic.latency_objective)
+        return end - SPARE - min(expected, 0.5 * (end - operation.arrived_at))
 
     def client_gone(self, entry: Entry, freed: Callable[[], None] = lambda: None) -> None:
         """Nobody waits for the answer any more."""
@@ -209,7 +222,7 @@
             entry.waiting = None
             freed()
         elif entry.passed:
-            self.dispatch.client_gone(entry.handle, freed)
+            self.dispatcher.client_gone(entry.handle, freed)
             self._ended(entry, b"", now=self.clock())
         else:
             freed()
@@ -241,14 +254,14 @@
         entry.passed = now
         self.in_hand += 1
         self.queue.count(entry.operation.tenant, now, True)
-        if not entry.operation.write:
+        if not entry.operation.is_write:
             self.tap.pass_on(entry.operation.tenant)
 
         def answer(reply: bytes) -> None:
             self._ended(entry, reply, self.clock())
             entry.answer(reply)
 
-        entry.handle = self.dispatch.submit(entry.operation, entry.cargo, answer)
+        entry.handle = self.dispatcher.submit(entry.operation, entry.payload, answer)
 
     def _ended(self, entry: Entry, reply: bytes, now: float) -> None:
         """An operation is answered, or its client left: there is room for another."""
@@ -256,14 +269,14 @@
             return
         took, entry.passed = now - entry.passed, 0.0
         self.in_hand -= 1
-        row = entry.operation.traffic.row
+        row = entry.operation.traffic_type.row
         self.costs.ended(row, entry.size + len(reply))
         if reply.startswith(BUSY_WORD):
             self.queue.refund(entry.operation.tenant, entry.bucket, entry.cost * (1.0 - QUICK))
         elif reply and not reply.startswith(b"-"):
             self.strays[row] += LEARN * (abs(took - self.took[row]) - self.strays[row])
             self.took[row] += LEARN * (took - self.took[row])
-            self.lateness += LEARN * (took / entry.operation.traffic.promised - self.lateness)
+            self.lateness += LEARN * (took / entry.operation.traffic_type.latency_objective - self.lateness)
         if self.queue.live:
             self._pull()
 
@@ -271,14 +284,14 @@
         """Refused from here: it never ran."""
         entry.waiting = None
         operation = entry.operation
-        operation.over = True
-        entry.answer(busy(self._stay_away(operation)))
+        operation.finished = True
+        entry.answer(busy_reply(self._stay_away(operation)))
 
     def _stay_away(self, operation: Operation) -> float:
         """When one that is turned away may return."""
         self.queue.count(operation.tenant, self.clock(), False)
         wait = self.queue.wait_of(operation.tenant) + self.queue.pressure(operation.tenant)
-        return self.come_back.time(wait, operation.repeat)
+        return self.come_back.time(wait, operation.is_client_retry)
 
     def _count(self, tenant: int, cause: str) -> None:
         refused = self.queue.lines[tenant].refused
@@ -289,7 +302,7 @@
         due = self.queue.next_due()
         if due is not None and not self._looking:
             self._looking = True
-            self.deadlines.at(due, self._leavers)
+            self.timers.call_at(due, self._leavers)
 
     def _leavers(self) -> None:
         self._looking = False
@@ -323,14 +336,14 @@
             left, refusing = self.turnstile.looked()
             self.level.sample(left, refusing / span, now)
         self.queue.sample(now)
-        lag = self.deadlines.behind
+        lag = self.timers.behind
         self.limiter.sample(lag, self.in_hand, self.queue.live, self.lateness, now)
         backlogs = [self.queue.backlog(line) for line in self.queue.lines]
         self.tap.sample(backlogs, self._rooms(span), now)
         if self.queue.live:
             self._pull()
         self._tell(now)
-        self.deadlines.at(now + SAMPLE_EVERY, self._sample)
+        self.timers.call_at(now + SAMPLE_EVERY, self._sample)
 
     def _tell(self, now: float) -> None:
         for log in (self.limiter.log, self.queue.log, self.tap.log, self.level.log):
@@ -348,14 +361,14 @@
 
     # -- connections
 
-    def reader(self, clients: Clients) -> Turnstile:
+    def reader(self, clients: ClientServer) -> Turnstile:
         """What reads the connections."""
         self.turnstile = Turnstile(clients, self.turns, self.tap, self._at_first_look)
         return self.turnstile
 
-    def _at_first_look(self, client: Client, seen: Glimpse) -> bytes | None:
+    def _at_first_look(self, client: ClientConnection, seen: Glimpse) -> bytes | None:
         """The answer to a read that is not let in; None where it is, or is to be read in full."""
-        row = self.charter.types.get(seen.traffic)
+        row = self.settings.traffic_type_rows.get(seen.traffic)
         if row is None:
             return None
         tenant = self.whose(client, seen.tenant)
@@ -367,7 +380,7 @@
         self._count(tenant, "first look")
         self.queue.count(tenant, self.clock(), False)
         wait = self.queue.wait_of(tenant) + self.queue.pressure(tenant)
-        return busy(self.come_back.time(wait, seen.repeat))
+        return busy_reply(self.come_back.time(wait, seen.repeat))
 
     def more(self) -> bool:
         """Whether one more connection may be accepted now."""
@@ -397,7 +410,7 @@
     def full(self, operation: Operation) -> bytes:
         """What an operation is told that finds no place, or no memory for it."""
         self._count(operation.tenant, "place")
-        return busy(self._stay_away(operation))
+        return busy_reply(self._stay_away(operation))
 
     def share(self, shares: Sequence[float]) -> None:
         """The tenants' shares have changed."""
@@ -406,7 +419,7 @@
         self.level.share(shares)
 
 
-BUSY_WORD = BUSY[:5]
+BUSY_WORD = BUSY_REPLY[:5]
 
 
 def describe(name: str, queued: int, sojourn: float, longest: float, refused: dict[str, int]) -> str:
--- a/gaugehinge/door/turnstile.py
+++ b/gaugehinge/door/turnstile.py
@@ -15,7 +15,7 @@
 import trio
 from loguru import logger
 
-from ..net.clients import MOST_DRAINED, Client, Clients
+from ..net.client_server import MOST_DRAINED, ClientConnection, ClientServer
 from ..net.sockets import SPACE
 from .glance import Glimpse, glance
 from .tap import Tap
@@ -32,7 +32,11 @@
     """The connections of one router."""
 
     def __init__(
-        self, clients: Clients, turns: Turns, tap: Tap, refusal: Callable[[Client, Glimpse], bytes | None]
+        self,
+        clients: ClientServer,
+        turns: Turns,
+        tap: Tap,
+        refusal: Callable[[ClientConnection, Glimpse], bytes | None],
     ) -> None:
         """`refusal`: the answer to a read that is turned away at the first look, or None."""
         self.tap = tap
@@ -44,7 +48,7 @@
         self._ending: set[int] = set()  # descriptors whose other side sends no more; left with them
         self._passes = self._left = 0  # since the last look, and those that left something
         self._refusing = 0.0  # seconds
-        self._watched: dict[int, Client] = {}  # by descriptor; leaves with the connection
+        self._watched: dict[int, ClientConnection] = {}  # by descriptor; leaves with the connection
         self._space = SPACE[:READ_MOST]
 
     async def run(self) -> None:
@@ -57,10 +61,10 @@
         finally:
             self._epoll.close()
 
-    def watch(self, client: Client) -> None:
+    def watch(self, client: ClientConnection) -> None:
         """Read this one from now on; one that was paused goes on with what it had sent already."""
         if client.paused:
-            self.clients.dispatch.deadlines.at(self.clock(), self._go_on, client)
+            self.clients.dispatcher.timers.call_at(self.clock(), self._go_on, client)
             return
         number = client.raw.fileno()
         if number >= 0 and not self._epoll.closed and number not in self._watched:
@@ -68,7 +72,7 @@
             # On edges: what stood unread in one pass is not told anew in each.
             self._epoll.register(number, select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLET)
 
-    def drop(self, client: Client) -> None:
+    def drop(self, client: ClientConnection) -> None:
         """Read it no more, or not for now."""
         number = client.raw.fileno()
         if self._watched.get(number) is client:
@@ -78,7 +82,7 @@
             with suppress(OSError, ValueError):
                 self._epoll.unregister(number)
 
-    def _go_on(self, client: Client) -> None:
+    def _go_on(self, client: ClientConnection) -> None:
         if client.paused and self.clients.connections.get(client.slot) is client:
             self.clients.resume(client)
             if not client.paused:
@@ -117,7 +121,7 @@
         self._refusing = 0.0
         return left, refusing
 
-    def _read(self, client: Client, since: float, place: int) -> None:
+    def _read(self, client: ClientConnection, since: float, place: int) -> None:
         began, refused = perf_counter(), False
         try:
             refused = self._one(client, since)
@@ -133,7 +137,7 @@
         if refused:
             self._refusing += took
 
-    def _one(self, client: Client, since: float) -> bool:
+    def _one(self, client: ClientConnection, since: float) -> bool:
         """Read what stands on one; whether it was turned away, or was nothing."""
         number = client.raw.fileno()
         size = client.raw.recv_into(self._space)
@@ -144,7 +148,7 @@
         if size == len(self._space) or number in self._ending:
             self.turns.stand(client, self.clock())
         data = bytes(self._space[:size])
-        if self.tap.shut and not (client.tickets or client.last or len(client.parser)):
+        if self.tap.shut and not (client.pending_replies or client.last or len(client.parser)):
             seen = glance(data)
             reply = self.refusal(client, seen) if seen is not None else None
             if reply is not None:
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -21,12 +21,12 @@
 
 from ..hosted.follower import Follower
 from ..hosted.roster import BadFeed
-from ..net.phase import Phase
-from ..net.pool import REST_TIME, Connection, Endpoint, PendingAttempt
+from ..net.connection_pool import REST_TIME, Connection, PendingAttempt, ServerPool
+from ..net.lifecycle import Phase
 from ..net.service import Service
+from ..routing.types import EndpointState, Outcome
 from ..tenancy.feed import Feed
 from ..tenancy.lease import DRIFT, SLACK
-from ..terms import Outcome, Presence
 from .files import NodeFile
 from .forms import MOST_SERVERS, NAME, Said, ServerSaid, Told
 from .grants import ORIGIN, SERVERS, Figures, Holding
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, eq=False)
 class RouterDrains:
-    """`hosted.follower.Part` and `net.pool.Warden`."""
+    """`hosted.follower.Part` and `net.connection_pool.ConnectionBudget`."""
 
     service: Service
     follower: Follower
@@ -103,31 +103,31 @@
         self.holding = Holding(dict(kept.floors), from_, kept.admitted)
         self.span_at, self.span_cpu = now, time.process_time()
         self.service.pool.warden = self
-        self.service.dispatch.noted = self._noted
+        self.service.dispatcher.noted = self._noted
         self.service.farewells.append(self.farewell)
 
     # -- which store
 
-    def store_name(self, endpoint: Endpoint) -> str:
+    def store_name(self, endpoint: ServerPool) -> str:
         """The same for as long as a connection to it counts: the origin leaves the list before its
         connections do."""
         name = self.names.get(endpoint.uid)
         if name is None:
-            origin = self.service.dispatch.router.origin
+            origin = self.service.dispatcher.router.origin
             name = ORIGIN if origin is not None and origin.ident == endpoint.ident else endpoint.uid
             self.names[endpoint.uid] = name
         return name
 
-    def _store(self, endpoint: Endpoint) -> Store:
+    def _store(self, endpoint: ServerPool) -> Store:
         name = self.store_name(endpoint)
         found = self.stores.get(name)
         if found is None:
             found = self.stores[name] = Store()
         return found
 
-    # -- net.pool.Warden
+    # -- net.connection_pool.ConnectionBudget
 
-    def may_open(self, endpoint: Endpoint) -> bool:
+    def may_open(self, endpoint: ServerPool) -> bool:
         """Closing connections count: the server may hold them still."""
         return self._store(endpoint).counted < self.holding.most(self.store_name(endpoint), self.clock())
 
@@ -150,7 +150,7 @@
             self.service.pool._close(connection)
         elif store.waiting:
             pool = self.service.pool
-            pool.deadlines.at(pool.clock() + 1.1 * REST_TIME, self._serve, connection.endpoint)
+            pool.timers.call_at(pool.clock() + 1.1 * REST_TIME, self._serve, connection.endpoint)
 
     def closed(self, connection: Connection) -> None:
         """Say that no more comes, and count the connection until the server has closed it, too."""
@@ -162,7 +162,7 @@
             half = connection.raw.dup()
         self.nursery.start_soon(self._see_out, half, store, connection.endpoint)
 
-    async def _see_out(self, half: socket.socket | None, store: Store, endpoint: Endpoint) -> None:
+    async def _see_out(self, half: socket.socket | None, store: Store, endpoint: ServerPool) -> None:
         """Until the server has closed it; the router's own end is the nursery's."""
         try:
             if half is None or not await self._closes(half):
@@ -190,45 +190,45 @@
 
     # -- attempts that wait for a connection
 
-    def wait(self, endpoint: Endpoint, pending: PendingAttempt) -> bool:
+    def wait(self, endpoint: ServerPool, pending: PendingAttempt) -> bool:
         store = self._store(endpoint)
         if len(store.waiting) >= MOST_WAITING or self.holding.closed:
             return False
         pool = self.service.pool
-        pool.deadlines.drop(pending.time_out)
+        pool.timers.cancel(pending.time_out)
         now = pool.clock()
-        pending.time_out = pool.deadlines.at(
+        pending.time_out = pool.timers.call_at(
             now + WAIT_PART * max(pending.due - now, 0.0), self._waited_out, store, pending
         )
         store.waiting.append(pending)
         if endpoint.idle:  # one that has not had its rest
-            pool.deadlines.at(now + 1.1 * REST_TIME, self._serve, endpoint)
+            pool.timers.call_at(now + 1.1 * REST_TIME, self._serve, endpoint)
         store.peak = max(store.peak, store.open - len(endpoint.idle) + len(store.waiting))
         return True
 
     def _waited_out(self, store: Store, pending: PendingAttempt) -> None:
         if pending in store.waiting:
             store.waiting.remove(pending)
-            self.service.pool._end_soon(pending, Outcome.NEVER_SENT)
+            self.service.pool._end_soon(pending, Outcome.NOT_SENT)
 
-    def _serve(self, endpoint: Endpoint) -> None:
+    def _serve(self, endpoint: ServerPool) -> None:
         """Connections that are free, and openings that are, to the attempts that wait longest."""
         store, pool = self._store(endpoint), self.service.pool
         while store.waiting:
             pending = store.waiting[0]
-            if pool.pending.get(pending.attempt) is not pending or pending.attempt.operation.over:
+            if pool.pending.get(pending.attempt) is not pending or pending.attempt.operation.finished:
                 store.waiting.popleft()
                 continue
             if pool.endpoints.get(endpoint.ident) is not endpoint:
                 store.waiting.popleft()
-                pool._end_soon(pending, Outcome.NEVER_SENT)
+                pool._end_soon(pending, Outcome.NOT_SENT)
                 continue
             connection = pool._warm(endpoint)
             if connection is None and not (self.may_open(endpoint) and pool._make_room()):
                 return
             store.waiting.popleft()
-            pool.deadlines.drop(pending.time_out)
-            pending.time_out = pool.deadlines.at(pending.due, pool._late, pending)
+            pool.timers.cancel(pending.time_out)
+            pending.time_out = pool.timers.call_at(pending.due, pool._late, pending)
             if connection is not None:
                 pool._start(connection, pending)
             else:
@@ -368,20 +368,20 @@
         return store.counted + len(store.waiting) if store is not None else 0
 
     def _attempts(self) -> int:
-        return sum(not pending.attempt.server.origin for pending in self.service.pool.pending.values())
+        return sum(not pending.attempt.endpoint.origin for pending in self.service.pool.pending.values())
 
     def _listed(self) -> list[ServerSaid]:
-        origin = self.service.dispatch.router.origin
+        origin = self.service.dispatcher.router.origin
         return [
             ServerSaid(
                 target.uid,
-                target.listing.zone,
-                target.listing.kind,
-                target.listing.presence is Presence.UP,
-                target.listing.started,
+                target.entry.zone,
+                target.entry.kind,
+                target.entry.state is EndpointState.UP,
+                target.entry.started,
             )
             for target in self.follower.overlay.told
-            if origin is None or target.listing.ident != origin.ident
+            if origin is None or target.entry.ident != origin.ident
         ][:MOST_SERVERS]
 
     def hear(self, feed: Feed, asked_at: float) -> None:
@@ -422,11 +422,11 @@
             self.end()
         elif told.hard and self.left:
             logger.warning("told to end at once by {}: {} in hand", told.leave, self._in_hand())
-            self.service.dispatch.fail_rest()
+            self.service.dispatcher.fail_rest()
             self.nursery.cancel_scope.cancel()
 
     def _in_hand(self) -> int:
-        return len(self.service.dispatch.exchanges)
+        return len(self.service.dispatcher.pending_operations)
 
     def _save(self, **figures: Any) -> None:
         """One writing at a time; what comes meanwhile is written with the next."""
--- a/gaugehinge/emulator/directory.py
+++ b/gaugehinge/emulator/directory.py
@@ -68,7 +68,7 @@
         """Something is so now; the list tells it after its lateness."""
         now = self.clock()
         late = self.lateness + (self.late_by if now < self.late_until else 0.0)
-        self.schedule.at(now + late, self._tell, uid, fields)
+        self.schedule.call_at(now + late, self._tell, uid, fields)
 
     def _tell(self, uid: str, fields: dict[str, Any]) -> None:
         if self.clock() < self.frozen_until:
@@ -101,7 +101,7 @@
     def freeze(self, until: float) -> None:
         """The list is stale until then; after that all comes at once."""
         self.frozen_until = until
-        self.schedule.at(until, self._thaw)
+        self.schedule.call_at(until, self._thaw)
 
     def _thaw(self) -> None:
         if self.clock() < self.frozen_until:
--- a/gaugehinge/emulator/doors.py
+++ b/gaugehinge/emulator/doors.py
@@ -16,9 +16,9 @@
 import trio
 from loguru import logger
 
-from ..net.deadlines import Deadlines
 from ..net.resp import ARRAY, BULK, Malformed, Message, Parser
 from ..net.sockets import receive, send_all, send_some, shut
+from ..net.timer_queue import TimerQueue
 from .cache import BUSY, Act, CacheServer, Command
 from .directory import Directory
 from .faults import Faults, Manner
@@ -53,7 +53,7 @@
     raw: socket.socket
     router: int
     parser: object
-    tickets: deque[Ticket] = field(default_factory=deque)
+    pending_replies: deque[Ticket] = field(default_factory=deque)
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     used: bool = False
     stuck: bool = False  # an answer goes out by a task of its own
@@ -72,15 +72,15 @@
     def __init__(
         self,
         nursery: trio.Nursery,
-        deadlines: Deadlines,
+        timers: TimerQueue,
         faults: Faults,
         machine: Machine,
         idle_close: float,
         most: int,
     ) -> None:
         self.nursery = nursery
-        self.deadlines = deadlines
-        self.clock = deadlines.clock
+        self.timers = timers
+        self.clock = timers.clock
         self.faults = faults
         self.machine = machine
         self.idle_close = idle_close
@@ -196,19 +196,19 @@
 
     def _forget(self, wire: Wire) -> None:
         self.wires.discard(wire)
-        for ticket in wire.tickets:
+        for ticket in wire.pending_replies:
             if ticket.command is not None:
                 self.gone(ticket.command)
-        wire.tickets.clear()
+        wire.pending_replies.clear()
         shut(wire.raw)
 
     def _sweep(self) -> None:
         """Close what stood idle for too long."""
         oldest = self.clock() - self.idle_close
-        for wire in [wire for wire in self.wires if not wire.tickets and wire.idle_since < oldest]:
+        for wire in [wire for wire in self.wires if not wire.pending_replies and wire.idle_since < oldest]:
             self._forget(wire)
             wire.scope.cancel()
-        self.deadlines.at(self.clock() + SWEEP_EVERY, self._sweep)
+        self.timers.call_at(self.clock() + SWEEP_EVERY, self._sweep)
 
     def answer_to(self, wire: Wire, ticket: Ticket) -> Callable[[Act], None]:
         """What puts an answer into its place."""
@@ -221,13 +221,13 @@
 
     def put(self, wire: Wire, data: bytes) -> None:
         """An answer at once, in its place."""
-        wire.tickets.append(Ticket(Act(Manner.WHOLE, data)))
+        wire.pending_replies.append(Ticket(Act(Manner.WHOLE, data)))
         self.flush(wire)
 
     def flush(self, wire: Wire) -> None:
         """Write what is due, in the order of the commands."""
-        while wire.tickets and wire.tickets[0].act is not None and not wire.stuck:
-            act = wire.tickets[0].act
+        while wire.pending_replies and wire.pending_replies[0].act is not None and not wire.stuck:
+            act = wire.pending_replies[0].act
             if act.manner is Manner.NOTHING:
                 wire.stuck = True  # for good: nothing goes out on this line any more
                 return
@@ -245,7 +245,7 @@
                 wire.stuck = True
                 self.nursery.start_soon(self._oddly, wire, act._replace(data=act.data[sent:]))
                 return
-            wire.tickets.popleft()
+            wire.pending_replies.popleft()
             wire.idle_since = self.clock()
 
     async def _oddly(self, wire: Wire, act: Act) -> None:
@@ -254,8 +254,8 @@
             await self.awake()
             if await self._perform(wire, act):
                 wire.stuck = False
-                if wire.tickets:
-                    wire.tickets.popleft()
+                if wire.pending_replies:
+                    wire.pending_replies.popleft()
                     wire.idle_since = self.clock()
                     self.flush(wire)
             else:
@@ -306,10 +306,10 @@
 class CacheDoor(Door):
     """A cache server's door: RESP2."""
 
-    def __init__(self, nursery: trio.Nursery, deadlines: Deadlines, server: CacheServer) -> None:
+    def __init__(self, nursery: trio.Nursery, timers: TimerQueue, server: CacheServer) -> None:
         form = server.form
         super().__init__(
-            nursery, deadlines, server.faults, server.machine, float(form.idle_close), form.connections
+            nursery, timers, server.faults, server.machine, float(form.idle_close), form.connections
         )
         self.server = server
 
@@ -333,7 +333,7 @@
             self.put(wire, self._plain(words))
             return
         ticket = Ticket()
-        wire.tickets.append(ticket)
+        wire.pending_replies.append(ticket)
         command = ticket.command = Command(
             words[2],
             words[1],
@@ -417,8 +417,8 @@
     IDLE = 30.0
     MOST = 4096
 
-    def __init__(self, nursery: trio.Nursery, deadlines: Deadlines, origin: Origin) -> None:
-        super().__init__(nursery, deadlines, origin.faults, origin.machine, self.IDLE, self.MOST)
+    def __init__(self, nursery: trio.Nursery, timers: TimerQueue, origin: Origin) -> None:
+        super().__init__(nursery, timers, origin.faults, origin.machine, self.IDLE, self.MOST)
         self.origin = origin
 
     def gone(self, command: Command) -> None:
@@ -434,7 +434,7 @@
             self.put(wire, http_answer(400, b"no operation"))
             return
         ticket = Ticket()
-        wire.tickets.append(ticket)
+        wire.pending_replies.append(ticket)
         command = ticket.command = Command(
             ident,
             unquote_to_bytes(head.target[1:]),
@@ -460,14 +460,14 @@
     def __init__(
         self,
         nursery: trio.Nursery,
-        deadlines: Deadlines,
+        timers: TimerQueue,
         directory: Directory,
         seed: int,
         capacity: float,
         longest_wait: float,
     ) -> None:
-        machine = Machine(deadlines, 1, 1 << 20, lambda now: 1.0)
-        super().__init__(nursery, deadlines, Faults(seed, "discovery"), machine, self.IDLE, self.MOST)
+        machine = Machine(timers, 1, 1 << 20, lambda now: 1.0)
+        super().__init__(nursery, timers, Faults(seed, "discovery"), machine, self.IDLE, self.MOST)
         self.directory = directory
         self.work = 1.0 / capacity
         self.longest_wait = longest_wait
@@ -519,7 +519,7 @@
         if wire in self.mute:
             return
         ticket = Ticket()
-        wire.tickets.append(ticket)
+        wire.pending_replies.append(ticket)
         answer = self.answer_to(wire, ticket)
         url = urlsplit(head.target.decode("latin-1"))
         self.calls += 1
@@ -554,13 +554,13 @@
             wake()
         else:
             self.directory.waiting.add(wake)
-            self.deadlines.at(self.clock() + wait, wake)
+            self.timers.call_at(self.clock() + wait, wake)
 
     def _tell(self, wire: Wire, answer: Callable[[Act], None], since: int | None) -> None:
         if wire not in self.wires or wire in self.mute:
             return  # its router went away, or hears nothing any more
         if self.held_until > self.clock():
-            self.deadlines.at(self.held_until, self._tell, wire, answer, since)
+            self.timers.call_at(self.held_until, self._tell, wire, answer, since)
             return
         if self.directory.down():
             self._over(wire, 0, 503)
--- a/gaugehinge/emulator/listparty.py
+++ b/gaugehinge/emulator/listparty.py
@@ -10,7 +10,7 @@
 import trio
 
 from ..histories.events import Hushed, ListAsked, ListChanged, ListTold, Outage, Recorder
-from ..net.deadlines import Clock, Deadlines
+from ..net.timer_queue import Clock, TimerQueue
 from .directory import Directory, Entry
 from .doors import DirectoryDoor
 from .party import DirectoryPart, Listed, say
@@ -35,8 +35,8 @@
         self.path = Path(part.files) / "list"
         clock = Clock()
         self.door: DirectoryDoor | None = None  # until it serves
-        self.deadlines = Deadlines(clock)
-        self.directory = Directory(self.deadlines, part.lateness, self._noted)
+        self.timers = TimerQueue(clock)
+        self.directory = Directory(self.timers, part.lateness, self._noted)
         kept = self._read()
         self.directory.rev = kept.rev
         for each in kept.entries:
@@ -98,7 +98,7 @@
     def order(self, told: dict[str, Any]) -> None:
         """A change of the list, or a time for which discovery answers with an error, is empty or stale; all
         connections fall silent (`hush`) or are reset; the first addresses go (`retire`)."""
-        uid, now = told.get("uid"), self.deadlines.clock()
+        uid, now = told.get("uid"), self.timers.clock()
         if uid is not None:
             held = self.directory.entries.get(uid)
             fields = {name: told[name] for name in ("state", "boot_ms", "zone") if name in told}
@@ -118,12 +118,12 @@
             self.directory.freeze(now + told["stale"])
         if "empty" in told:
             self.directory.empty_until = now + told["empty"]
-            self.deadlines.at(self.directory.empty_until, self._whole_again)
+            self.timers.call_at(self.directory.empty_until, self._whole_again)
 
     def _whole_again(self) -> None:
         """Those that were told an empty list, at this version, are told the whole at a new one."""
         directory = self.directory
-        if self.deadlines.clock() < directory.empty_until:
+        if self.timers.clock() < directory.empty_until:
             return
         directory.rev += 1
         directory.changes.clear()
@@ -134,12 +134,12 @@
     async def run(self, nursery: trio.Nursery) -> None:
         """Answer until cancelled."""
         self.door = DirectoryDoor(
-            nursery, self.deadlines, self.directory, self.part.seed, CAPACITY, LONGEST_WAIT
+            nursery, self.timers, self.directory, self.part.seed, CAPACITY, LONGEST_WAIT
         )
         self.door.addresses = [tuple(each) for each in self.part.listen]
         self.door.routers = len(self.part.listen) // 2 if self.part.moves else 0
         self.door.noted = self._called
-        nursery.start_soon(self.deadlines.run)
+        nursery.start_soon(self.timers.run)
         self.door.open()
         await trio.lowlevel.checkpoint()
         say(up=True)
--- a/gaugehinge/emulator/machine.py
+++ b/gaugehinge/emulator/machine.py
@@ -88,14 +88,14 @@
         now = self.schedule.clock()
         self.working.add(job)
         begin = max(now, self.paused_until)
-        self.schedule.at(begin + job.work / max(self.pace(begin), 1e-6), self._end, job)
+        self.schedule.call_at(begin + job.work / max(self.pace(begin), 1e-6), self._end, job)
 
     def _end(self, job: Job) -> None:
         if job.dropped:
             return
         now = self.schedule.clock()
         if now < self.paused_until:  # the rest of it is done right after the pause
-            self.schedule.at(self.paused_until, self._end, job)
+            self.schedule.call_at(self.paused_until, self._end, job)
             return
         self.working.discard(job)
         while self.queue and len(self.working) < self.cores:
--- a/gaugehinge/emulator/part.py
+++ b/gaugehinge/emulator/part.py
@@ -18,7 +18,7 @@
 
 from ..forms.record import Recorder
 from ..forms.units import UNITS
-from ..net.deadlines import Deadlines
+from ..net.timer_queue import TimerQueue
 from .cache import CacheServer, Tables
 from .directory import Directory, Entry
 from .doors import CacheDoor, DirectoryDoor, OriginDoor
@@ -92,7 +92,7 @@
         self.world = world
         self.nursery = nursery
         self.clock = time.monotonic  # the same in all processes of a machine
-        self.deadlines = Deadlines(self.clock)
+        self.timers = TimerQueue(self.clock)
         self.record = Recorder(world.record)
         self.bus = Bus(self)
         self.tables = Tables(
@@ -126,18 +126,18 @@
         return port
 
     def _found_origin(self) -> None:
-        self.origin = Origin(self.world.emulator.origin, self.deadlines, self.tables, self.bus)
+        self.origin = Origin(self.world.emulator.origin, self.timers, self.tables, self.bus)
         if not self.world.rules.asks_origin:
             self.tables = self.tables._replace(through=self.origin)
-        self.origin_door = OriginDoor(self.nursery, self.deadlines, self.origin)
+        self.origin_door = OriginDoor(self.nursery, self.timers, self.origin)
         self._place(self.origin_door)
 
     def _found_directory(self) -> None:
         form = self.world.emulator.discovery
-        self.directory = Directory(self.deadlines, float(form.lateness), self.record.row)
+        self.directory = Directory(self.timers, float(form.lateness), self.record.row)
         self.directory_door = DirectoryDoor(
             self.nursery,
-            self.deadlines,
+            self.timers,
             self.directory,
             self.world.seed,
             float(form.capacity),
@@ -146,9 +146,9 @@
         self._place(self.directory_door)
 
     def _found_cache(self, uid: str, form: Caches) -> None:
-        server = CacheServer(uid, form, self.deadlines, self.tables)
+        server = CacheServer(uid, form, self.timers, self.tables)
         server.on_fall = self._fell
-        self.doors[uid] = CacheDoor(self.nursery, self.deadlines, server)
+        self.doors[uid] = CacheDoor(self.nursery, self.timers, server)
         self._place(self.doors[uid])
 
     def addresses(self) -> dict[str, Any]:
@@ -204,11 +204,11 @@
             door.machine.pause(fault.until)
         elif name in ("refuse", "hang"):
             (door.close_listeners if name == "refuse" else door.hang)()
-            self.deadlines.at(fault.until, self._listen_again, door)
+            self.timers.call_at(fault.until, self._listen_again, door)
         elif name == "pause_answer":
             # The next answer only: a server pauses once, not with each of its answers.
             door.faults.add(fault)
-            self.deadlines.at(now + min(lasts, GAUGE_EVERY), self._no_more, door, fault)
+            self.timers.call_at(now + min(lasts, GAUGE_EVERY), self._no_more, door, fault)
         else:
             door.faults.add(fault)
 
@@ -242,7 +242,7 @@
             if tries >= OFTEN_FAILS:
                 logger.error("a played server cannot listen again: {}", bad)
                 return
-            self.deadlines.at(self.clock() + GAUGE_EVERY, self._listen_again, door, tries + 1)
+            self.timers.call_at(self.clock() + GAUGE_EVERY, self._listen_again, door, tries + 1)
 
     def do_crash(self, slot: str) -> None:
         """A server's process dies: its connections are reset, new ones refused."""
@@ -271,9 +271,9 @@
         for slot, door in self.doors.items():
             if door.server is server:
                 # Not from within the call that brought the last straw: its connection is still being read.
-                self.deadlines.at(self.clock(), self.do_crash, slot)
+                self.timers.call_at(self.clock(), self.do_crash, slot)
                 say({"event": "fell", "slot": slot, "uid": server.uid})
-                self.deadlines.at(self.clock() + float(server.form.down_time), self._back, slot)
+                self.timers.call_at(self.clock() + float(server.form.down_time), self._back, slot)
 
     def _back(self, slot: str) -> None:
         server = self.doors[slot].server
@@ -285,7 +285,7 @@
 
     def _gauge(self) -> None:
         now = self.clock()
-        self.record.row("lag", self.world.part, now, round(self.deadlines.behind, 4))
+        self.record.row("lag", self.world.part, now, round(self.timers.behind, 4))
         for door in self.doors.values():
             machine, server = door.machine, door.server
             self.record.row(
@@ -309,11 +309,11 @@
                 paused,
                 len(self.origin_door.wires),
             )
-        self.deadlines.at(now + GAUGE_EVERY, self._gauge)
+        self.timers.call_at(now + GAUGE_EVERY, self._gauge)
 
     def _flush(self) -> None:
         self.record.flush()
-        self.deadlines.at(self.clock() + FLUSH_EVERY, self._flush)
+        self.timers.call_at(self.clock() + FLUSH_EVERY, self._flush)
 
 
 async def serve() -> None:
@@ -323,7 +323,7 @@
         part = Part(read_world(await anext(told)), nursery)
         say(part.addresses())
         part.connect(await anext(told))
-        nursery.start_soon(part.deadlines.run)
+        nursery.start_soon(part.timers.run)
         nursery.start_soon(part.bus.hear)
         say({"event": "ready"})
         async for order in told:
--- a/gaugehinge/emulator/virtual.py
+++ b/gaugehinge/emulator/virtual.py
@@ -8,13 +8,13 @@
 
 
 class Schedule(Protocol):
-    """What falls due. `net.deadlines.Deadlines` on sockets, `VirtualTime` without."""
+    """What falls due. `net.timer_queue.TimerQueue` on sockets, `VirtualTime` without."""
 
     @property
     def clock(self) -> Callable[[], float]:
         """Now, in seconds."""
 
-    def at(self, when: float, action: Callable[..., Any], *given: Any) -> Any:
+    def call_at(self, when: float, action: Callable[..., Any], *given: Any) -> Any:
         """Do something at a time, never before this returns."""
 
 
@@ -29,7 +29,7 @@
     def clock(self) -> float:
         return self.now
 
-    def at(self, when: float, action: Callable[..., Any], *given: Any) -> None:
+    def call_at(self, when: float, action: Callable[..., Any], *given: Any) -> None:
         self._count += 1
         heappush(self._heap, (max(when, self.now), self._count, action, given))
 
--- a/gaugehinge/hosted/build.py
+++ b/gaugehinge/hosted/build.py
@@ -11,7 +11,7 @@
 import trio
 
 from ..installation.form import Installation
-from ..net.clients import Client
+from ..net.client_server import ClientConnection
 from ..net.service import Service
 from ..tenancy.credentials import Attempts, Hasher
 from ..tenancy.feed import WAIT
@@ -43,7 +43,7 @@
         roster, clients = Roster(), service.clients
         if not isinstance(clients, HostedClients):
             raise TypeError("its clients cannot say who they are")
-        attempts = Attempts(service.configuration.charter.deployment.seed, time.time())
+        attempts = Attempts(service.configuration.settings.deployment.seed, time.time())
         gate = Gate(roster, hasher or Hasher(), attempts, time.time)
         for front, _ in service.fronts:  # whichever dialect it speaks
             front.let_in_by(gate, time.time)
@@ -65,7 +65,7 @@
     return extend
 
 
-def _place(client: Client, name: str) -> int | None:
+def _place(client: ClientConnection, name: str) -> int | None:
     """Whose a command is at the first look; None where it needs a whole one."""
     bearer = getattr(client, "bearer", None)
     if bearer is None or name not in ("", bearer.name):
--- a/gaugehinge/hosted/follower.py
+++ b/gaugehinge/hosted/follower.py
@@ -22,7 +22,7 @@
 from loguru import logger
 from xxhash import xxh3_128_hexdigest
 
-from ..net.list_update import ListUpdate
+from ..net.endpoint_list import EndpointListUpdate
 from ..net.service import Service
 from ..tenancy.feed import WAIT, Feed, Report
 from .overlay import Overlay
@@ -105,7 +105,9 @@
         self.client = client
         self.snapshot = snapshot
         self.places = places
-        self.hear_list: Callable[..., None] = service.dispatch.hear_list  # below the overlay
+        self.on_endpoints_changed: Callable[..., None] = (
+            service.dispatcher.on_endpoints_changed
+        )  # below the overlay
         self.run_mark = os.urandom(8).hex()
         self.away_since = 0.0  # 0: the keeper answers
         self.heard_at = 0.0
@@ -125,7 +127,7 @@
 
     def begin(self) -> None:
         """Take the snapshot, if there is a good one; lay orders over the list from now on."""
-        self.service.dispatch.hear_list = self._hear_list
+        self.service.dispatcher.on_endpoints_changed = self._hear_list
         if self.snapshot is None:
             return
         try:
@@ -137,8 +139,8 @@
         except BadFeed as bad:
             logger.warning("snapshot not used: {}", bad)
 
-    def _hear_list(self, update: ListUpdate, held: bool = False) -> None:
-        self.hear_list(self.overlay.hear_list(update), held)
+    def _hear_list(self, update: EndpointListUpdate, held: bool = False) -> None:
+        self.on_endpoints_changed(self.overlay.on_endpoints_changed(update), held)
 
     # -- news
 
@@ -195,12 +197,12 @@
     def in_hand(self) -> dict[str, int]:
         """Operations by incarnation, those that wait at the door among them."""
         counts: Counter[bytes] = Counter()
-        for exchange in self.service.dispatch.exchanges:
-            counts[exchange.cargo.key.partition(b"/")[0]] += 1
+        for exchange in self.service.dispatcher.pending_operations:
+            counts[exchange.payload.key.partition(b"/")[0]] += 1
         door = self.service.clients.door
         if door is not None:
             for waiting in door.waiting():
-                counts[waiting.thing.cargo.key.partition(b"/")[0]] += 1
+                counts[waiting.thing.payload.key.partition(b"/")[0]] += 1
         return {str(int(number, 16)): count for number, count in counts.items()}
 
     def _failed(self, bad: Exception) -> float:
@@ -233,7 +235,7 @@
             log.clear()
         if change is None:
             return
-        self.service.dispatch.router.hear_tenants(change.tenants, change.anew)
+        self.service.dispatcher.router.on_tenants_changed(change.tenants, change.anew)
         door = self.service.clients.door
         if door is not None:
             shares = [tenant.share for tenant in change.tenants[: self.places]]
@@ -241,7 +243,7 @@
         if change.drained is not None:
             update = self.overlay.order(change.drained)
             if update is not None:
-                self.hear_list(update)
+                self.on_endpoints_changed(update)
             self._carry_out(None)
 
     # -- the snapshot
--- a/gaugehinge/hosted/front.py
+++ b/gaugehinge/hosted/front.py
@@ -12,10 +12,10 @@
 
 from loguru import logger
 
-from ..net.clients import PLAIN, Client, Clients, Refused, read_labels
-from ..net.pool import Cargo
+from ..net.client_server import PLAIN, ClientConnection, ClientServer, RequestError, read_labels
+from ..net.connection_pool import RequestPayload
 from ..net.resp import BULK, Message, bulk
-from ..terms import Operation
+from ..routing.types import Operation
 from .gate import Gate
 from .roster import Bearer
 
@@ -23,14 +23,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class HostedClient(Client):
+class HostedClient(ClientConnection):
     """One connection, and who comes there."""
 
     bearer: Bearer | None = None
     credential: str = ""
 
 
-class HostedClients(Clients):
+class HostedClients(ClientServer):
     """All connections of the platform's dialect, at a hosted router."""
 
     gate: Gate
@@ -40,7 +40,7 @@
         self.gate, self.unix = gate, unix
         self.commands[b"AUTH"] = self._auth
 
-    def new_client(self, raw: socket.socket, now: float, source: str) -> Client:
+    def new_client(self, raw: socket.socket, now: float, source: str) -> ClientConnection:
         return HostedClient(raw, now, quiet_since=now, source=source)
 
     # -- who is it
@@ -71,12 +71,12 @@
         """Whose operation it is, now. Raises Refused."""
         bearer = client.bearer
         if bearer is None:
-            raise Refused("authentication required")
+            raise RequestError("authentication required")
         why = bearer.why_not(client.credential, self.unix())
         if why:
             if why == "authentication required":
                 client.bearer = None
-            raise Refused(why)
+            raise RequestError(why)
         return bearer
 
     # -- their own space
@@ -87,35 +87,35 @@
 
     def _read_operation(
         self, client: HostedClient, message: Message, write: bool, now: float
-    ) -> tuple[Operation, Cargo]:
+    ) -> tuple[Operation, RequestPayload]:
         bearer = self._bearer(client)
         own = dressed(message, write, bearer)
-        operation, cargo = super()._read_operation(client, own, write, now)
+        operation, payload = super()._read_operation(client, own, write, now)
         operation.tenant = bearer.place
-        return operation, cargo
+        return operation, payload
 
 
 def dressed(message: Message, write: bool, bearer: Bearer) -> Message:
     """A command as it goes on: key, id, mark and tenant are the bearer's own. Raises Refused."""
     parts = message.top.body
     if len(parts) != 4 + write:
-        raise Refused("wrong number of arguments")
+        raise RequestError("wrong number of arguments")
     if not PLAIN.fullmatch(parts[3].body) or len(parts[3].body) > MOST_LABELS:
-        raise Refused("id and labels must be plain text")
+        raise RequestError("id and labels must be plain text")
     labels, _ = read_labels(parts[3].body)
     if labels.get("t", bearer.name) != bearer.name:
-        raise Refused("label t: not the tenant of this connection")
+        raise RequestError("label t: not the tenant of this connection")
     row = bearer.row
     kind = bearer.traffic_type(labels.get("c", ""))
     if kind is None:
-        raise Refused("label c: no such class")
+        raise RequestError("label c: no such class")
     if "c" in labels:
         labels["c"] = kind
     if row.longest_wait and labels["d"].isdigit():
         # Shorter than its client waits is safe: it hears sooner that it comes to nothing.
         labels["d"] = str(min(int(labels["d"]), int(row.longest_wait * 1000)))
     if write and row.most_value and len(parts[4].body) > row.most_value:
-        raise Refused(f"value over {row.most_value} bytes")
+        raise RequestError(f"value over {row.most_value} bytes")
     if "k" in labels and labels["k"]:
         labels["k"] = bearer.marks.decode() + labels["k"]
     labels["t"] = bearer.name
--- a/gaugehinge/hosted/overlay.py
+++ b/gaugehinge/hosted/overlay.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from ..net.list_update import ListUpdate, Target
-from ..terms import Presence
+from ..net.endpoint_list import EndpointListUpdate, EndpointTarget
+from ..routing.types import EndpointState
 
 
 class Overlay:
@@ -16,27 +16,27 @@
     def __init__(self) -> None:
         self.drained: frozenset[str] = frozenset()
         self.log: list[str] = []  # emptied by the driver
-        self._told: dict[str, Target] = {}  # by the list's names, without those that are gone
+        self._told: dict[str, EndpointTarget] = {}  # by the list's names, without those that are gone
         self._rev = 0
 
     @property
-    def told(self) -> list[Target]:
+    def told(self) -> list[EndpointTarget]:
         """The list by discovery's word alone."""
         return list(self._told.values())
 
-    def hear_list(self, update: ListUpdate) -> ListUpdate:
+    def on_endpoints_changed(self, update: EndpointListUpdate) -> EndpointListUpdate:
         """Discovery's list or changes of it, with the orders laid over."""
-        if update.whole:
+        if update.complete:
             self._told.clear()
         for target in update.targets:
-            if target.listing.presence is Presence.GONE:
+            if target.entry.state is EndpointState.GONE:
                 self._told.pop(target.uid, None)
             else:
                 self._told[target.uid] = target
         self._rev = update.rev
-        return ListUpdate(update.rev, update.whole, tuple(map(self._laid, update.targets)))
+        return EndpointListUpdate(update.rev, update.complete, tuple(map(self._laid, update.targets)))
 
-    def order(self, drained: frozenset[str]) -> ListUpdate | None:
+    def order(self, drained: frozenset[str]) -> EndpointListUpdate | None:
         """All orders that stand now; the changes of the list that follow, None where there is none."""
         changed = drained ^ self.drained
         self.drained = drained
@@ -44,9 +44,9 @@
             word = "drains by order" if uid in drained else "is discovery's again"
             self.log.append(f"server {uid} {word}: {len(drained)} orders stand")
         targets = tuple(self._laid(self._told[uid]) for uid in sorted(changed) if uid in self._told)
-        return ListUpdate(self._rev, False, targets) if targets else None
+        return EndpointListUpdate(self._rev, False, targets) if targets else None
 
-    def _laid(self, target: Target) -> Target:
-        if target.uid not in self.drained or target.listing.presence is not Presence.UP:
+    def _laid(self, target: EndpointTarget) -> EndpointTarget:
+        if target.uid not in self.drained or target.entry.state is not EndpointState.UP:
             return target
-        return target._replace(listing=target.listing._replace(presence=Presence.DRAINING))
+        return target._replace(entry=target.entry._replace(state=EndpointState.DRAINING))
--- a/gaugehinge/hosted/roster.py
+++ b/gaugehinge/hosted/roster.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from math import isfinite
 
+from ..routing.types import Tenant
 from ..tenancy.credentials import Credential
 from ..tenancy.feed import MOST_TENANTS, Feed, TenantRow
 from ..tenancy.life import Stage
-from ..terms import Tenant
 
 
 class BadFeed(ValueError):
--- a/gaugehinge/installation/build.py
+++ b/gaugehinge/installation/build.py
@@ -5,18 +5,18 @@
 import secrets
 from pathlib import Path
 
-from ..charter import Charter
 from ..forms import toml
 from ..net.configuration import Address, Configuration, address
-from ..terms import Deployment, Effect, Group, Tenant, TrafficType
+from ..routing.types import DeduplicationScope, Deployment, Effect, Tenant, TrafficType
+from ..settings import Settings
 from .form import Installation, TrafficEntry
 
 EFFECTS = {
     "idempotent": Effect.IDEMPOTENT,
-    "deduplicated": Effect.DEDUPLICATED,
-    "unrepeatable": Effect.UNREPEATABLE,
+    "deduplicated": Effect.WITH_IDEMPOTENCY_KEY,
+    "unrepeatable": Effect.NON_IDEMPOTENT,
 }
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
 def read_installation(path: str | Path) -> Installation:
@@ -36,7 +36,7 @@
     )
 
 
-def charter_of(told: Installation) -> Charter:
+def charter_of(told: Installation) -> Settings:
     """The same values that the platform's JSON brings."""
     limits, rules, tier = told.limits, told.rules, told.tier
     deployment = Deployment(
@@ -67,7 +67,7 @@
         one_a_connection=rules.one_leg_a_connection,
         connection_price=rules.connection_price,
     )
-    return Charter(
+    return Settings(
         deployment,
         {entry.name: i for i, entry in enumerate(told.traffic)},
         {entry.name: i for i, entry in enumerate(told.tenants)}
@@ -87,7 +87,7 @@
         name=told.name,
         listen=address(told.listen.clients, "listen.clients"),
         discovery=address(told.discovery.address, "discovery.address"),
-        charter=charter_of(told),
+        settings=charter_of(told),
         memory=int(told.limits.memory),
         sockets=told.limits.sockets,
         peer_listen=peer_listen,
--- a/gaugehinge/load/driver.py
+++ b/gaugehinge/load/driver.py
@@ -16,9 +16,9 @@
 from loguru import logger
 
 from ..emulator.form import Traffic
-from ..net.deadlines import Deadlines, Due
 from ..net.resp import ARRAY, BULK, ERROR, MOST_ANSWER, Malformed, Message, Parser, bulk
 from ..net.sockets import connect, receive, send_all, send_some, shut, silent, tcp
+from ..net.timer_queue import Timer, TimerQueue
 from .form import Job
 from .plan import NEVER, Plan
 
@@ -60,7 +60,7 @@
     lateness: float = 0.0
     resent: float = NEVER  # when it was sent once more, after the end of its connection
     conn: Conn | None = None
-    due: Due | None = None
+    due: Timer | None = None
 
     @property
     def ident(self) -> bytes:
@@ -87,12 +87,12 @@
     """All clients of one worker."""
 
     def __init__(
-        self, job: Job, plan: Plan, deadlines: Deadlines, nursery: trio.Nursery, note: Callable[..., None]
+        self, job: Job, plan: Plan, timers: TimerQueue, nursery: trio.Nursery, note: Callable[..., None]
     ) -> None:
         self.job = job
         self.plan = plan
-        self.deadlines = deadlines
-        self.clock = deadlines.clock
+        self.timers = timers
+        self.clock = timers.clock
         self.nursery = nursery
         self.note = note
         self.zero = 0.0
@@ -217,7 +217,7 @@
             one.sent = self.clock()
         if one.due is None:
             hang = one.hang if one.hang != NEVER else wait / 1000.0 + LATE_LOOK
-            one.due = self.deadlines.at(self.clock() + hang, self._over, one)
+            one.due = self.timers.call_at(self.clock() + hang, self._over, one)
         try:
             sent = send_some(conn.raw, data)
         except OSError:
@@ -250,7 +250,7 @@
             return
         self.open.discard(one)
         if one.due is not None:
-            self.deadlines.drop(one.due)
+            self.timers.cancel(one.due)
         conn, now = one.conn, self.clock()
         self.count += 1
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
@@ -295,7 +295,7 @@
             wait = come_back
         wait *= 1.0 + 0.5 * crc32(b"%d %d" % (one.first, one.count)) / 0x100000000
         self.repeats_due += 1
-        self.deadlines.at(now + wait, self._again, one, now + wait - self.zero)
+        self.timers.call_at(now + wait, self._again, one, now + wait - self.zero)
 
     def _again(self, one: Try, planned: float) -> None:
         self.repeats_due -= 1
--- a/gaugehinge/load/worker.py
+++ b/gaugehinge/load/worker.py
@@ -14,7 +14,7 @@
 from ..emulator.lines import objects, run_child, say, standard_input
 from ..forms.record import Recorder
 from ..forms.units import UNITS
-from ..net.deadlines import Deadlines
+from ..net.timer_queue import TimerQueue
 from .driver import Driver
 from .form import Job
 from .plan import draw_plan, recorded_plan
@@ -30,10 +30,10 @@
     )
     plan = recorded_plan([Path(path) for path in job.replay], job.speed) if job.replay else draw_plan(job)
     record = Recorder(job.record)
-    deadlines = Deadlines(time.monotonic)
+    timers = TimerQueue(time.monotonic)
     async with trio.open_nursery() as nursery:
-        driver = Driver(job, plan, deadlines, nursery, record.row)
-        nursery.start_soon(deadlines.run)
+        driver = Driver(job, plan, timers, nursery, record.row)
+        nursery.start_soon(timers.run)
         say({"event": "ready", "planned": len(plan)})
         zero = (await anext(told))["zero"]
         nursery.start_soon(watch, told, nursery.cancel_scope)
--- a/gaugehinge/net/clients.py
+++ b/gaugehinge/net/client_server.py
@@ -15,15 +15,15 @@
 import trio
 from loguru import logger
 
-from ..charter import Charter
-from ..terms import Effect, Operation
-from .deadlines import Due
-from .dispatch import BUSY, Dispatch
-from .phase import Lifecycle, Phase
-from .pool import Cargo
+from ..routing.types import Effect, Operation
+from ..settings import Settings
+from .connection_pool import RequestPayload
+from .dispatcher import BUSY_REPLY, Dispatcher
+from .handle_table import HandleTable
+from .lifecycle import Lifecycle, Phase
 from .resp import ARRAY, BULK, Malformed, Message, Parser
-from .slots import Slots
 from .sockets import hung_up, receive, send_all, send_some, shut, silent, unsent
+from .timer_queue import Timer
 
 MOST_PIPELINED = 32  # commands of one connection in hand; then it is not read on
 MOST_WAIT = 3600.0  # a longer `d` is taken for this
@@ -53,13 +53,13 @@
 OK = b"+OK\r\n"
 
 
-class Door(Protocol):
+class AdmissionControl(Protocol):
     """What may stand between a command and the dispatch: `gaugehinge.door`, where it is switched on."""
 
     def submit(
         self,
         operation: Operation,
-        cargo: Cargo,
+        payload: RequestPayload,
         answer: Callable[[bytes], None],
         client: bytes,
         size: int,
@@ -75,10 +75,10 @@
     def accepted(self, cpu: float) -> None:
         """Connections were accepted, in so many seconds of CPU."""
 
-    def crowded(self, connections: Iterable[Client]) -> list[Client]:
+    def crowded(self, connections: Iterable[ClientConnection]) -> list[ClientConnection]:
         """Connections in the order in which they should yield their places."""
 
-    def crowds(self, tenant: int, connections: Iterable[Client], most: int) -> bool:
+    def crowds(self, tenant: int, connections: Iterable[ClientConnection], most: int) -> bool:
         """Whether a connection over the limit is one too many for its tenant."""
 
     def full(self, operation: Operation) -> bytes:
@@ -87,29 +87,29 @@
     def fail_rest(self) -> None:
         """The router ends: what waits is answered."""
 
-    def reader(self, clients: Clients) -> Reader:
+    def reader(self, clients: ClientServer) -> ConnectionReader:
         """What reads the connections, in place of a task each."""
 
 
-class Reader(Protocol):
+class ConnectionReader(Protocol):
     """What may read connections for a door."""
 
     async def run(self) -> None:
         """Read until cancelled."""
 
-    def watch(self, client: Client) -> None:
+    def watch(self, client: ClientConnection) -> None:
         """Read this one from now on."""
 
-    def drop(self, client: Client) -> None:
+    def drop(self, client: ClientConnection) -> None:
         """Read it no more, or not for now."""
 
 
-class Refused(Exception):
+class RequestError(Exception):
     """A command that cannot be taken, in words for the client. The connection goes on."""
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
+class PendingReply:
     """A command's place in the order of answers."""
 
     handle: Any = None  # of its operation, while that is in hand
@@ -119,14 +119,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class Client:
+class ClientConnection:
     """One connection."""
 
     raw: socket.socket
     came: float
     slot: int = -1
     parser: Parser = field(default_factory=Parser)
-    tickets: deque[Ticket] = field(default_factory=deque)  # answers owed, in order
+    pending_replies: deque[PendingReply] = field(default_factory=deque)  # answers owed, in order
     room: trio.Event = field(default_factory=trio.Event)  # something was written
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     used: bool = False
@@ -134,7 +134,7 @@
     since: float = 0.0  # when what is being taken had come, where its reader knows that
     paused: bool = False  # too much of it is in hand; it is not read on
     asking: bool = False  # nor is it while it is asked who comes there
-    check: Due | None = None  # when it is looked at again, over the limit
+    check: Timer | None = None  # when it is looked at again, over the limit
     last: bool = False  # no further command is read; it ends when all is answered
     parting: bool = False  # and at once, with nothing more read
     drained: int = 0  # bytes that came after that
@@ -147,42 +147,42 @@
     ready_since: float = 0.0  # when a reader first saw that something stands there unread; 0: nothing
 
 
-class Clients:
+class ClientServer:
     """All connections, within the limits."""
 
     def __init__(
         self,
-        charter: Charter,
+        settings: Settings,
         lifecycle: Lifecycle,
-        dispatch: Dispatch,
+        dispatcher: Dispatcher,
         most_clients: int,
         memory: int,
         nursery: trio.Nursery,
-        door: Door | None = None,
+        door: AdmissionControl | None = None,
     ) -> None:
-        self.charter = charter
+        self.settings = settings
         self.door = door
         self.lifecycle = lifecycle
-        self.dispatch = dispatch
-        self.clock = dispatch.clock
+        self.dispatcher = dispatcher
+        self.clock = dispatcher.clock
         self.limit(most_clients, memory)
         self.nursery = nursery
         self.held = 0
         self.quiet = QUIET
-        self.connections: Slots[Client] = Slots()  # until closed
+        self.connections: HandleTable[ClientConnection] = HandleTable()  # until closed
         self.idents_open: set[bytes] = set()  # until answered or gone
         self.idents: set[bytes] = set()  # closed lately; moved on, then dropped, each IDENT_KEEP
         self.idents_before: set[bytes] = set()
         self.next_idents = 0.0
         self.next_look = 0.0  # for idle connections, once a look found none
-        self.yielding: Iterator[Client] = iter(())  # as a door ordered them
+        self.yielding: Iterator[ClientConnection] = iter(())  # as a door ordered them
         self.next_order = 0.0
         self.reader = door.reader(self) if door is not None else None
         if self.reader is not None:
             nursery.start_soon(self.reader.run)
         self.swept_at = self.awake_since = self.clock()
         self._sweep()
-        self.commands: dict[bytes, Callable[[Client, Message], bytes | None]] = {
+        self.commands: dict[bytes, Callable[[ClientConnection, Message], bytes | None]] = {
             b"PING": self._ping,
             b"CLIENT": lambda client, message: OK,
             b"SELECT": lambda client, message: OK,
@@ -194,7 +194,7 @@
         self.most = most_clients
         self.spare = max(most_clients // 4, 8)  # places beyond it, to say BUSY from
         self.most_held = int(memory * HELD_PART)
-        self.most_in_hand = min(self.charter.most_open, memory // MEMORY_EACH)
+        self.most_in_hand = min(self.settings.max_in_flight, memory // MEMORY_EACH)
 
     # -- connections
 
@@ -246,9 +246,9 @@
         else:
             self.reader.watch(client)
 
-    def new_client(self, raw: socket.socket, now: float, source: str) -> Client:
+    def new_client(self, raw: socket.socket, now: float, source: str) -> ClientConnection:
         """A connection that was just accepted."""
-        return Client(raw, now, quiet_since=now, source=source)
+        return ClientConnection(raw, now, quiet_since=now, source=source)
 
     def _make_room(self) -> bool:
         """Close a connection that stands between commands; its client opens a new one at need."""
@@ -281,7 +281,7 @@
         for client in self.connections:
             if client.paused and hung_up(client.raw):
                 self._stop(client)
-            if client.tickets or client.last:
+            if client.pending_replies or client.last:
                 continue
             if len(client.parser):
                 if max(client.began if client.used else client.came, self.awake_since) < now - WHOLE_TIME:
@@ -294,15 +294,15 @@
         # A limit that was lowered in service binds those that are here already, as they come to rest.
         while not leaving and len(self.connections) > self.most + self.spare and self._make_room():
             pass
-        self.dispatch.deadlines.at(now + SWEEP_EVERY, self._sweep)
+        self.dispatcher.timers.call_at(now + SWEEP_EVERY, self._sweep)
 
-    def _hang_up(self, client: Client) -> bool:
+    def _hang_up(self, client: ClientConnection) -> bool:
         """Close an idle connection, if it is one.
 
         A client that has just been answered may write its next command at this moment: so not at once.
         And nothing may stand between the look and the end: a command that came there would be lost.
         """
-        if client.tickets or client.last or client.ready_since or len(client.parser):
+        if client.pending_replies or client.last or client.ready_since or len(client.parser):
             return False
         if self.clock() - client.quiet_since < (self.quiet if client.used else FIRST_WORD):
             return False
@@ -311,20 +311,20 @@
         self._cut(client)
         return True
 
-    def _cut(self, client: Client) -> None:
+    def _cut(self, client: ClientConnection) -> None:
         _no_more(client)
         client.last = True
         client.scope.cancel()
         self.forget(client)
 
-    def _stop(self, client: Client) -> None:
+    def _stop(self, client: ClientConnection) -> None:
         """End a connection, though not from within what found that it has to end."""
         if self.reader is None:
             client.scope.cancel()  # its task forgets it
         else:
-            self.dispatch.deadlines.at(self.clock(), self.forget, client)
+            self.dispatcher.timers.call_at(self.clock(), self.forget, client)
 
-    async def _serve(self, client: Client) -> None:
+    async def _serve(self, client: ClientConnection) -> None:
         try:
             with client.scope:
                 await self._read(client)
@@ -335,27 +335,27 @@
         finally:
             self.forget(client)
 
-    def forget(self, client: Client) -> None:
+    def forget(self, client: ClientConnection) -> None:
         """A connection has ended, and all that it asked for with it."""
         if self.connections.remove(client.slot) is None:
             return
         if self.reader is not None:
             self.reader.drop(client)
-        for ticket in client.tickets:
+        for ticket in client.pending_replies:
             self.held -= ticket.held
             if ticket.handle is not None:
                 self.close_ticket(ticket)
-        client.tickets.clear()
+        client.pending_replies.clear()
         shut(client.raw)
 
-    def close_ticket(self, ticket: Ticket) -> None:
+    def close_ticket(self, ticket: PendingReply) -> None:
         """Its client has gone before the answer. Its id stays in use for as long as an attempt is out: sent
         again, an operation that may not be repeated ran a second time beside that."""
-        (self.door or self.dispatch).client_gone(ticket.handle, partial(self._close_ident, ticket.ident))
+        (self.door or self.dispatcher).client_gone(ticket.handle, partial(self._close_ident, ticket.ident))
 
     # -- commands in
 
-    async def _read(self, client: Client) -> None:
+    async def _read(self, client: ClientConnection) -> None:
         """Until the client goes. What comes after the last command is read and thrown away: closed with
         bytes unread, the connection is reset and the last answer may be lost with it. But to read all of a
         value of many megabytes takes the time of hundreds of operations."""
@@ -368,7 +368,7 @@
                 await client.room.wait()
                 self.resume(client)
 
-    def take(self, client: Client, data: bytes, since: float = 0.0) -> None:
+    def take(self, client: ClientConnection, data: bytes, since: float = 0.0) -> None:
         """Bytes that came on a connection, and stood there since a time, where that is known."""
         if client.last:
             client.drained += len(data)
@@ -380,7 +380,7 @@
         self.resume(client)
         client.since = 0.0
 
-    def resume(self, client: Client) -> None:
+    def resume(self, client: ClientConnection) -> None:
         """Take the commands that stand whole, until too many are in hand.
 
         Some send hundreds at once and go: their end stands behind bytes that are not read yet, and the rest
@@ -392,7 +392,7 @@
         client.paused = False
         try:
             while not client.last:
-                if client.asking or len(client.tickets) >= MOST_PIPELINED:
+                if client.asking or len(client.pending_replies) >= MOST_PIPELINED:
                     client.paused = True
                     return
                 message = client.parser.next()
@@ -404,7 +404,7 @@
             client.last = True
             self.put(client, b"-ERR protocol: %b\r\n" % str(bad).encode())
 
-    def _command(self, client: Client, message: Message) -> None:
+    def _command(self, client: ClientConnection, message: Message) -> None:
         parts = message.top.body
         if message.top.kind != ARRAY or not parts or any(p.kind != BULK or p.body is None for p in parts):
             raise Malformed("a command is an array of bulk strings")
@@ -417,18 +417,18 @@
         if reply is not None:  # else it follows
             self.put(client, reply)
 
-    def _ping(self, client: Client, message: Message) -> bytes:
+    def _ping(self, client: ClientConnection, message: Message) -> bytes:
         phase = self.lifecycle.phase
         return PONG if phase is Phase.READY else b"-ERR %b\r\n" % phase.name.lower().encode()
 
-    def _quit(self, client: Client, message: Message) -> bytes:
+    def _quit(self, client: ClientConnection, message: Message) -> bytes:
         client.last = True
         return OK
 
-    def _operation(self, client: Client, message: Message, write: bool) -> None:
+    def _operation(self, client: ClientConnection, message: Message, write: bool) -> None:
         try:
-            operation, cargo = self._read_operation(client, message, write, client.since or self.clock())
-        except Refused as bad:
+            operation, payload = self._read_operation(client, message, write, client.since or self.clock())
+        except RequestError as bad:
             self.put(client, b"-ERR %b\r\n" % str(bad).encode())
             return
         client.tenant = operation.tenant
@@ -436,17 +436,19 @@
         client.crowding = client.crowding and len(self.connections) > self.most
         if client.crowding and self.door is not None:
             client.crowding = self.door.crowds(client.tenant, self.connections, self.most)
-        full = self.held + held > self.most_held or len(self.dispatch.exchanges) >= self.most_in_hand
+        full = (
+            self.held + held > self.most_held or len(self.dispatcher.pending_operations) >= self.most_in_hand
+        )
         if client.crowding or full or self.behind():
-            self.put(client, BUSY if self.door is None else self.door.full(operation))  # it never ran
+            self.put(client, BUSY_REPLY if self.door is None else self.door.full(operation))  # it never ran
             return
-        ticket = Ticket(held=held, ident=cargo.ident)
-        self.idents_open.add(cargo.ident)
+        ticket = PendingReply(held=held, ident=payload.ident)
+        self.idents_open.add(payload.ident)
         self.held += held
-        client.tickets.append(ticket)
+        client.pending_replies.append(ticket)
 
         def answer(reply: bytes) -> None:
-            self._close_ident(cargo.ident)
+            self._close_ident(payload.ident)
             ticket.handle = None
             ticket.answer = reply
             self.held += len(reply) - ticket.held
@@ -454,16 +456,16 @@
             self._flush(client)
 
         if self.door is None:
-            handle = self.dispatch.submit(operation, cargo, answer)
+            handle = self.dispatcher.submit(operation, payload, answer)
         else:
-            handle = self.door.submit(operation, cargo, answer, client.name, held)
+            handle = self.door.submit(operation, payload, answer, client.name, held)
         if ticket.answer is None:
             ticket.handle = handle
 
     def behind(self) -> bool:
         """Whether the loop is. Short of CPU, more in hand makes all of it late: what comes then is answered
         while that is cheap."""
-        return self.door is None and self.dispatch.deadlines.behind > MOST_BEHIND
+        return self.door is None and self.dispatcher.timers.behind > MOST_BEHIND
 
     def _close_ident(self, ident: bytes) -> None:
         self.idents_open.discard(ident)
@@ -475,34 +477,34 @@
 
     def _read_operation(
         self,
-        client: Client,
+        client: ClientConnection,
         message: Message,
         write: bool,
         now: float,
-    ) -> tuple[Operation, Cargo]:
+    ) -> tuple[Operation, RequestPayload]:
         parts = message.top.body
         if len(parts) != 4 + write:
-            raise Refused("wrong number of arguments")
+            raise RequestError("wrong number of arguments")
         key, ident, told = parts[1].body, parts[2].body, parts[3].body
         if not PLAIN.fullmatch(ident) or not PLAIN.fullmatch(told):
-            raise Refused("id and labels must be plain text")
+            raise RequestError("id and labels must be plain text")
         labels, gap = read_labels(told)
         tenant = self.tenant_of(labels.get("t", ""))
-        row = self.charter.types.get(labels.get("c", ""))
+        row = self.settings.traffic_type_rows.get(labels.get("c", ""))
         if row is None:
-            raise Refused("label c: no such class")
+            raise RequestError("label c: no such class")
         wait = labels.get("d", "")
         if not wait.isdigit() or len(wait) > 12:
-            raise Refused("label d: not a number of milliseconds")
-        traffic = self.charter.deployment.traffic_types[row]
-        if traffic.effect is Effect.DEDUPLICATED and write and not labels.get("k"):
+            raise RequestError("label d: not a number of milliseconds")
+        traffic = self.settings.deployment.traffic_types[row]
+        if traffic.effect is Effect.WITH_IDEMPOTENCY_KEY and write and not labels.get("k"):
             # With no mark its repeats could not be recognised, and it may be repeated here.
-            raise Refused("label k: missing")
+            raise RequestError("label k: missing")
         if ident in self.idents_open or ident in self.idents or ident in self.idents_before:
             # Two operations of one id: what a server answers the one, or has done for it, is taken for both.
-            raise Refused("id in use")
+            raise RequestError("id in use")
         left = min(int(wait) / 1000.0, MOST_WAIT)
-        room = min(ROOM + self.dispatch.deadlines.lag, ROOM_PART * left)
+        room = min(ROOM + self.dispatcher.timers.lag, ROOM_PART * left)
         operation = Operation(
             0,
             traffic,
@@ -513,7 +515,7 @@
             now,
             now + left - room,
         )
-        cargo = Cargo(
+        payload = RequestPayload(
             ident,
             key,
             gap,
@@ -523,17 +525,17 @@
             parts[4].body if write else None,
             wanted=partial(self.present, client),
         )
-        return operation, cargo
+        return operation, payload
 
     def tenant_of(self, name: str) -> int:
         """A tenant's place; -1 with no label, or where the settings name none. Raises Refused on the name of
         another: it would be served beside all shares."""
-        tenants = self.charter.tenants
+        tenants = self.settings.tenant_indexes
         if name and tenants and name not in tenants:
-            raise Refused("label t: no such tenant")
+            raise RequestError("label t: no such tenant")
         return tenants.get(name, -1)
 
-    def present(self, client: Client) -> bool:
+    def present(self, client: ClientConnection) -> bool:
         """Whether a client is still there, asked before each attempt for it begins.
 
         Its end may stand unread: behind commands that are not taken yet, or since the loop is late. Found by
@@ -546,10 +548,10 @@
         self._stop(client)
         return False
 
-    def answer_later(self, client: Client) -> Callable[[bytes], None]:
+    def answer_later(self, client: ClientConnection) -> Callable[[bytes], None]:
         """A place in the order of answers, filled by a call; until then the connection is not read on."""
-        ticket = Ticket()
-        client.tickets.append(ticket)
+        ticket = PendingReply()
+        client.pending_replies.append(ticket)
         client.asking = client.paused = True
 
         def answer(reply: bytes) -> None:
@@ -562,25 +564,25 @@
 
     # -- answers out
 
-    def put(self, client: Client, answer: bytes) -> None:
+    def put(self, client: ClientConnection, answer: bytes) -> None:
         """Answer a command at once, behind those before it."""
-        client.tickets.append(Ticket(answer=answer))
+        client.pending_replies.append(PendingReply(answer=answer))
         self._flush(client)
 
-    def _flush(self, client: Client) -> None:
+    def _flush(self, client: ClientConnection) -> None:
         """Write what is due, in the order of the commands; then the end where one is wanted."""
-        while client.tickets and client.tickets[0].answer is not None and not client.stuck:
+        while client.pending_replies and client.pending_replies[0].answer is not None and not client.stuck:
             try:
-                sent = self._write(client, client.tickets[0].answer)
+                sent = self._write(client, client.pending_replies[0].answer)
             except OSError:
                 self._stop(client)  # the client has gone
                 return
-            if sent < len(client.tickets[0].answer):
+            if sent < len(client.pending_replies[0].answer):
                 client.stuck = True
-                self.nursery.start_soon(self._push, client, client.tickets[0].answer[sent:])
+                self.nursery.start_soon(self._push, client, client.pending_replies[0].answer[sent:])
                 return
             self._written(client)
-        if client.tickets:
+        if client.pending_replies:
             return
         if client.parting and self.reader is None:
             self._cut(client)
@@ -590,11 +592,11 @@
         else:
             self._look_again(client)
 
-    def _linger(self, client: Client, latest: float) -> None:
+    def _linger(self, client: ClientConnection, latest: float) -> None:
         """Look again whether the last answer has been taken, and end the connection then."""
-        self.dispatch.deadlines.at(self.clock() + LINGER, self._end_linger, client, latest)
+        self.dispatcher.timers.call_at(self.clock() + LINGER, self._end_linger, client, latest)
 
-    def _end_linger(self, client: Client, latest: float) -> None:
+    def _end_linger(self, client: ClientConnection, latest: float) -> None:
         if self.connections.get(client.slot) is not client:
             return
         if unsent(client.raw) and self.clock() < latest:
@@ -602,36 +604,38 @@
         else:
             self._stop(client)
 
-    def _write(self, client: Client, answer: bytes) -> int:
+    def _write(self, client: ClientConnection, answer: bytes) -> int:
         """Write an answer at once, as far as it goes.
 
         While closing, one that is the last thing in its connection ends that in the same step: a busy client
         is never found idle, and all that it sends after that would be lost with the process. What crosses
         that end must not be read, not even to throw it away: a client may send again what nobody read.
         """
-        parting = self.lifecycle.phase is Phase.CLOSING and len(client.tickets) == 1 and not client.last
+        parting = (
+            self.lifecycle.phase is Phase.CLOSING and len(client.pending_replies) == 1 and not client.last
+        )
         parting = parting and not len(client.parser) and silent(client.raw)
         sent = send_some(client.raw, answer)
         client.parting = parting and sent == len(answer) and not unsent(client.raw)
         client.last = client.last or client.parting
         return sent
 
-    def _written(self, client: Client) -> None:
-        self.held -= client.tickets.popleft().held
+    def _written(self, client: ClientConnection) -> None:
+        self.held -= client.pending_replies.popleft().held
         client.quiet_since = self.clock()
         if client.paused and not client.asking:
             client.room.set()
             if self.reader is not None:
                 self.reader.watch(client)
 
-    async def _push(self, client: Client, rest: bytes) -> None:
+    async def _push(self, client: ClientConnection, rest: bytes) -> None:
         """Write the rest of an answer that did not go at once.
 
         The client may have gone before this begins, and its tickets with it. What failed here would end the
         router with all that it has in hand.
         """
         try:
-            with self.dispatch.deadlines.within(WRITE_TIME) as limit:
+            with self.dispatcher.timers.timeout_scope(WRITE_TIME) as limit:
                 await send_all(client.raw, rest)
         except Exception as bad:
             if not isinstance(bad, (OSError, trio.ClosedResourceError)):
@@ -642,20 +646,20 @@
             self._stop(client)
             return
         client.stuck = False
-        if client.tickets:
+        if client.pending_replies:
             self._written(client)
             self._flush(client)
 
-    def _check(self, client: Client) -> None:
+    def _check(self, client: ClientConnection) -> None:
         """Close a connection over the limit once it has nothing to do."""
         client.check = None
         if self.connections.get(client.slot) is client and not self._hang_up(client):
             self._look_again(client)
 
-    def _look_again(self, client: Client) -> None:
-        if client.crowding and not client.last and not client.tickets and client.check is None:
+    def _look_again(self, client: ClientConnection) -> None:
+        if client.crowding and not client.last and not client.pending_replies and client.check is None:
             due = self.clock() + max(self.quiet, LEAST_LOOK)
-            client.check = self.dispatch.deadlines.at(due, self._check, client)
+            client.check = self.dispatcher.timers.call_at(due, self._check, client)
 
     # -- leaving
 
@@ -667,10 +671,10 @@
 
     def owe(self) -> bool:
         """Whether an answer is still to be given or written."""
-        return any(client.tickets or client.paused for client in self.connections)
+        return any(client.pending_replies or client.paused for client in self.connections)
 
 
-def _no_more(client: Client) -> None:
+def _no_more(client: ClientConnection) -> None:
     """Tell the client that no answer follows."""
     with suppress(OSError):
         client.raw.shutdown(socket.SHUT_WR)
@@ -684,12 +688,12 @@
     for part in told.split(b","):
         name, mark, value = part.partition(b"=")
         if not mark or not name or name.decode() in labels:
-            raise Refused("labels are names and values")
+            raise RequestError("labels are names and values")
         labels[name.decode()] = value.decode()
         end = place + len(part)
         if name == b"d":
             gap = told[: end - len(value)], told[end:]
         place = end + 1
     if gap is None:
-        raise Refused("label d: missing")
+        raise RequestError("label d: missing")
     return labels, gap
--- a/gaugehinge/net/configuration.py
+++ b/gaugehinge/net/configuration.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..charter import BadCharter, Charter, Page, charter, parse
+from ..settings import Settings, SettingsError, SettingsReader, parse_json, read_settings
 
 Address = tuple[str, int]
 
@@ -22,7 +22,7 @@
     name: str
     listen: Address
     discovery: Address
-    charter: Charter
+    settings: Settings
     memory: int  # bytes
     sockets: int
     peer_listen: Address | None
@@ -38,9 +38,9 @@
         ipaddress.ip_address(host)
         number = int(port)
     except (AttributeError, ValueError):
-        raise BadCharter(f"{field}: not an address and port") from None
+        raise SettingsError(f"{field}: not an address and port") from None
     if not 0 < number < 65536:
-        raise BadCharter(f"{field}: no such port")
+        raise SettingsError(f"{field}: no such port")
     return host, number
 
 
@@ -48,22 +48,22 @@
     """The configuration that LB_CONFIG names; the other variables stand in for what it leaves out."""
     path = environment.get("LB_CONFIG")
     if not path:
-        raise BadCharter("LB_CONFIG: missing")
+        raise SettingsError("LB_CONFIG: missing")
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as bad:
-        raise BadCharter(f"LB_CONFIG: cannot read {path}: {type(bad).__name__}") from None
-    page = Page(parse(text))
+        raise SettingsError(f"LB_CONFIG: cannot read {path}: {type(bad).__name__}") from None
+    page = SettingsReader(parse_json(text))
     limits = page.page("limits", {})
-    told = charter(_seed(page), page.page("settings").values, "settings")
+    told = read_settings(_seed(page), page.page("settings").values, "settings")
     # Over HTTP nothing comes unasked, whatever the bench does for this deployment.
-    told = replace(told, deployment=replace(told.deployment, must_ask=True))
+    told = replace(told, deployment=replace(told.deployment, must_poll=True))
     peer_listen = page.text("peer_listen", "")
     return Configuration(
         name=page.text("name", environment.get("LB_NAME", "router")),
         listen=address(page.text("listen", environment.get("LB_LISTEN")), "listen"),
         discovery=address(page.text("discovery", environment.get("LB_DISCOVERY")), "discovery"),
-        charter=told,
+        settings=told,
         memory=limits.count("memory_mb", 2048, least=32) << 20,
         sockets=limits.count("sockets", 4096, least=LEAST_SOCKETS),
         peer_listen=address(peer_listen, "peer_listen") if peer_listen else None,
@@ -74,21 +74,21 @@
 
 def lasting(old: Configuration, new: Configuration) -> list[str]:
     """The fields that differ and cannot change in service."""
-    deployment = replace(new.charter.deployment, seed=old.charter.deployment.seed)
+    deployment = replace(new.settings.deployment, seed=old.settings.deployment.seed)
     return [
         name
         for name, same in (
             ("listen", old.listen == new.listen),
             ("peer_listen", old.peer_listen == new.peer_listen),
-            ("settings", old.charter == replace(new.charter, deployment=deployment)),
+            ("settings", old.settings == replace(new.settings, deployment=deployment)),
         )
         if not same
     ]
 
 
-def _seed(page: Page) -> int:
+def _seed(page: SettingsReader) -> int:
     text = page.values.get("seed", "0")
     try:
         return int(text, 16) if isinstance(text, str) else int(text)
     except (TypeError, ValueError):
-        raise BadCharter("seed: not a hexadecimal number") from None
+        raise SettingsError("seed: not a hexadecimal number") from None
--- a/gaugehinge/net/pool.py
+++ b/gaugehinge/net/connection_pool.py
@@ -14,12 +14,12 @@
 import trio
 from loguru import logger
 
-from ..terms import Attempt, Outcome, Presence
+from ..routing.types import Attempt, EndpointState, Outcome
 from .configuration import Address
-from .deadlines import Deadlines, Due
-from .list_update import ListUpdate
+from .endpoint_list import EndpointListUpdate
 from .resp import ARRAY, BULK, ERROR, MOST_ANSWER, Malformed, Message, Parser
 from .sockets import connect, receive, send_some, shut, silent, tcp
+from .timer_queue import Timer, TimerQueue
 
 IDLE_PART = 0.7  # of the time after which a server closes an idle connection: one written to then may be lost
 REST_TIME = 0.01  # an answered connection is not used before this: its end or a second copy may follow.
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Cargo:
+class RequestPayload:
     """What an operation carries to servers: the bytes that came, with a gap for the wait that is left."""
 
     ident: bytes
@@ -45,7 +45,7 @@
     wanted: Callable[[], bool] = lambda: True  # whether its client is still there
 
 
-class Reply(NamedTuple):
+class ServerReply(NamedTuple):
     """What came back."""
 
     outcome: Outcome
@@ -54,24 +54,24 @@
     told: bytes = b""  # the load report, or what stands for it
 
 
-class Dialect(Protocol):
+class Codec(Protocol):
     """How to speak to one kind of server, with no I/O."""
 
     def parser(self) -> Any:
         """The state of a new connection."""
 
-    def command(self, connection: Connection, cargo: Cargo, left: float) -> bytes:
+    def command(self, connection: Connection, payload: RequestPayload, left: float) -> bytes:
         """All the bytes of an attempt."""
 
-    def answer(self, connection: Connection, data: bytes) -> Reply | None:
+    def answer(self, connection: Connection, data: bytes) -> ServerReply | None:
         """What came, or nothing at the end of the connection; the answer once it is whole."""
 
 
-class Broken(Exception):
+class ConnectionLost(Exception):
     """The other side ended the connection."""
 
 
-class Spoilt(Broken):
+class MalformedReply(ConnectionLost):
     """The other side answered with what makes no sense. It is up, and the attempt has run there."""
 
 
@@ -80,7 +80,7 @@
     """One connection to a server, with a task that reads it."""
 
     raw: socket.socket
-    endpoint: Endpoint
+    endpoint: ServerPool
     parser: Any
     pending: PendingAttempt | None  # the attempt that it carries
     idle_since: float = 0.0
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Endpoint:
+class ServerPool:
     """A server as the pool knows it. It leaves when the list says that it is gone."""
 
     ident: int
@@ -104,24 +104,24 @@
     """An attempt on its way."""
 
     attempt: Attempt
-    cargo: Cargo
-    dialect: Dialect
+    payload: RequestPayload
+    dialect: Codec
     due: float
-    time_out: Due | None = None
+    time_out: Timer | None = None
     connection: Connection | None = None
 
 
-class Warden(Protocol):
+class ConnectionBudget(Protocol):
     """Who says how many connections may be open to each server, where that is not this router's alone to
     say."""
 
-    def may_open(self, endpoint: Endpoint) -> bool:
+    def may_open(self, endpoint: ServerPool) -> bool:
         """Whether one more may be opened now."""
 
     def may_use(self, connection: Connection) -> bool:
         """Whether a connection that stood idle may carry an attempt now; else it is closed."""
 
-    def wait(self, endpoint: Endpoint, pending: PendingAttempt) -> bool:
+    def wait(self, endpoint: ServerPool, pending: PendingAttempt) -> bool:
         """Keep an attempt for which no connection may be opened; False: it is not kept."""
 
     def opened(self, connection: Connection) -> None:
@@ -134,87 +134,87 @@
         """The pool has done with a connection: its socket is the warden's to close."""
 
 
-class RespDialect:
+class RespCodec:
     """The cache servers' protocol."""
 
     def parser(self) -> Parser:
         return Parser(MOST_ANSWER)
 
-    def command(self, connection: Connection, cargo: Cargo, left: float) -> bytes:
-        before, behind = cargo.labels
+    def command(self, connection: Connection, payload: RequestPayload, left: float) -> bytes:
+        before, behind = payload.labels
         labels = b"%b%d%b" % (before, max(int(left * 1000), 1), behind)
-        return b"%b$%d\r\n%b\r\n%b" % (cargo.before, len(labels), labels, cargo.behind)
+        return b"%b$%d\r\n%b\r\n%b" % (payload.before, len(labels), labels, payload.behind)
 
-    def answer(self, connection: Connection, data: bytes) -> Reply | None:
+    def answer(self, connection: Connection, data: bytes) -> ServerReply | None:
         if not data:
-            raise Broken("ended")
+            raise ConnectionLost("ended")
         connection.parser.feed(data)
         try:
             message = connection.parser.next()
         except Malformed as bad:
-            raise Spoilt(str(bad)) from None
+            raise MalformedReply(str(bad)) from None
         if message is None:
             return None
         # What follows an answer unasked belongs to no attempt: the next one would take it for its own. And
         # where it is no second copy, the answer began with half of another's: no server gave such a value.
         rest = connection.parser.rest()
         if rest.strip() and not (message.raw.startswith(rest[:4]) or rest.startswith(message.raw[:4])):
-            raise Spoilt("an answer with bytes of another behind it")
+            raise MalformedReply("an answer with bytes of another behind it")
         return read_reply(message)._replace(keep=not len(connection.parser))
 
 
-def read_reply(message: Message) -> Reply:
+def read_reply(message: Message) -> ServerReply:
     """A cache server's answer, by the protocol's table."""
     top = message.top
     if top.kind == ERROR:
         word = top.body.split(b" ", 1)[0]
         if word == b"BUSY":
-            return Reply(Outcome.TURNED_AWAY)
+            return ServerReply(Outcome.REJECTED)
         if word != b"ERR":
             logger.warning("a cache server answered {!r}", top.body[:80])
-        return Reply(Outcome.ERRORED, told=top.body.rpartition(b" ")[2])
+        return ServerReply(Outcome.SERVER_ERROR, told=top.body.rpartition(b" ")[2])
     if top.kind != ARRAY or top.body is None or len(top.body) != ANSWER_PARTS:
-        raise Spoilt("an answer that is no array of three")
+        raise MalformedReply("an answer that is no array of three")
     value, how, report = top.body  # whatever stands for the load report spoils nothing
     told = report.body if report.kind == BULK and report.body is not None else b""
     if value.kind != BULK or how.kind != BULK:
-        raise Spoilt("an answer that is no value with how it went")
+        raise MalformedReply("an answer that is no value with how it went")
     if value.body is None:
-        return Reply(Outcome.MISSED, told=told)
-    return Reply(Outcome.SETTLED, message.part(value), told=told)
+        return ServerReply(Outcome.CACHE_MISS, told=told)
+    return ServerReply(Outcome.SUCCEEDED, message.part(value), told=told)
 
 
-class Pool:
+class ConnectionPool:
     """Connections to all servers, within a limit, and the attempts that are out."""
 
     def __init__(
         self,
         nursery: trio.Nursery,
-        deadlines: Deadlines,
+        timers: TimerQueue,
         most: int,
         connect_time: float,
         idle_time: float,
         ended: Callable[[Attempt, Outcome, float, bytes | None, bytes], None],
     ) -> None:
         self.nursery = nursery
-        self.deadlines = deadlines
-        self.clock = deadlines.clock
+        self.timers = timers
+        self.clock = timers.clock
         self.most = most
         self.connect_time = connect_time
         self.keep_time = IDLE_PART * idle_time
         self.ended = ended
-        self.endpoints: dict[int, Endpoint] = {}  # follows the list
+        self.endpoints: dict[int, ServerPool] = {}  # follows the list
         self.pending: dict[Attempt, PendingAttempt] = {}  # until the attempt ended
         self.connections = 0
         self.full = False
         self.guard: Callable[[Attempt], bool] | None = None  # where one stands: asked before each byte
-        self.warden: Warden | None = None
+        self.warden: ConnectionBudget | None = None
         self.lost: Callable[[Connection, PendingAttempt | None], None] | None = None  # servers ended these
         self._sweep()
 
     # -- the list
 
-    def hear_list(self, update: ListUpdate) -> None:
+    def on_endpoints_changed(self, update: EndpointListUpdate) -> None:
         """Follow the list. A server that started anew, or moved, took its connections with it."""
         for listing, uid, address in update.targets:
             ident = listing.ident
@@ -225,10 +225,10 @@
                 continue  # of its process before, and perhaps at an address that is another's now
             elif endpoint is None or (endpoint.address, endpoint.started) != (address, listing.started):
                 self._drop_endpoint(ident)
-                self.endpoints[ident] = Endpoint(ident, uid, address, listing.started)
+                self.endpoints[ident] = ServerPool(ident, uid, address, listing.started)
                 logger.info("server {} at {}:{} is cache {}", uid, *address, ident)
-        if update.whole:
-            named = {target.listing.ident for target in update.targets}
+        if update.complete:
+            named = {target.entry.ident for target in update.targets}
             for ident in [ident for ident in self.endpoints if ident not in named]:
                 self._drop_endpoint(ident)
 
@@ -241,20 +241,20 @@
 
     # -- attempts
 
-    def send(self, attempt: Attempt, cargo: Cargo, time_out: float, dialect: Dialect) -> None:
+    def send(self, attempt: Attempt, payload: RequestPayload, time_out: float, dialect: Codec) -> None:
         """Start an attempt; its outcome is told to `ended`, never before this returns."""
-        pending = PendingAttempt(attempt, cargo, dialect, self.clock() + time_out)
+        pending = PendingAttempt(attempt, payload, dialect, self.clock() + time_out)
         self.pending[attempt] = pending
-        pending.time_out = self.deadlines.at(pending.due, self._late, pending)
-        endpoint = self.endpoints.get(attempt.server.ident)
+        pending.time_out = self.timers.call_at(pending.due, self._late, pending)
+        endpoint = self.endpoints.get(attempt.endpoint.ident)
         connection = self._warm(endpoint) if endpoint is not None else None
         if connection is not None:
             self._start(connection, pending)
         elif endpoint is not None and self.warden is not None and not self.warden.may_open(endpoint):
             if not self.warden.wait(endpoint, pending):
-                self._end_soon(pending, Outcome.NEVER_SENT)
-        elif endpoint is None or not cargo.wanted() or not self._make_room():
-            self._end_soon(pending, Outcome.NEVER_SENT)
+                self._end_soon(pending, Outcome.NOT_SENT)
+        elif endpoint is None or not payload.wanted() or not self._make_room():
+            self._end_soon(pending, Outcome.NOT_SENT)
         else:
             self._open(endpoint, pending)
 
@@ -263,11 +263,11 @@
         pending = self.pending.get(attempt)
         if pending is not None:
             written = self._abandon(pending)
-            self._end_soon(pending, Outcome.CALLED_OFF if written else Outcome.NEVER_SENT)
+            self._end_soon(pending, Outcome.CANCELLED if written else Outcome.NOT_SENT)
 
     def _late(self, pending: PendingAttempt) -> None:
         written = self._abandon(pending)
-        self._end(pending, Outcome.TIMED_OUT if written else Outcome.NOT_CONNECTED)
+        self._end(pending, Outcome.TIMED_OUT if written else Outcome.CONNECT_FAILED)
 
     def _abandon(self, pending: PendingAttempt) -> bool:
         """Close an attempt's connection, lest its late answer be taken for that of the next; whether it was
@@ -285,23 +285,23 @@
         # The list may have changed while the connection came up: a drain is kept from the first byte.
         # The server may be reached elsewhere by now, and what stands at its old address be somebody else's.
         # And its client may have gone, with that still unread: nothing may begin for one that left.
-        over = attempt.operation.over or attempt.server.presence is not Presence.UP
+        over = attempt.operation.finished or attempt.endpoint.state is not EndpointState.UP
         over = over or self.endpoints.get(connection.endpoint.ident) is not connection.endpoint
-        if over or not self._may_go(attempt) or not pending.cargo.wanted():
+        if over or not self._may_go(attempt) or not pending.payload.wanted():
             # No longer its own: called off behind this, it closed the connection under the next attempt.
             pending.connection = None
             self._rest(connection)
-            self._end_soon(pending, Outcome.NEVER_SENT)
+            self._end_soon(pending, Outcome.NOT_SENT)
             return
         connection.pending, pending.connection, connection.written = pending, connection, False
         try:
-            data = pending.dialect.command(connection, pending.cargo, pending.due - self.clock())
+            data = pending.dialect.command(connection, pending.payload, pending.due - self.clock())
             sent = send_some(connection.raw, data)
         except Exception as bad:
             if not isinstance(bad, OSError):  # a defect fails this attempt alone
-                logger.exception("an attempt of {} could not be written", pending.cargo.ident)
+                logger.exception("an attempt of {} could not be written", pending.payload.ident)
             self._abandon(pending)
-            self._end_soon(pending, Outcome.NOT_CONNECTED)
+            self._end_soon(pending, Outcome.CONNECT_FAILED)
             return
         connection.written = sent == len(data)
         if not connection.written:
@@ -313,7 +313,7 @@
         A connection that came up late, or a server that read slowly, held a repeat up until its first try
         was forgotten: it took effect a second time.
         """
-        if self.clock() > attempt.operation.latest - WAY:
+        if self.clock() > attempt.operation.retry_deadline - WAY:
             return False
         return self.guard is None or self.guard(attempt)
 
@@ -327,7 +327,7 @@
                     return
                 if not self._may_go(pending.attempt):
                     self._abandon(pending)
-                    self._end_soon(pending, Outcome.NEVER_SENT)
+                    self._end_soon(pending, Outcome.NOT_SENT)
                     return
                 rest = rest[send_some(connection.raw, rest) :]
             connection.written = True
@@ -338,8 +338,8 @@
 
     def _end_soon(self, pending: PendingAttempt, outcome: Outcome) -> None:
         """Not from within the call that started or gave up the attempt: its caller is not done with it."""
-        self.deadlines.drop(pending.time_out)
-        self.deadlines.at(self.clock(), self._end, pending, outcome)
+        self.timers.cancel(pending.time_out)
+        self.timers.call_at(self.clock(), self._end, pending, outcome)
 
     def _end(
         self,
@@ -350,15 +350,15 @@
     ) -> None:
         if self.pending.pop(pending.attempt, None) is None:
             return
-        self.deadlines.drop(pending.time_out)
+        self.timers.cancel(pending.time_out)
         try:
-            self.ended(pending.attempt, outcome, self.clock() - pending.attempt.sent, value, told)
+            self.ended(pending.attempt, outcome, self.clock() - pending.attempt.sent_at, value, told)
         except Exception:  # a defect fails this attempt alone
-            logger.exception("the end of an attempt of {} failed", pending.cargo.ident)
+            logger.exception("the end of an attempt of {} failed", pending.payload.ident)
 
     # -- connections
 
-    def _warm(self, endpoint: Endpoint) -> Connection | None:
+    def _warm(self, endpoint: ServerPool) -> Connection | None:
         """The connection used last, if it had its rest and the server did not close it meanwhile.
 
         Used at once, what still came behind one attempt's answer was taken for that of the next.
@@ -406,12 +406,12 @@
         self._close(connection)
         return True
 
-    def _open(self, endpoint: Endpoint, pending: PendingAttempt) -> None:
+    def _open(self, endpoint: ServerPool, pending: PendingAttempt) -> None:
         try:
             raw = tcp(endpoint.address)
         except OSError as bad:
             logger.warning("no socket to be had: {}", bad)
-            self._end_soon(pending, Outcome.NEVER_SENT)
+            self._end_soon(pending, Outcome.NOT_SENT)
             return
         self.connections += 1
         pending.connection = Connection(raw, endpoint, pending.dialect.parser(), pending)
@@ -423,7 +423,7 @@
         """A connection's task: connect, write the attempt that it was opened for, read until it ends."""
         spoilt = False
         try:
-            with self.deadlines.within(self.connect_time) as limit:
+            with self.timers.timeout_scope(self.connect_time) as limit:
                 await connect(connection.raw, connection.endpoint.address)
             if not limit.cancelled_caught and not connection.closed:
                 self._start(connection, connection.pending)
@@ -432,9 +432,9 @@
                     self._incoming(connection, data)
                     if not data:
                         break
-        except Spoilt:
+        except MalformedReply:
             spoilt = True
-        except (OSError, Broken, trio.ClosedResourceError):
+        except (OSError, ConnectionLost, trio.ClosedResourceError):
             pass
         except Exception:
             logger.exception("a connection to {} failed", connection.endpoint.uid)
@@ -444,10 +444,10 @@
     def _incoming(self, connection: Connection, data: bytes) -> None:
         pending = connection.pending
         if pending is None:
-            raise Broken("the end, or bytes that nobody asked for")
+            raise ConnectionLost("the end, or bytes that nobody asked for")
         if data and not connection.written:
             # Not of this one, which has not gone out whole: a late copy of the receipt before called it done.
-            raise Broken("an answer before the request was out")
+            raise ConnectionLost("an answer before the request was out")
         reply = pending.dialect.answer(connection, data)
         if reply is None:
             return
@@ -471,8 +471,8 @@
         pending, connection.pending = connection.pending, None
         if pending is not None:
             pending.connection = None
-            may_have_run = Outcome.SPOILT if spoilt else Outcome.BROKEN
-            self._end(pending, may_have_run if connection.written else Outcome.NOT_CONNECTED)
+            may_have_run = Outcome.MALFORMED_RESPONSE if spoilt else Outcome.CONNECTION_LOST
+            self._end(pending, may_have_run if connection.written else Outcome.CONNECT_FAILED)
         if there and self.lost is not None:
             self.lost(connection, pending)
 
@@ -500,4 +500,4 @@
         for endpoint in self.endpoints.values():
             while endpoint.idle and endpoint.idle[0].idle_since <= oldest:
                 self._close(endpoint.idle.pop(0))
-        self.deadlines.at(self.clock() + SWEEP_EVERY, self._sweep)
+        self.timers.call_at(self.clock() + SWEEP_EVERY, self._sweep)
--- a/gaugehinge/net/discovery.py
+++ b/gaugehinge/net/discovery.py
@@ -12,13 +12,13 @@
 import trio
 from loguru import logger
 
-from ..charter import BadCharter, parse
+from ..settings import SettingsError, parse_json
 from .configuration import Address
-from .deadlines import Deadlines
-from .list_update import ListUpdate, read_list_update
-from .origin import Answer, Talk
-from .pool import Broken
+from .connection_pool import ConnectionLost
+from .endpoint_list import EndpointListUpdate, read_endpoint_list
+from .origin import HttpExchange, HttpResponse
 from .sockets import connect, receive, send_all, shut, tcp
+from .timer_queue import TimerQueue
 
 PATH = "/discovery/hosts"
 MOST_LIST = 4 << 20  # bytes of an answer
@@ -54,34 +54,34 @@
 class Watch:
     """One watch and its connection."""
 
-    def __init__(self, where: Address, deadlines: Deadlines) -> None:
+    def __init__(self, where: Address, timers: TimerQueue) -> None:
         self.where = where
-        self.deadlines = deadlines
+        self.timers = timers
         self.silent = False  # whether the last call failed for want of an answer
         self.answered = False  # whether any was answered, since its owner said that none was
         self._raw: socket.socket | None = None
-        self._talk = Talk(MOST_LIST)
+        self._talk = HttpExchange(MOST_LIST)
 
-    async def call(self, target: str, most_time: float) -> ListUpdate | None:
-        """The list that a GET brings; None where the call fails. Raises BadCharter on a bad one."""
+    async def call(self, target: str, most_time: float) -> EndpointListUpdate | None:
+        """The list that a GET brings; None where the call fails. Raises SettingsError on a bad one."""
         body = None
-        with self.deadlines.within(most_time) as limit:
+        with self.timers.timeout_scope(most_time) as limit:
             body = await self._fetch(target)
         self.silent = limit.cancelled_caught
         if self.silent or body is None:
             self.hang_up()
             return None
         try:
-            return read_list_update(parse(body.decode()))
+            return read_endpoint_list(parse_json(body.decode()))
         except UnicodeDecodeError:
-            raise BadCharter("the whole: not UTF-8") from None
+            raise SettingsError("the whole: not UTF-8") from None
 
     async def _fetch(self, target: str) -> bytes | None:
         while True:
             fresh = self._raw is None
             try:
                 answer = await self._get(target)
-            except (OSError, Broken, h11.LocalProtocolError):
+            except (OSError, ConnectionLost, h11.LocalProtocolError):
                 self.hang_up()
                 if fresh:
                     return None
@@ -90,11 +90,11 @@
                 self.hang_up()
             return answer.body if answer.status == 200 else None
 
-    async def _get(self, target: str) -> Answer:
+    async def _get(self, target: str) -> HttpResponse:
         """A GET, on the connection of the last call if that is still there."""
         if self._raw is None:
             self._raw = tcp(self.where)
-            self._talk = Talk(MOST_LIST)
+            self._talk = HttpExchange(MOST_LIST)
             await connect(self._raw, self.where)
         host = f"{self.where[0]}:{self.where[1]}".encode()
         await send_all(self._raw, self._talk.request("GET", target, [("Host", host)]))
@@ -109,23 +109,23 @@
         self._raw = None
 
 
-class Discovery:
+class DiscoveryClient:
     """Holds one watch at a time."""
 
     def __init__(
         self,
         nursery: trio.Nursery,
-        deadlines: Deadlines,
+        timers: TimerQueue,
         where: Address,
         rev: int | None,
-        heard: Callable[[ListUpdate], None],
+        heard: Callable[[EndpointListUpdate], None],
         failed: Callable[[], None],
         seed: int = 0,
         near: bool = False,
     ) -> None:
         """`near`: lists are pushed to an agent here, which is asked again at once, whatever it answers."""
         self.nursery = nursery
-        self.deadlines = deadlines
+        self.timers = timers
         self.where = where
         self.rev = rev
         self.heard = heard
@@ -164,7 +164,7 @@
         self.nursery.start_soon(self._follow, self._watching)
 
     async def _follow(self, scope: trio.CancelScope) -> None:
-        watch = Watch(self.where, self.deadlines)
+        watch = Watch(self.where, self.timers)
         try:
             with scope:
                 await self._keep(watch, scope)
@@ -203,7 +203,7 @@
     async def _watch(self, watch: Watch, scope: trio.CancelScope, wait: float, silence: float) -> End:
         """Call after call, until one fails."""
         while True:
-            asked = self.deadlines.clock()
+            asked = self.timers.clock()
             whole = self.rev is None or asked >= self.whole_at
             target = PATH if whole else f"{PATH}?index={self.rev}&wait={int(wait * 1000)}"
             open_for = 0.0 if whole else wait  # the whole list is not waited for
@@ -211,7 +211,7 @@
                 self._ask_whole_later()  # should this call fail
             try:
                 update = await watch.call(target, open_for + silence)
-            except BadCharter as bad:
+            except SettingsError as bad:
                 if scope.cancel_called:
                     return End.BAD
                 logger.warning("bad list: {}", bad)
@@ -226,7 +226,7 @@
                 watch.hang_up()
                 await trio.sleep(SPREAD * self._chance())
                 continue
-            if update.whole:
+            if update.complete:
                 self.whole_at = inf
             elif self.moved:
                 self._ask_whole_later()
@@ -236,11 +236,11 @@
                 logger.info("the agent is back at version {}", update.rev)
             self.heard(update)
             self.rev = self.newest = update.rev  # only now: what could not be used must be told again
-            if self.deadlines.clock() - asked < PACE:
+            if self.timers.clock() - asked < PACE:
                 await trio.sleep(PACE)  # one that answers at once, whatever the wait, must not be run against
             wait, silence = WAIT - WAIT_SPREAD * self._chance(), SILENCE
 
-    def _is_older(self, update: ListUpdate) -> bool:
+    def _is_older(self, update: EndpointListUpdate) -> bool:
         """Whether a list is not to be taken, and the whole one to be asked for on a new connection.
 
         An older list, of a copy of the service that is behind, would undo what a newer one told: a server
@@ -250,14 +250,14 @@
             self.doubted = False
             return False
         self.rev = None
-        if not update.whole:
+        if not update.complete:
             return True
         self.doubted = not self.doubted
         return self.doubted and not self.moved
 
     def _ask_whole_later(self) -> None:
         part = zlib.crc32(b"%d whole" % self.seed) / 4294967296.0  # each its own, the same each time
-        self.whole_at = self.deadlines.clock() + WHOLE_FROM + WHOLE_SPREAD * part
+        self.whole_at = self.timers.clock() + WHOLE_FROM + WHOLE_SPREAD * part
 
     def _chance(self) -> float:
         self._draws += 1
--- a/gaugehinge/net/dispatch.py
+++ b/gaugehinge/net/dispatcher.py
@@ -7,61 +7,63 @@
 
 from loguru import logger
 
-from ..charter import read_held
-from ..policy import Router
-from ..terms import Answer, Attempt, Deployment, Errand, Operation, Outcome, Verdict
-from .deadlines import Deadlines, Due
-from .discovery import ListUpdate
-from .origin import OriginDialect
-from .pool import Cargo, Dialect, Pool, RespDialect
-from .slots import Slots
-
-FAILED = b"-ERR failed\r\n"
-BUSY = b"-BUSY\r\n"
+from ..routing.router import Router
+from ..routing.types import Action, Attempt, BackgroundTask, Decision, Deployment, Operation, Outcome, Step
+from ..settings import read_reported_load
+from .connection_pool import Codec, ConnectionPool, RequestPayload, RespCodec
+from .endpoint_list import EndpointListUpdate
+from .handle_table import HandleTable
+from .origin import OriginCodec
+from .timer_queue import Timer, TimerQueue
+
+FAILED_REPLY = b"-ERR failed\r\n"
+BUSY_REPLY = b"-BUSY\r\n"
 SUCCESSOR = 0.5  # by then a router that ends has a successor
 GRACE = 0.005  # after the deadline, which the module keeps by itself, and still before the client's own
 
 
-def busy(wait: float) -> bytes:
+def busy_reply(wait: float) -> bytes:
     """A refusal, with when to return if that is told: seconds, or 0."""
-    return b"-BUSY %d\r\n" % max(wait * 1000, 1) if wait else BUSY
+    return b"-BUSY %d\r\n" % max(wait * 1000, 1) if wait else BUSY_REPLY
 
 
 @dataclass(slots=True, eq=False)
-class Exchange:
+class PendingOperation:
     """An operation in hand: what the client sent and where its answer goes."""
 
     operation: Operation
-    cargo: Cargo
+    payload: RequestPayload
     answer: Callable[[bytes], None]
-    wait: Due | None = None  # when the module wants to be asked again
-    overdue: Due | None = None
+    wait: Timer | None = None  # when the module wants to be asked again
+    overdue: Timer | None = None
     answered: bool = False
     freed: Callable[[], None] | None = None  # called when it leaves, where its client has gone before
 
 
-class Dispatch:
+class Dispatcher:
     """Operations in hand, by slot, and the calls on the module."""
 
-    def __init__(self, deployment: Deployment, deadlines: Deadlines, tells_held: bool = False) -> None:
+    def __init__(self, deployment: Deployment, timers: TimerQueue, tells_held: bool = False) -> None:
         self.tells_held = tells_held  # whether answers tell what their server holds
-        self.deadlines = deadlines
-        self.clock = deadlines.clock
+        self.timers = timers
+        self.clock = timers.clock
         self.router = Router(deployment, self.clock())
-        self.exchanges: Slots[Exchange] = Slots()  # until answered and all attempts in
-        self.resp: Dialect = RespDialect()  # of the cache servers
-        self.http = OriginDialect()
+        self.pending_operations: HandleTable[PendingOperation] = (
+            HandleTable()
+        )  # until answered and all attempts in
+        self.resp: Codec = RespCodec()  # of the cache servers
+        self.http = OriginCodec()
         self.locate: Callable[[Operation], None] | None = None  # where servers say who serves a key
         self.redirected: Callable[[Attempt, Outcome, bytes], None] | None = None  # where servers redirect
         self.place: Callable[[Operation], bytes | None] | None = None  # its regions, or its answer at once
         self.noted: Callable[[bytes], None] | None = None  # hears each final answer
-        self.pool: Pool
+        self.pool: ConnectionPool
         self.follow: Callable[[], None]
         self.tell: Callable[[tuple[int, ...], bytes], None]
 
     def bind(
         self,
-        pool: Pool,
+        pool: ConnectionPool,
         follow: Callable[[], None],
         tell: Callable[[tuple[int, ...], bytes], None],
     ) -> None:
@@ -70,16 +72,16 @@
 
     def begin(self) -> None:
         """The errands begin."""
-        for errand in self.router.errands:
-            self._errand(errand)
+        for task in self.router.background_tasks:
+            self._errand(task)
 
     # -- operations
 
-    def submit(self, operation: Operation, cargo: Cargo, answer: Callable[[bytes], None]) -> int:
+    def submit(self, operation: Operation, payload: RequestPayload, answer: Callable[[bytes], None]) -> int:
         """Take an operation; `answer` gets its one final answer, perhaps at once. Returns its handle."""
-        exchange = Exchange(operation, cargo, answer)
-        handle = operation.ident = self.exchanges.add(exchange)
-        exchange.overdue = self.deadlines.at(operation.deadline + GRACE, self._overdue, handle)
+        exchange = PendingOperation(operation, payload, answer)
+        handle = operation.ident = self.pending_operations.add(exchange)
+        exchange.overdue = self.timers.call_at(operation.deadline + GRACE, self._overdue, handle)
         if self.locate is not None:
             self.locate(operation)
         if self.place is not None:
@@ -92,14 +94,14 @@
 
     def refuse(self, operation: Operation, reply: bytes) -> None:
         """The final answer of an operation in hand, from outside of the decisions."""
-        exchange = self.exchanges.get(operation.ident)
+        exchange = self.pending_operations.get(operation.ident)
         if exchange is not None and not exchange.answered:
             self._answer(exchange, reply)
             self._drop(exchange)
 
     def client_gone(self, handle: int, freed: Callable[[], None] | None = None) -> None:
         """Nobody waits for the answer any more; `freed` is called once no attempt is out."""
-        exchange = self.exchanges.get(handle)
+        exchange = self.pending_operations.get(handle)
         if exchange is not None and not exchange.answered:
             exchange.answered, exchange.freed = True, freed
             self._give_up(exchange)
@@ -115,45 +117,45 @@
         told: bytes = b"",
     ) -> None:
         """An attempt's outcome. The first value settles its operation."""
-        exchange = self.exchanges.get(attempt.operation.ident)
-        if self.redirected is not None and value is not None and outcome is not Outcome.SETTLED:
+        exchange = self.pending_operations.get(attempt.operation.ident)
+        if self.redirected is not None and value is not None and outcome is not Outcome.SUCCEEDED:
             self.redirected(attempt, outcome, value)
-        over = attempt.operation.over or outcome is Outcome.SETTLED
-        if exchange is not None and outcome is Outcome.SETTLED and not attempt.operation.over:
+        over = attempt.operation.finished or outcome is Outcome.SUCCEEDED
+        if exchange is not None and outcome is Outcome.SUCCEEDED and not attempt.operation.finished:
             self._answer(exchange, value)
         try:
-            held = read_held(told.decode("latin-1"), "=") if self.tells_held else None
-            steps = self.router.after(attempt, outcome, elapsed, over, self.clock(), held)
+            held = read_reported_load(told.decode("latin-1"), "=") if self.tells_held else None
+            steps = self.router.on_attempt_finished(attempt, outcome, elapsed, over, self.clock(), held)
         except Exception:
             logger.exception("an attempt's outcome failed in the decisions")
-            attempt.out = False
-            steps = [(attempt.operation, Answer(Verdict.FAIL))]
+            attempt.in_flight = False
+            steps = [Step(attempt.operation, Decision(Action.FAIL))]
         for operation, answer in steps:
-            self._do(self.exchanges.get(operation.ident), answer)
+            self._do(self.pending_operations.get(operation.ident), answer)
         if exchange is not None:
             self._drop(exchange)
         self._flush_log()
 
     def _wake(self, handle: int) -> None:
-        exchange = self.exchanges.get(handle)
-        if exchange is not None and not exchange.operation.over:
+        exchange = self.pending_operations.get(handle)
+        if exchange is not None and not exchange.operation.finished:
             self._ask(exchange)
 
-    def _ask(self, exchange: Exchange) -> None:
+    def _ask(self, exchange: PendingOperation) -> None:
         try:
-            answer = self.router.where(exchange.operation, self.clock())
+            answer = self.router.route(exchange.operation, self.clock())
         except Exception:  # it fails this operation, not the router
             logger.exception("an operation failed in the decisions")
-            answer = Answer(Verdict.FAIL)
+            answer = Decision(Action.FAIL)
         self._do(exchange, answer)
         self._flush_log()
 
     def _overdue(self, handle: int) -> None:
         """Its time is over with no answer given: a mistake, which must not also become a lost operation."""
-        exchange = self.exchanges.get(handle)
+        exchange = self.pending_operations.get(handle)
         if exchange is not None and not exchange.answered:
-            logger.error("operation {} was overdue", exchange.cargo.ident)
-            self._answer(exchange, FAILED)
+            logger.error("operation {} was overdue", exchange.payload.ident)
+            self._answer(exchange, FAILED_REPLY)
             self._give_up(exchange)
 
     def fail_rest(self) -> None:
@@ -161,98 +163,100 @@
 
         What never went out may be tried again elsewhere: failed, its client would not know that, nor when.
         """
-        away = min(SUCCESSOR, self.router.deployment.longest_come_back)
-        for exchange in self.exchanges:
+        away = min(SUCCESSOR, self.router.deployment.max_retry_after)
+        for exchange in self.pending_operations:
             if not exchange.answered:
                 operation = exchange.operation
-                ran = operation.ran_at is not None or any(attempt.out for attempt in operation.attempts)
-                self._answer(exchange, FAILED if ran else busy(away))
+                ran = operation.may_have_run_on is not None or any(
+                    attempt.in_flight for attempt in operation.attempts
+                )
+                self._answer(exchange, FAILED_REPLY if ran else busy_reply(away))
                 self._give_up(exchange)
 
-    def _give_up(self, exchange: Exchange) -> None:
+    def _give_up(self, exchange: PendingOperation) -> None:
         try:
-            for attempt in self.router.gone(exchange.operation):
+            for attempt in self.router.cancel(exchange.operation):
                 self.pool.call_off(attempt)
         except Exception:
             logger.exception("giving an operation up failed in the decisions")
-            exchange.operation.over = True
+            exchange.operation.finished = True
         self._drop(exchange)
 
     # -- the module's answers
 
-    def _do(self, exchange: Exchange | None, answer: Answer) -> None:
+    def _do(self, exchange: PendingOperation | None, answer: Decision) -> None:
         if exchange is None:
             return
-        verdict = answer.verdict
-        if verdict is Verdict.SEND:
-            dialect = self.http if answer.attempt.server.origin else self.resp
-            self.pool.send(answer.attempt, exchange.cargo, answer.time, dialect)
-        elif verdict is Verdict.WAIT:
+        verdict = answer.action
+        if verdict is Action.SEND:
+            dialect = self.http if answer.attempt.endpoint.origin else self.resp
+            self.pool.send(answer.attempt, exchange.payload, answer.timeout, dialect)
+        elif verdict is Action.WAIT:
             now = self.clock()
             handle = exchange.operation.ident
             if exchange.wait is not None:
-                self.deadlines.drop(exchange.wait)
-            wait = self.router.how_long(exchange.operation, now)
-            exchange.wait = self.deadlines.at(now + wait, self._wake, handle)
-        elif verdict is Verdict.REFUSE:
-            self._answer(exchange, busy(answer.time))
-        elif verdict is Verdict.FAIL:
-            self._answer(exchange, FAILED)
+                self.timers.cancel(exchange.wait)
+            wait = self.router.time_until_recheck(exchange.operation, now)
+            exchange.wait = self.timers.call_at(now + wait, self._wake, handle)
+        elif verdict is Action.REJECT:
+            self._answer(exchange, busy_reply(answer.retry_after))
+        elif verdict is Action.FAIL:
+            self._answer(exchange, FAILED_REPLY)
         self._drop(exchange)
 
-    def _answer(self, exchange: Exchange, reply: bytes) -> None:
+    def _answer(self, exchange: PendingOperation, reply: bytes) -> None:
         if exchange.answered:
             return
         exchange.answered = True
-        exchange.operation.over = True
+        exchange.operation.finished = True
         exchange.answer(reply)
         if self.noted is not None:
             self.noted(reply)
 
-    def _drop(self, exchange: Exchange) -> None:
+    def _drop(self, exchange: PendingOperation) -> None:
         operation = exchange.operation
-        if not operation.over or any(attempt in self.pool.pending for attempt in operation.attempts):
+        if not operation.finished or any(attempt in self.pool.pending for attempt in operation.attempts):
             return
-        if self.exchanges.remove(operation.ident) is not None:
+        if self.pending_operations.remove(operation.ident) is not None:
             # Operation and attempts know each other: left so, they stay until the collector's rare full pass.
             operation.attempts.clear()
             for due in (exchange.wait, exchange.overdue):
                 if due is not None:
-                    self.deadlines.drop(due)
+                    self.timers.cancel(due)
             if exchange.freed is not None:
                 exchange.freed()
 
     # -- the list, peers, errands
 
-    def hear_list(self, update: ListUpdate, held: bool = False) -> None:
-        self.pool.hear_list(update)
-        listings = [target.listing for target in update.targets]
-        self.router.hear_list(listings, update.whole, held, self.clock())
+    def on_endpoints_changed(self, update: EndpointListUpdate, held: bool = False) -> None:
+        self.pool.on_endpoints_changed(update)
+        entries = [target.entry for target in update.targets]
+        self.router.on_endpoints_changed(entries, update.complete, held, self.clock())
         self._flush_log()
 
-    def list_failed(self) -> None:
-        self.router.list_failed(self.clock())
+    def on_poll_failed(self) -> None:
+        self.router.on_poll_failed(self.clock())
         self._flush_log()
 
-    def list_moved(self) -> None:
-        self.router.list_moved(self.clock())
+    def on_discovery_changed(self) -> None:
+        self.router.on_discovery_changed(self.clock())
         self._flush_log()
 
-    def hear_peer(self, number: int, payload: bytes) -> None:
-        self.router.hear_peer(number, payload, self.clock())
+    def on_gossip(self, number: int, payload: bytes) -> None:
+        self.router.on_gossip(number, payload, self.clock())
 
-    def _errand(self, errand: Errand) -> None:
+    def _errand(self, task: BackgroundTask) -> None:
         wait = 1.0  # after a mistake; the errand must not end with it
         try:
-            answer = self.router.where(errand, self.clock())
-            if answer.verdict is Verdict.FOLLOW:
+            answer = self.router.route(task, self.clock())
+            if answer.action is Action.POLL:
                 self.follow()
-            elif answer.verdict is Verdict.TELL:
+            elif answer.action is Action.GOSSIP:
                 self.tell(answer.peers, answer.payload)
-            wait = self.router.how_long(errand, self.clock())
+            wait = self.router.time_until_recheck(task, self.clock())
         except Exception:
             logger.exception("an errand failed")
-        self.deadlines.at(self.clock() + max(wait, 0.001), self._errand, errand)
+        self.timers.call_at(self.clock() + max(wait, 0.001), self._errand, task)
         self._flush_log()
 
     def _flush_log(self) -> None:
--- a/gaugehinge/net/list_update.py
+++ b/gaugehinge/net/endpoint_list.py
@@ -7,44 +7,44 @@
 
 from xxhash import xxh64_intdigest
 
-from ..charter import Page, figure
-from ..terms import Listing, Presence
+from ..routing.types import EndpointEntry, EndpointState
+from ..settings import SettingsReader, parse_non_negative
 from .configuration import Address, address
 
-PRESENCES = {"ready": Presence.UP, "draining": Presence.DRAINING, "gone": Presence.GONE}
+ENDPOINT_STATES = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
 
 
-class Target(NamedTuple):
+class EndpointTarget(NamedTuple):
     """One server of the list and where it is reached."""
 
-    listing: Listing
+    entry: EndpointEntry
     uid: str
     address: Address | None  # None: gone
 
 
 @dataclass(slots=True, frozen=True)
-class ListUpdate:
+class EndpointListUpdate:
     """The list, or what changed of it."""
 
     rev: int
-    whole: bool
-    targets: tuple[Target, ...]
+    complete: bool
+    targets: tuple[EndpointTarget, ...]
 
 
-def read_list_update(told: Any) -> ListUpdate:
+def read_endpoint_list(told: Any) -> EndpointListUpdate:
     """Discovery's JSON to a list; one bad entry spoils it, as a failed call would."""
-    page = Page(told)
-    return ListUpdate(
+    page = SettingsReader(told)
+    return EndpointListUpdate(
         int(page.number("rev")),
         page.flag("all"),
         tuple(_target(entry) for entry in page.pages("targets")),
     )
 
 
-def _target(entry: Page) -> Target:
+def _target(entry: SettingsReader) -> EndpointTarget:
     # An unknown state may mean anything: nothing new is sent there.
-    presence = PRESENCES.get(entry.text("state", "ready"), Presence.DRAINING)
-    gone = presence is Presence.GONE
+    presence = ENDPOINT_STATES.get(entry.text("state", "ready"), EndpointState.DRAINING)
+    gone = presence is EndpointState.GONE
     where = None if gone else address(entry.text("endpoint"), f"{entry.path}.endpoint")
     # The ring must be alike at all routers: only `uid` is the same at each of them.
     uid = entry.text("uid")
@@ -52,6 +52,8 @@
     started = entry.number("boot_ms", 0) / 1000.0
     cell = int(entry.number("pod_group", 0, least=-1))
     hint = entry.values.get("capacity_hint")
-    weight = 0.0 if isinstance(hint, bool) else figure(str(hint)) or 0.0
-    listing = Listing(ident, entry.text("az", ""), entry.text("model", ""), cell, presence, started, weight)
-    return Target(listing, uid, where)
+    weight = 0.0 if isinstance(hint, bool) else parse_non_negative(str(hint)) or 0.0
+    listing = EndpointEntry(
+        ident, entry.text("az", ""), entry.text("model", ""), cell, presence, started, weight
+    )
+    return EndpointTarget(listing, uid, where)
--- a/gaugehinge/net/peers.py
+++ b/gaugehinge/net/gossip.py
@@ -17,7 +17,7 @@
 REST = 0.01  # after an error, lest a lasting one take the whole core
 
 
-class Peers:
+class GossipChannel:
     """One socket for all peers.
 
     Each message begins with a stamp of what its figures stand for: a peer that has other settings, or had
--- a/gaugehinge/net/slots.py
+++ b/gaugehinge/net/handle_table.py
@@ -10,7 +10,7 @@
 NUMBER_BITS = 20  # a million slots, far over what any limit of ours lets in
 
 
-class Slots(Generic[T]):
+class HandleTable(Generic[T]):
     """A table as large as the most items it held at once; slots are used again, newest first."""
 
     def __init__(self) -> None:
--- a/gaugehinge/net/origin.py
+++ b/gaugehinge/net/origin.py
@@ -8,8 +8,8 @@
 
 import h11
 
-from ..terms import Outcome
-from .pool import Broken, Cargo, Connection, Reply, Spoilt
+from ..routing.types import Outcome
+from .connection_pool import Connection, ConnectionLost, MalformedReply, RequestPayload, ServerReply
 from .resp import MOST_ANSWER, bulk
 
 MOST_HEAD = 32 * 1024
@@ -17,7 +17,7 @@
 REPORT = re.compile(rb"(?i)\nx-pressure:[^\n]*")  # the load report, which is not used here
 
 
-class Answer(NamedTuple):
+class HttpResponse(NamedTuple):
     """A whole HTTP answer."""
 
     status: int
@@ -26,7 +26,7 @@
     keep: bool  # whether the connection goes on
 
 
-class Talk:
+class HttpExchange:
     """The client's side of one HTTP connection, with no I/O."""
 
     def __init__(self, most: int) -> None:
@@ -51,8 +51,8 @@
             data += self._state.send(h11.Data(data=body))
         return data + self._state.send(h11.EndOfMessage())
 
-    def answer(self, data: bytes) -> Answer | None:
-        """What came, or nothing at the end; the answer once it is whole. Raises Broken on anything else.
+    def answer(self, data: bytes) -> HttpResponse | None:
+        """What came, or nothing at the end; the answer once it is whole. Raises ConnectionLost otherwise.
 
         A head goes on whole and without its load report: one that cannot be read would spoil a good answer.
         """
@@ -70,7 +70,7 @@
             return got._replace(keep=got.keep and not rest)
         return self.answer(rest) if rest else None
 
-    def _take(self, data: bytes) -> Answer | None:
+    def _take(self, data: bytes) -> HttpResponse | None:
         try:
             self._state.receive_data(data)
             while True:
@@ -82,15 +82,15 @@
                 elif isinstance(event, h11.Data):
                     self._body += event.data
                     if len(self._body) > self.most:
-                        raise Spoilt("answer too long")
+                        raise MalformedReply("answer too long")
                 elif isinstance(event, h11.EndOfMessage):
                     return self._whole()
                 elif isinstance(event, h11.ConnectionClosed):
-                    raise Broken("ended")
+                    raise ConnectionLost("ended")
         except h11.RemoteProtocolError as bad:
-            raise (Spoilt if data else Broken)(str(bad)) from None
+            raise (MalformedReply if data else ConnectionLost)(str(bad)) from None
 
-    def _whole(self) -> Answer:
+    def _whole(self) -> HttpResponse:
         head, body = self._head, bytes(self._body)
         self._head = None
         self._body.clear()
@@ -98,39 +98,39 @@
         keep = keep and self._state.trailing_data == (b"", False)  # nothing behind it, not the end either
         if keep:
             self._state.start_next_cycle()
-        return Answer(head.status_code, dict(head.headers), body, keep)
+        return HttpResponse(head.status_code, dict(head.headers), body, keep)
 
 
-class OriginDialect:
+class OriginCodec:
     """The origin's protocol."""
 
-    def parser(self) -> Talk:
-        return Talk(MOST_ANSWER)
+    def parser(self) -> HttpExchange:
+        return HttpExchange(MOST_ANSWER)
 
-    def command(self, connection: Connection, cargo: Cargo, left: float) -> bytes:
+    def command(self, connection: Connection, payload: RequestPayload, left: float) -> bytes:
         host, port = connection.endpoint.address
         # `d` as the client told it would let the origin work on for nobody: a miss has used up part of it.
-        before, behind = cargo.labels
+        before, behind = payload.labels
         labels = b"%b%d%b" % (before, max(int(left * 1000), 1), behind)
         headers = [
             ("Host", f"{host}:{port}".encode()),
-            ("X-Txn", cargo.ident),
+            ("X-Txn", payload.ident),
             ("X-Labels", labels),
         ]
-        method = "GET" if cargo.value is None else "PUT"
-        return connection.parser.request(method, "/" + quote(cargo.key, safe=""), headers, cargo.value)
+        method = "GET" if payload.value is None else "PUT"
+        return connection.parser.request(method, "/" + quote(payload.key, safe=""), headers, payload.value)
 
-    def answer(self, connection: Connection, data: bytes) -> Reply | None:
+    def answer(self, connection: Connection, data: bytes) -> ServerReply | None:
         got = connection.parser.answer(data)
         if got is None:
             return None
-        return Reply(read_status(got), bulk(got.body) if got.status == 200 else None, got.keep)
+        return ServerReply(read_status(got), bulk(got.body) if got.status == 200 else None, got.keep)
 
 
-def read_status(got: Answer) -> Outcome:
+def read_status(got: HttpResponse) -> Outcome:
     """An origin's answer, by the protocol's words: whatever is not told as never run may have."""
     if got.status == 200:
-        return Outcome.SETTLED
+        return Outcome.SUCCEEDED
     if got.status in (503, 504) and got.headers.get(b"x-turned-away") == b"1":
-        return Outcome.TURNED_AWAY
-    return Outcome.ERRORED
+        return Outcome.REJECTED
+    return Outcome.SERVER_ERROR
--- a/gaugehinge/net/run.py
+++ b/gaugehinge/net/run.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from .clients import Clients
+from .client_server import ClientServer
 from .configuration import Configuration
 from .early import EarlyHangup
 from .service import Service
@@ -23,7 +23,7 @@
     new_door: Callable[..., Any] | None = None,
     early: EarlyHangup | None = None,
     extend: Callable[..., None] | None = None,
-    kind: type[Clients] = Clients,
+    kind: type[ClientServer] = ClientServer,
 ) -> int:
     """Serve until told to leave; the exit code. `new_door`: where a door is on; `early`: what came by now."""
     gc.freeze()
--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -11,19 +11,19 @@
 import trio
 from loguru import logger
 
-from ..charter import BadCharter, Charter
-from ..terms import Presence
-from .clients import Clients, Door
+from ..routing.types import EndpointState
+from ..settings import Settings, SettingsError
+from .client_server import AdmissionControl, ClientServer
 from .configuration import Configuration, lasting
-from .deadlines import Clock, Deadlines
-from .discovery import Discovery
-from .dispatch import Dispatch
+from .connection_pool import ConnectionPool
+from .discovery import DiscoveryClient
+from .dispatcher import Dispatcher
 from .early import EarlyHangup
-from .list_update import ListUpdate, read_list_update
-from .peers import Peers
-from .phase import Lifecycle, Phase
-from .pool import Pool
+from .endpoint_list import EndpointListUpdate, read_endpoint_list
+from .gossip import GossipChannel
+from .lifecycle import Lifecycle, Phase
 from .sockets import listener, shut
+from .timer_queue import Clock, TimerQueue
 
 CLIENT_PART = 0.4  # of the descriptors, with a quarter of that again to answer BUSY from
 CONNECTION_PART = 0.4  # to servers; the rest is for listeners, discovery, peers and the interpreter,
@@ -47,16 +47,16 @@
         self,
         configuration: Configuration,
         reread: Callable[[], Configuration],
-        new_door: Callable[[Charter, Dispatch, int], Door] | None = None,
+        new_door: Callable[[Settings, Dispatcher, int], AdmissionControl] | None = None,
         early: EarlyHangup | None = None,
         extend: Callable[[Service, trio.Nursery], None] | None = None,
-        kind: type[Clients] = Clients,
+        kind: type[ClientServer] = ClientServer,
     ) -> None:
-        """`reread` brings the configuration as it is now, or raises BadCharter; `new_door` a door; `extend`
+        """`reread` brings the configuration as it is, or raises SettingsError; `new_door` a door; `extend`
         adds what an installation switched on, once all else is made; `kind` serves the first front."""
         self.extend = extend
         self.kind = kind
-        self.fronts: list[tuple[Clients, socket.socket]] = []  # the first is the platform's
+        self.fronts: list[tuple[ClientServer, socket.socket]] = []  # the first is the platform's
         self.farewells: list[Callable[[], Awaitable[None]]] = []  # once all is answered, before it ends
         self.early = early or EarlyHangup()
         self.new_door = new_door
@@ -65,13 +65,13 @@
         self.lifecycle = Lifecycle()
         self.told_to_end = False  # before signals had their receiver, or behind it
         self.clock = Clock()
-        self.deadlines = Deadlines(self.clock)
-        charter = configuration.charter
-        self.dispatch = Dispatch(charter.deployment, self.deadlines, charter.tells_held)
-        self.clients: Clients
-        self.pool: Pool
-        self.discovery: Discovery
-        self.peers: Peers | None = None
+        self.timers = TimerQueue(self.clock)
+        settings = configuration.settings
+        self.dispatcher = Dispatcher(settings.deployment, self.timers, settings.reports_load)
+        self.clients: ClientServer
+        self.pool: ConnectionPool
+        self.discovery: DiscoveryClient
+        self.peers: GossipChannel | None = None
         self.listening: socket.socket
 
     async def run(self) -> None:
@@ -80,68 +80,68 @@
             await self._run()
 
     async def _run(self) -> None:
-        configuration, charter = self.configuration, self.configuration.charter
+        configuration, settings = self.configuration, self.configuration.settings
         self.listening = listener(configuration.listen, BACKLOG)
         logger.info("router {} at {}:{}", configuration.name, *configuration.listen)
         peers = self.peers = None
         if configuration.peer_listen:
-            order = "\0".join(configuration.charter.tenants).encode()  # of the figures in messages
-            peers = self.peers = Peers(configuration.peer_listen, configuration.peers, order)
+            order = "\0".join(configuration.settings.tenant_indexes).encode()  # of the figures in messages
+            peers = self.peers = GossipChannel(configuration.peer_listen, configuration.peers, order)
         async with trio.open_nursery() as nursery:
             with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-                known, near = self._known(), charter.pushed
-                pool = self.pool = Pool(
+                known, near = self._known(), settings.endpoints_pushed
+                pool = self.pool = ConnectionPool(
                     nursery,
-                    self.deadlines,
+                    self.timers,
                     int(configuration.sockets * CONNECTION_PART),
-                    charter.connect_time,
-                    charter.idle_time,
-                    self.dispatch.attempt_ended,
+                    settings.connect_timeout,
+                    settings.idle_timeout,
+                    self.dispatcher.attempt_ended,
                 )
-                discovery = self.discovery = Discovery(
+                discovery = self.discovery = DiscoveryClient(
                     nursery,
-                    self.deadlines,
+                    self.timers,
                     configuration.discovery,
                     None if known is None or near else known.rev,
                     self._hear_list,
-                    self.dispatch.list_failed,
-                    charter.deployment.seed,
+                    self.dispatcher.on_poll_failed,
+                    settings.deployment.seed,
                     near,
                 )
-                self.dispatch.bind(pool, discovery.follow, peers.tell if peers else lambda *told: None)
+                self.dispatcher.bind(pool, discovery.follow, peers.tell if peers else lambda *told: None)
                 if known is not None and not near:
-                    self.dispatch.hear_list(known, held=True)
+                    self.dispatcher.on_endpoints_changed(known, held=True)
                 memory = configuration.memory
-                door = self.new_door(charter, self.dispatch, memory) if self.new_door else None
+                door = self.new_door(settings, self.dispatcher, memory) if self.new_door else None
                 self.clients = self.kind(
-                    charter,
+                    settings,
                     self.lifecycle,
-                    self.dispatch,
+                    self.dispatcher,
                     int(configuration.sockets * CLIENT_PART),
                     memory,
                     nursery,
                     door,
                 )
-                nursery.start_soon(self.deadlines.run)
+                nursery.start_soon(self.timers.run)
                 self.fronts.append((self.clients, self.listening))
                 if self.extend is not None:
                     self.extend(self, nursery)  # what it puts before the dispatch acts from the first call on
-                self.dispatch.begin()
+                self.dispatcher.begin()
                 if peers is not None:
-                    nursery.start_soon(peers.hear, self.dispatch.hear_peer)
+                    nursery.start_soon(peers.hear, self.dispatcher.on_gossip)
                 self._divide(configuration)
                 accepting = trio.CancelScope()
                 nursery.start_soon(self._accept, accepting)
-                up = known is not None and any(t.listing.presence is Presence.UP for t in known.targets)
+                up = known is not None and any(t.entry.state is EndpointState.UP for t in known.targets)
                 if near:
                     # What the agent has counts as told from the first moment on: by a list kept from before,
                     # attempts went to servers that had been told to drain. Only with the agent away it
                     # serves.
-                    self.deadlines.at(self.clock() + START_TIME, self._without_agent, known)
+                    self.timers.call_at(self.clock() + START_TIME, self._without_agent, known)
                 elif up and self.lifecycle.phase is Phase.STARTING:
                     self._enter(Phase.READY)
                 else:
-                    self.deadlines.at(self.clock() + START_TIME, self._ready)
+                    self.timers.call_at(self.clock() + START_TIME, self._ready)
                 if self.early.take():
                     self._reread()
                 while not self.told_to_end and await anext(signals) == signal.SIGHUP:
@@ -188,7 +188,7 @@
         old = self.configuration
         try:
             new = self.reread()
-        except BadCharter as bad:
+        except SettingsError as bad:
             logger.warning("configuration not taken: {}", bad)
             return
         for field in lasting(old, new):
@@ -197,7 +197,7 @@
             old,
             discovery=new.discovery,
             peers=new.peers,
-            memory=new.memory,
+            deduplication_window=new.memory,
             sockets=new.sockets,
         )
         logger.info("configuration read again: discovery at {}:{}", *new.discovery)
@@ -206,26 +206,26 @@
             self.peers.know(new.peers)
         if new.discovery != old.discovery:
             self.discovery.move(new.discovery)
-            self.dispatch.list_moved()
+            self.dispatcher.on_discovery_changed()
 
-    def _known(self) -> ListUpdate | None:
+    def _known(self) -> EndpointListUpdate | None:
         """The list that this router had before; a bad one is as none."""
         if self.configuration.known is None:
             return None
         try:
-            return read_list_update(self.configuration.known)
-        except BadCharter as bad:
+            return read_endpoint_list(self.configuration.known)
+        except SettingsError as bad:
             logger.warning("known list not used: {}", bad)
             return None
 
-    def _hear_list(self, update: ListUpdate) -> None:
-        self.dispatch.hear_list(update)
+    def _hear_list(self, update: EndpointListUpdate) -> None:
+        self.dispatcher.on_endpoints_changed(update)
         self._ready()
 
-    def _without_agent(self, known: ListUpdate | None) -> None:
+    def _without_agent(self, known: EndpointListUpdate | None) -> None:
         if known is not None and self.lifecycle.phase is Phase.STARTING:
             logger.warning("no word of the agent: serving by the list kept before, version {}", known.rev)
-            self.dispatch.hear_list(known, held=True)
+            self.dispatcher.on_endpoints_changed(known, held=True)
         self._ready()
 
     def _ready(self) -> None:
@@ -233,7 +233,7 @@
             self._enter(Phase.READY)
 
     def _enter(self, phase: Phase) -> None:
-        self.lifecycle.enter(phase, len(self.dispatch.exchanges))
+        self.lifecycle.enter(phase, len(self.dispatcher.pending_operations))
 
     def _divide(self, configuration: Configuration) -> None:
         """Each front has its part of descriptors and memory."""
@@ -256,7 +256,7 @@
         """
         self._enter(Phase.LEAVING)
         began = self.clock()
-        end = began + min(self.configuration.charter.longest_wait, MOST_WAITED) + KILL_SLACK
+        end = began + min(self.configuration.settings.max_client_wait, MOST_WAITED) + KILL_SLACK
         closing = max(end - CLOSING_TIME, began + STILL_COMING)
         while self.clock() < closing and (self._connections() or self.clock() < began + STILL_COMING):
             await trio.sleep(LOOK_EVERY)
@@ -271,7 +271,7 @@
                 for clients, _ in self.fronts:
                     if clients.door is not None:
                         clients.door.fail_rest()
-                self.dispatch.fail_rest()
+                self.dispatcher.fail_rest()
             owe = any(clients.owe() for clients, _ in self.fronts)
             if self.clock() > end:
                 break  # what is left stands within a command that never comes whole, or is not read
--- a/gaugehinge/net/deadlines.py
+++ b/gaugehinge/net/timer_queue.py
@@ -30,21 +30,21 @@
 
 
 @dataclass(slots=True, eq=False)
-class Due:
+class Timer:
     """Something to do at a time."""
 
     action: Callable[..., Any] | None
     given: tuple[Any, ...]
 
 
-class Deadlines:
+class TimerQueue:
     """The heap; entries leave it when due, or when most of it is dropped ones."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
         self.behind = 0.0  # how late the last sample was
         self.lag = 0.0  # the same, remembered
-        self._heap: list[tuple[float, int, Due]] = []
+        self._heap: list[tuple[float, int, Timer]] = []
         self._counter = 0
         self._dropped = 0
         self._sooner = trio.Event()
@@ -52,8 +52,8 @@
     def __len__(self) -> int:
         return len(self._heap)
 
-    def at(self, when: float, action: Callable[..., Any], *given: Any) -> Due:
-        due = Due(action, given)
+    def call_at(self, when: float, action: Callable[..., Any], *given: Any) -> Timer:
+        due = Timer(action, given)
         self._counter += 1
         if not self._heap or when < self._heap[0][0]:
             self._sooner.set()
@@ -61,17 +61,17 @@
         return due
 
     @contextmanager
-    def within(self, wait: float) -> Iterator[trio.CancelScope]:
+    def timeout_scope(self, wait: float) -> Iterator[trio.CancelScope]:
         """A scope that is cancelled after a wait."""
         with trio.CancelScope() as scope:
-            due = self.at(self.clock() + wait, scope.cancel) if wait < inf else None
+            due = self.call_at(self.clock() + wait, scope.cancel) if wait < inf else None
             try:
                 yield scope
             finally:
                 if due is not None:
-                    self.drop(due)
+                    self.cancel(due)
 
-    def drop(self, due: Due) -> None:
+    def cancel(self, due: Timer) -> None:
         """Not wanted any more. Most time-outs never fall due: left in, they would outnumber the others."""
         if due.action is None:
             return
--- a/gaugehinge/placement/router.py
+++ b/gaugehinge/placement/router.py
@@ -19,12 +19,12 @@
 
 from ..hosted.follower import Follower
 from ..hosted.roster import BadFeed
-from ..net.dispatch import FAILED, busy
-from ..net.list_update import ListUpdate
+from ..net.dispatcher import FAILED_REPLY, busy_reply
+from ..net.endpoint_list import EndpointListUpdate
 from ..net.service import Service
+from ..routing.types import Attempt, Effect, EndpointState, Operation
 from ..tenancy.feed import WAIT, Feed
 from ..tenancy.lease import Held
-from ..terms import Attempt, Effect, Operation, Presence
 from .forms import MOST_DOUBTS, MOST_SERVERS, Doubt, KeeperTold, RouterTold, Slice, Told
 from .servers import digest_of, slices
 from .shards import ANYWHERE, NOWHERE, Pin, Row, Table
@@ -66,23 +66,23 @@
         self.cut_off = False
         self.bounced = 0  # operations for want of a lease, since it was lost
         self._draws = count()
-        self._hear_list = service.dispatch.hear_list
-        service.dispatch.hear_list = self.hear_list
-        service.dispatch.place = self.place
+        self._hear_list = service.dispatcher.on_endpoints_changed
+        service.dispatcher.on_endpoints_changed = self.on_endpoints_changed
+        service.dispatcher.place = self.place
         service.pool.guard = self.guard
 
     # -- the list of servers
 
-    def hear_list(self, update: ListUpdate, held: bool = False) -> None:
+    def on_endpoints_changed(self, update: EndpointListUpdate, held: bool = False) -> None:
         """Follow the list. A server that stands in another zone than before without a start is neither's."""
-        origin = self.service.configuration.charter.deployment.origin_kind
+        origin = self.service.configuration.settings.deployment.origin_kind
         self.listed = self.listed or not held
-        if update.whole:
+        if update.complete:
             named = {target.uid for target in update.targets}
             for uid in [uid for uid in self.servers if uid not in named]:
                 self._leave(uid)
         for listing, uid, _ in update.targets:
-            if listing.presence is Presence.GONE or listing.kind == origin:
+            if listing.state is EndpointState.GONE or listing.kind == origin:
                 self._leave(uid)
                 continue
             before = self.servers.get(uid) or self.left.pop(uid, None)
@@ -91,7 +91,7 @@
             if before is not None and listing.started <= before[3] and before[1] != listing.zone:
                 self.relabelled[uid] = listing.started
                 logger.warning("server {} in zone {} and not {} with no start", uid, listing.zone, before[1])
-            up = listing.presence is Presence.UP
+            up = listing.state is EndpointState.UP
             self.servers[uid] = (uid, listing.zone, listing.weight, listing.started, up)
             self.zones[listing.ident] = uid, listing.zone, listing.started
         self.zones = {i: each for i, each in self.zones.items() if each[0] in self.servers}
@@ -205,13 +205,13 @@
         """At the door: the operation's regions, or its answer at once."""
         pin = self.table.find(operation.key)
         if not self.lease.good(self.clock()):
-            reply = self._cut_off(operation, pin, operation.repeat)
+            reply = self._cut_off(operation, pin, operation.is_client_retry)
             if reply is not None:
                 return reply
         if pin is None:
             return None
-        if pin.held and operation.repeat and _marked(operation):
-            return FAILED
+        if pin.held and operation.is_client_retry and _marked(operation):
+            return FAILED_REPLY
         if not pin.regions:
             return self.busy()
         operation.regions = pin.regions
@@ -221,7 +221,7 @@
         """Before each attempt's bytes: whether it may go. What may not is answered, or goes elsewhere."""
         operation = attempt.operation
         pin = self.table.find(operation.key)
-        again = operation.repeat or operation.ran_at is not None
+        again = operation.is_client_retry or operation.may_have_run_on is not None
         if not self.lease.good(self.clock()):
             reply = self._cut_off(operation, pin, again)
             if reply is not None:
@@ -232,29 +232,29 @@
         regions = pin.regions if pin is not None else ANYWHERE
         if regions != operation.regions:
             # Its shard moved since it came. What ran in the old place is not dropped in the new one.
-            if operation.ran_at is not None and _marked(operation):
-                self._refuse(operation, FAILED)
+            if operation.may_have_run_on is not None and _marked(operation):
+                self._refuse(operation, FAILED_REPLY)
                 return False
             operation.regions = regions
-        if pin is not None and pin.held and operation.repeat and _marked(operation):
-            self._refuse(operation, FAILED)
+        if pin is not None and pin.held and operation.is_client_retry and _marked(operation):
+            self._refuse(operation, FAILED_REPLY)
             return False
         if not regions:
             self._refuse(operation, self.busy())
             return False
-        return attempt.server.origin or self._inside(attempt, regions)
+        return attempt.endpoint.origin or self._inside(attempt, regions)
 
     def _inside(self, attempt: Attempt, regions: tuple) -> bool:
         if regions[-1] is None:
             return True
-        uid, zone, started = self.zones.get(attempt.server.ident, ("", "", 0.0))
+        uid, zone, started = self.zones.get(attempt.endpoint.ident, ("", "", 0.0))
         if self.unsure.get(uid) == started or self.relabelled.get(uid) == started:
             return False
-        return zone == attempt.server.zone and any(zone in region for region in regions)
+        return zone == attempt.endpoint.zone and any(zone in region for region in regions)
 
     def _fits(self, attempt: Attempt) -> bool:
         pin = self.table.find(attempt.operation.key)
-        return pin is None or attempt.server.origin or self._inside(attempt, pin.regions or (frozenset(),))
+        return pin is None or attempt.endpoint.origin or self._inside(attempt, pin.regions or (frozenset(),))
 
     def _cut_off(self, operation: Operation, pin: Pin | None, again: bool) -> bytes | None:
         """Without a lease: the answer of what cannot be served safely, None for the rest."""
@@ -265,23 +265,23 @@
         if safe and not (again and _marked(operation)):
             return None
         self.bounced += 1
-        if operation.ran_at is not None and operation.traffic.effect is not Effect.IDEMPOTENT:
-            return FAILED
+        if operation.may_have_run_on is not None and operation.traffic_type.effect is not Effect.IDEMPOTENT:
+            return FAILED_REPLY
         return self.busy()
 
     def _refuse(self, operation: Operation, reply: bytes) -> None:
-        ran = operation.ran_at is not None and operation.traffic.effect is not Effect.IDEMPOTENT
-        self.service.dispatch.refuse(operation, FAILED if ran else reply)
+        ran = operation.may_have_run_on is not None and operation.traffic_type.effect is not Effect.IDEMPOTENT
+        self.service.dispatcher.refuse(operation, FAILED_REPLY if ran else reply)
 
-    def busy(self) -> bytes:
+    def busy_reply(self) -> bytes:
         """A bounce with a time, spread: all that wait for one thing must not come back at once."""
-        longest = self.service.configuration.charter.deployment.longest_come_back
+        longest = self.service.configuration.settings.deployment.max_retry_after
         draw = crc32(b"%d" % next(self._draws)) / 0x100000000
-        return busy(min(AWAY * (0.5 + draw), longest) if longest else 0.0)
+        return busy_reply(min(AWAY * (0.5 + draw), longest) if longest else 0.0)
 
 
 def _marked(operation: Operation) -> bool:
-    return operation.write and operation.traffic.effect is Effect.DEDUPLICATED
+    return operation.is_write and operation.traffic_type.effect is Effect.WITH_IDEMPOTENCY_KEY
 
 
 def placing(service: Service, follower: Follower, **more: Any) -> Placing:
