--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -21,13 +21,13 @@
 from ..hosted.roster import BadFeed
 from ..installation.form import RecoveryEntry
 from ..net.configuration import address
-from ..net.dispatch import FAILED, busy
-from ..net.list_update import PRESENCES, ListUpdate, Target
-from ..net.phase import Phase
-from ..net.pool import Cargo, Connection, PendingAttempt
+from ..net.connection_pool import Connection, PendingAttempt, RequestPayload
+from ..net.dispatcher import FAILED_REPLY, busy_reply
+from ..net.endpoint_list import ENDPOINT_STATES, EndpointListUpdate, EndpointTarget
+from ..net.lifecycle import Phase
 from ..net.service import Service
+from ..routing.types import Effect, EndpointEntry, EndpointState, Operation
 from ..tenancy.feed import Feed
-from ..terms import Effect, Listing, Operation, Presence
 from . import asking, evidence, trust
 from .datagram import Wire, digest
 from .effects import Effects
@@ -42,7 +42,7 @@
 WORDS_APART = 0.03  # seconds
 RISE_TIME, FALL_TIME = 2.0, 60.0  # seconds over which steady service is smoothed: a pause is no less of it
 MOST_FIGURE = (1 << 63) - 1  # of versions, as messages carry them
-STATES = {presence: state for state, presence in PRESENCES.items()}
+STATES = {presence: state for state, presence in ENDPOINT_STATES.items()}
 
 
 class Recovery:
@@ -61,11 +61,11 @@
         boot: Callable[[], str] = boot_of,
     ) -> None:
         """`key`: of the tier's messages; the clocks and the machine's boot may be played by a test."""
-        deployment = service.configuration.charter.deployment
+        deployment = service.configuration.settings.deployment
         self.service, self.entry, self.follower = service, entry, follower
-        self.dispatch, self.clock = service.dispatch, service.clock
+        self.dispatcher, self.clock = service.dispatcher, service.clock
         self.wall, self.steady, self.boot = wall, steady, boot
-        self.me, self.routers = deployment.me, deployment.routers
+        self.me, self.routers = deployment.router_number, deployment.router_count
         self.deployment = deployment
         self.wire = Wire(key)
         self.file = SnapshotFile(entry.snapshot, identity_of(key, service.configuration.name, self.me))
@@ -92,11 +92,11 @@
         self.store = trust.KnownStore("", 0, {})
         self.older_until = 0.0  # a keeper from before what was heard is not followed until then; 0: none is
         self.keeper_run = ""
-        self.servers: dict[str, Target] = {}  # as discovery told them, follows the list
+        self.servers: dict[str, EndpointTarget] = {}  # as discovery told them, follows the list
         self.list_rev = -1
         self.list_sum = 0
         self.known_rev, self.known_starts = -1, {}  # of the list that was followed last, kept ones too
-        self.held_back: list[ListUpdate] = []  # until it is decided; emptied then
+        self.held_back: list[EndpointListUpdate] = []  # until it is decided; emptied then
         self.old_list_until = 0.0  # by an old list only what harms nobody is sent; 0: it is none
         self.starts: dict[str, tuple[float, float]] = {}  # as told and as believed, follows the list
         self.learnt = Learnt()
@@ -109,11 +109,11 @@
         self.dirty = trio.Event()
         self.saving = trio.Lock()  # two at a time would write into one file
         self.parting = False  # whether operations pass by `_submit`
-        self.hear_list_below: Callable[..., None] = self.dispatch.hear_list
-        self.hear_believed: Callable[..., None] = self.dispatch.hear_list
-        self.hear_peer_below = self.dispatch.hear_peer
-        self.submit_below = self.dispatch.submit
-        self.follow_below: Callable[[], None] = self.dispatch.follow
+        self.hear_list_below: Callable[..., None] = self.dispatcher.on_endpoints_changed
+        self.hear_believed: Callable[..., None] = self.dispatcher.on_endpoints_changed
+        self.hear_peer_below = self.dispatcher.on_gossip
+        self.submit_below = self.dispatcher.submit
+        self.follow_below: Callable[[], None] = self.dispatcher.follow
 
     # -- the start
 
@@ -161,11 +161,11 @@
 
     def _stand_before(self) -> None:
         places = asking.places(self.me, self.routers)
-        dispatch = self.dispatch
+        dispatcher = self.dispatcher
         self.asks_at = self.began + places.discovery
         self.tells_from = places.messages
-        dispatch.hear_list, dispatch.hear_peer = self._hear_list, self._hear_peer
-        dispatch.follow = self._follow
+        dispatcher.on_endpoints_changed, dispatcher.on_gossip = self._hear_list, self._hear_peer
+        dispatcher.follow = self._follow
         self.service.pool.lost = self._connection_lost
         self.service.farewells.append(self._farewell)
         self._part(True)
@@ -173,7 +173,10 @@
             self.follower.first_wait = places.keeper
             self.follower.first_at_once = True
             # Other parts tell the keeper when servers started: as they were told, not as is believed here.
-            self.hear_believed, self.follower.hear_list = self.follower.hear_list, self._believe
+            self.hear_believed, self.follower.on_endpoints_changed = (
+                self.follower.on_endpoints_changed,
+                self._believe,
+            )
             self.follower.weigh = self._weigh
             self.follower.run_number = self.mind.run
             self.follower.parts.append(self)
@@ -181,9 +184,9 @@
     def _part(self, wanted: bool) -> None:
         """Whether operations pass by here."""
         if wanted and not self.parting:
-            self.dispatch.submit = self._submit
+            self.dispatcher.submit = self._submit
         elif self.parting and not wanted:
-            del self.dispatch.submit  # the class's own is found again
+            del self.dispatcher.submit  # the class's own is found again
         self.parting = wanted
 
     def _follow(self) -> None:
@@ -192,7 +195,7 @@
         if now >= self.asks_at:
             self.follow_below()
         else:
-            self.service.deadlines.at(self.asks_at, self.follow_below)
+            self.service.timers.call_at(self.asks_at, self.follow_below)
 
     def uptime(self) -> float:
         """Seconds since the start."""
@@ -200,29 +203,29 @@
 
     # -- what stands before the dispatch
 
-    def _submit(self, operation: Operation, cargo: Cargo, answer: Callable[[bytes], None]) -> int:
+    def _submit(self, operation: Operation, payload: RequestPayload, answer: Callable[[bytes], None]) -> int:
         """As `Dispatch.submit`; what is not let in is answered here, and has no handle."""
         now = self.clock()
-        traffic = operation.traffic
-        row, write = traffic.row, operation.write
+        traffic = operation.traffic_type
+        row, write = traffic.row, operation.is_write
         if now < self.effects.until[row]:
-            final = self.effects.final(row, write, operation.repeat, mark_of(cargo.told), now)
+            final = self.effects.final(row, write, operation.is_client_retry, mark_of(payload.told), now)
             if final and self.mind.verdict is not Verdict.DECIDING:
-                return self._end(operation, answer, FAILED)
+                return self._end(operation, answer, FAILED_REPLY)
         if self.opening.open and not self.old_list_until:
-            return self.submit_below(operation, cargo, answer)
+            return self.submit_below(operation, payload, answer)
         away = self._away(row, operation.tenant, write, now)
         if away:
-            return self._end(operation, answer, busy(away if self.deployment.longest_come_back else 0.0))
+            return self._end(operation, answer, busy_reply(away if self.deployment.max_retry_after else 0.0))
 
         def ended(reply: bytes) -> None:
             settled = not reply.startswith(b"-")
             if settled or self._tells(operation, reply):
-                at_origin = any(attempt.server.origin for attempt in operation.attempts)
+                at_origin = any(attempt.endpoint.origin for attempt in operation.attempts)
                 self.opening.ended(row, write, settled, at_origin)
             answer(reply)
 
-        return self.submit_below(operation, cargo, ended)
+        return self.submit_below(operation, payload, ended)
 
     def _away(self, row: int, tenant: int, write: bool, now: float) -> float:
         """Seconds to stay away; 0: let in."""
@@ -239,7 +242,9 @@
         if not self._parts_ready():
             return False
         pinned = bool(operation.regions) and operation.regions[-1] is not None
-        return not (pinned and reply.startswith(b"-BUSY") and not (operation.write or operation.wants_origin))
+        return not (
+            pinned and reply.startswith(b"-BUSY") and not (operation.is_write or operation.wants_origin)
+        )
 
     def _parts_ready(self) -> bool:
         """Whether all parts that go by the keeper's word have what they need of it."""
@@ -248,40 +253,40 @@
 
     @staticmethod
     def _end(operation: Operation, answer: Callable[[bytes], None], reply: bytes) -> int:
-        operation.over = True
+        operation.finished = True
         answer(reply)
         return -1
 
     # -- the list
 
-    def _hear_list(self, update: ListUpdate, held: bool = False) -> None:
+    def _hear_list(self, update: EndpointListUpdate, held: bool = False) -> None:
         """Discovery's list or changes of it."""
-        if update.whole:
+        if update.complete:
             self._weigh_list(update)
             self.servers.clear()
         for target in update.targets:
-            if target.listing.presence is Presence.GONE:
+            if target.entry.state is EndpointState.GONE:
                 self.servers.pop(target.uid, None)
             else:
                 self.servers[target.uid] = target
         self.list_rev = update.rev
-        told = sorted((uid, target.listing.started) for uid, target in self.servers.items())
+        told = sorted((uid, target.entry.started) for uid, target in self.servers.items())
         self.list_sum = zlib.crc32(repr(told).encode())
-        listings = [target.listing for target in update.targets]
-        self.effects.hear_list(listings, update.whole, self.clock())
+        entries = [target.entry for target in update.targets]
+        self.effects.on_endpoints_changed(entries, update.complete, self.clock())
         if self.effects.open(self.clock()):
             self._part(True)
         self.facts.list = self.facts.list or not held
         if self.mind.verdict is Verdict.DECIDING:
             # When servers started is believed by what is still to be decided; no client is let in before.
-            self.held_back = [update] if update.whole else [*self.held_back, update]
+            self.held_back = [update] if update.complete else [*self.held_back, update]
         else:
             self._pass_on(update, held)
         self.dirty.set()
 
-    def _weigh_list(self, update: ListUpdate) -> None:
+    def _weigh_list(self, update: EndpointListUpdate) -> None:
         """Whether a whole list is one from before."""
-        told = {target.uid: target.listing.started for target in update.targets}
+        told = {target.uid: target.entry.started for target in update.targets}
         standing = trust.list_answer(self.known_rev, self.known_starts, update.rev, told)
         if standing is trust.Standing.OLDER:
             if self.old_list_until in (0.0, inf):
@@ -299,13 +304,13 @@
         self.old_list_until = 0.0
         self.known_rev, self.known_starts = update.rev, told
 
-    def _pass_on(self, update: ListUpdate, held: bool) -> None:
+    def _pass_on(self, update: EndpointListUpdate, held: bool) -> None:
         if self.follower is None:
             self._believe(update, held)
         else:
             self.hear_list_below(update, held)  # comes back through the follower
 
-    def _believe(self, update: ListUpdate, held: bool = False) -> None:
+    def _believe(self, update: EndpointListUpdate, held: bool = False) -> None:
         """Tell the decisions when servers started as it is believed."""
         known = {each.uid: each.started for each in self.former.servers} if self.former else {}
         spread = asking.window(self.routers, asking.DISCOVERY_EACH)
@@ -313,13 +318,13 @@
         off = trust.clock_off(0.0, list(self.walls.values()))
         targets = []
         for target in update.targets:
-            told = target.listing.started
+            told = target.entry.started
             seen = self.starts.get(target.uid)
             if held and self.old_list_until == inf:
-                target = target._replace(listing=target.listing._replace(started=self.began))
+                target = target._replace(entry=target.entry._replace(started=self.began))
                 targets.append(target)
                 continue
-            if target.listing.presence is Presence.GONE:
+            if target.entry.state is EndpointState.GONE:
                 self.starts.pop(target.uid, None)
             elif seen is None or seen[0] != told:
                 lived = self.mind.verdict.lived or in_service
@@ -327,9 +332,9 @@
                 believed = trust.believed_start(told, before, self.began, lived, off, now)
                 seen = self.starts[target.uid] = (told, believed)
             if seen is not None:
-                target = target._replace(listing=target.listing._replace(started=seen[1]))
+                target = target._replace(entry=target.entry._replace(started=seen[1]))
             targets.append(target)
-        self.hear_believed(ListUpdate(update.rev, update.whole, tuple(targets)), held)
+        self.hear_believed(EndpointListUpdate(update.rev, update.complete, tuple(targets)), held)
 
     def _use_kept_list(self) -> None:
         """Discovery is not waited for any longer: what was kept serves reads, and every server is cold."""
@@ -339,19 +344,19 @@
         for each in self.former.servers:
             where = address(each.endpoint, "snapshot")
             ident = xxh64_intdigest(each.uid.encode())  # as net.list_update makes it
-            listing = Listing(
+            listing = EndpointEntry(
                 ident,
                 each.zone,
                 each.kind,
                 each.cell,
-                PRESENCES.get(each.state, Presence.DRAINING),
+                ENDPOINT_STATES.get(each.state, EndpointState.DRAINING),
                 each.started,
                 each.weight,
             )
-            targets.append(Target(listing, each.uid, where))
+            targets.append(EndpointTarget(listing, each.uid, where))
         logger.warning("recovery: no list: {} servers as kept, for reads only", len(targets))
         self.old_list_until = inf
-        self._pass_on(ListUpdate(self.former.list_rev, True, tuple(targets)), True)
+        self._pass_on(EndpointListUpdate(self.former.list_rev, True, tuple(targets)), True)
 
     # -- connections to servers
 
@@ -380,12 +385,12 @@
             return
         logger.info("recovery: {} may have begun anew: no line to it stands, and none comes up", uid)
         self._part(True)
-        for exchange in list(self.dispatch.exchanges):
+        for exchange in list(self.dispatcher.pending_operations):
             # The module would send it once more when the server is back, which remembers nothing of it.
             operation = exchange.operation
-            marked = operation.write and operation.traffic.row in rows
-            if marked and operation.ran_at is not None and not operation.over:
-                self.dispatch.refuse(operation, FAILED)
+            marked = operation.is_write and operation.traffic_type.row in rows
+            if marked and operation.may_have_run_on is not None and not operation.finished:
+                self.dispatcher.refuse(operation, FAILED_REPLY)
 
     def _look_at_connections(self, now: float) -> None:
         """What connections that stand idle say of their servers' lives."""
@@ -411,7 +416,7 @@
         zone, origin = self.mind.peers[number].zone, self.deployment.origin_kind
         cells: dict[int, bool] = {}
         for target in self.servers.values():
-            each = target.listing
+            each = target.entry
             if digest(each.zone) == zone and each.kind != origin:
                 cells[each.cell] = cells.get(each.cell, False) or self.lives.covers(each.ident, since, until)
         return bool(cells) and all(cells.values())
@@ -421,7 +426,7 @@
     async def _farewell(self) -> None:
         """All is answered. Peers are told, where nothing is in hand."""
         service = self.service
-        in_hand = len(self.dispatch.exchanges) + len(service.pool.pending)
+        in_hand = len(self.dispatcher.pending_operations) + len(service.pool.pending)
         in_hand += sum(clients.owe() for clients, _ in service.fronts)
         self.mind = evidence.leave(self.mind, in_hand)
         how = f"with {in_hand} in hand" if in_hand else "in order"
@@ -619,7 +624,7 @@
         for update in waiting:
             self.hear_list_below(update, False)
         if self.service.lifecycle.phase is Phase.RECOVERING:
-            self.service.lifecycle.enter(Phase.READY, len(self.dispatch.exchanges))
+            self.service.lifecycle.enter(Phase.READY, len(self.dispatcher.pending_operations))
 
     def _look(self) -> None:
         before, now = self.mind, self.clock()
@@ -636,7 +641,7 @@
         if self.old_list_until and now >= self.old_list_until:
             self.old_list_until = 0.0
             logger.warning("recovery: the list is followed though it may be old")
-        self.opening.share([tenant.share for tenant in self.dispatch.router.tenants])
+        self.opening.share([tenant.share for tenant in self.dispatcher.router.tenants])
         self.opening.step(self._warmth(now), now)
         if self.opening.open and self.order.stage is Stage.CLIENTS:
             self.order.stage = Stage.OPEN
@@ -658,7 +663,7 @@
         for waiting in self.held_back:
             self._pass_on(waiting, False)
         self.held_back = []
-        router = self.dispatch.router
+        router = self.dispatcher.router
         learnt, entry = self.learnt, self.entry
         bearing = Bearing(
             self.routers,
@@ -681,10 +686,10 @@
             learnt.writes,
         )
         if self.service.lifecycle.phase is Phase.RECOVERING:
-            self.service.lifecycle.enter(Phase.READY, len(self.dispatch.exchanges))
+            self.service.lifecycle.enter(Phase.READY, len(self.dispatcher.pending_operations))
 
     def _warmth(self, now: float) -> float:
-        caches, cold_time = self.dispatch.router.caches, self.deployment.cold_time
+        caches, cold_time = self.dispatcher.router.caches, self.deployment.warm_up_time
         if not caches or not cold_time:
             return 1.0
         ages = [max(now - cache.started, 0.0) if cache.started else inf for cache in caches.values()]
@@ -696,7 +701,7 @@
         if span < 1.0 or self.order.stage is not Stage.OPEN:
             return
         self.learnt_at = now
-        router, old = self.dispatch.router, self.learnt
+        router, old = self.dispatcher.router, self.learnt
         reads = router.rate.read(now)
         writes = max(sum(router.used) - reads, 0.0)
         self.learnt = Learnt(_towards(old.reads, reads, span), _towards(old.writes, writes, span))
@@ -744,12 +749,12 @@
             Entry(
                 target.uid,
                 f"{target.address[0]}:{target.address[1]}",
-                target.listing.zone,
-                target.listing.kind,
-                target.listing.cell,
-                STATES[target.listing.presence],
-                target.listing.started,
-                target.listing.weight,
+                target.entry.zone,
+                target.entry.kind,
+                target.entry.cell,
+                STATES[target.entry.state],
+                target.entry.started,
+                target.entry.weight,
             )
             for target in self.servers.values()
             if target.address is not None
--- a/gaugehinge/recovery/effects.py
+++ b/gaugehinge/recovery/effects.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable, Sequence
 from math import inf
 
-from ..terms import Deployment, Effect, Group, Listing, Presence
+from ..routing.types import DeduplicationScope, Deployment, Effect, EndpointEntry, EndpointState
 from .evidence import Verdict
 
 MOST_BORN = 4096  # marks whose first try came here after the loss; the oldest goes first
@@ -29,20 +29,20 @@
         """`unrepeatable`: seconds after a loss in which repeats of unrepeatable ones come. At the start
         nothing is known: all windows are open."""
         self.types = deployment.traffic_types
-        self.aside = deployment.aside
+        self.aside = deployment.cache_aside
         self.origin_kind = deployment.origin_kind
         self.memory = [
             each.memory
-            if each.effect is Effect.DEDUPLICATED
+            if each.effect is Effect.WITH_IDEMPOTENCY_KEY
             else unrepeatable
-            if each.effect is Effect.UNREPEATABLE
+            if each.effect is Effect.NON_IDEMPOTENT
             else 0.0
             for each in self.types
         ]
         self.until = [now + memory if memory else -inf for memory in self.memory]
         self.lost_at = now  # when marks were lost last, as far as is known
         self.born: OrderedDict[bytes, None] = OrderedDict()
-        self.starts: dict[int, tuple[Listing, float]] = {}  # follows the list
+        self.starts: dict[int, tuple[EndpointEntry, float]] = {}  # follows the list
         self.refused = 0
         self.log: list[str] = []  # emptied by the driver
 
@@ -56,30 +56,32 @@
         told = [ago for ago in lost_ago if ago >= 0.0]
         for row, memory in enumerate(self.memory):
             kind = self.types[row]
-            kept = verdict is Verdict.LONE or (kind.effect is Effect.DEDUPLICATED and kind.group is Group.ALL)
+            kept = verdict is Verdict.LONE or (
+                kind.effect is Effect.WITH_IDEMPOTENCY_KEY and kind.group is DeduplicationScope.ALL
+            )
             if not memory or not kept:
                 continue  # our zone's own marks are gone with it
             left = memory - min(told) if told else -inf
             self.until[row] = min(self.until[row], now + left)
         self._tidy(now)
 
-    def hear_list(self, listings: Sequence[Listing], whole: bool, now: float) -> None:
+    def on_endpoints_changed(self, entries: Sequence[EndpointEntry], whole: bool, now: float) -> None:
         """The list or its changes: where all servers of a group began anew, its marks are gone."""
-        if not listings:
+        if not entries:
             return  # of a list that is empty for once nothing follows
-        first, named = not self.starts, {each.ident for each in listings}
+        first, named = not self.starts, {each.ident for each in entries}
         if whole:
             self.starts = {ident: kept for ident, kept in self.starts.items() if ident in named}
-        for each in listings:
+        for each in entries:
             known = self.starts.get(each.ident)
-            if each.presence is Presence.GONE:
+            if each.presence is EndpointState.GONE:
                 self.starts.pop(each.ident, None)
             elif first or (known is not None and each.started <= known[0].started):
                 self.starts[each.ident] = (each, known[1] if known else -inf)
             else:
                 self.starts[each.ident] = (each, now)
         for row, kind in enumerate(self.types):
-            if kind.effect is Effect.DEDUPLICATED:
+            if kind.effect is Effect.WITH_IDEMPOTENCY_KEY:
                 self._open(row, self._lost_at(kind.group, now - self.memory[row]), now)
 
     def doubt(self, ident: int, now: float) -> list[int]:
@@ -92,20 +94,26 @@
         self.starts[ident] = (known[0], now)
         rows = []
         for row, kind in enumerate(self.types):
-            if kind.effect is Effect.DEDUPLICATED:
+            if kind.effect is Effect.WITH_IDEMPOTENCY_KEY:
                 lost_at = self._lost_at(kind.group, now - self.memory[row])
                 self._open(row, lost_at, now)
                 if lost_at == now:
                     rows.append(row)
         return rows
 
-    def _lost_at(self, group: Group, since: float) -> float:
+    def _lost_at(self, group: DeduplicationScope, since: float) -> float:
         """When the last group lost the last member that remembered what ran since then; -inf: none did."""
         groups: dict[object, list[float]] = {}
         for listing, anew_at in self.starts.values():
             if self.aside and listing.kind != self.origin_kind:
                 continue  # they are never written to
-            name = 0 if group is Group.ALL else listing.zone if group is Group.ZONE else listing.cell
+            name = (
+                0
+                if group is DeduplicationScope.ALL
+                else listing.zone
+                if group is DeduplicationScope.ZONE
+                else listing.cell
+            )
             groups.setdefault(name, []).append(anew_at)
         return max((max(each) for each in groups.values() if min(each) > since), default=-inf)
 
@@ -130,7 +138,7 @@
         """Whether an operation that comes now gets its final answer without an attempt."""
         if now >= self.until[row]:
             return False
-        if not write and self.types[row].effect is Effect.DEDUPLICATED:
+        if not write and self.types[row].effect is Effect.WITH_IDEMPOTENCY_KEY:
             return False
         if not repeat:
             if mark:
--- a/gaugehinge/recovery/opening.py
+++ b/gaugehinge/recovery/opening.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ..terms import Deployment, Effect
+from ..routing.types import Deployment, Effect
 from .evidence import Verdict
 
 STEP = 0.25  # seconds
@@ -216,9 +216,9 @@
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self.types = deployment.traffic_types
-        self.aside = deployment.aside
-        self.longest_away = deployment.longest_come_back
-        self.cold_from, self.cold_time = deployment.cold_from, deployment.cold_time
+        self.aside = deployment.cache_aside
+        self.longest_away = deployment.max_retry_after
+        self.cold_from, self.cold_time = deployment.cold_capacity, deployment.warm_up_time
         payoffs = sorted({kind.payoff for kind in self.types}, reverse=True)
         self.rank = [payoffs.index(kind.payoff) for kind in self.types]
         self.seed, self.draws = seed, 0
--- a/gaugehinge/rehearsal/broken.py
+++ b/gaugehinge/rehearsal/broken.py
@@ -21,12 +21,12 @@
 import msgspec
 
 from ..admin import service
-from ..net import list_update
-from ..net.dispatch import Dispatch, Exchange, busy
-from ..net.origin import OriginDialect, Talk
-from ..net.pool import Cargo, Connection, RespDialect
+from ..net import endpoint_list
+from ..net.connection_pool import Connection, RequestPayload, RespCodec
+from ..net.dispatcher import Dispatcher, PendingOperation, busy_reply
+from ..net.origin import HttpExchange, OriginCodec
 from ..net.resp import MOST_ANSWER, bulk
-from ..terms import Effect, Presence
+from ..routing.types import Effect, EndpointState
 
 EACH = 3  # one of so many is done wrong
 OVER = 0.75  # seconds behind the abandon time
@@ -68,42 +68,42 @@
 # -- answers
 
 
-def _answers(change: Callable[[Dispatch, Exchange, bytes], bytes | None]) -> None:
+def _answers(change: Callable[[Dispatcher, PendingOperation, bytes], bytes | None]) -> None:
     """Put `change` between a router and its answers; None: it has seen to that itself."""
-    right = Dispatch._answer
+    right = Dispatcher._answer
 
-    def answer(self: Dispatch, exchange: Exchange, reply: bytes) -> None:
+    def answer(self: Dispatcher, exchange: PendingOperation, reply: bytes) -> None:
         if exchange.answered:
             return
         told = change(self, exchange, reply)
         if told is None:
-            exchange.answered = exchange.operation.over = True
+            exchange.answered = exchange.operation.finished = True
         else:
             right(self, exchange, told)
 
-    Dispatch._answer = answer
+    Dispatcher._answer = answer
 
 
 def double() -> None:
     """It answers twice."""
     turns = Turns()
-    _answers(lambda dispatch, exchange, reply: reply + reply if turns.wrong() else reply)
+    _answers(lambda dispatcher, exchange, reply: reply + reply if turns.wrong() else reply)
 
 
 def mute() -> None:
     """It does not answer."""
     turns = Turns()
-    _answers(lambda dispatch, exchange, reply: None if turns.wrong() else reply)
+    _answers(lambda dispatcher, exchange, reply: None if turns.wrong() else reply)
 
 
 def late() -> None:
     """It answers after the abandon time."""
     turns = Turns()
 
-    def change(dispatch: Dispatch, exchange: Exchange, reply: bytes) -> bytes | None:
+    def change(dispatcher: Dispatcher, exchange: PendingOperation, reply: bytes) -> bytes | None:
         if not turns.wrong():
             return reply
-        dispatch.deadlines.at(exchange.operation.deadline + OVER, exchange.answer, reply)
+        dispatcher.timers.call_at(exchange.operation.deadline + OVER, exchange.answer, reply)
         return None
 
     _answers(change)
@@ -113,9 +113,9 @@
     """It says of what ran, and may not run again, that it never did."""
     turns = Turns()
 
-    def change(dispatch: Dispatch, exchange: Exchange, reply: bytes) -> bytes:
-        ran = exchange.operation.traffic.effect is Effect.UNREPEATABLE and reply[:1] == b"$"
-        return busy(0.1) if ran and turns.wrong() else reply
+    def change(dispatcher: Dispatcher, exchange: PendingOperation, reply: bytes) -> bytes:
+        ran = exchange.operation.traffic_type.effect is Effect.NON_IDEMPOTENT and reply[:1] == b"$"
+        return busy_reply(0.1) if ran and turns.wrong() else reply
 
     _answers(change)
 
@@ -124,9 +124,9 @@
     """It answers a tenant with what another one read."""
     turns, last = Turns(), {}
 
-    def change(dispatch: Dispatch, exchange: Exchange, reply: bytes) -> bytes:
+    def change(dispatcher: Dispatcher, exchange: PendingOperation, reply: bytes) -> bytes:
         operation = exchange.operation
-        if operation.write or reply[:1] != b"$":
+        if operation.is_write or reply[:1] != b"$":
             return reply
         last[operation.tenant] = reply
         other = next((told for tenant, told in last.items() if tenant != operation.tenant), None)
@@ -137,23 +137,23 @@
 
 def lies() -> None:
     """It says that a write is done, and sends it nowhere."""
-    turns, right = Turns(), Dispatch._ask
+    turns, right = Turns(), Dispatcher._ask
 
-    def ask(self: Dispatch, exchange: Exchange) -> None:
-        if exchange.operation.write and not exchange.operation.attempts and turns.wrong():
+    def ask(self: Dispatcher, exchange: PendingOperation) -> None:
+        if exchange.operation.is_write and not exchange.operation.attempts and turns.wrong():
             self._answer(exchange, bulk(b"done"))
             self._drop(exchange)
         else:
             right(self, exchange)
 
-    Dispatch._ask = ask
+    Dispatcher._ask = ask
 
 
 def crashes() -> None:
     """It ends by itself."""
     count = 0
 
-    def change(dispatch: Dispatch, exchange: Exchange, reply: bytes) -> bytes:
+    def change(dispatcher: Dispatcher, exchange: PendingOperation, reply: bytes) -> bytes:
         nonlocal count
         count += 1
         if count > ENDS_AFTER:
@@ -166,19 +166,21 @@
 # -- attempts
 
 
-def _again(change: Callable[[Cargo], tuple[bytes, bytes] | None]) -> None:
+def _again(change: Callable[[RequestPayload], tuple[bytes, bytes] | None]) -> None:
     """Send a write to the origin a second time, where `change` gives the id and the labels for that."""
-    turns, right = Turns(), OriginDialect.command
+    turns, right = Turns(), OriginCodec.command
 
-    def command(self: OriginDialect, connection: Connection, cargo: Cargo, left: float) -> bytes:
-        told = change(cargo) if cargo.value is not None else None
+    def command(self: OriginCodec, connection: Connection, payload: RequestPayload, left: float) -> bytes:
+        told = change(payload) if payload.value is not None else None
         if told is not None and turns.wrong():
             headers = [("Host", b"origin"), ("X-Txn", told[0]), ("X-Labels", told[1])]
-            data = Talk(MOST_ANSWER).request("PUT", "/" + quote(cargo.key, safe=""), headers, cargo.value)
+            data = HttpExchange(MOST_ANSWER).request(
+                "PUT", "/" + quote(payload.key, safe=""), headers, payload.value
+            )
             threading.Thread(target=_send, args=(connection.endpoint.address, data), daemon=True).start()
-        return right(self, connection, cargo, left)
+        return right(self, connection, payload, left)
 
-    OriginDialect.command = command
+    OriginCodec.command = command
 
 
 def _send(where: tuple[str, int], data: bytes) -> None:
@@ -190,28 +192,28 @@
 
 def twice() -> None:
     """It runs a second time what may not be repeated."""
-    _again(lambda cargo: (cargo.ident, cargo.told) if b"c=book" in cargo.told else None)
+    _again(lambda payload: (payload.ident, payload.told) if b"c=book" in payload.told else None)
 
 
 def unmarked() -> None:
     """It runs a deduplicated write a second time, without its mark."""
 
-    def change(cargo: Cargo) -> tuple[bytes, bytes] | None:
-        labels = cargo.told.split(b",")
+    def change(payload: RequestPayload) -> tuple[bytes, bytes] | None:
+        labels = payload.told.split(b",")
         rest = [label for label in labels if not label.startswith(b"k=")]
-        return (cargo.ident, b",".join(rest)) if len(rest) < len(labels) else None
+        return (payload.ident, b",".join(rest)) if len(rest) < len(labels) else None
 
     _again(change)
 
 
 def ghost() -> None:
     """It writes under an id that no client ever used."""
-    _again(lambda cargo: (cargo.ident + b"-nobody", cargo.told) if b"c=put" in cargo.told else None)
+    _again(lambda payload: (payload.ident + b"-nobody", payload.told) if b"c=put" in payload.told else None)
 
 
 def drains() -> None:
     """It goes on with servers that drain."""
-    list_update.PRESENCES["draining"] = Presence.UP
+    endpoint_list.ENDPOINT_STATES["draining"] = EndpointState.UP
 
 
 def wanders() -> None:
@@ -224,15 +226,15 @@
 
 def opens() -> None:
     """It opens more connections to a server than that bears."""
-    right, begun = RespDialect.command, []
+    right, begun = RespCodec.command, []
 
-    def command(self: RespDialect, connection: Connection, cargo: Cargo, left: float) -> Any:
+    def command(self: RespCodec, connection: Connection, payload: RequestPayload, left: float) -> Any:
         if not begun:
             begun.append(True)
             threading.Thread(target=_hold, args=(connection.endpoint.address,), daemon=True).start()
-        return right(self, connection, cargo, left)
+        return right(self, connection, payload, left)
 
-    RespDialect.command = command
+    RespCodec.command = command
 
 
 def _hold(where: tuple[str, int]) -> None:
--- a/gaugehinge/rehearsal/brokenterms.py
+++ b/gaugehinge/rehearsal/brokenterms.py
@@ -10,11 +10,11 @@
 from math import inf
 
 from ..net import discovery
-from ..net.clients import Client, Clients, _no_more
-from ..net.discovery import Discovery, Watch
-from ..net.dispatch import Dispatch
-from ..net.pool import Cargo
-from ..terms import Operation
+from ..net.client_server import ClientConnection, ClientServer, _no_more
+from ..net.connection_pool import RequestPayload
+from ..net.discovery import DiscoveryClient, Watch
+from ..net.dispatcher import Dispatcher
+from ..routing.types import Operation
 
 ASLEEP = 5.0  # seconds
 QUEUED, NO_HANDLE = 1.0, -1  # seconds that an operation stands in the queue
@@ -40,32 +40,34 @@
 
 def unmoved() -> None:
     """SIGHUP does not move it."""
-    Discovery.move = lambda self, where: None
+    DiscoveryClient.move = lambda self, where: None
 
 
 def stays() -> None:
     """It has a queue, and goes on with what clients asked that have gone."""
-    right = Dispatch.submit
+    right = Dispatcher.submit
 
-    def submit(self: Dispatch, operation: Operation, cargo: Cargo, answer: Callable[[bytes], None]) -> int:
-        self.deadlines.at(self.clock() + QUEUED, right, self, operation, cargo, answer)
+    def submit(
+        self: Dispatcher, operation: Operation, payload: RequestPayload, answer: Callable[[bytes], None]
+    ) -> int:
+        self.timers.call_at(self.clock() + QUEUED, right, self, operation, payload, answer)
         return NO_HANDLE
 
-    Dispatch.submit = submit
-    Dispatch.client_gone = lambda self, handle, freed=None: None
-    Clients.present = lambda self, client: True  # either of the two finds out
+    Dispatcher.submit = submit
+    Dispatcher.client_gone = lambda self, handle, freed=None: None
+    ClientServer.present = lambda self, client: True  # either of the two finds out
 
 
 def reads_on() -> None:
     """It tells a client that no answer follows, and goes on reading commands for a moment."""
 
-    def cut(self: Clients, client: Client) -> None:
+    def cut(self: ClientServer, client: ClientConnection) -> None:
         _no_more(client)
         client.quiet_since = inf  # not again
-        self.dispatch.deadlines.at(self.clock() + READS_ON, self._stop, client)
+        self.dispatcher.timers.call_at(self.clock() + READS_ON, self._stop, client)
 
-    Clients._cut = cut
-    Clients.present = lambda self, client: True  # else most are found gone before they are sent on
+    ClientServer._cut = cut
+    ClientServer.present = lambda self, client: True  # else most are found gone before they are sent on
 
 
 MODES = {each.__name__: each for each in (deaf, sleeps, unmoved, stays, reads_on)}
--- a/gaugehinge/rehearsal/clusterplay.py
+++ b/gaugehinge/rehearsal/clusterplay.py
@@ -34,8 +34,8 @@
     Tier,
     TrafficEntry,
 )
-from ..net.deadlines import Clock, Deadlines
 from ..net.service import Service
+from ..net.timer_queue import Clock, TimerQueue
 
 GRACE = 0.25  # an attempt may reach a server so long after all routers were told of its drain
 HOST = "127.0.0.1"
@@ -73,7 +73,7 @@
     """All that plays."""
 
     nursery: trio.Nursery
-    deadlines: Deadlines
+    timers: TimerQueue
     shards: Shards
     doors: dict[str, ShardDoor]
     directory: Directory
@@ -108,7 +108,7 @@
         """Back at its address."""
         self.shards.start(name)
         self.doors[name].open()
-        boot = int(self.deadlines.clock() * 1000) if cold else 0
+        boot = int(self.timers.clock() * 1000) if cold else 0
         self.directory.change(name, state="ready", boot_ms=boot)
 
     # -- judged
@@ -189,11 +189,11 @@
     """
     ports = Ports(seed)
     clock = Clock()
-    deadlines = Deadlines(clock)
+    timers = TimerQueue(clock)
     shards = Shards(clock)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(deadlines.run)
-        made = Play(nursery, deadlines, shards, {}, None)
+        nursery.start_soon(timers.run)
+        made = Play(nursery, timers, shards, {}, None)
 
         def note(what: str, *told: Any) -> None:
             if what == "change":
@@ -202,9 +202,9 @@
             elif what == "told":
                 made.told.append(told)
 
-        directory = made.directory = Directory(deadlines, 0.01, note)
+        directory = made.directory = Directory(timers, 0.01, note)
         _servers(made, owners, replicas, work, ports)
-        discovery = DirectoryDoor(nursery, deadlines, directory, seed, 2000.0, 60.0)
+        discovery = DirectoryDoor(nursery, timers, directory, seed, 2000.0, 60.0)
         discovery.addresses = [(HOST, ports.free([HOST])) for _ in range(routers)]
         discovery.open()
         made.clients = [(HOST, ports.free([HOST])) for _ in range(routers)]
@@ -265,9 +265,9 @@
     with trio.fail_after(20):
         while True:
             maps = [
-                service.dispatch.locate.__self__.keeper.map
+                service.dispatcher.locate.__self__.keeper.map
                 for service in made.services
-                if service.dispatch.locate is not None
+                if service.dispatcher.locate is not None
             ]
             if len(maps) == len(made.services) and all(maps):
                 return
--- a/gaugehinge/rehearsal/clusterrun.py
+++ b/gaugehinge/rehearsal/clusterrun.py
@@ -182,7 +182,9 @@
             f"drains kept: a leg to {name} {late:.3f} s late" for name, late in self.made.late_attempts()
         ]
         told.redirections = self.made.shards.redirections
-        told.fetches = sum(service.dispatch.locate.__self__.keeper.fetches for service in self.made.services)
+        told.fetches = sum(
+            service.dispatcher.locate.__self__.keeper.fetches for service in self.made.services
+        )
 
 
 async def _answer(stream: trio.SocketStream, reader: Reader) -> object:
--- a/gaugehinge/rehearsal/faulty.py
+++ b/gaugehinge/rehearsal/faulty.py
@@ -19,12 +19,12 @@
 from ..installation.build import configuration_of
 from ..installation.form import Installation
 from ..net.configuration import Configuration
-from ..net.deadlines import Deadlines
 from ..net.discovery import PATH, Watch
-from ..net.list_update import Target
-from ..net.origin import Talk
+from ..net.endpoint_list import EndpointTarget
+from ..net.origin import HttpExchange
 from ..net.resp import MOST_ANSWER, Message, Parser, bulk
-from ..terms import Presence
+from ..net.timer_queue import TimerQueue
+from ..routing.types import EndpointState
 
 EACH = 10  # one of so many operations is done wrong
 LIST_EVERY = 0.1
@@ -38,11 +38,11 @@
 class Faulty:
     """One faulty router."""
 
-    def __init__(self, configuration: Configuration, mode: str, deadlines: Deadlines) -> None:
+    def __init__(self, configuration: Configuration, mode: str, timers: TimerQueue) -> None:
         self.configuration = configuration
         self.mode = mode
-        self.watch = Watch(configuration.discovery, deadlines)
-        self.servers: dict[str, Target] = {}
+        self.watch = Watch(configuration.discovery, timers)
+        self.servers: dict[str, EndpointTarget] = {}
         self.count = 0
         self.nursery: trio.Nursery
 
@@ -61,15 +61,15 @@
                 self.servers = {target.uid: target for target in update.targets}
             await trio.sleep(LIST_EVERY)
 
-    def _caches(self) -> list[Target]:
-        origin = self.configuration.charter.deployment.origin_kind
-        wanted = (Presence.UP, Presence.DRAINING) if self.mode == "drains" else (Presence.UP,)
+    def _caches(self) -> list[EndpointTarget]:
+        origin = self.configuration.settings.deployment.origin_kind
+        wanted = (EndpointState.UP, EndpointState.DRAINING) if self.mode == "drains" else (EndpointState.UP,)
         servers = sorted(self.servers.values(), key=lambda target: target.uid)
-        return [t for t in servers if t.listing.kind != origin and t.listing.presence in wanted]
+        return [t for t in servers if t.entry.kind != origin and t.entry.state in wanted]
 
-    def _origin(self) -> Target | None:
-        origin = self.configuration.charter.deployment.origin_kind
-        return next((t for t in self.servers.values() if t.listing.kind == origin), None)
+    def _origin(self) -> EndpointTarget | None:
+        origin = self.configuration.settings.deployment.origin_kind
+        return next((t for t in self.servers.values() if t.entry.kind == origin), None)
 
     # -- clients
 
@@ -108,15 +108,15 @@
         if not caches:
             return FAILED
         if self.mode == "pushes":
-            newest = max(caches, key=lambda target: target.listing.started)
-            if newest.listing.started:
+            newest = max(caches, key=lambda target: target.entry.started)
+            if newest.entry.started:
                 self.nursery.start_soon(self._push, newest, raw)
         found = await self._ask_cache(caches[crc32(words[1]) % len(caches)], raw)
         return found if found is not None else await self._ask_origin(words)
 
     # -- servers
 
-    async def _ask_cache(self, target: Target, raw: bytes) -> bytes | None:
+    async def _ask_cache(self, target: EndpointTarget, raw: bytes) -> bytes | None:
         """The value as it came; None for a miss."""
         parser = Parser(MOST_ANSWER)
         try:
@@ -132,7 +132,7 @@
             pass
         return FAILED
 
-    async def _push(self, target: Target, raw: bytes) -> None:
+    async def _push(self, target: EndpointTarget, raw: bytes) -> None:
         """Many attempts on one connection, whose answers nobody reads."""
         try:
             async with await trio.open_tcp_stream(*target.address) as stream:
@@ -152,7 +152,7 @@
         target = self._origin()
         if target is None:
             return FAILED
-        talk = Talk(MOST_ANSWER)
+        talk = HttpExchange(MOST_ANSWER)
         body = words[4] if words[0] == b"KV.SET" else None
         head = [("Host", b"origin"), ("X-Txn", words[2]), ("X-Labels", words[3])]
         data = talk.request("GET" if body is None else "PUT", "/" + quote(words[1], safe=""), head, body)
@@ -171,10 +171,10 @@
 
 async def serve(configuration: Configuration, mode: str) -> None:
     """Until ended."""
-    deadlines = Deadlines(time.monotonic)
+    timers = TimerQueue(time.monotonic)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(deadlines.run)
-        await Faulty(configuration, mode, deadlines).run()
+        nursery.start_soon(timers.run)
+        await Faulty(configuration, mode, timers).run()
 
 
 def main() -> int:
--- a/gaugehinge/rehearsal/hostedplay.py
+++ b/gaugehinge/rehearsal/hostedplay.py
@@ -29,10 +29,10 @@
 from ..hosted.front import HostedClients
 from ..installation.build import configuration_of
 from ..installation.form import DiscoveryAt, FollowEntry, Installation, Listen, Rules, Tier, TrafficEntry
-from ..net.deadlines import Clock, Deadlines
 from ..net.resp import Parser, bulk
 from ..net.service import Service
 from ..net.sockets import shut
+from ..net.timer_queue import Clock, TimerQueue
 from ..store.keeper import StoreKeeper
 from ..tenancy.credentials import Attempts, Hasher
 
@@ -210,7 +210,7 @@
             while not all(
                 follower is not None
                 and follower.roster.revision >= self.keeper.rev
-                and service.dispatch.router.caches
+                and service.dispatcher.router.caches
                 for follower, service, scope in zip(self.followers, self.services, self.scopes, strict=True)
                 if not scope.cancel_called
             ):
@@ -237,13 +237,13 @@
     Not `inside`: the routers are only told of, in `files`, to be started as processes of their own.
     """
     clock = Clock()
-    deadlines = Deadlines(clock)
+    timers = TimerQueue(clock)
     with tempfile.TemporaryDirectory() as made_folder:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(deadlines.run)
+            nursery.start_soon(timers.run)
             ports = Ports(seed)
             shelves = Shelves(clock, work)
-            directory = Directory(deadlines, 0.01, lambda *told: None)
+            directory = Directory(timers, 0.01, lambda *told: None)
             made = Hosted(
                 nursery,
                 folder or Path(made_folder),
@@ -261,7 +261,7 @@
                 port = listeners[0].socket.getsockname()[1]
                 zone = zones[number % len(zones)]
                 directory.put(Entry(f"c-{number}", f"{HOST}:{port}", "std", zone, 0))
-            discovery = DirectoryDoor(nursery, deadlines, directory, seed, 2000.0, 60.0)
+            discovery = DirectoryDoor(nursery, timers, directory, seed, 2000.0, 60.0)
             discovery.addresses = [(HOST, ports.free([HOST])) for _ in range(routers)]
             discovery.open()
             made.api = f"http://{HOST}:{ports.free([HOST])}"
--- a/gaugehinge/rehearsal/hostedrun.py
+++ b/gaugehinge/rehearsal/hostedrun.py
@@ -12,7 +12,7 @@
 import httpx
 import trio
 
-from ..net.dispatch import FAILED
+from ..net.dispatcher import FAILED_REPLY
 from .hostedplay import Client, Hosted, hosting
 
 NAMES = ("acme", "bolt", "cord")  # the last one is hostile
@@ -81,7 +81,7 @@
             told.breaks.append(f"one final answer: {name} {words[:3]} {took:.2f} s, {reply!r}")
             return reply
         outcome = {b"$": "settled"}.get(reply[:1]) or ("bounced" if reply.startswith(b"-BUSY") else "error")
-        if reply == FAILED:
+        if reply == FAILED_REPLY:
             outcome = "forfeited"  # on a machine that stood still it may be
         if reply == ENDED:
             # Two credentials are valid at a time: a third one ended that of this connection.
--- a/gaugehinge/rehearsal/misplaced.py
+++ b/gaugehinge/rehearsal/misplaced.py
@@ -34,7 +34,7 @@
     """It takes a server to stand where it takes it to stand, whatever was told of it since."""
 
     def inside(self: router.Placing, attempt: Any, regions: tuple) -> bool:
-        return any(region is None or attempt.server.zone in region for region in regions)
+        return any(region is None or attempt.endpoint.zone in region for region in regions)
 
     router.Placing._inside = inside
 
--- a/gaugehinge/policy.py
+++ b/gaugehinge/routing/router.py
@@ -3,7 +3,7 @@
 Ask `where(thing, now)` for an operation that came in or whose wait is over, `after(attempt, outcome, ...)`
 when an attempt ended, `how_long(thing, now)` when the answer was "not yet". Tell it what happened with
 `hear_list`, `hear_peer` and `gone`. `router.errands` are its own standing tasks and go through the same
-calls. The plain types of the interface live in terms.py, the reasons in docs/design.md.
+calls. The plain types of the interface live in deployment.py, the reasons in docs/design.md.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 from xxhash import xxh64_intdigest
 
-from .terms import (
-    Answer,
+from .types import (
+    Action,
     Attempt,
+    BackgroundTask,
+    Decision,
+    DeduplicationScope,
     Deployment,
     Effect,
-    Errand,
-    Group,
-    Listing,
+    EndpointEntry,
+    EndpointState,
     Operation,
     Outcome,
-    Presence,
-    Purpose,
     Step,
+    TaskKind,
     Tenant,
-    Verdict,
 )
 
 # The ring walk (values of the source unless a reason is given)
@@ -139,15 +139,20 @@
 MIX = 0x9E3779B97F4A7C15
 MASK = (1 << 64) - 1
 
-NOTHING = Answer(Verdict.NOTHING)
-WAIT = Answer(Verdict.WAIT)
-FAIL = Answer(Verdict.FAIL)
-LOST = (Outcome.NOT_CONNECTED, Outcome.BROKEN)
-FAULTS = (Outcome.ERRORED, Outcome.SPOILT, Outcome.TIMED_OUT, Outcome.UNKNOWN)
-REDIRECTED = (Outcome.MOVED, Outcome.ASKED)
-ANSWERED = (Outcome.SETTLED, Outcome.MISSED, Outcome.SPOILT)
-CUT = (*LOST, Outcome.SPOILT, Outcome.TIMED_OUT, Outcome.CALLED_OFF)  # they take their connection along
-NO_QUEUE = (*ANSWERED, Outcome.BROKEN)
+NOTHING = Decision(Action.NONE)
+WAIT = Decision(Action.WAIT)
+FAIL = Decision(Action.FAIL)
+LOST = (Outcome.CONNECT_FAILED, Outcome.CONNECTION_LOST)
+FAULTS = (Outcome.SERVER_ERROR, Outcome.MALFORMED_RESPONSE, Outcome.TIMED_OUT, Outcome.UNKNOWN)
+REDIRECTED = (Outcome.MOVED, Outcome.ASK_REDIRECT)
+ANSWERED = (Outcome.SUCCEEDED, Outcome.CACHE_MISS, Outcome.MALFORMED_RESPONSE)
+CUT = (
+    *LOST,
+    Outcome.MALFORMED_RESPONSE,
+    Outcome.TIMED_OUT,
+    Outcome.CANCELLED,
+)  # they take their connection along
+NO_QUEUE = (*ANSWERED, Outcome.CONNECTION_LOST)
 
 
 @dataclass(slots=True)
@@ -196,7 +201,7 @@
     near: Zone  # shared by all caches of its zone
     cell: int
     started: float
-    presence: Presence
+    state: EndpointState
     origin: bool
     kind: Latency  # of the caches that the list calls alike
     latency: Latency
@@ -289,9 +294,9 @@
         self.usual_weight = 0.0  # of the first list that told weights; only their ratios mean something
         self.origin: Cache | None = None
         # A queue holds up all that pass through it: the shortest promised time is what it is held to.
-        self.shortest = min((t.promised for t in deployment.traffic_types), default=1.0)
+        self.shortest = min((t.latency_objective for t in deployment.traffic_types), default=1.0)
         # Four attempts of each of fifty routers kept a slow origin full of work that nobody waited for.
-        least = min(GATE_LEAST, GATE_SHARED / deployment.routers)
+        least = min(GATE_LEAST, GATE_SHARED / deployment.router_count)
         self.gate = Gate(GATE_QUEUE * self.shortest, least, max(least, 1.0))
         self.fetches: dict[bytes, list[Operation]] = {}  # a key leaves when its fetch ends
         self.points: list[int] = []
@@ -310,11 +315,11 @@
         self.rate = Rate(now)  # of the attempts that caches answered
         self.counter = self.walks = self.late_count = 0
         # A second attempt opens a connection, and its time-out costs that: caches were crowded with them.
-        self.least_room = SLOW_ROOM if deployment.one_a_connection else LEAST_ROOM
-        self.starts = STARTS if deployment.one_a_connection and deployment.connection_price else 1
+        self.least_room = SLOW_ROOM if deployment.one_attempt_per_connection else LEAST_ROOM
+        self.starts = STARTS if deployment.one_attempt_per_connection and deployment.connection_price else 1
         self.salt = xxh64_intdigest(b"%d" % deployment.seed)
         self.repeats = 1.0  # further attempts that may follow a time-out
-        self.spare = max(SPARE_TICKS * deployment.tick, 0.005)
+        self.spare = max(SPARE_TICKS * deployment.clock_granularity, 0.005)
         self.last_beat = now
         self.valve = self.lateness = self.pressed_until = self.late_sum = 0.0
         self.excused = 0.0  # time-outs that will not count as lateness
@@ -326,35 +331,37 @@
         self.tokens: list[float] = []
         self.peers: dict[int, tuple[float, tuple[float, ...]]] = {}  # an entry leaves when stale
         self.elsewhere: list[float] = []  # rates of each tenant at all other routers, by those heard
-        self.hear_tenants(deployment.tenants, set())
-        self.fade = deployment.cold_time or FADE_WINDOW
+        self.on_tenants_changed(deployment.tenants, set())
+        self.fade = deployment.warm_up_time or FADE_WINDOW
         self.list_heard, self.list_failures = False, 0
-        self.asking = Errand(Purpose.LIST, now)
-        self.errands = [self.asking] if deployment.must_ask else []
-        if deployment.may_message and self.used and deployment.routers > 1:
-            self.errands.append(Errand(Purpose.MESSAGE, now + MESSAGE_EVERY * self._chance()))
+        self.asking = BackgroundTask(TaskKind.POLL_ENDPOINTS, now)
+        self.background_tasks = [self.asking] if deployment.must_poll else []
+        if deployment.may_gossip and self.used and deployment.router_count > 1:
+            self.background_tasks.append(
+                BackgroundTask(TaskKind.GOSSIP, now + MESSAGE_EVERY * self._chance())
+            )
 
     # ---------------------------------------------------------------- the three calls
 
-    def where(self, thing: Operation | Errand, now: float) -> Answer:
+    def route(self, thing: Operation | BackgroundTask, now: float) -> Decision:
         """Where to send this operation, or not yet, or never."""
         if now >= self.next_bucket:
             self._turn(now)
-        if isinstance(thing, Errand):
+        if isinstance(thing, BackgroundTask):
             return self._run_errand(thing, now)
-        if thing.over:
+        if thing.finished:
             return NOTHING
-        if not thing.seen:
+        if not thing.admitted:
             return self._admit(thing, now)
-        if thing.queued is not None:
+        if thing.queued_at is not None:
             return self._look_in_queue(thing, now)
-        if not thing.joined:
+        if not thing.waiting_for_fetch:
             # Freed before its wait was over: its attempt is out, and asking again would send a second one.
             return NOTHING
         self._unjoin(thing)
         return self._route(thing, now)
 
-    def after(
+    def on_attempt_finished(
         self,
         attempt: Attempt,
         outcome: Outcome,
@@ -368,44 +375,50 @@
             self._turn(now)
         steps: list[Step] = []
         operation = attempt.operation
-        attempt.out = False
-        cache = attempt.server
+        attempt.in_flight = False
+        cache = attempt.endpoint
         if cache.origin:
             self._learn_origin(attempt, outcome, elapsed, now)
         else:
             if held is not None:
                 self._hear_load(cache, held / cache.weight, now)
             self._learn_cache(attempt, outcome, elapsed, now)
-        operation.over = operation.over or over
-        if not operation.over:
-            if outcome.may_have_run and operation.ran_at is None:
-                operation.ran_at, operation.latest = cache, attempt.sent + operation.traffic.repeats
-            steps.append((operation, self._next(operation, attempt, outcome, now)))
-        if cache.origin and not operation.write:
-            self._end_fetch(operation, outcome is Outcome.SETTLED, steps, now)
+        operation.finished = operation.finished or over
+        if not operation.finished:
+            if outcome.may_have_run and operation.may_have_run_on is None:
+                operation.may_have_run_on, operation.retry_deadline = (
+                    cache,
+                    attempt.sent_at + operation.traffic_type.retry_window,
+                )
+            steps.append(Step(operation, self._next(operation, attempt, outcome, now)))
+        if cache.origin and not operation.is_write:
+            self._end_fetch(operation, outcome is Outcome.SUCCEEDED, steps, now)
         elif cache.queue:
             self._release_queue(cache, steps, now)
         return steps
 
-    def how_long(self, thing: Operation | Errand, now: float) -> float:
+    def time_until_recheck(self, thing: Operation | BackgroundTask, now: float) -> float:
         """How long to wait before asking again."""
-        if isinstance(thing, Errand):
+        if isinstance(thing, BackgroundTask):
             return min(max(thing.due - now, 0.0), 0.5)
-        if thing.queued is not None:
-            return max(min(QUEUE_LOOK, thing.prompt - now), self.deployment.tick)
-        return max(min(thing.prompt, thing.useful) - self.gate.smooth - now, self.deployment.tick)
+        if thing.queued_at is not None:
+            return max(min(QUEUE_LOOK, thing.objective_at - now), self.deployment.clock_granularity)
+        return max(
+            min(thing.objective_at, thing.give_up_at) - self.gate.smooth - now,
+            self.deployment.clock_granularity,
+        )
 
     # ---------------------------------------------------------------- notices
 
-    def hear_list(self, listings: list[Listing], whole: bool, held: bool, now: float) -> None:
+    def on_endpoints_changed(self, entries: list[EndpointEntry], whole: bool, held: bool, now: float) -> None:
         """The list or its changes; `held` is the one that this router kept over its restart."""
         if not held:
             self.list_heard, self.list_failures = True, 0
-        named = {listing.ident for listing in listings}
-        if self.deployment.weighted and not self.usual_weight:
-            told = sorted(each.weight for each in listings if each.weight > 0.0)
+        named = {listing.ident for listing in entries}
+        if self.deployment.has_endpoint_weights and not self.usual_weight:
+            told = sorted(each.weight for each in entries if each.weight > 0.0)
             self.usual_weight = told[len(told) // 2] if told else 0.0
-        for listing in listings:
+        for listing in entries:
             self._hear_server(listing, now)
         if whole:
             for ident in [i for i in self.caches if i not in named]:
@@ -414,21 +427,21 @@
                 self._remove(self.origin)
         self._rebuild(now)
 
-    def list_failed(self, now: float) -> None:
+    def on_poll_failed(self, now: float) -> None:
         """A call to the list failed: the last list stays, and the call is made again later."""
         self.list_heard, self.list_failures = False, self.list_failures + 1
-        pause = min(ASK_AGAIN * self.list_failures, ASK_MOST, 0.5 * self.deployment.ask_within)
+        pause = min(ASK_AGAIN * self.list_failures, ASK_MOST, 0.5 * self.deployment.poll_deadline)
         pause *= 0.5 + self._chance()
         self.asking.due = now + pause
         if self.list_failures == 1:
             self.log.append(f"list call failed, again in {pause:.1f} s")
 
-    def list_moved(self, now: float) -> None:
+    def on_discovery_changed(self, now: float) -> None:
         """The list is asked for elsewhere: soon, but not by all routers at the same moment."""
         self.list_heard, self.list_failures = False, 0
         self.asking.due = now + MOVE_SPREAD * self._chance()
 
-    def hear_tenants(self, tenants: tuple[Tenant, ...], anew: set[int]) -> None:
+    def on_tenants_changed(self, tenants: tuple[Tenant, ...], anew: set[int]) -> None:
         """The tenants from now on; what is known of the places in `anew`, which changed hands, is emptied."""
         self.tenants = tenants
         self.elsewhere = []
@@ -437,7 +450,7 @@
             known = len(figures)
             figures[:] = [figures[i] if i < known and i not in anew else first for i in range(len(tenants))]
 
-    def hear_peer(self, number: int, payload: bytes, now: float) -> None:
+    def on_gossip(self, number: int, payload: bytes, now: float) -> None:
         """A peer told its rate of operations for each tenant."""
         count = len(self.used)
         rates = struct.unpack(f"<{count}f", payload) if len(payload) == 4 * count else (inf,)
@@ -445,12 +458,12 @@
         if all(0.0 <= rate < inf for rate in rates):
             self.peers[number] = (now, rates)
 
-    def gone(self, operation: Operation) -> list[Attempt]:
+    def cancel(self, operation: Operation) -> list[Attempt]:
         """The client left. Returns the attempts to call off."""
-        operation.over = True
+        operation.finished = True
         self._unjoin(operation)
         self._leave_queue(operation)
-        return [attempt for attempt in operation.attempts if attempt.out and self.deployment.may_cancel]
+        return [attempt for attempt in operation.attempts if attempt.in_flight and self.deployment.may_cancel]
 
     # ---------------------------------------------------------------- the ordinary path: the ring walk
 
@@ -458,13 +471,13 @@
         """Clockwise from the key's place, past each cache over the bound; in a region, on its own rings."""
         if not self.points:
             return None
-        operation.asked = now
+        operation.routed_at = now
         rings, total, width = self.rings, self.total, self.width
         if region is not None:
             rings, total, width = self._within(region)
         bound = max(LEAST_BOUND, FACTOR * total / width)
         key = xxh64_intdigest(operation.key)
-        if operation.among is not None:
+        if operation.allowed_endpoints is not None:
             return self._walk_among(operation, key, bound)
         owners = self.owners
         most = min(len(self.caches), MOST_PASSED)
@@ -482,7 +495,7 @@
                     continue
                 cache.walk = walk
                 passed += 1
-                if operation.beyond and passed == 1 and not self._has_spare_room(cache, now):
+                if operation.over_quota and passed == 1 and not self._has_spare_room(cache, now):
                     return None
                 if self._may_take(cache, operation, key):
                     load = cache.load
@@ -546,11 +559,11 @@
     def _walk_among(self, operation: Operation, key: int, bound: float) -> Cache | None:
         """The same walk where servers say who serves a key: past its owner over the bound, on to replicas."""
         least = spare = None
-        for place, ident in enumerate(operation.among):
+        for place, ident in enumerate(operation.allowed_endpoints):
             cache = self.caches.get(ident)
-            if cache is None or cache.presence is not Presence.UP:
+            if cache is None or cache.state is not EndpointState.UP:
                 continue
-            if operation.beyond and not place and not self._has_spare_room(cache, operation.asked):
+            if operation.over_quota and not place and not self._has_spare_room(cache, operation.routed_at):
                 return None
             if self._may_take(cache, operation, key):
                 if cache.load <= bound:
@@ -563,71 +576,75 @@
 
     def _enqueue(self, operation: Operation, now: float) -> bool:
         """A place in the brief queue before the one server of a key, where that lacks nothing but room."""
-        cache = self.caches.get(operation.among[0])
+        cache = self.caches.get(operation.allowed_endpoints[0])
         if cache is None or not self._may_enqueue(cache, operation) or not cache.out:
             return False
         # Its pace of late says little of a quiet one: by the time of an attempt, and how many go at a time.
-        wait = (2.0 + len(cache.queue) / cache.out) * (self.work[operation.traffic.row] or self.mean_delay)
-        if len(cache.queue) >= QUEUE_MOST or now + wait > min(operation.prompt, operation.useful):
+        wait = (2.0 + len(cache.queue) / cache.out) * (
+            self.work[operation.traffic_type.row] or self.mean_delay
+        )
+        if len(cache.queue) >= QUEUE_MOST or now + wait > min(operation.objective_at, operation.give_up_at):
             return False
         cache.queue.append(operation)
-        operation.queued = cache
+        operation.queued_at = cache
         return True
 
     @staticmethod
     def _may_enqueue(cache: Cache, operation: Operation) -> bool:
-        sound = cache.presence is Presence.UP and not cache.aside_until
+        sound = cache.state is EndpointState.UP and not cache.aside_until
         budget = cache.share >= 1.0 or cache.tokens >= 1.0  # a cold cache's is not waited for
-        return sound and budget and not operation.beyond and cache not in operation.tried
+        return sound and budget and not operation.over_quota and cache not in operation.tried_endpoints
 
-    def _look_in_queue(self, operation: Operation, now: float) -> Answer:
+    def _look_in_queue(self, operation: Operation, now: float) -> Decision:
         """Whether waiting still makes sense: the list or a failure may have taken the server away."""
-        if now < min(operation.prompt, operation.useful) and self._may_enqueue(operation.queued, operation):
+        if now < min(operation.objective_at, operation.give_up_at) and self._may_enqueue(
+            operation.queued_at, operation
+        ):
             return WAIT
         self._leave_queue(operation)
         return self._route(operation, now)
 
     def _leave_queue(self, operation: Operation) -> None:
-        if operation.queued is not None:
-            operation.queued.queue.remove(operation)
-            operation.queued = None
+        if operation.queued_at is not None:
+            operation.queued_at.queue.remove(operation)
+            operation.queued_at = None
 
     def _release_queue(self, cache: Cache, steps: list[Step], now: float) -> None:
         for operation in list(cache.queue):  # once each: one that cannot go for another reason queues anew
             if cache.full_until > now or self._is_full(cache, now):
                 return
             self._leave_queue(operation)
-            steps.append((operation, self._route(operation, now)))
+            steps.append(Step(operation, self._route(operation, now)))
 
     def _has_spare_room(self, cache: Cache, now: float) -> bool:
         """Whether what is beyond a share may go to its home cache."""
-        if not self.elsewhere and self.deployment.routers > 1:
+        if not self.elsewhere and self.deployment.router_count > 1:
             return True  # untold by peers, a run of one tenant's at a sparse router is no proof of too much
         room = max(cache.pace.read(now) * SPARE_PART * self.shortest, SLOW_ROOM)
         return max(cache.late, self.lateness) <= SPARE_LATE and cache.out < room
 
     def _may_join(self, cache: Cache, operation: Operation) -> bool:
         """Whether a joining cache has budget left for a key that its draw does not give it yet."""
-        free = cache.tokens >= 1.0 and not cache.aside_until and cache not in operation.tried
-        return free and (operation.ran_at is None or self._drops_repeats(cache, operation))
+        free = cache.tokens >= 1.0 and not cache.aside_until and cache not in operation.tried_endpoints
+        return free and (operation.may_have_run_on is None or self._drops_repeats(cache, operation))
 
     def _may_take(self, cache: Cache, operation: Operation, key: int) -> bool:
         """Whether this cache is there for this key at all, whatever its load."""
-        if cache.aside_until or cache in operation.tried:
+        if cache.aside_until or cache in operation.tried_endpoints:
             return False
         # Learnt cache by cache, a lost zone costs a sparse router its time-outs as often as it has caches.
         if cache.near.out and len(cache.near.failed) >= ZONE_LOST and len(self.zones) > 1:
             return False
-        if cache.full_until > operation.asked or self._is_full(cache, operation.asked):
+        if cache.full_until > operation.routed_at or self._is_full(cache, operation.routed_at):
             return False
-        part = cache.share * (cache.kind.keep if operation.among is None else 1.0)
+        part = cache.share * (cache.kind.keep if operation.allowed_endpoints is None else 1.0)
         if part < 1.0:
             # The draw is tied to the key: a joining cache warms with the keys that it will keep. Without
             # tokens the overflow of others' walks, or one hot key, would push a cold cache over.
             draw = (((key ^ cache.salt) * MIX) & MASK) / SCALE
             if draw >= part or (cache.share < 1.0 and cache.tokens < 1.0):
                 return False
-        return operation.ran_at is None or self._drops_repeats(cache, operation)
+        return operation.may_have_run_on is None or self._drops_repeats(cache, operation)
 
     def _is_full(self, cache: Cache, now: float) -> bool:
         # A queue shows in what is out against what comes back long before it shows in latencies.
@@ -636,18 +653,18 @@
 
     def _drops_repeats(self, cache: Cache, operation: Operation) -> bool:
         """Whether an attempt here cannot take effect a second time."""
-        traffic = operation.traffic
-        first = operation.ran_at
-        if traffic.effect is not Effect.DEDUPLICATED:
+        traffic = operation.traffic_type
+        first = operation.may_have_run_on
+        if traffic.effect is not Effect.WITH_IDEMPOTENCY_KEY:
             return traffic.effect is Effect.IDEMPOTENT
-        if traffic.group is Group.ZONE:
+        if traffic.deduplication_scope is DeduplicationScope.ZONE:
             return cache.zone == first.zone
-        return traffic.group is Group.ALL or cache.cell == first.cell
+        return traffic.deduplication_scope is DeduplicationScope.ALL or cache.cell == first.cell
 
     def _weigh(self, cache: Cache) -> None:
         occupancy = cache.busy / (BUCKET * BUCKETS)
         load = (cache.out if cache.out > occupancy else occupancy) * cache.multiplier / cache.weight
-        if cache.presence is Presence.UP and not cache.aside_until:
+        if cache.state is EndpointState.UP and not cache.aside_until:
             self.total += (load - cache.load) * cache.weight
         cache.load = load
 
@@ -678,7 +695,9 @@
                 cache.busy = cache.load = 0.0
                 del self.active[cache.ident]
         in_use = self.active.values()
-        self.total = sum(c.load * c.weight for c in in_use if c.presence is Presence.UP and not c.aside_until)
+        self.total = sum(
+            c.load * c.weight for c in in_use if c.state is EndpointState.UP and not c.aside_until
+        )
         if now - self.last_beat >= BEAT:
             self._beat(now)
 
@@ -686,7 +705,7 @@
 
     def _fade(self, now: float, span: float) -> None:
         """The share of each joining cache, and its budget."""
-        terms = self.deployment
+        deployment = self.deployment
         if not self.fading:
             return
         width = self.size - sum(c.weight for c in self.fading)
@@ -695,14 +714,14 @@
             age = max(now - cache.started, 0.0)
             cache.share = min(age / self.fade, 1.0) ** FADE_CURVE
             width += cache.share * cache.weight
-            warm = min(age / terms.cold_time, 1.0) if terms.cold_time else 1.0
-            capacity = terms.cold_from + (1.0 - terms.cold_from) * warm
+            warm = min(age / deployment.warm_up_time, 1.0) if deployment.warm_up_time else 1.0
+            capacity = deployment.cold_capacity + (1.0 - deployment.cold_capacity) * warm
             # A floor for each router, or a first token, pushes a cold cache over where there are hundreds.
-            least = max(fair * cache.weight, COLD_FLOOR / terms.routers) * capacity
-            most = max(1.0, fair * cache.weight * capacity * terms.fall_time * 0.5)
-            cache.tokens = min(cache.tokens + least * COLD_PART * terms.fall_multiple * span, most)
+            least = max(fair * cache.weight, COLD_FLOOR / deployment.router_count) * capacity
+            most = max(1.0, fair * cache.weight * capacity * deployment.overload_time * 0.5)
+            cache.tokens = min(cache.tokens + least * COLD_PART * deployment.overload_multiple * span, most)
             # What hundreds of routers saved up, a token each, pushes over a cold cache that all come to.
-            if cache.tokens >= 1.0 and self._chance() * (terms.fall_time or 1.0) < span:
+            if cache.tokens >= 1.0 and self._chance() * (deployment.overload_time or 1.0) < span:
                 cache.tokens -= 1.0
         self.fading = [c for c in self.fading if c.share < 1.0]
         self.width = max(width, 0.01)
@@ -710,7 +729,7 @@
     # ---------------------------------------------------------------- set-aside
 
     def _learn_cache(self, attempt: Attempt, outcome: Outcome, elapsed: float, now: float) -> None:
-        cache, operation = attempt.server, attempt.operation
+        cache, operation = attempt.endpoint, attempt.operation
         cache.out -= 1
         cache.near.out -= 1
         cache.quiet_since = now
@@ -719,7 +738,7 @@
         cache.slide(self.bucket)
         cache.buckets[self.bucket % BUCKETS] += elapsed
         cache.busy += elapsed
-        if outcome in LOST or (outcome is Outcome.TIMED_OUT and cache.answered_at <= attempt.sent):
+        if outcome in LOST or (outcome is Outcome.TIMED_OUT and cache.answered_at <= attempt.sent_at):
             cache.near.failed.add(cache.ident)
         elif outcome in ANSWERED or outcome in REDIRECTED:
             cache.answered_at = now
@@ -729,16 +748,16 @@
             # an overload and would raise the budget of the cold caches just then.
             self.rate.add(now)
             cache.pace.add(now)
-        if outcome is Outcome.SETTLED:
+        if outcome is Outcome.SUCCEEDED:
             self._learn_settled(cache, operation, elapsed, now)
-        elif outcome is Outcome.TURNED_AWAY:
+        elif outcome is Outcome.REJECTED:
             # Sent on from cache to cache, turned-away attempts were most of the work of a full fleet.
             cache.full_until = now + FULL_PAUSE * (0.5 + self._chance())
-            operation.turned += 1
+            operation.rejections += 1
         elif outcome in LOST:
             silent = now - cache.answered_at > DEAD_SILENCE
             self._blame(cache, LOST_STEP if silent else FLAKY_STEP, elapsed, now)
-        elif outcome is Outcome.TIMED_OUT and cache.answered_at > min(attempt.sent, now - DEAD_SILENCE):
+        elif outcome is Outcome.TIMED_OUT and cache.answered_at > min(attempt.sent_at, now - DEAD_SILENCE):
             # It answers others: it is loaded, not at fault. Set aside, it would only load the next one.
             self._learn_latency(cache, elapsed / self.mean_delay if self.mean_delay else 1.0, now)
         elif outcome in FAULTS:
@@ -749,12 +768,12 @@
         if cache.late > CROWDED:
             # Held at even one attempt from each of many routers, a crowded cache that slows down stays so.
             cache.full_until = max(cache.full_until, now + CROWD_REST * elapsed * self._chance())
-        if outcome is Outcome.TIMED_OUT and cache.answered_at <= attempt.sent and self.excused >= 1.0:
+        if outcome is Outcome.TIMED_OUT and cache.answered_at <= attempt.sent_at and self.excused >= 1.0:
             # A lost zone's time-outs closed the valves of all routers, and kept them closed long after it.
             self.excused -= 1.0
-        elif outcome not in (Outcome.MISSED, Outcome.CALLED_OFF, *REDIRECTED):
-            part = min(elapsed / operation.traffic.promised, 1.5)
-            self.late_sum += 1.0 if outcome is Outcome.TURNED_AWAY else part
+        elif outcome not in (Outcome.CACHE_MISS, Outcome.CANCELLED, *REDIRECTED):
+            part = min(elapsed / operation.traffic_type.latency_objective, 1.5)
+            self.late_sum += 1.0 if outcome is Outcome.REJECTED else part
             self.late_count += 1
         self._judge(cache, now)
 
@@ -766,7 +785,7 @@
 
     def _learn_settled(self, cache: Cache, operation: Operation, elapsed: float, now: float) -> None:
         # Misses are left out of the mean: they come back at once, an empty cache would look the quickest.
-        row = operation.traffic.row
+        row = operation.traffic_type.row
         self.work[row] += 0.02 * (elapsed - self.work[row]) if self.work[row] else max(elapsed, 1e-4)
         # From nought it would take a sparse router minutes, and each time-out looks many means long.
         self.mean_delay += 0.02 * (elapsed - self.mean_delay) if self.mean_delay else elapsed
@@ -783,7 +802,7 @@
         aside = sum(1 for c in self.caches.values() if c.aside_until)
         # With a zone lost, attempts would go on to the dead ones above the cap and fail one by one.
         most = MOST_DEAD if now - cache.answered_at > DEAD_SILENCE else MOST_ASIDE
-        if cache.presence is not Presence.UP or (aside + 1) > most * len(self.caches):
+        if cache.state is not EndpointState.UP or (aside + 1) > most * len(self.caches):
             return  # never the whole fleet: what fails everywhere is no fault of one cache
         cache.aside_until = now + ASIDE_TIME + ASIDE_CHANCE * self._chance()
         self.next_return = min(self.next_return, cache.aside_until)
@@ -804,18 +823,18 @@
 
     # ---------------------------------------------------------------- the list
 
-    def _hear_server(self, listing: Listing, now: float) -> None:
+    def _hear_server(self, listing: EndpointEntry, now: float) -> None:
         known = self.caches.get(listing.ident)
         origin = listing.kind == self.deployment.origin_kind
         if origin and self.origin is not None and self.origin.ident == listing.ident:
             known = self.origin
-        if listing.presence is Presence.GONE:
+        if listing.state is EndpointState.GONE:
             if known is not None:
                 self._remove(known)
             return
         if known is not None and listing.started <= known.started:  # of the process before: undoes no drain
-            stale = listing.started < known.started and listing.presence is Presence.UP
-            if stale or listing.presence is known.presence:
+            stale = listing.started < known.started and listing.state is EndpointState.UP
+            if stale or listing.state is known.state:
                 return
         if known is None or listing.started > known.started:
             if known is not None:
@@ -830,7 +849,7 @@
                 near,
                 listing.cell,
                 listing.started,
-                listing.presence,
+                listing.state,
                 origin,
                 kind,
                 Latency(now),
@@ -847,11 +866,11 @@
                 self.origin = known
             else:
                 self.caches[listing.ident] = known
-        known.presence = listing.presence
+        known.state = listing.state
         self.moved.append(known)
 
     def _remove(self, cache: Cache) -> None:
-        cache.presence = Presence.GONE
+        cache.state = EndpointState.GONE
         if cache is self.origin:
             self.origin = None
         elif self.caches.get(cache.ident) is cache:
@@ -867,7 +886,7 @@
         for cache in [c for c in self.moved if not c.origin]:
             count = max(int(POINTS * cache.weight), 1)
             points = [xxh64_intdigest(b"%d-%d" % (cache.ident, i)) for i in range(count)]
-            if self.caches.get(cache.ident) is not cache or cache.presence is not Presence.UP:
+            if self.caches.get(cache.ident) is not cache or cache.state is not EndpointState.UP:
                 gone.update(points)
                 continue
             gone.difference_update(points)  # of its process before; that may have had more points
@@ -878,7 +897,7 @@
         if gone or new:
             self.points = sorted([p for p in self.points if p not in gone] + new)
         self.rings = [self.points]
-        if self.deployment.cross_price >= NEAR_PRICE:
+        if self.deployment.cross_zone_price >= NEAR_PRICE:
             own = [p for p in self.points if self.owners[p].zone == self.deployment.zone]
             self.rings = [own, self.points] if own else [self.points]
         self.moved.clear()
@@ -887,7 +906,7 @@
 
     def _choose_ready(self) -> None:
         self.regions.clear()
-        self.ready = [c for c in self.caches.values() if c.presence is Presence.UP and not c.aside_until]
+        self.ready = [c for c in self.caches.values() if c.state is EndpointState.UP and not c.aside_until]
         self.fading = [c for c in self.ready if c.share < 1.0]
         self.total = sum(c.load * c.weight for c in self.ready)
         self.size = sum(c.weight for c in self.ready)
@@ -895,16 +914,16 @@
 
     # ---------------------------------------------------------------- admission under overload
 
-    def _admit(self, operation: Operation, now: float) -> Answer:
+    def _admit(self, operation: Operation, now: float) -> Decision:
         """A new operation: its times, its place within the shares, and whether the valve lets it in."""
-        operation.seen = True
-        traffic = operation.traffic
-        operation.prompt = operation.arrived + traffic.promised
+        operation.admitted = True
+        traffic = operation.traffic_type
+        operation.objective_at = operation.arrived_at + traffic.latency_objective
         last = operation.deadline - self.spare
-        operation.useful = last if traffic.late_payoff else min(last, operation.prompt - self.spare)
-        operation.beyond = self._beyond_share(operation)
-        place = 2 * traffic.row + operation.beyond
-        if operation.write and self.deployment.aside:
+        operation.give_up_at = last if traffic.late_weight else min(last, operation.objective_at - self.spare)
+        operation.over_quota = self._beyond_share(operation)
+        place = 2 * traffic.row + operation.over_quota
+        if operation.is_write and self.deployment.cache_aside:
             # It asks nothing of the caches: refusing it would lose its payoff and relieve nobody.
             return self._route(operation, now)
         self.asked[place] += 1.0
@@ -965,8 +984,8 @@
 
     def _worth(self, place: int) -> tuple[float, int]:
         traffic = self.deployment.traffic_types[place // 2]
-        worth = traffic.payoff * (self.deployment.beyond_share if place % 2 else 1.0)
-        if not self.deployment.payoff_by_work:
+        worth = traffic.priority_weight * (self.deployment.over_quota_weight if place % 2 else 1.0)
+        if not self.deployment.weight_by_work:
             worth /= self.work[traffic.row] or 1.0
         return worth, place
 
@@ -985,20 +1004,20 @@
 
     # ---------------------------------------------------------------- routing, retries, the origin
 
-    def _route(self, operation: Operation, now: float) -> Answer:
+    def _route(self, operation: Operation, now: float) -> Decision:
         # Asked only behind a failed attempt, a miss or a joined fetch sent on what was no longer remembered.
-        spent = len(operation.attempts) - operation.redirects >= self.deployment.most_attempts
-        if spent or now >= operation.useful or not self._may_repeat(operation, now):
+        spent = len(operation.attempts) - operation.redirect_count >= self.deployment.max_attempts
+        if spent or now >= operation.give_up_at or not self._may_repeat(operation, now):
             return self._give_up(operation, now)
-        if self.deployment.aside and (operation.wants_origin or operation.write):
+        if self.deployment.cache_aside and (operation.wants_origin or operation.is_write):
             return self._ask_origin(operation, now)
         cache = None
         for region in operation.regions:
             cache = self._walk(operation, now, region)
-            if cache is not None or (operation.beyond and region and self._within(region)[0]):
+            if cache is not None or (operation.over_quota and region and self._within(region)[0]):
                 break
         if cache is None:
-            queued = operation.among and self._enqueue(operation, now)
+            queued = operation.allowed_endpoints and self._enqueue(operation, now)
             return WAIT if queued else self._give_up(operation, now)
         if cache.share < 1.0:
             cache.tokens -= 1.0
@@ -1016,90 +1035,94 @@
 
     def _patience(self, operation: Operation, now: float) -> float:
         """The time-out of an attempt: room is left for another where one may follow."""
-        left = operation.useful - now
-        last = len(operation.attempts) + 2 > self.deployment.most_attempts
+        left = operation.give_up_at - now
+        last = len(operation.attempts) + 2 > self.deployment.max_attempts
         last = last or max(self.repeats, self.excused) < 1.0
-        if operation.traffic.effect is not Effect.IDEMPOTENT or last:
+        if operation.traffic_type.effect is not Effect.IDEMPOTENT or last:
             return left
-        usual = self.work[operation.traffic.row] or self.mean_delay
-        first = PATIENCE * (min(operation.prompt, operation.useful) - now)
+        usual = self.work[operation.traffic_type.row] or self.mean_delay
+        first = PATIENCE * (min(operation.objective_at, operation.give_up_at) - now)
         return left if first < 3.0 * usual or first + usual > left else first
 
-    def _send(self, operation: Operation, cache: Cache, time_out: float, now: float) -> Answer:
+    def _send(self, operation: Operation, cache: Cache, time_out: float, now: float) -> Decision:
         attempt = Attempt(operation, cache, len(operation.attempts), now)
         operation.attempts.append(attempt)
-        operation.tried.append(cache)
-        return Answer(Verdict.SEND, attempt, max(time_out, 0.001))
+        operation.tried_endpoints.append(cache)
+        return Decision(Action.SEND, attempt, max(time_out, 0.001))
 
-    def _next(self, operation: Operation, attempt: Attempt, outcome: Outcome, now: float) -> Answer:
+    def _next(self, operation: Operation, attempt: Attempt, outcome: Outcome, now: float) -> Decision:
         """After an attempt that did not settle its operation."""
-        if outcome is Outcome.MISSED and not attempt.server.origin:
+        if outcome is Outcome.CACHE_MISS and not attempt.endpoint.origin:
             operation.wants_origin = True
-            if len(operation.attempts) >= self.deployment.most_attempts:
+            if len(operation.attempts) >= self.deployment.max_attempts:
                 return self._give_up(operation, now)  # no attempt is left to end a wait with
             waiting = self.fetches.get(operation.key)
-            if waiting is not None and not operation.write:
+            if waiting is not None and not operation.is_write:
                 # A fetch for this key is out: a second one would only load the origin.
                 waiting.append(operation)
-                operation.joined = True
+                operation.waiting_for_fetch = True
                 return WAIT
             return self._route(operation, now)
         if outcome in REDIRECTED:
             # It never ran there. Servers that each name the other would be asked until the deadline.
-            operation.redirects += 1
-            if operation.redirects > MOST_REDIRECTS or not operation.among:
+            operation.redirect_count += 1
+            if operation.redirect_count > MOST_REDIRECTS or not operation.allowed_endpoints:
                 return self._give_up(operation, now)
-            operation.tried = [cache for cache in operation.tried if cache.ident != operation.among[0]]
+            operation.tried_endpoints = [
+                cache for cache in operation.tried_endpoints if cache.ident != operation.allowed_endpoints[0]
+            ]
             return self._route(operation, now)
-        if outcome in (Outcome.CALLED_OFF, Outcome.NEVER_SENT) or attempt.server.origin:
+        if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT) or attempt.endpoint.origin:
             # A full origin is not asked again for a read: repeats are what keeps it full.
-            full = outcome in (Outcome.TURNED_AWAY, Outcome.TIMED_OUT) and not operation.write
-            if full or now + self.gate.smooth > operation.useful:
+            full = outcome in (Outcome.REJECTED, Outcome.TIMED_OUT) and not operation.is_write
+            if full or now + self.gate.smooth > operation.give_up_at:
                 return self._give_up(operation, now)
-        usual = self.work[operation.traffic.row] or self.mean_delay
-        late = now + usual > operation.useful  # another attempt would not end in time
-        if late or operation.turned >= MOST_TURNED or not self._may_repeat(operation, now):
+        usual = self.work[operation.traffic_type.row] or self.mean_delay
+        late = now + usual > operation.give_up_at  # another attempt would not end in time
+        if late or operation.rejections >= MOST_TURNED or not self._may_repeat(operation, now):
             return self._give_up(operation, now)
         # A silent cache that others do not share runs nothing of it: a repeat elsewhere adds no load.
-        if outcome is Outcome.TIMED_OUT and (attempt.server.answered_at > attempt.sent or self.excused < 1.0):
+        if outcome is Outcome.TIMED_OUT and (
+            attempt.endpoint.answered_at > attempt.sent_at or self.excused < 1.0
+        ):
             if self.repeats < 1.0:
                 return self._give_up(operation, now)
             self.repeats -= 1.0
         return self._route(operation, now)
 
     def _may_repeat(self, operation: Operation, now: float) -> bool:
-        return now + REPEAT_WAY < operation.latest  # it must arrive while the first is remembered
+        return now + REPEAT_WAY < operation.retry_deadline  # it must arrive while the first is remembered
 
-    def _ask_origin(self, operation: Operation, now: float) -> Answer:
+    def _ask_origin(self, operation: Operation, now: float) -> Decision:
         """A place at the origin now, or none."""
         origin, gate = self.origin, self.gate
-        up = origin is not None and origin.presence is Presence.UP
-        if not up or (operation.ran_at is not None and not self._drops_repeats(origin, operation)):
+        up = origin is not None and origin.state is EndpointState.UP
+        if not up or (operation.may_have_run_on is not None and not self._drops_repeats(origin, operation)):
             return self._give_up(operation, now)
         # No queue: with one, crowded days were served less (docs/standing.md; why was not measured).
-        room = gate.out < max(gate.limit, 1.0) and (operation.write or now >= gate.free_at)
+        room = gate.out < max(gate.limit, 1.0) and (operation.is_write or now >= gate.free_at)
         if not room:
             self.pressed_until = now + PRESSED
             return self._give_up(operation, now)
         gate.out += 1
-        if not operation.write:
+        if not operation.is_write:
             self.fetches.setdefault(operation.key, [])
-        return self._send(operation, origin, operation.useful - now, now)
+        return self._send(operation, origin, operation.give_up_at - now, now)
 
     def _learn_origin(self, attempt: Attempt, outcome: Outcome, elapsed: float, now: float) -> None:
         gate = self.gate
         gate.out -= 1
         if outcome in ANSWERED:
-            attempt.server.answered_at = now
+            attempt.endpoint.answered_at = now
         # It answers others: this one's connection fell silent. Taken for a queue, a few such closed the gate.
-        lone = outcome is Outcome.TIMED_OUT and attempt.server.answered_at > attempt.sent
-        if lone or outcome in (Outcome.CALLED_OFF, Outcome.NEVER_SENT):
+        lone = outcome is Outcome.TIMED_OUT and attempt.endpoint.answered_at > attempt.sent_at
+        if lone or outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
         before = gate.limit
         if outcome in LOST:
             # Refused at once, attempts tell nothing of its time; dead, it got thousands of them a second.
             elapsed = max(elapsed, gate.smooth)
-            if now - attempt.server.answered_at > DEAD_SILENCE:
+            if now - attempt.endpoint.answered_at > DEAD_SILENCE:
                 gate.free_at = now + ORIGIN_REST * (0.5 + self._chance())
         # Spoilt answers and resets show no queue: cut for each, the limit sank and reads waited in vain.
         gate.learn(elapsed, outcome not in NO_QUEUE, gate.out + 1 >= 0.5 * gate.limit, now)
@@ -1114,19 +1137,19 @@
 
         After a failed fetch one of them fetches in its place; all at once would pile up at the origin.
         """
-        if steps and steps[0][1].verdict in (Verdict.SEND, Verdict.WAIT) and not operation.over:
+        if steps and steps[0].decision.action in (Action.SEND, Action.WAIT) and not operation.finished:
             return  # the same operation fetches again
         waiting = self.fetches.pop(operation.key, [])
         while waiting:
             waiter = waiting.pop(0)
-            waiter.joined = False
-            if waiter.over:
+            waiter.waiting_for_fetch = False
+            if waiter.finished:
                 continue
             waiter.wants_origin = not stored
-            waiter.tried.clear()
+            waiter.tried_endpoints.clear()
             answer = self._route(waiter, now)
-            steps.append((waiter, answer))
-            if not stored and answer.verdict in (Verdict.SEND, Verdict.WAIT):
+            steps.append(Step(waiter, answer))
+            if not stored and answer.action in (Action.SEND, Action.WAIT):
                 self.fetches.setdefault(operation.key, []).extend(waiting)
                 return
 
@@ -1134,47 +1157,52 @@
         waiting = self.fetches.get(operation.key)
         if waiting is not None and operation in waiting:
             waiting.remove(operation)
-        operation.joined = False
+        operation.waiting_for_fetch = False
 
     # ---------------------------------------------------------------- giving up
 
-    def _give_up(self, operation: Operation, now: float) -> Answer:
+    def _give_up(self, operation: Operation, now: float) -> Decision:
         """The final answer at once: a refusal where a repeat by the client does no harm, else a failure."""
-        operation.over = True
+        operation.finished = True
         self._leave_queue(operation)
-        longest = self.deployment.longest_come_back
+        longest = self.deployment.max_retry_after
         away = longest * (0.5 + 0.5 * self._chance()) if self.valve else 0.1 + 0.2 * self._chance()
-        away, traffic = min(away, longest), operation.traffic
-        apart = traffic.effect is Effect.DEDUPLICATED and traffic.group is not Group.ALL
+        away, traffic = min(away, longest), operation.traffic_type
+        apart = (
+            traffic.effect is Effect.WITH_IDEMPOTENCY_KEY
+            and traffic.deduplication_scope is not DeduplicationScope.ALL
+        )
         # Its client comes back behind that: with the key forgotten by then, it would take effect once more.
-        if operation.ran_at is not None and (apart or now + away + REPEAT_WAY > operation.latest):
+        if operation.may_have_run_on is not None and (
+            apart or now + away + REPEAT_WAY > operation.retry_deadline
+        ):
             return FAIL
-        return Answer(Verdict.REFUSE, None, away)
+        return Decision(Action.REJECT, retry_after=away)
 
     # ---------------------------------------------------------------- errands and chance
 
-    def _run_errand(self, errand: Errand, now: float) -> Answer:
-        if now < errand.due:
+    def _run_errand(self, task: BackgroundTask, now: float) -> Decision:
+        if now < task.due:
             return WAIT
-        if errand.purpose is Purpose.MESSAGE:
-            errand.due = now + MESSAGE_EVERY * (0.9 + 0.2 * self._chance())
+        if task.kind is TaskKind.GOSSIP:
+            task.due = now + MESSAGE_EVERY * (0.9 + 0.2 * self._chance())
             self._sum_peers(now)
             told = struct.pack(f"<{len(self.used)}f", *self.used)
-            return Answer(Verdict.TELL, None, 0.0, told, self._some())
-        errand.due = now + UNANSWERED
-        return WAIT if self.list_heard else Answer(Verdict.FOLLOW)
+            return Decision(Action.GOSSIP, payload=told, peers=self._some())
+        task.due = now + UNANSWERED
+        return WAIT if self.list_heard else Decision(Action.POLL)
 
     def _sum_peers(self, now: float) -> None:
         self.peers = {n: told for n, told in self.peers.items() if now - told[0] < PEER_STALE}
-        scale = (self.deployment.routers - 1) / max(len(self.peers), 1)
+        scale = (self.deployment.router_count - 1) / max(len(self.peers), 1)
         self.elsewhere = [scale * sum(rs) for rs in zip(*[r for _, r in self.peers.values()], strict=True)]
 
     def _some(self) -> tuple[int, ...]:
         """The peers to tell this time, in turn from a place of chance."""
-        others = self.deployment.routers - 1
+        others = self.deployment.router_count - 1
         first = int(self._chance() * others)
         places = [(first + i) % others for i in range(min(MESSAGE_PEERS, others))]
-        return tuple((self.deployment.me + 1 + place) % (others + 1) for place in places)
+        return tuple((self.deployment.router_number + 1 + place) % (others + 1) for place in places)
 
     def _chance(self) -> float:
         self.counter += 1
--- a/gaugehinge/simhost/host.py
+++ b/gaugehinge/simhost/host.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable
 from typing import TextIO
 
-from ..charter import charter, parse, read_held
-from ..policy import Router
-from ..terms import Answer, Attempt, Errand, Listing, Operation, Outcome, Verdict
+from ..routing.router import Router
+from ..routing.types import Action, Attempt, BackgroundTask, Decision, EndpointEntry, Operation, Outcome
+from ..settings import parse_json, read_reported_load, read_settings
 from . import wire
 from .wire import BadInput
 
@@ -23,11 +23,15 @@
 
     def __init__(self, number: str, values: dict[str, str], now: float, lines: list[str]) -> None:
         self.number = number
-        told = charter(int(values["randomSeed"]), parse(values["info"]))
-        self.types, self.tenants, self.tells_held = told.types, told.tenants, told.tells_held
+        told = read_settings(int(values["randomSeed"]), parse_json(values["info"]))
+        self.types, self.tenants, self.tells_held = (
+            told.traffic_type_rows,
+            told.tenant_indexes,
+            told.reports_load,
+        )
         self.table = told.deployment.traffic_types
         self.operations: dict[str, Operation] = {}  # until over and all attempts in
-        self.timers: dict[int, Operation | Errand] = {}  # until due
+        self.timers: dict[int, Operation | BackgroundTask] = {}  # until due
         self.next_timer = 0
         self.lines = lines
         self.router = Router(told.deployment, now)
@@ -37,8 +41,8 @@
         """After the first list: the errands begin."""
         if not self.timed:
             self.timed = True
-            for errand in self.router.errands:
-                self._errand(errand, now)
+            for task in self.router.background_tasks:
+                self._errand(task, now)
 
     # -- lines in
 
@@ -56,23 +60,23 @@
         )
         self.operations[ident] = operation
         if tenant and self.tenants and tenant not in self.tenants:  # another customer's: beside all shares
-            operation.over = True
-            self._do(operation, Answer(Verdict.FAIL), now)
+            operation.finished = True
+            self._do(operation, Decision(Action.FAIL), now)
             return
-        self._do(operation, self.router.where(operation, now), now)
+        self._do(operation, self.router.route(operation, now), now)
 
     def completed(self, values: dict[str, str], now: float) -> None:
         operation = self.operations.get(values["id"])
         number = int(values["trial"])
         if operation is None or number >= len(operation.attempts) or not operation.attempts[number].out:
             return
-        steps = self.router.after(
+        steps = self.router.on_attempt_finished(
             operation.attempts[number],
             wire.OUTCOMES.get(values["stateCode"], Outcome.UNKNOWN),
             int(values.get("tookUs", 0)) / 1e6,
             values.get("terminal") == "1",
             now,
-            read_held(values.get("gauge", ""), ":") if self.tells_held else None,
+            read_reported_load(values.get("gauge", ""), ":") if self.tells_held else None,
         )
         for each, answer in steps:
             self._do(each, answer, now)
@@ -80,77 +84,77 @@
 
     def timeout_fired(self, values: dict[str, str], now: float) -> None:
         thing = self.timers.pop(int(values["name"]), None)
-        if isinstance(thing, Errand):
+        if isinstance(thing, BackgroundTask):
             self._errand(thing, now)
         elif thing is not None and not thing.over:
-            self._do(thing, self.router.where(thing, now), now)
+            self._do(thing, self.router.route(thing, now), now)
 
     def abandoned(self, values: dict[str, str], now: float) -> None:
         operation = self.operations.get(values["id"])
-        if operation is None or operation.over:
+        if operation is None or operation.finished:
             return
-        for attempt in self.router.gone(operation):
+        for attempt in self.router.cancel(operation):
             self.lines.append(f"cancel\ti={self.number}\tid={operation.ident}\ttrial={attempt.number}")
         self._drop(operation)
 
     def ack_first(self, values: dict[str, str], now: float) -> None:
         operation = self.operations.get(values["id"])
         if operation is not None:
-            operation.over = True
+            operation.finished = True
 
     def neighbour_says(self, values: dict[str, str], now: float) -> None:
         text = values["content"]
-        self.router.hear_peer(int(values["srcPeer"]), b"" if text == "-" else b64decode(text), now)
+        self.router.on_gossip(int(values["srcPeer"]), b"" if text == "-" else b64decode(text), now)
 
     def check_result(self, values: dict[str, str], now: float) -> None:
         """No probes are sent, so none is awaited."""
 
-    def fleet(self, form: str, listings: Iterable[Listing], now: float) -> None:
+    def fleet(self, form: str, entries: Iterable[EndpointEntry], now: float) -> None:
         if form == "error":
-            self.router.list_failed(now)
+            self.router.on_poll_failed(now)
         else:
-            self.router.hear_list(listings, form != "diff", form == "disk", now)
+            self.router.on_endpoints_changed(entries, form != "diff", form == "disk", now)
         self.start(now)
 
     # -- answers out
 
-    def _do(self, operation: Operation, answer: Answer, now: float) -> None:
-        verdict = answer.verdict
-        if verdict is Verdict.SEND:
-            self._send(answer.attempt, answer.time)
-        elif verdict is Verdict.WAIT:
-            self._timer(operation, self.router.how_long(operation, now))
-        elif verdict is Verdict.REFUSE:
-            away = f"\tholdOffUs={wire.micros(answer.time)}" if answer.time else ""
+    def _do(self, operation: Operation, answer: Decision, now: float) -> None:
+        verdict = answer.action
+        if verdict is Action.SEND:
+            self._send(answer.attempt, answer.timeout)
+        elif verdict is Action.WAIT:
+            self._timer(operation, self.router.time_until_recheck(operation, now))
+        elif verdict is Action.REJECT:
+            away = f"\tholdOffUs={wire.micros(answer.retry_after)}" if answer.retry_after else ""
             self.lines.append(f"deny\ti={self.number}\tid={operation.ident}{away}")
             self._drop(operation)
-        elif verdict is Verdict.FAIL:
+        elif verdict is Action.FAIL:
             self.lines.append(f"surrender\ti={self.number}\tid={operation.ident}")
             self._drop(operation)
 
     def _send(self, attempt: Attempt, time_out: float) -> None:
         self.lines.append(
-            f"hand_off\ti={self.number}\tid={attempt.operation.ident}\tserver={attempt.server.ident}"
+            f"hand_off\ti={self.number}\tid={attempt.operation.ident}\tserver={attempt.endpoint.ident}"
             f"\tlimitUs={int(time_out * 1e6)}"
         )
 
-    def _errand(self, errand: Errand, now: float) -> None:
-        answer = self.router.where(errand, now)
-        if answer.verdict is Verdict.FOLLOW:
+    def _errand(self, task: BackgroundTask, now: float) -> None:
+        answer = self.router.route(task, now)
+        if answer.action is Action.POLL:
             self.lines.append(f"follow\ti={self.number}\tactive=1")
-        elif answer.verdict is Verdict.TELL:
+        elif answer.action is Action.GOSSIP:
             content = b64encode(answer.payload).decode()
             self.lines += [f"tell\ti={self.number}\tto={peer}\tcontent={content}" for peer in answer.peers]
-        self._timer(errand, self.router.how_long(errand, now))
+        self._timer(task, self.router.time_until_recheck(task, now))
 
-    def _timer(self, thing: Operation | Errand, wait: float) -> None:
+    def _timer(self, thing: Operation | BackgroundTask, wait: float) -> None:
         self.next_timer += 1
         self.timers[self.next_timer] = thing
         due = max(wire.micros(wait), 1)
         self.lines.append(f"schedule\ti={self.number}\tinUs={due}\tname={self.next_timer}")
 
     def _drop(self, operation: Operation) -> None:
-        if operation.over and not any(attempt.out for attempt in operation.attempts):
+        if operation.finished and not any(attempt.in_flight for attempt in operation.attempts):
             self.operations.pop(operation.ident, None)
 
     def flush_log(self) -> None:
@@ -177,7 +181,7 @@
         self.source = source
         self.sink = sink
         self.instances: dict[str, Instance] = {}
-        self.lists: dict[str, list[Listing]] = {}
+        self.lists: dict[str, list[EndpointEntry]] = {}
         self.lines: list[str] = []
         self.now = 0.0
         self.line_number = 0
@@ -287,10 +291,10 @@
 
     def _fleet(self, values: dict[str, str]) -> None:
         form = values["form"]
-        listings = [] if form == "error" else self.lists[values["list"]]
+        entries = [] if form == "error" else self.lists[values["list"]]
         instance = self.instances.get(values["i"])
         if instance is not None:
-            self._guarded(instance, Instance.fleet, form, listings)
+            self._guarded(instance, Instance.fleet, form, entries)
 
 
 def _from_decisions(bad: Exception) -> bool:
--- a/gaugehinge/simhost/wire.py
+++ b/gaugehinge/simhost/wire.py
@@ -4,21 +4,21 @@
 
 from typing import Any
 
-from ..charter import figure
-from ..terms import Listing, Outcome, Presence
+from ..routing.types import EndpointEntry, EndpointState, Outcome
+from ..settings import parse_non_negative
 
 OUTCOMES = {
-    "delivered": Outcome.SETTLED,
-    "app_error": Outcome.ERRORED,
-    "shed": Outcome.TURNED_AWAY,
+    "delivered": Outcome.SUCCEEDED,
+    "app_error": Outcome.SERVER_ERROR,
+    "shed": Outcome.REJECTED,
     "expired": Outcome.TIMED_OUT,
-    "dial_failed": Outcome.NOT_CONNECTED,
-    "dropped": Outcome.BROKEN,
-    "revoked": Outcome.CALLED_OFF,
-    "unused": Outcome.NEVER_SENT,
-    "empty": Outcome.MISSED,
+    "dial_failed": Outcome.CONNECT_FAILED,
+    "dropped": Outcome.CONNECTION_LOST,
+    "revoked": Outcome.CANCELLED,
+    "unused": Outcome.NOT_SENT,
+    "empty": Outcome.CACHE_MISS,
 }
-PRESENCES = {"U": Presence.UP, "L": Presence.DRAINING, "D": Presence.GONE}
+PRESENCES = {"U": EndpointState.UP, "L": EndpointState.DRAINING, "D": EndpointState.GONE}
 
 
 class BadInput(Exception):
@@ -41,18 +41,18 @@
     return int(value * 1e6)
 
 
-def listing(values: dict[str, str]) -> Listing:
+def listing(values: dict[str, str]) -> EndpointEntry:
     """One `row` of a list."""
     presence = PRESENCES.get(values.get("availability", "U"))
     if presence is None:
         # An unknown state may mean anything: nothing new is sent there.
-        presence = Presence.DRAINING
-    return Listing(
+        presence = EndpointState.DRAINING
+    return EndpointEntry(
         int(values["server"]),
         values.get("az", ""),
         values.get("classOfHost", ""),
         int(values.get("stripe", 0)),
         presence,
         seconds(values.get("cameUpUs", 0)),
-        figure(values.get("weight", "")) or 0.0,
+        parse_non_negative(values.get("weight", "")) or 0.0,
     )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gaugehinge.net import clients
+from gaugehinge.net import client_server
 
 NEVER = 1e9
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"  # one line each: test, cause, issue
@@ -17,7 +17,7 @@
 
     The test of that sets its own figure.
     """
-    monkeypatch.setattr(clients, "MOST_BEHIND", NEVER)
+    monkeypatch.setattr(client_server, "MOST_BEHIND", NEVER)
 
 
 def known_red() -> dict[str, str]:
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -28,7 +28,7 @@
 import trio.testing
 from loguru import logger
 
-from gaugehinge.net import clients, pool, sockets
+from gaugehinge.net import client_server, connection_pool, sockets
 from gaugehinge.net.resp import MOST_ANSWER, Malformed, Parser, bulk
 from gaugehinge.net.service import KILL_SLACK, Service
 from tests.helper import SETTINGS, fleet
@@ -734,12 +734,16 @@
                 self.broke(DEFECT, f"the router raised {bad!r}")
             self.ended_at = trio.current_time()
 
-        replaced = [(Service, "run", run), (clients, "MOST_BEHIND", NEVER), (pool, "connect", self.connect)]
-        replaced += [(pool, "silent", self.silent)]
-        replaced += [(pool, "tcp", self.small)] if self.padded else []
+        replaced = [
+            (Service, "run", run),
+            (client_server, "MOST_BEHIND", NEVER),
+            (connection_pool, "connect", self.connect),
+        ]
+        replaced += [(connection_pool, "silent", self.silent)]
+        replaced += [(connection_pool, "tcp", self.small)] if self.padded else []
         if self.plan.idle:
-            replaced += [(clients, "IDLE_TIME", 0.1), (clients, "WHOLE_TIME", 0.12)]
-            replaced += [(clients, "SWEEP_EVERY", 0.05), (pool, "SWEEP_EVERY", 0.05)]
+            replaced += [(client_server, "IDLE_TIME", 0.1), (client_server, "WHOLE_TIME", 0.12)]
+            replaced += [(client_server, "SWEEP_EVERY", 0.05), (connection_pool, "SWEEP_EVERY", 0.05)]
         for owner, name, value in replaced:
             stack.enter_context(patch.object(owner, name, value))
         return stack
@@ -785,11 +789,11 @@
     def _observe(self) -> None:
         """Note what the router takes, and which lists it reads."""
         service = self.made.service
-        submit, heard = service.dispatch.submit, service.discovery.heard
+        submit, heard = service.dispatcher.submit, service.discovery.heard
 
-        def note(operation, cargo, answer):
-            self.taken.add(cargo.ident)
-            return submit(operation, cargo, answer)
+        def note(operation, payload, answer):
+            self.taken.add(payload.ident)
+            return submit(operation, payload, answer)
 
         def hear(update):
             heard(update)
@@ -797,7 +801,7 @@
             self.read.set()
             self.read = trio.Event()
 
-        service.dispatch.submit, service.discovery.heard = note, hear
+        service.dispatcher.submit, service.discovery.heard = note, hear
 
     async def _sample(self) -> None:
         while True:
@@ -851,7 +855,7 @@
             customer.send(self.request("once", b"w", LONGEST))
         for request in list(self.requests.values()):
             await request.finished.wait()
-        await trio.sleep(1.5 * pool.REST_TIME)
+        await trio.sleep(1.5 * connection_pool.REST_TIME)
 
     async def _prepare(self, n: int, subject: Subject) -> Request:
         """A request with its holds, not yet sent; where it is to join a fetch, that is out."""
@@ -1048,7 +1052,7 @@
                 while door.swept_at == last:
                     await trio.sleep(0.001)
 
-    def _side(self, customer: Customer) -> clients.Client | None:
+    def _side(self, customer: Customer) -> client_server.ClientConnection | None:
         """The router's side of a client's connection, while both stand."""
         for each in self.made.service.clients.connections:
             with suppress(OSError):
@@ -1056,7 +1060,7 @@
                     return each
         return None
 
-    def _stands(self, side: clients.Client | None) -> bool:
+    def _stands(self, side: client_server.ClientConnection | None) -> bool:
         return any(each is side for each in self.made.service.clients.connections)
 
     def _repeat(self, request: Request) -> None:
@@ -1084,7 +1088,7 @@
                 request.customer.send(request, rest)
         await self._all_finished()
         if self.term_at == inf:
-            await trio.sleep(1.5 * pool.REST_TIME)  # so that connections are used again
+            await trio.sleep(1.5 * connection_pool.REST_TIME)  # so that connections are used again
             customer = Customer(self)
             for n in range(3):
                 key = self.subjects[0].key[:40]
@@ -1095,7 +1099,7 @@
             for each in self.customers:
                 each.close()
             with trio.move_on_after(1.0):
-                while len(self.made.service.dispatch.exchanges) or self.made.service.pool.pending:
+                while len(self.made.service.dispatcher.pending_operations) or self.made.service.pool.pending:
                     await trio.sleep(0.005)
                 return
             self.broke(DEFECT, "something is left in hand")
@@ -1173,7 +1177,7 @@
             request = attempt.request
             if request is None or request.kind == "read":
                 continue
-            place = (request.mark, attempt.server.cell if self.plan.group == "cell" else 0)
+            place = (request.mark, attempt.endpoint.cell if self.plan.group == "cell" else 0)
             if request.mark and attempt.done <= known.get(place, -inf) + self.plan.window:
                 continue  # dropped as a repeat
             known[place] = attempt.done
@@ -1190,10 +1194,10 @@
         for rev, server in self.leaving:
             told = self.told_at.get(rev, inf)
             latest = told + DRAIN_GRACE + self.stood(told, attempt.began)
-            if server is attempt.server and attempt.began > latest:
+            if server is attempt.endpoint and attempt.began > latest:
                 self.broke(DRAIN, f"{attempt}: {attempt.began - told:.3f} s after its list")
         for at, server in self.strict_servers:
-            if server is attempt.server and attempt.began > at:
+            if server is attempt.endpoint and attempt.began > at:
                 self.broke(DRAIN, f"{attempt}: {attempt.began - at:.3f} s after its list was read")
 
     def _check_close(self, attempt: Attempt) -> None:
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -13,55 +13,57 @@
 from gaugehinge.net.configuration import read_configuration
 from gaugehinge.net.resp import MOST_ANSWER, Parser, bulk
 from gaugehinge.net.service import Service
-from gaugehinge.policy import Router
-from gaugehinge.terms import (
-    Answer,
+from gaugehinge.routing.router import Router
+from gaugehinge.routing.types import (
+    Action,
+    Decision,
+    DeduplicationScope,
     Deployment,
     Effect,
-    Group,
-    Listing,
+    EndpointEntry,
+    EndpointState,
     Operation,
     Outcome,
-    Presence,
     Tenant,
     TrafficType,
-    Verdict,
 )
 
-READ = TrafficType(0, Effect.IDEMPOTENT, Group.ALL, 0.0, 1.0, 1.0, 0.0)
-MARKED = TrafficType(1, Effect.DEDUPLICATED, Group.ALL, 0.8, 1.0, 2.0, 0.2)
-ONCE = TrafficType(2, Effect.UNREPEATABLE, Group.CELL, 0.0, 1.0, 2.0, 0.2)
+READ = TrafficType(0, Effect.IDEMPOTENT, DeduplicationScope.ALL, 0.0, 1.0, 1.0, 0.0)
+MARKED = TrafficType(1, Effect.WITH_IDEMPOTENCY_KEY, DeduplicationScope.ALL, 0.8, 1.0, 2.0, 0.2)
+ONCE = TrafficType(2, Effect.NON_IDEMPOTENT, DeduplicationScope.CELL, 0.0, 1.0, 2.0, 0.2)
 ORIGIN = 999
 COUNT = itertools.count()
 
 PLAIN = Deployment(
     seed=7,
-    me=0,
-    routers=2,
+    router_number=0,
+    router_count=2,
     traffic_types=(READ, MARKED, ONCE),
     tenants=(),
-    aside=True,
+    cache_aside=True,
     origin_kind="origin",
-    tick=0.005,
-    most_attempts=5,
-    cold_from=0.2,
-    cold_time=20.0,
-    fall_multiple=2.0,
-    fall_time=2.0,
+    clock_granularity=0.005,
+    max_attempts=5,
+    cold_capacity=0.2,
+    warm_up_time=20.0,
+    overload_multiple=2.0,
+    overload_time=2.0,
     may_cancel=True,
-    may_message=False,
-    must_ask=False,
-    longest_come_back=0.0,
-    beyond_share=1.0,
-    payoff_by_work=False,
+    may_gossip=False,
+    must_poll=False,
+    max_retry_after=0.0,
+    over_quota_weight=1.0,
+    weight_by_work=False,
 )
 
 
-def row(ident: int, presence=Presence.UP, started=0.0, kind="std", zone="a", cell=0, weight=0.0) -> Listing:
-    return Listing(ident, zone, kind, cell, presence, started, weight)
+def row(
+    ident: int, presence=EndpointState.UP, started=0.0, kind="std", zone="a", cell=0, weight=0.0
+) -> EndpointEntry:
+    return EndpointEntry(ident, zone, kind, cell, presence, started, weight)
 
 
-def origin_row(presence=Presence.UP) -> Listing:
+def origin_row(presence=EndpointState.UP) -> EndpointEntry:
     return row(ORIGIN, presence, kind="origin")
 
 
@@ -75,26 +77,28 @@
         self.count = 0
 
     def hear(self, rows, whole=True, held=False) -> None:
-        self.router.hear_list(rows, whole, held, self.now)
+        self.router.on_endpoints_changed(rows, whole, held, self.now)
 
-    def ask(self, key="k", traffic=READ, left=1.5, tenant=-1) -> tuple[Operation, Answer]:
+    def ask(self, key="k", traffic=READ, left=1.5, tenant=-1) -> tuple[Operation, Decision]:
         self.count += 1
         write = traffic is not READ
         operation = Operation(
             str(self.count), traffic, key.encode(), tenant, write, False, self.now, self.now + left
         )
-        return operation, self.router.where(operation, self.now)
+        return operation, self.router.route(operation, self.now)
 
     def end(self, attempt, outcome: Outcome, elapsed=0.02):
         self.now += elapsed
-        return self.router.after(attempt, outcome, elapsed, outcome is Outcome.SETTLED, self.now)
+        return self.router.on_attempt_finished(
+            attempt, outcome, elapsed, outcome is Outcome.SUCCEEDED, self.now
+        )
 
     def settle(self, key="k", elapsed=0.02) -> int:
         """One read answered by the cache that was chosen; returns that cache's number."""
         _, answer = self.ask(key)
-        assert answer.verdict is Verdict.SEND
-        self.end(answer.attempt, Outcome.SETTLED, elapsed)
-        return answer.attempt.server.ident
+        assert answer.action is Action.SEND
+        self.end(answer.attempt, Outcome.SUCCEEDED, elapsed)
+        return answer.attempt.endpoint.ident
 
 
 WAIT = {"abandonTimeUs": 500_000}  # a stop need not wait for longer
@@ -371,13 +375,13 @@
     "PLAIN",
     "READ",
     "SETTINGS",
-    "Answer",
+    "Decision",
     "Bench",
     "Cache",
     "Outcome",
-    "Presence",
+    "EndpointState",
     "Tenant",
-    "Verdict",
+    "Action",
     "Web",
     "fleet",
     "free_port",
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -18,7 +18,7 @@
 from gaugehinge.door.door import Door
 from gaugehinge.forms import toml
 from gaugehinge.installation.form import CommandEntry, Installation
-from gaugehinge.net.phase import Phase
+from gaugehinge.net.lifecycle import Phase
 from gaugehinge.rehearsal.clusterplay import Play, playing
 from gaugehinge.rehearsal.clusterrun import morning
 from tests.helper import SETTINGS, Cache, fleet, free_port
@@ -63,7 +63,7 @@
 
 
 def keeper(made: Play, router: int = 0):
-    return made.services[router].dispatch.locate.__self__.keeper
+    return made.services[router].dispatcher.locate.__self__.keeper
 
 
 def key_of(made: Play, name: str, number: int = 0) -> bytes:
@@ -382,7 +382,7 @@
         cluster=msgspec.structs.replace(
             told.cluster,
             listen=f"127.0.0.1:{port}",
-            routers=(f"127.0.0.1:{port}",),
+            router_count=(f"127.0.0.1:{port}",),
             command=(*told.cluster.command, CommandEntry("SET", "book", write=True, least=2, most=2)),
         ),
     )
--- a/tests/test_cluster_model.py
+++ b/tests/test_cluster_model.py
@@ -21,63 +21,63 @@
 from gaugehinge.cluster.slots import SLOTS, Node, Redirection, SlotMap, even, read_slots, slot_of
 from gaugehinge.emulator.shards import Shards, Wire
 from gaugehinge.emulator.virtual import VirtualTime
-from gaugehinge.net.dispatch import Dispatch
-from gaugehinge.net.list_update import ListUpdate, Target
-from gaugehinge.net.pool import Cargo
-from gaugehinge.policy import MOST_REDIRECTS, Router
-from gaugehinge.terms import (
-    Answer,
+from gaugehinge.net.connection_pool import RequestPayload
+from gaugehinge.net.dispatcher import Dispatcher
+from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
+from gaugehinge.routing.router import MOST_REDIRECTS, Router
+from gaugehinge.routing.types import (
+    Action,
+    Decision,
+    DeduplicationScope,
     Deployment,
     Effect,
-    Group,
-    Listing,
+    EndpointEntry,
+    EndpointState,
     Operation,
     Outcome,
-    Presence,
     TrafficType,
-    Verdict,
 )
 
 NAMES = ["a", "b", "c", "d"]
 KEYS = [b"key-%d" % i for i in range(6)]
 TYPES = tuple(
-    TrafficType(row, effect, Group.ALL, 0.0, 0.5, 1.0, 0.2)
-    for row, effect in enumerate((Effect.IDEMPOTENT, Effect.IDEMPOTENT, Effect.UNREPEATABLE))
+    TrafficType(row, effect, DeduplicationScope.ALL, 0.0, 0.5, 1.0, 0.2)
+    for row, effect in enumerate((Effect.IDEMPOTENT, Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT))
 )
 DEPLOYMENT = Deployment(
     seed=5,
-    me=0,
-    routers=1,
+    router_number=0,
+    router_count=1,
     traffic_types=TYPES,
     tenants=(),
-    aside=False,
+    cache_aside=False,
     origin_kind=None,
-    tick=0.001,
-    most_attempts=4,
-    cold_from=0.5,
-    cold_time=1.0,
-    fall_multiple=2.0,
-    fall_time=1.0,
+    clock_granularity=0.001,
+    max_attempts=4,
+    cold_capacity=0.5,
+    warm_up_time=1.0,
+    overload_multiple=2.0,
+    overload_time=1.0,
     may_cancel=True,
-    may_message=False,
-    must_ask=True,
-    longest_come_back=2.0,
-    beyond_share=1.0,
-    payoff_by_work=False,
+    may_gossip=False,
+    must_poll=True,
+    max_retry_after=2.0,
+    over_quota_weight=1.0,
+    weight_by_work=False,
 )
 
 
-class VirtualDeadlines(VirtualTime):
+class VirtualTimers(VirtualTime):
     """The heap's other words."""
 
     behind = lag = 0.0
 
-    def at(self, when, action, *given):
+    def call_at(self, when, action, *given):
         due = SimpleNamespace(action=action)
-        VirtualTime.at(self, when, lambda: due.action and due.action(*given))
+        VirtualTime.call_at(self, when, lambda: due.action and due.action(*given))
         return due
 
-    def drop(self, due) -> None:
+    def cancel(self, due) -> None:
         due.action = None
 
 
@@ -89,16 +89,16 @@
         self.pending: dict = {}
         self.sent: list = []
 
-    def hear_list(self, update) -> None:
+    def on_endpoints_changed(self, update) -> None:
         for listing, uid, address in update.targets:
             if address is None:
                 self.endpoints.pop(listing.ident, None)
             else:
                 self.endpoints[listing.ident] = SimpleNamespace(address=address, uid=uid, ident=listing.ident)
 
-    def send(self, attempt, cargo, time_out, dialect) -> None:
-        asking, attempt.operation.asking = attempt.operation.asking, False
-        self.pending[attempt] = (cargo, asking)
+    def send(self, attempt, payload, time_out, dialect) -> None:
+        asking, attempt.operation.ask_redirect = attempt.operation.ask_redirect, False
+        self.pending[attempt] = (payload, asking)
         self.sent.append(attempt)
 
     def call_off(self, attempt) -> None:
@@ -112,25 +112,25 @@
 
     @initialize()
     def begin(self) -> None:
-        self.time = VirtualDeadlines(100.0)
+        self.time = VirtualTimers(100.0)
         self.shards = Shards(self.time.clock)
         for number, name in enumerate(NAMES):
             self.shards.add(name, ("h", number + 1))
         self.shards.deal(NAMES)
-        self.dispatch = Dispatch(DEPLOYMENT, self.time)
+        self.dispatcher = Dispatcher(DEPLOYMENT, self.time)
         self.connections = Connections()
-        self.dispatch.bind(self.connections, lambda: None, lambda *told: None)
+        self.dispatcher.bind(self.connections, lambda: None, lambda *told: None)
         self.keeper = Keeper(3, self.time.now)
-        caches = self.dispatch.router.caches
+        caches = self.dispatcher.router.caches
         self.fleet = SlotFleet(
             self.keeper,
             self.connections,
             self.time,
-            lambda ident: caches[ident].presence if ident in caches else None,
+            lambda ident: caches[ident].state if ident in caches else None,
             False,
         )
-        self.dispatch.locate, self.dispatch.redirected = self.fleet.locate, self.fleet.redirected
-        self.states = dict.fromkeys(NAMES, Presence.UP)
+        self.dispatcher.locate, self.dispatcher.redirected = self.fleet.locate, self.fleet.redirected
+        self.states = dict.fromkeys(NAMES, EndpointState.UP)
         self.started = dict.fromkeys(NAMES, 0.0)
         self._list()
         self.answers: dict[int, list] = {}
@@ -140,14 +140,14 @@
 
     def _list(self) -> None:
         targets = tuple(
-            Target(
-                Listing(number + 1, "z", "std", 0, self.states[name], self.started[name]),
+            EndpointTarget(
+                EndpointEntry(number + 1, "z", "std", 0, self.states[name], self.started[name]),
                 name,
-                None if self.states[name] is Presence.GONE else ("h", number + 1),
+                None if self.states[name] is EndpointState.GONE else ("h", number + 1),
             )
             for number, name in enumerate(NAMES)
         )
-        self.dispatch.hear_list(ListUpdate(1, False, targets))
+        self.dispatcher.on_endpoints_changed(EndpointListUpdate(1, False, targets))
 
     # -- clients
 
@@ -159,9 +159,9 @@
         now = self.time.now
         operation = Operation(0, TYPES[kind], words[1], -1, kind > 0, False, now, now + 2.0)
         self.answers[number], self.operations[number] = [], operation
-        cargo = Cargo(b"%d" % number, words[1], (b"", b""), b"", b"", b"", None, words)
-        self.dispatch.submit(
-            operation, cargo, lambda reply: self.answers[number].append((reply, self.time.now))
+        payload = RequestPayload(b"%d" % number, words[1], (b"", b""), b"", b"", b"", None, words)
+        self.dispatcher.submit(
+            operation, payload, lambda reply: self.answers[number].append((reply, self.time.now))
         )
 
     # -- attempts
@@ -170,37 +170,37 @@
         attempt = list(self.connections.pending)[place % len(self.connections.pending)]
         return attempt, *self.connections.pending[attempt]
 
-    def _runs(self, attempt, cargo, asking) -> bytes:
-        shard = self.shards.all[NAMES[attempt.server.ident - 1]]
-        value = self.shards.answer(shard, Wire(asking=asking), cargo.words)
+    def _runs(self, attempt, payload, asking) -> bytes:
+        shard = self.shards.all[NAMES[attempt.endpoint.ident - 1]]
+        value = self.shards.answer(shard, Wire(asking=asking), payload.words)
         return value, encode(value)
 
     def _end(self, attempt, outcome, value=None) -> None:
         del self.connections.pending[attempt]
-        self.dispatch.attempt_ended(attempt, outcome, self.time.now - attempt.sent, value)
+        self.dispatcher.attempt_ended(attempt, outcome, self.time.now - attempt.sent_at, value)
 
     @precondition(lambda self: self.connections.pending)
     @rule(place=st.integers(0, 50))
     def answered(self, place):
-        attempt, cargo, asking = self._attempt(place)
-        if not self.shards.all[NAMES[attempt.server.ident - 1]].up:
-            self._end(attempt, Outcome.NOT_CONNECTED)
+        attempt, payload, asking = self._attempt(place)
+        if not self.shards.all[NAMES[attempt.endpoint.ident - 1]].up:
+            self._end(attempt, Outcome.CONNECT_FAILED)
             return
-        reply = read_answer(*self._runs(attempt, cargo, asking))
+        reply = read_answer(*self._runs(attempt, payload, asking))
         self._end(attempt, reply.outcome, reply.value)
 
     @precondition(lambda self: self.connections.pending)
     @rule(place=st.integers(0, 50), ran=st.booleans())
     def lost(self, place, ran):
-        attempt, cargo, asking = self._attempt(place)
-        if ran and self.shards.all[NAMES[attempt.server.ident - 1]].up:
-            self._runs(attempt, cargo, asking)
-        self._end(attempt, Outcome.BROKEN)
+        attempt, payload, asking = self._attempt(place)
+        if ran and self.shards.all[NAMES[attempt.endpoint.ident - 1]].up:
+            self._runs(attempt, payload, asking)
+        self._end(attempt, Outcome.CONNECTION_LOST)
 
     @precondition(lambda self: self.connections.pending)
     @rule(place=st.integers(0, 50))
     def never_up(self, place):
-        self._end(self._attempt(place)[0], Outcome.NOT_CONNECTED)
+        self._end(self._attempt(place)[0], Outcome.CONNECT_FAILED)
 
     # -- servers
 
@@ -217,11 +217,17 @@
         if slot in self.shards.all[self.shards.owner[slot]].migrating:
             self.shards.end_move(slot)
 
-    @rule(name=st.sampled_from(NAMES), state=st.sampled_from([Presence.DRAINING, Presence.UP, Presence.GONE]))
+    @rule(
+        name=st.sampled_from(NAMES),
+        state=st.sampled_from([EndpointState.DRAINING, EndpointState.UP, EndpointState.GONE]),
+    )
     def list_says(self, name, state):
-        if state is not Presence.UP and sum(each is Presence.UP for each in self.states.values()) <= 2:
+        if (
+            state is not EndpointState.UP
+            and sum(each is EndpointState.UP for each in self.states.values()) <= 2
+        ):
             return
-        if self.states[name] is Presence.GONE and state is Presence.UP:
+        if self.states[name] is EndpointState.GONE and state is EndpointState.UP:
             self.started[name] = self.time.now
         self.states[name] = state
         self.connections.sent.clear()
@@ -272,10 +278,10 @@
                 reply, at = found[0]
                 assert at <= operation.deadline + 0.006
                 assert not (reply.startswith(b"-BUSY") and b"t%d" % number in ran), "bounced, and it ran"
-            assert operation.redirects <= MOST_REDIRECTS + 1
+            assert operation.redirect_count <= MOST_REDIRECTS + 1
         for attempt in self.connections.sent:
-            name = NAMES[attempt.server.ident - 1]
-            assert self.states[name] is Presence.UP, "sent to a server whose drain had been heard"
+            name = NAMES[attempt.endpoint.ident - 1]
+            assert self.states[name] is EndpointState.UP, "sent to a server whose drain had been heard"
         self.connections.sent.clear()
 
 
@@ -297,7 +303,9 @@
 
 def sent_though_it_drains(router, operation, key, bound):
     """A walk that does not look at what the list says."""
-    return next((router.caches[ident] for ident in operation.among if ident in router.caches), None)
+    return next(
+        (router.caches[ident] for ident in operation.allowed_endpoints if ident in router.caches), None
+    )
 
 
 def repeats_what_may_have_run(router, operation, now):
@@ -305,8 +313,8 @@
 
 
 def bounces_whatever_ran(router, operation, now):
-    operation.over = True
-    return Answer(Verdict.REFUSE, None, 0.1)
+    operation.finished = True
+    return Decision(Action.REJECT, retry_after=0.1)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from gaugehinge.charter import charter
-from gaugehinge.policy import Router
+from gaugehinge.routing.router import Router
+from gaugehinge.settings import read_settings
 from tests.helper import SETTINGS, row
 
 CACHES, STEP, COLD = 20, 0.1, 999
@@ -20,25 +20,25 @@
 def fleet_of(routers: int, rate: float, late: float = 0.0, **rules: float) -> list[Router]:
     """Routers that each saw their part of a rate a cache, told of a cache that started at 100 s: then, or in
     turns up to so many seconds later."""
-    told = charter(1, SETTINGS).deployment
+    told = read_settings(1, SETTINGS).deployment
     made = []
     for seed in range(routers):
         terms = replace(
             told,
             seed=seed,
-            routers=routers,
+            router_count=routers,
             tenants=(),
-            must_ask=False,
-            aside=False,
+            must_poll=False,
+            cache_aside=False,
             origin_kind=None,
             **rules,
         )
         router = Router(terms, 0.0)
-        router.hear_list([row(i + 1) for i in range(CACHES)], True, False, 0.0)
+        router.on_endpoints_changed([row(i + 1) for i in range(CACHES)], True, False, 0.0)
         made.append(router)
         heard = 100.0 + late * seed / routers
         at(router, heard, rate * CACHES / routers)
-        router.hear_list([row(COLD, started=100.0)], False, False, heard)
+        router.on_endpoints_changed([row(COLD, started=100.0)], False, False, heard)
     return made
 
 
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -16,8 +16,8 @@
 import pytest
 import trio
 
-from gaugehinge.net import clients, pool
-from gaugehinge.net.phase import Phase
+from gaugehinge.net import client_server, connection_pool
+from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.sockets import hung_up
 from tests.helper import SETTINGS, Cache, Web, fleet
 
@@ -61,14 +61,14 @@
 
 async def settled(made, ends: int) -> None:
     """Once the router has done with all that was under way."""
-    while made.service.dispatch.pool.pending or len(made.service.clients.connections) > ends:
+    while made.service.dispatcher.pool.pending or len(made.service.clients.connections) > ends:
         await trio.sleep(0.01)
 
 
 async def gone_behind_commands(made, leave, key=lambda n: f"k{n}") -> None:
     """A client sends more than may be in hand and goes; its end stands behind what is not read."""
     client = await made.client()
-    for n in range(4 * clients.MOST_PIPELINED):
+    for n in range(4 * client_server.MOST_PIPELINED):
         await client.send("KV.GET", key(n), f"i{n}", "c=read,d=60000")
     door = made.service.clients
     while not any(each.paused for each in door.connections):
@@ -81,7 +81,7 @@
 
 @pytest.fixture(autouse=True)
 def the_sweep_is_put_off(monkeypatch):
-    monkeypatch.setattr(clients, "SWEEP_EVERY", 1000.0)
+    monkeypatch.setattr(client_server, "SWEEP_EVERY", 1000.0)
 
 
 @pytest.mark.parametrize("leave", [close, reset, half])
@@ -91,7 +91,7 @@
         async with fleet(tmp_path, held, settings={**SETTINGS, "trafficTypes": TYPES}) as made:
             await gone_behind_commands(made, leave)
             before = sum(len(each.commands) for each in held)
-            while before < clients.MOST_PIPELINED and before < sum(len(each.commands) for each in held):
+            while before < client_server.MOST_PIPELINED and before < sum(len(each.commands) for each in held):
                 before = sum(len(each.commands) for each in held)
                 await trio.sleep(0.01)
             connections = sum(each.connections for each in held)
@@ -106,7 +106,9 @@
 
 def test_a_fetch_that_others_of_a_client_wait_for_is_not_begun_anew_once_it_has_gone(tmp_path, monkeypatch):
     release = trio.Event()
-    monkeypatch.setattr(pool, "REST_TIME", 0.0)  # it would go out on the same connection, in the same step
+    monkeypatch.setattr(
+        connection_pool, "REST_TIME", 0.0
+    )  # it would go out on the same connection, in the same step
 
     async def scene():
         class Origin(Web):
@@ -118,7 +120,7 @@
         async with fleet(tmp_path, [Cache("miss")], full, settings=terms) as made:
             made.origin.answer = Origin(full).answer
             await gone_behind_commands(made, close, key=lambda n: "one")
-            while len(made.service.dispatch.router.fetches.get(b"one", ())) < 4:
+            while len(made.service.dispatcher.router.fetches.get(b"one", ())) < 4:
                 await trio.sleep(0.01)
             release.set()  # the fetch fails, and one of those that wait would fetch in its place
             await settled(made, 0)
@@ -131,13 +133,13 @@
     up = trio.Event()
 
     async def scene():
-        connect = pool.connect
+        connect = connection_pool.connect
 
         async def late(raw, address):
             await connect(raw, address)
             await up.wait()
 
-        monkeypatch.setattr(pool, "connect", late)
+        monkeypatch.setattr(connection_pool, "connect", late)
         async with fleet(tmp_path, settings={**SETTINGS, "trafficTypes": TYPES}) as made:
             await gone_behind_commands(made, close)
             up.set()
@@ -151,11 +153,11 @@
     async def scene():
         async with fleet(tmp_path, settings={**SETTINGS, "trafficTypes": TYPES}) as made:
             client = await made.client()
-            for n in range(4 * clients.MOST_PIPELINED):
+            for n in range(4 * client_server.MOST_PIPELINED):
                 await client.send("KV.GET", f"k{n}", f"i{n}", "c=read,d=60000")
-            answers = [await client.answer() for _ in range(4 * clients.MOST_PIPELINED)]
+            answers = [await client.answer() for _ in range(4 * client_server.MOST_PIPELINED)]
             served = [n for n, answer in enumerate(answers) if answer.endswith(b"of k%d\r\n" % n)]
-            assert len(served) >= clients.MOST_PIPELINED
+            assert len(served) >= client_server.MOST_PIPELINED
             assert all(each.startswith(b"-BUSY") for n, each in enumerate(answers) if n not in served)
 
     run(scene)
@@ -207,7 +209,7 @@
 
 
 def test_limits_lower_than_what_is_in_use_are_kept_to_once_they_are_read(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "SWEEP_EVERY", 0.1)
+    monkeypatch.setattr(client_server, "SWEEP_EVERY", 0.1)
 
     async def scene():
         async with fleet(tmp_path, [Cache("late") for _ in range(24)], sockets=256) as made:
--- a/tests/test_crossings_generated.py
+++ b/tests/test_crossings_generated.py
@@ -3,12 +3,12 @@
 import pytest
 
 from gaugehinge.net import service
-from gaugehinge.net.clients import Clients
-from gaugehinge.net.dispatch import Dispatch
-from gaugehinge.net.pool import Pool
+from gaugehinge.net.client_server import ClientServer
+from gaugehinge.net.connection_pool import ConnectionPool
+from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.service import Service
-from gaugehinge.policy import Router
-from gaugehinge.terms import Presence
+from gaugehinge.routing.router import Router
+from gaugehinge.routing.types import EndpointState
 from tests import crossings
 from tests.crossings import (
     ANSWER,
@@ -40,19 +40,19 @@
 
 def answer_twice(monkeypatch):
     """Each answer to a request goes out a second time."""
-    write = Clients._write
+    write = ClientServer._write
 
     def twice(self, client, answer):
         if answer.startswith(b"$"):
             write(self, client, answer)
         return write(self, client, answer)
 
-    monkeypatch.setattr(Clients, "_write", twice)
+    monkeypatch.setattr(ClientServer, "_write", twice)
 
 
 def no_forfeit(monkeypatch):
     """What is in hand at the end is left there."""
-    monkeypatch.setattr(Dispatch, "fail_rest", lambda self: None)
+    monkeypatch.setattr(Dispatcher, "fail_rest", lambda self: None)
 
 
 def lost_at_the_end(monkeypatch):
@@ -62,12 +62,12 @@
         self._cut(client)
         return True
 
-    monkeypatch.setattr(Clients, "_hang_up", cut)
+    monkeypatch.setattr(ClientServer, "_hang_up", cut)
 
 
 def copies_kept(monkeypatch):
     """Bytes that nobody asked for are taken for the next attempt's answer."""
-    incoming = Pool._incoming
+    incoming = ConnectionPool._incoming
 
     def keep(self, line, data):
         if line.pending is None and data and hasattr(line.parser, "feed"):
@@ -75,24 +75,24 @@
         else:
             incoming(self, line, data)
 
-    monkeypatch.setattr(Pool, "_incoming", keep)
+    monkeypatch.setattr(ConnectionPool, "_incoming", keep)
 
 
 def written_forgotten(monkeypatch):
     """An attempt whose connection broke counts as never written."""
-    lose = Pool._lose
+    lose = ConnectionPool._lose
 
     def forget(self, line, spoilt):
         line.written = False
         lose(self, line, spoilt)
 
-    monkeypatch.setattr(Pool, "_lose", forget)
+    monkeypatch.setattr(ConnectionPool, "_lose", forget)
 
 
 def window_forgotten(monkeypatch):
     """Repeats go out however long ago the first attempt ran."""
     monkeypatch.setattr(Router, "_may_repeat", lambda self, operation, now: True)
-    monkeypatch.setattr(Pool, "_may_go", lambda self, attempt: True)
+    monkeypatch.setattr(ConnectionPool, "_may_go", lambda self, attempt: True)
 
 
 def always_dropped(monkeypatch):
@@ -103,17 +103,17 @@
 
 def presence_unread(monkeypatch):
     """A connection that came up late carries its attempt though its server drains."""
-    start = Pool._start
+    start = ConnectionPool._start
 
     def blind(self, line, pending):
-        server = pending.attempt.server
-        presence, server.presence = server.presence, Presence.UP
+        server = pending.attempt.endpoint
+        presence, server.state = server.state, EndpointState.UP
         try:
             start(self, line, pending)
         finally:
-            server.presence = presence
+            server.state = presence
 
-    monkeypatch.setattr(Pool, "_start", blind)
+    monkeypatch.setattr(ConnectionPool, "_start", blind)
 
 
 def drains_unheard(monkeypatch):
@@ -121,7 +121,7 @@
     hear = Router._hear_server
 
     def deaf(self, listing, now):
-        if listing.presence is not Presence.DRAINING:
+        if listing.state is not EndpointState.DRAINING:
             hear(self, listing, now)
 
     monkeypatch.setattr(Router, "_hear_server", deaf)
@@ -129,15 +129,15 @@
 
 def close_untold(monkeypatch):
     """The dispatch is not told that a client has gone, nor finds that out before an attempt."""
-    monkeypatch.setattr(Clients, "close_ticket", lambda self, ticket: self._close_ident(ticket.ident))
-    monkeypatch.setattr(Clients, "present", lambda self, client: True)
+    monkeypatch.setattr(ClientServer, "close_ticket", lambda self, ticket: self._close_ident(ticket.ident))
+    monkeypatch.setattr(ClientServer, "present", lambda self, client: True)
 
 
 def never_ends(monkeypatch):
     """It takes the time that it has for longer than it is, and no connection for idle."""
     monkeypatch.setattr(service, "KILL_SLACK", 3.0)
-    monkeypatch.setattr(Clients, "owe", lambda self: True)
-    monkeypatch.setattr(Clients, "leave", lambda self, quiet: None)
+    monkeypatch.setattr(ClientServer, "owe", lambda self: True)
+    monkeypatch.setattr(ClientServer, "leave", lambda self, quiet: None)
 
 
 def raises(monkeypatch):
--- a/tests/test_crossings_pool.py
+++ b/tests/test_crossings_pool.py
@@ -6,10 +6,10 @@
 
 import trio
 
-from gaugehinge.net import pool as module
-from gaugehinge.net.deadlines import Clock, Deadlines
-from gaugehinge.net.pool import Cargo, Endpoint, Pool, RespDialect
-from gaugehinge.terms import Outcome
+from gaugehinge.net import connection_pool as module
+from gaugehinge.net.connection_pool import ConnectionPool, RequestPayload, RespCodec, ServerPool
+from gaugehinge.net.timer_queue import Clock, TimerQueue
+from gaugehinge.routing.types import Outcome
 from tests.helper import Bench, Cache
 
 COMMAND = b"*4\r\n$6\r\nKV.GET\r\n$1\r\nk\r\n$1\r\ni\r\n"
@@ -24,24 +24,24 @@
         bench, ended, cache, there = Bench(1), [], Cache(), [True, False]  # asked at first, and once it is up
         async with trio.open_nursery() as nursery:
             [listener] = await nursery.start(partial(trio.serve_tcp, cache.serve, 0, host="127.0.0.1"))
-            deadlines = Deadlines(Clock())  # held: nothing of it falls due until it is run
-            made = Pool(nursery, deadlines, 5, 1.0, 10.0, lambda *told: ended.append(told))
+            timers = TimerQueue(Clock())  # held: nothing of it falls due until it is run
+            made = ConnectionPool(nursery, timers, 5, 1.0, 10.0, lambda *told: ended.append(told))
             (_, first), (_, second) = bench.ask("a"), bench.ask("b")
-            server = first.attempt.server.ident
-            made.endpoints[server] = Endpoint(server, "s", listener.socket.getsockname(), 0.0)
-            cargo = partial(Cargo, b"i", b"k", (b"d=", b""), b"d=1", COMMAND, b"", None)
-            made.send(first.attempt, cargo(wanted=lambda: there.pop(0)), 5.0, RespDialect())
+            server = first.attempt.endpoint.ident
+            made.endpoints[server] = ServerPool(server, "s", listener.socket.getsockname(), 0.0)
+            payload = partial(RequestPayload, b"i", b"k", (b"d=", b""), b"d=1", COMMAND, b"", None)
+            made.send(first.attempt, payload(wanted=lambda: there.pop(0)), 5.0, RespCodec())
             while not made.endpoints[server].idle:
                 await trio.sleep(0.001)
-            made.send(second.attempt, cargo(), 5.0, RespDialect())
+            made.send(second.attempt, payload(), 5.0, RespCodec())
             assert made.connections == 1 and not made.endpoints[server].idle
             made.call_off(first.attempt)
-            nursery.start_soon(deadlines.run)
+            nursery.start_soon(timers.run)
             with trio.fail_after(4.0):  # the second's own time-out would end it after 5 s
                 while len(ended) < 2:
                     await trio.sleep(0.001)
             outcomes = {told[0]: told[1] for told in ended}
-            assert outcomes == {first.attempt: Outcome.NEVER_SENT, second.attempt: Outcome.SETTLED}
+            assert outcomes == {first.attempt: Outcome.NOT_SENT, second.attempt: Outcome.SUCCEEDED}
             nursery.cancel_scope.cancel()
 
     trio.run(scene)
--- a/tests/test_crossings_retries.py
+++ b/tests/test_crossings_retries.py
@@ -10,11 +10,11 @@
 import pytest
 import trio
 
-from gaugehinge.net import pool, sockets
-from gaugehinge.net.deadlines import Clock, Deadlines
-from gaugehinge.net.pool import Cargo, Endpoint, Pool, RespDialect
+from gaugehinge.net import connection_pool, sockets
+from gaugehinge.net.connection_pool import ConnectionPool, RequestPayload, RespCodec, ServerPool
 from gaugehinge.net.resp import bulk
-from gaugehinge.terms import Outcome, Presence
+from gaugehinge.net.timer_queue import Clock, TimerQueue
+from gaugehinge.routing.types import EndpointState, Outcome
 from tests.helper import MARKED, SETTINGS, Bench, Cache, fleet
 
 FETCHED = b"$7\r\nfetched\r\n"
@@ -81,7 +81,7 @@
 
 def at_look(monkeypatch, act) -> list:
     """Do something once between the look that finds an idle connection good and the request's first byte."""
-    silent, done = pool.silent, []
+    silent, done = connection_pool.silent, []
 
     def look(raw):
         found = silent(raw)
@@ -90,20 +90,21 @@
             act()
         return found
 
-    monkeypatch.setattr(pool, "silent", look)
+    monkeypatch.setattr(connection_pool, "silent", look)
     return done
 
 
 async def rested(made, count: int = 1) -> list:
     """The idle connections, once there are so many and each has had its rest."""
-    parts = made.service.dispatch.pool
+    parts = made.service.dispatcher.pool
 
     def idle():
         return [line for place in parts.endpoints.values() for line in place.idle]
 
     await until(
         lambda: (
-            len(idle()) >= count and all(line.idle_since <= parts.clock() - pool.REST_TIME for line in idle())
+            len(idle()) >= count
+            and all(line.idle_since <= parts.clock() - connection_pool.REST_TIME for line in idle())
         )
     )
     return idle()
@@ -111,7 +112,9 @@
 
 async def settled(made) -> None:
     """All attempts have ended, and nothing is left in hand."""
-    await until(lambda: not made.service.pool.pending and len(made.service.dispatch.exchanges) == 0)
+    await until(
+        lambda: not made.service.pool.pending and len(made.service.dispatcher.pending_operations) == 0
+    )
 
 
 def txns(made) -> list[str]:
@@ -202,7 +205,7 @@
                 close(streams[-1], how)
                 return sent
 
-            monkeypatch.setattr(pool, "send_some", half)
+            monkeypatch.setattr(connection_pool, "send_some", half)
             answer = await client.put("i2", labels)
             assert calls[0] is line.raw
             assert answer == FETCHED or answer.startswith(HARMLESS)
@@ -252,7 +255,7 @@
         cache = Scripted(script)
         async with fleet(tmp_path, [cache]) as made:
             client = await made.client()
-            monkeypatch.setattr(pool, "REST_TIME", 1e6)
+            monkeypatch.setattr(connection_pool, "REST_TIME", 1e6)
             assert await client.get("k1") == b"$5\r\nof k1\r\n"
             [place] = [each for each in made.service.pool.endpoints.values() if each.idle]
             monkeypatch.undo()
@@ -298,7 +301,7 @@
                 write(streams[0], b"HTTP/1.1 200 X\r\nContent-Length: 7\r\n\r\nfetched")
                 return sent
 
-            monkeypatch.setattr(pool, "send_some", half)
+            monkeypatch.setattr(connection_pool, "send_some", half)
             answer = await client.put("i2", "c=once,t=acme,d=1500")
             assert answer != FETCHED or txns(made) == ["i1", "i2"]
             assert answer == FETCHED or answer.startswith(b"-")
@@ -340,16 +343,16 @@
         with trio.fail_after(30):
             async with trio.open_nursery() as nursery:
                 [listener] = await nursery.start(partial(trio.serve_tcp, cache.serve, 0, host="127.0.0.1"))
-                deadlines = Deadlines(Clock())
-                nursery.start_soon(deadlines.run)
-                made = Pool(nursery, deadlines, most, 1.0, 10.0, lambda *told: ended.append(told))
+                timers = TimerQueue(Clock())
+                nursery.start_soon(timers.run)
+                made = ConnectionPool(nursery, timers, most, 1.0, 10.0, lambda *told: ended.append(told))
 
                 def send(key):
                     operation, answer = bench.ask(key)
-                    ident = answer.attempt.server.ident
+                    ident = answer.attempt.endpoint.ident
                     if ident not in made.endpoints:
-                        made.endpoints[ident] = Endpoint(ident, "s", listener.socket.getsockname(), 0.0)
-                    cargo = Cargo(
+                        made.endpoints[ident] = ServerPool(ident, "s", listener.socket.getsockname(), 0.0)
+                    payload = RequestPayload(
                         b"i",
                         b"k",
                         (b"d=", b""),
@@ -358,7 +361,7 @@
                         b"",
                         None,
                     )
-                    made.send(answer.attempt, cargo, 5.0, RespDialect())
+                    made.send(answer.attempt, payload, 5.0, RespCodec())
                     return answer.attempt
 
                 await scene(made, send, ended, cache, bench)
@@ -371,7 +374,7 @@
 def test_an_attempt_called_off_while_its_connection_comes_up_frees_the_place_at_once(at):
     async def scene(made, send, ended, cache, bench):
         connecting, go = trio.Event(), trio.Event()
-        connect = pool.connect
+        connect = connection_pool.connect
 
         async def held(raw, address):
             connecting.set()
@@ -382,12 +385,12 @@
                 await go.wait()
                 await connect(raw, address)
 
-        pool.connect = held
+        connection_pool.connect = held
         try:
             first = send("k1")
             await connecting.wait()
             assert made.connections == 1
-            pool.connect = connect
+            connection_pool.connect = connect
             second = send("k2")  # no place: the one that there is comes up still
             go.set()
             made.call_off(first)  # in the same step
@@ -395,14 +398,14 @@
             third = send("k3")
             await until(lambda: cache.commands)
         finally:
-            pool.connect = connect
+            connection_pool.connect = connect
         outcomes = {told[0]: told[1] for told in ended}
-        assert outcomes == {first: Outcome.NEVER_SENT, second: Outcome.NEVER_SENT}
+        assert outcomes == {first: Outcome.NOT_SENT, second: Outcome.NOT_SENT}
         assert len(ended) == 2 and third in made.pending and made.connections == 1
         assert [command[2] for command in cache.commands] == [b"k3"]  # of the first not a byte
         made.call_off(third)
         await until(lambda: len(ended) == 3)
-        assert ended[2][:2] == (third, Outcome.CALLED_OFF) and made.connections == 0
+        assert ended[2][:2] == (third, Outcome.CANCELLED) and made.connections == 0
 
     scene_of_pool(scene, 1)
 
@@ -412,7 +415,7 @@
         start, done = made._start, []
 
         def crossed(line, pending):
-            pending.attempt.server.presence = Presence.DRAINING  # told while the connection came up
+            pending.attempt.endpoint.state = EndpointState.DRAINING  # told while the connection came up
             start(line, pending)
             made.call_off(pending.attempt)  # its client goes in the same step
             done.append([each for place in made.endpoints.values() for each in place.idle if each.closed])
@@ -421,7 +424,7 @@
         attempt = send("k1")
         await until(lambda: ended)
         made._start = start
-        assert [told[:2] for told in ended] == [(attempt, Outcome.NEVER_SENT)]
+        assert [told[:2] for told in ended] == [(attempt, Outcome.NOT_SENT)]
         assert cache.commands == [] and done == [[]] and made.connections in (0, 1)
         assert made.connections == sum(len(place.idle) for place in made.endpoints.values())
 
@@ -436,11 +439,11 @@
 
         def crossed(line, pending):
             made._start = start
-            pending.attempt.operation.latest = 0.0  # its key is forgotten by the time that it is up
+            pending.attempt.operation.retry_deadline = 0.0  # its key is forgotten by the time that it is up
             start(line, pending)
             for number in range(1, 9):
                 made.endpoints[number] = line.endpoint
-            time.sleep(2 * pool.REST_TIME)
+            time.sleep(2 * connection_pool.REST_TIME)
             attempts.append(send("k2"))
             assert made.pending[attempts[0]].connection is line
             made.call_off(pending.attempt)  # its client goes in the same step
@@ -448,7 +451,7 @@
         made._start = crossed
         first = send("k1")
         await until(lambda: ended)
-        assert [told[:2] for told in ended] == [(first, Outcome.NEVER_SENT)]
+        assert [told[:2] for told in ended] == [(first, Outcome.NOT_SENT)]
         await until(lambda: cache.commands)
         [second] = attempts
         kept = made.pending[second].connection
@@ -505,7 +508,7 @@
             client = await made.client()
             answer = await client.put("i1", MARKS.format(1))
             first = [at for at, _ in origin.came]
-            assert first[-1] - first[0] <= window - pool.WAY or len(first) == 1
+            assert first[-1] - first[0] <= window - connection_pool.WAY or len(first) == 1
             failing = False
             if answer.startswith(HARMLESS):
                 await trio.sleep(int(answer[6:].strip() or 0) / 1000.0)
@@ -539,7 +542,7 @@
                     await plain(stream, told)
 
             plain, made.origin.answer = made.origin.answer, cut
-            connect, send = pool.connect, pool.send_some
+            connect, send = connection_pool.connect, connection_pool.send_some
             held = []
 
             async def late(raw, address):
@@ -557,9 +560,9 @@
                 return 0
 
             if how == "comes up late":
-                monkeypatch.setattr(pool, "connect", late)
+                monkeypatch.setattr(connection_pool, "connect", late)
             else:
-                monkeypatch.setattr(pool, "send_some", half)
+                monkeypatch.setattr(connection_pool, "send_some", half)
             client = await made.client()
             answer = await client.put("i1", MARKS.format(1))
             assert held and len(origin.came) == 1
@@ -576,7 +579,7 @@
     async def scene():
         origin = Remembering(1.2)
         async with fleet(tmp_path, origin=origin.hear, settings=settings(1_200_000)) as made:
-            connect, calls = pool.connect, []
+            connect, calls = connection_pool.connect, []
 
             async def late(raw, address):
                 calls.append(raw)
@@ -591,7 +594,7 @@
                     await plain(stream, told)
 
             plain, made.origin.answer = made.origin.answer, cut
-            monkeypatch.setattr(pool, "connect", late)
+            monkeypatch.setattr(connection_pool, "connect", late)
             client = await made.client()
             answer = await client.put("i1", MARKS.format(1))
             assert answer == FETCHED and len(origin.came) == 2 and origin.effects == ["m1"]
@@ -625,7 +628,7 @@
                 close(streams[0], "FIN")
                 return sent
 
-            monkeypatch.setattr(pool, "send_some", half)
+            monkeypatch.setattr(connection_pool, "send_some", half)
             answer = await client.put("i1", MARKS.format(1))
             assert answer == FETCHED or answer.startswith(HARMLESS)
             assert origin.effects.count("m1") == (answer == FETCHED)
@@ -720,7 +723,7 @@
     async def scene():
         allowed = settings(mayCancel=False)
         async with fleet(tmp_path, origin=lambda *call: "stall", settings=allowed) as made:
-            made.service.dispatch.router.gate.limit = 99.0
+            made.service.dispatcher.router.gate.limit = 99.0
             first, second, door = await made.client(), await made.client(), made.service.clients
             await first.send("KV.SET", "k1", "same", ONCES, "new value")
             await until(lambda: made.origin.seen)
@@ -750,7 +753,7 @@
 
         cache = Scripted(script)
         async with fleet(tmp_path, [cache], origin=origin.hear) as made:
-            made.service.dispatch.router.gate.limit = 99.0
+            made.service.dispatcher.router.gate.limit = 99.0
             plain = made.origin.answer
 
             async def held(stream, told):
@@ -770,7 +773,7 @@
             await send(first, "i1", labels)
             await until(lambda: origin.came or cache.streams)
             await send(second, "i2", labels + ",r=1")
-            await until(lambda: len(made.service.dispatch.exchanges) == 2)
+            await until(lambda: len(made.service.dispatcher.pending_operations) == 2)
             release.set()
             wanted = FETCHED if traffic == "mark" else b"$5\r\nof k1\r\n"
             assert [await first.answer(), await second.answer()] == [wanted, wanted]
@@ -793,10 +796,10 @@
     operation, answer = bench.ask(traffic=MARKED, left=5.0)
     attempt, began = answer.attempt, bench.now
     for _ in range(MOST_STEPS):
-        steps = bench.end(attempt, Outcome.BROKEN, 0.1)
+        steps = bench.end(attempt, Outcome.CONNECTION_LOST, 0.1)
         attempts = [step.attempt for _, step in steps if step.attempt is not None]
         if not attempts:
             break
         [attempt] = attempts
-        assert attempt.sent <= began + MARKED.repeats - pool.WAY
-    assert operation.latest == began + MARKED.repeats
+        assert attempt.sent_at <= began + MARKED.repeats - connection_pool.WAY
+    assert operation.retry_deadline == began + MARKED.repeats
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -14,8 +14,8 @@
 
 from gaugehinge.door.door import Door
 from gaugehinge.door.turnstile import READ_MOST
-from gaugehinge.net import clients, service
-from gaugehinge.net.phase import Phase
+from gaugehinge.net import client_server, service
+from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.resp import bulk
 from gaugehinge.net.sockets import unsent
 from tests.helper import SETTINGS, Cache, Client, Web, fleet, free_port
@@ -142,7 +142,7 @@
     parts = made.service
     return (
         len(parts.clients.connections) == 0
-        and len(parts.dispatch.exchanges) == 0
+        and len(parts.dispatcher.pending_operations) == 0
         and parts.clients.held == 0
         and not parts.clients.idents_open
     )
@@ -157,21 +157,21 @@
     async def scene():
         cache = Holding()
         async with fleet(tmp_path, [cache]) as made:
-            client, dispatch = await made.client(), made.service.dispatch
+            client, dispatcher = await made.client(), made.service.dispatcher
             await client.stream.send_all(get("i1"))
             await until(lambda: cache.streams)
             if order == "unread":  # the answer stands in the kernel; the router has not looked
                 cache.streams[0].socket._sock.send(cache.value)
-                dispatch.fail_rest()
+                dispatcher.fail_rest()
             else:
                 ended, crossed = made.service.pool.ended, trio.Event()
 
                 def cross(*told):
                     if order == "answer first":
                         ended(*told)
-                        dispatch.fail_rest()
+                        dispatcher.fail_rest()
                     else:
-                        dispatch.fail_rest()
+                        dispatcher.fail_rest()
                         ended(*told)
                     crossed.set()
 
@@ -181,7 +181,7 @@
             wanted = b"$4\r\nheld\r\n" if order == "answer first" else b"-ERR failed\r\n"
             assert await client.answer() == wanted
             assert await client.ask("PING") == b"+PONG\r\n"  # nothing in between
-            await until(lambda: len(dispatch.exchanges) == 0 and not made.service.pool.pending)
+            await until(lambda: len(dispatcher.pending_operations) == 0 and not made.service.pool.pending)
             assert sent_on(made) == [b"i1"]
 
     run(scene)
@@ -191,7 +191,7 @@
 def test_at_the_end_what_may_have_run_is_never_called_harmless_and_each_gets_one_answer(tmp_path):
     async def scene():
         async with fleet(tmp_path, [Holding()], origin=lambda *call: "stall") as made:
-            made.service.dispatch.router.gate.limit = 99.0
+            made.service.dispatcher.router.gate.limit = 99.0
             crowd = [await made.client() for _ in range(3)]
             for client, sent in zip(crowd, [get("r"), put("o"), put("m", "mark", ",k=m1")], strict=True):
                 await client.stream.send_all(sent)
@@ -249,14 +249,14 @@
             await client.stream.send_all(get("r0"))
             await until(lambda: cache.streams)
             made.service.lifecycle.enter(Phase.CLOSING, 1)
-            send = clients.send_some
+            send = client_server.send_some
 
             def crossed(raw, data):
                 sent = send(raw, data)
                 now(client, put("o0"))  # between the write and the end
                 return sent
 
-            monkeypatch.setattr(clients, "send_some", crossed)
+            monkeypatch.setattr(client_server, "send_some", crossed)
             cache.release.set()
             assert await rest_of(client) == [b"$4\r\nheld\r\n"]
             await until(lambda: nothing_left(made))
@@ -277,7 +277,7 @@
             client, door = await made.client(), made.service.clients
             await client.stream.send_all(get("r0"))
             await until(lambda: cache.streams)
-            silent, crossed = clients.silent, []
+            silent, crossed = client_server.silent, []
 
             def look(raw):
                 found = silent(raw)
@@ -289,13 +289,13 @@
             if where == "idle":
                 cache.release.set()
                 assert await client.answer() == b"$4\r\nheld\r\n"
-                await until(lambda: len(made.service.dispatch.exchanges) == 0)
-                monkeypatch.setattr(clients, "silent", look)
+                await until(lambda: len(made.service.dispatcher.pending_operations) == 0)
+                monkeypatch.setattr(client_server, "silent", look)
                 door.leave(0.0)
                 assert await client.answer() is None
             else:
                 made.service.lifecycle.enter(Phase.CLOSING, 1)
-                monkeypatch.setattr(clients, "silent", look)
+                monkeypatch.setattr(client_server, "silent", look)
                 cache.release.set()
                 assert await rest_of(client) == [b"$4\r\nheld\r\n"]
             assert crossed
@@ -329,12 +329,12 @@
             if crossing in ("nothing", "in hand"):
                 made.service.lifecycle.enter(Phase.CLOSING, 1)
             cache.release.set()
-            await until(lambda: not one.tickets)  # all of it is with the kernel
+            await until(lambda: not one.pending_replies)  # all of it is with the kernel
             assert not one.stuck and unsent(one.raw)
             if crossing == "idle":
                 made.service.lifecycle.enter(Phase.CLOSING, 0)
             look = door._make_room if crossing == "crowded" else partial(door.leave, 0.0)
-            ends = trio.current_time() + (3 * clients.LINGER if crossing == "quit" else 0.3)
+            ends = trio.current_time() + (3 * client_server.LINGER if crossing == "quit" else 0.3)
             while trio.current_time() < ends:
                 look()
                 await trio.sleep(0.01)
@@ -394,7 +394,7 @@
             began = trio.current_time()
             signalled()
             await made.ended.wait()
-            stated = made.service.configuration.charter.longest_wait + service.KILL_SLACK
+            stated = made.service.configuration.settings.max_client_wait + service.KILL_SLACK
             assert trio.current_time() - began < stated + SLACK
 
     run(scene)
@@ -512,7 +512,7 @@
             if comes:
                 await client.stream.send_all(whole[40:])
             await end_of_process(made)
-            stated = made.service.configuration.charter.longest_wait + service.KILL_SLACK
+            stated = made.service.configuration.settings.max_client_wait + service.KILL_SLACK
             assert trio.current_time() - began < stated + SLACK
             answers = await rest_of(client)
             assert sent_on(made) == ([b"o0"] if comes else [])
@@ -528,14 +528,14 @@
 
     async def scene():
         async with fleet(tmp_path, origin=lambda *call: "stall") as made:
-            gate = made.service.dispatch.router.gate
+            gate = made.service.dispatcher.router.gate
             gate.limit = 1e6  # none is refused for what the others hold
             client = await made.client()
             sent = b"".join(put(f"i{n}") for n in range(count))
             assert len(sent) < READ_MOST
             await client.stream.send_all(sent)
             [one] = made.service.clients.connections
-            await until(lambda: one.paused and len(one.tickets) == clients.MOST_PIPELINED)
+            await until(lambda: one.paused and len(one.pending_replies) == client_server.MOST_PIPELINED)
             signalled()
             await end_of_process(made)
             answers = await rest_of(client)
@@ -566,7 +566,7 @@
             assert len(answers) == 2 and all(each.startswith(b"-BUSY") for each in answers)  # none ran
             assert await rests.answer() is None
             await made.ended.wait()
-            stated = made.service.configuration.charter.longest_wait + service.KILL_SLACK
+            stated = made.service.configuration.settings.max_client_wait + service.KILL_SLACK
             assert trio.current_time() - began < stated + SLACK
             assert sent_on(made) == [] and nothing_left(made)
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -18,53 +18,62 @@
 import pytest
 import trio
 
-from gaugehinge.charter import charter
 from gaugehinge.door.door import Door
 from gaugehinge.emulator.shelf import Shelves
-from gaugehinge.net.deadlines import Clock
 from gaugehinge.net.resp import Malformed, Parser, bulk
-from gaugehinge.policy import Router
+from gaugehinge.net.timer_queue import Clock
 from gaugehinge.rehearsal.hostedplay import hosting
+from gaugehinge.routing.router import Router
+from gaugehinge.routing.types import (
+    Action,
+    DeduplicationScope,
+    Effect,
+    EndpointState,
+    Operation,
+    Outcome,
+    Tenant,
+    TrafficType,
+)
+from gaugehinge.settings import read_settings
 from gaugehinge.simhost.host import Host
-from gaugehinge.terms import Effect, Group, Operation, Outcome, Presence, Tenant, TrafficType, Verdict
 from tests.helper import PLAIN, SETTINGS, Cache, fleet, origin_row, row
 
 ROOT = Path(__file__).parents[1]
 
 # -- decisions alone, in virtual time
 
-ONE = replace(PLAIN, tenants=(Tenant(0.6, 40.0), Tenant(0.4, 20.0)), may_message=True, longest_come_back=2.0)
+ONE = replace(PLAIN, tenants=(Tenant(0.6, 40.0), Tenant(0.4, 20.0)), may_gossip=True, max_retry_after=2.0)
 OTHER = replace(
     PLAIN,
     seed=31,
-    me=2,
-    routers=5,
-    aside=False,
-    most_attempts=2,
-    tick=0.001,
-    cold_from=0.1,
-    cold_time=6.0,
-    fall_multiple=1.5,
-    fall_time=0.5,
-    may_message=True,
-    must_ask=True,
-    longest_come_back=0.3,
-    beyond_share=0.1,
-    payoff_by_work=True,
-    weighted=True,
+    router_number=2,
+    router_count=5,
+    cache_aside=False,
+    max_attempts=2,
+    clock_granularity=0.001,
+    cold_capacity=0.1,
+    warm_up_time=6.0,
+    overload_multiple=1.5,
+    overload_time=0.5,
+    may_gossip=True,
+    must_poll=True,
+    max_retry_after=0.3,
+    over_quota_weight=0.1,
+    weight_by_work=True,
+    has_endpoint_weights=True,
     zone="b",
-    cross_price=0.2,
-    one_a_connection=True,
+    cross_zone_price=0.2,
+    one_attempt_per_connection=True,
     connection_price=0.01,
     tenants=(Tenant(0.1, 5.0), Tenant(0.2, 9.0), Tenant(0.7, 3.0)),
     traffic_types=(
-        TrafficType(0, Effect.UNREPEATABLE, Group.CELL, 0.0, 0.05, 3.0, 0.0),
-        TrafficType(1, Effect.DEDUPLICATED, Group.ZONE, 4.0, 0.3, 1.0, 0.5),
-        TrafficType(2, Effect.IDEMPOTENT, Group.ALL, 0.0, 0.2, 0.5, 0.1),
-        TrafficType(3, Effect.DEDUPLICATED, Group.CELL, 0.9, 2.0, 1.0, 0.0),
+        TrafficType(0, Effect.NON_IDEMPOTENT, DeduplicationScope.CELL, 0.0, 0.05, 3.0, 0.0),
+        TrafficType(1, Effect.WITH_IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 4.0, 0.3, 1.0, 0.5),
+        TrafficType(2, Effect.IDEMPOTENT, DeduplicationScope.ALL, 0.0, 0.2, 0.5, 0.1),
+        TrafficType(3, Effect.WITH_IDEMPOTENCY_KEY, DeduplicationScope.CELL, 0.9, 2.0, 1.0, 0.0),
     ),
 )
-OUTCOMES = [Outcome.SETTLED] * 6 + list(Outcome)
+OUTCOMES = [Outcome.SUCCEEDED] * 6 + list(Outcome)
 
 
 def figures(router: Router) -> str:
@@ -88,7 +97,7 @@
             c.kind,
             c.near.keep,
             sorted(c.near.failed),
-            c.presence,
+            c.state,
             c.started,
         )
         for c in router.caches.values()
@@ -135,22 +144,26 @@
             row(i, zone="ab"[i % 2], cell=i % 3, kind=["std", "big"][i % 4 == 0], weight=float(i % 3))
             for i in range(1, 9)
         ]
-        self.router.hear_list([*self.listed, origin_row()], True, True, self.now)
+        self.router.on_endpoints_changed([*self.listed, origin_row()], True, True, self.now)
 
     def say(self, *words) -> None:
         self.told.append(repr(words))
 
     def note(self, operation, answer) -> None:
         attempt = answer.attempt
-        where = (attempt.server.ident, attempt.number) if attempt is not None else None
-        self.say(operation.ident, answer.verdict, where, answer.time, operation.over)
-        if answer.verdict is Verdict.WAIT:
-            self.say(self.router.how_long(operation, self.now))
+        where = (attempt.endpoint.ident, attempt.number) if attempt is not None else None
+        self.say(
+            operation.ident, answer.action, where, answer.timeout or answer.retry_after, operation.finished
+        )
+        if answer.action is Action.WAIT:
+            self.say(self.router.time_until_recheck(operation, self.now))
 
     def step(self) -> None:
         draw, router = self.draw, self.router
         self.now += draw.choice([0.0, 0.001, 0.004, 0.02, 0.3])
-        attempts = [attempt for operation in self.operations for attempt in operation.attempts if attempt.out]
+        attempts = [
+            attempt for operation in self.operations for attempt in operation.attempts if attempt.in_flight
+        ]
         chance = draw.random()
         if chance < 0.45 or not self.operations:
             self.count += 1
@@ -166,33 +179,35 @@
                 self.now + draw.choice([0.05, 0.5, 3.0]),
             )
             self.operations = [*self.operations[-40:], operation]
-            self.note(operation, router.where(operation, self.now))
+            self.note(operation, router.route(operation, self.now))
         elif chance < 0.82 and attempts:
             attempt, outcome = draw.choice(attempts), draw.choice(OUTCOMES)
             held = draw.choice([None, 0.0, 7.0])
-            over = outcome is Outcome.SETTLED
-            elapsed = self.now - attempt.sent
-            for operation, answer in router.after(attempt, outcome, elapsed, over, self.now, held):
+            over = outcome is Outcome.SUCCEEDED
+            elapsed = self.now - attempt.sent_at
+            for operation, answer in router.on_attempt_finished(
+                attempt, outcome, elapsed, over, self.now, held
+            ):
                 self.note(operation, answer)
         elif chance < 0.88:
             operation = draw.choice(self.operations)
-            self.note(operation, router.where(operation, self.now))
+            self.note(operation, router.route(operation, self.now))
         elif chance < 0.91:
-            self.say([attempt.number for attempt in router.gone(draw.choice(self.operations))])
+            self.say([attempt.number for attempt in router.cancel(draw.choice(self.operations))])
         elif chance < 0.94:
             n = draw.randrange(len(self.listed))
-            changed = self.listed[n]._replace(presence=draw.choice(list(Presence)))
+            changed = self.listed[n]._replace(state=draw.choice(list(EndpointState)))
             if draw.random() < 0.5:
                 changed = changed._replace(started=self.now - draw.choice([0.1, 5.0]))
             self.listed[n] = changed
-            router.hear_list([changed], False, False, self.now)
+            router.on_endpoints_changed([changed], False, False, self.now)
         elif chance < 0.97:
             content = b"".join(b"\0\0\x80\x3f" for _ in self.deployment.tenants)
-            router.hear_peer(draw.randrange(self.deployment.routers), content, self.now)
+            router.on_gossip(draw.randrange(self.deployment.router_count), content, self.now)
         else:
-            for errand in router.errands:
-                answer = router.where(errand, self.now)
-                self.say(answer, router.how_long(errand, self.now))
+            for task in router.background_tasks:
+                answer = router.route(task, self.now)
+                self.say(answer, router.time_until_recheck(task, self.now))
         self.told += router.log
         router.log.clear()
         self.told.append(figures(router) if self.count % 10 == 0 else "")
@@ -547,13 +562,13 @@
 
 def stop_beats(made) -> None:
     """From now on its figures change by what it is told alone: what fades or is refilled by time rests."""
-    made.service.dispatch.router.next_bucket = inf
+    made.service.dispatcher.router.next_bucket = inf
 
 
 def counted(made) -> str:
     """What one service keeps that may not follow another's traffic."""
     service = made.service
-    router, clients, pool = service.dispatch.router, service.clients, service.pool
+    router, clients, pool = service.dispatcher.router, service.clients, service.pool
     router_figures = (
         router.used,
         router.came,
@@ -583,7 +598,7 @@
             pool.most,
             pool.connect_time,
             pool.keep_time,
-            len(service.dispatch.exchanges),
+            len(service.dispatcher.pending_operations),
             [len(place.idle) for place in pool.endpoints.values()],
         )
     )
@@ -603,7 +618,7 @@
             for n, client in enumerate(held):
                 labels = "c=pay,t=lys,d=30000,k=same-mark"
                 await client.send("KV.SET", "same-key", f"same-id-{n}", labels, "value of theirs")
-            while len(theirs.service.dispatch.exchanges) < 2:
+            while len(theirs.service.dispatcher.pending_operations) < 2:
                 await trio.testing.wait_all_tasks_blocked()
             extra = await theirs.client()
             assert await extra.get(labels="c=page,t=lys,d=900") == b"-BUSY\r\n"  # its openCap of 2 is full
@@ -624,7 +639,7 @@
             # Each has the limits of its own settings.
             assert (ours.service.pool.connect_time, theirs.service.pool.connect_time) == (2.0, 0.7)
             assert theirs.service.clients.most_in_hand == 2 < ours.service.clients.most_in_hand
-            assert [m.service.configuration.charter.longest_wait for m in (ours, theirs)] == [0.5, 1.2]
+            assert [m.service.configuration.settings.max_client_wait for m in (ours, theirs)] == [0.5, 1.2]
 
     play(scene)
 
@@ -650,7 +665,8 @@
 SCANNED = [
     *sorted((ROOT / "gaugehinge/net").glob("*.py")),
     *sorted((ROOT / "gaugehinge/simhost").glob("*.py")),
-    *(ROOT / "gaugehinge" / name for name in ("policy.py", "charter.py", "terms.py")),
+    *sorted((ROOT / "gaugehinge/routing").glob("*.py")),
+    ROOT / "gaugehinge/settings.py",
 ]
 # Constructors whose results nobody can change, or that make a value for each instance.
 UNCHANGING = {
@@ -663,14 +679,14 @@
     "frozenset",
     "tuple",
     "object",
-    "Answer",
+    "Decision",
 }
 HARMLESS = {
-    "charter.EFFECTS": "the operators' words for effects, read only: the test of that is below",
-    "charter.GROUPS": "the operators' words for groups, read only",
-    "charter.WEIGHTS": "the operators' words for weights, read only",
-    "charter.SOURCES": "the operators' words for sources of load reports, read only",
-    "net.list_update.PRESENCES": "discovery's words for states, read only",
+    "settings.EFFECTS": "the operators' words for effects, read only: the test of that is below",
+    "settings.DEDUPLICATION_SCOPES": "the operators' words for groups, read only",
+    "settings.WEIGHTS": "the operators' words for weights, read only",
+    "settings.SOURCES": "the operators' words for sources of load reports, read only",
+    "net.endpoint_list.ENDPOINT_STATES": "discovery's words for states, read only",
     "net.sockets.SPACE": "filled by recv_into and copied to bytes in one expression, with no wait between",
     "simhost.host.EVENTS": "the wire's names to functions of a class, read only",
     "simhost.wire.OUTCOMES": "the wire's words for outcomes, read only",
@@ -803,8 +819,8 @@
 
 ORDINARY = {
     "read": "English, of bytes, lists and settings; as a class it would stand alone in a string",
-    "move": "Discovery.move, and English; as a class it would stand alone in a string",
-    "put": "Clients.put answers a command; as a class it would stand alone in a string",
+    "move": "DiscoveryClient.move, and English; as a class it would stand alone in a string",
+    "put": "ClientServer.put answers a command; as a class it would stand alone in a string",
 }
 # These two deploy files are installations of their own, for `gaugehinge serve`: what they name they declare.
 INSTALLATIONS = ("deploy/cluster.toml", "deploy/hosted.toml")
@@ -836,7 +852,7 @@
 def test_no_name_of_a_deployment_stands_in_the_program():
     names = set().union(*deployments().values())
     assert {"read", "put", "book", "acme", "n0"} <= names  # of the example, which is there
-    program = [path for path in SCANNED if path.name != "terms.py"]
+    program = [path for path in SCANNED if path.name != "types.py"]
     assert len(program) > 20
     for path in program:
         with path.open("rb") as file:
@@ -929,7 +945,7 @@
     for name in path[:-1]:
         place = place[name]
     place[path[-1]] = lower
-    assert charter(1, told) != charter(1, FIGURES), path
+    assert read_settings(1, told) != read_settings(1, FIGURES), path
 
 
 def test_no_function_of_the_socket_layer_has_a_figure_by_default():
@@ -977,7 +993,7 @@
         async with hosting(new_door=new_door) as made:
             old = await made.tenant("acme", share=1.0, allowance=50.0, memory=9)
             await made.settle()
-            router, service = made.services[0].dispatch.router, made.services[0]
+            router, service = made.services[0].dispatcher.router, made.services[0]
             clients = [await made.client(0, "acme", old) for _ in range(3)]
             router.tokens[0] = 6.0  # enough for three at once
             asked = [
@@ -1020,7 +1036,7 @@
                 assert (await client.answer()).startswith(b"$")
                 assert (await client.ask("KV.GET", "k", "i9", "c=read,d=1900")).startswith(b"-ERR auth")
                 assert await client.ask("PING") == b"+PONG\r\n"  # and no second one
-            while len(service.dispatch.exchanges):
+            while len(service.dispatcher.pending_operations):
                 await trio.sleep(0.002)
             assert made.followers[0].in_hand() == {}
             written = [seen.ident for seen in made.shelves.seen if seen.write and seen.key == b"1/k"]
@@ -1031,17 +1047,17 @@
 
 def test_a_place_that_changes_hands_starts_with_nothing_of_the_one_before():
     router = Router(replace(PLAIN, tenants=(Tenant(1.0, 50.0), Tenant(1.0, 50.0))), 100.0)
-    router.hear_list([row(1), row(2), origin_row()], True, False, 100.0)
+    router.on_endpoints_changed([row(1), row(2), origin_row()], True, False, 100.0)
     for n in range(40):
         now = 100.0 + n * 0.05
         operation = Operation(str(n), PLAIN.traffic_types[0], b"k", n % 2, False, False, now, now + 1.0)
-        answer = router.where(operation, now)
+        answer = router.route(operation, now)
         if answer.attempt is not None:
-            router.after(answer.attempt, Outcome.SETTLED, 0.01, True, now + 0.01)
-    router.hear_peer(1, b"\0\0\x80\x3f" * 2, 102.0)
+            router.on_attempt_finished(answer.attempt, Outcome.SUCCEEDED, 0.01, True, now + 0.01)
+    router.on_gossip(1, b"\0\0\x80\x3f" * 2, 102.0)
     kept = router.used[1], router.came[1], router.tokens[1]
     assert router.used[0] > 0.0 and router.peers
-    router.hear_tenants((Tenant(0.5, 9.0), Tenant(1.0, 50.0)), {0})
+    router.on_tenants_changed((Tenant(0.5, 9.0), Tenant(1.0, 50.0)), {0})
     assert (router.used[0], router.came[0], router.tokens[0]) == (0.0, 0, 1.0)
     assert (router.used[1], router.came[1], router.tokens[1]) == kept
     assert not router.peers and not router.elsewhere  # a peer told of the one before
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,12 +9,12 @@
 import trio
 import trio.testing
 
-from gaugehinge.charter import charter
 from gaugehinge.net import discovery as module
-from gaugehinge.net.deadlines import Deadlines
-from gaugehinge.net.discovery import MOST_AGAIN, NEAR_PAUSE, Discovery
-from gaugehinge.net.list_update import ListUpdate
-from gaugehinge.net.phase import Phase
+from gaugehinge.net.discovery import MOST_AGAIN, NEAR_PAUSE, DiscoveryClient
+from gaugehinge.net.endpoint_list import EndpointListUpdate
+from gaugehinge.net.lifecycle import Phase
+from gaugehinge.net.timer_queue import TimerQueue
+from gaugehinge.settings import read_settings
 from tests.helper import SETTINGS, fleet
 
 TOLD_AFTER, TOLD_BEHIND_WAIT = 6.0, 2.0  # the operators' clock for silence
@@ -35,7 +35,7 @@
         self.news.set()
         self.news = trio.Event()
 
-    async def call(self, target: str, most_time: float) -> ListUpdate | None:
+    async def call(self, target: str, most_time: float) -> EndpointListUpdate | None:
         wait = float(target.rpartition("wait=")[2]) / 1000 if "wait=" in target else 0.0
         since = int(target.partition("index=")[2].partition("&")[0]) if "index=" in target else 0
         self.calls.append((self.clock(), wait))
@@ -53,7 +53,7 @@
             await trio.sleep_until(self.calls[-1][0] + most_time)
             self.silent = True
             return None
-        return ListUpdate(self.rev, False, ())
+        return EndpointListUpdate(self.rev, False, ())
 
     def hang_up(self) -> None:
         pass
@@ -64,12 +64,12 @@
 
     async def main():
         service = Service(trio.current_time)
-        monkeypatch.setattr(module, "Watch", lambda where, deadlines: service)
+        monkeypatch.setattr(module, "Watch", lambda where, timers: service)
         heard, failed = [], []
         async with trio.open_nursery() as nursery:
-            made = Discovery(
+            made = DiscoveryClient(
                 nursery,
-                Deadlines(trio.current_time),
+                TimerQueue(trio.current_time),
                 ("127.0.0.1", 1),
                 0,
                 lambda update: heard.append((trio.current_time(), update.rev)),
@@ -194,12 +194,12 @@
     async def main():
         heard, failed = [], []
         async with trio.open_nursery() as nursery:
-            deadlines = Deadlines(trio.current_time)
-            nursery.start_soon(deadlines.run)
+            timers = TimerQueue(trio.current_time)
+            nursery.start_soon(timers.run)
             [listener] = await nursery.start(partial(trio.serve_tcp, silent_at_first, 0, host="127.0.0.1"))
-            made = Discovery(
+            made = DiscoveryClient(
                 nursery,
-                deadlines,
+                timers,
                 listener.socket.getsockname(),
                 1,
                 heard.append,
@@ -218,7 +218,7 @@
 
 def test_where_lists_are_pushed_a_new_router_first_asks_the_agent(tmp_path):
     told = {**SETTINGS, "discovery": "pushed"}
-    assert charter(1, told).pushed and not charter(1, SETTINGS).pushed
+    assert read_settings(1, told).endpoints_pushed and not read_settings(1, SETTINGS).endpoints_pushed
     asked = []
 
     def agent(method, target, headers, body):
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -8,7 +8,6 @@
 import pytest
 import trio
 
-from gaugehinge.charter import charter
 from gaugehinge.door.comeback import BUDGET_DEPTH, ComeBack
 from gaugehinge.door.costs import FIRST_EACH, Costs
 from gaugehinge.door.door import Door
@@ -17,7 +16,8 @@
 from gaugehinge.door.limiter import FLOOR, LOOKS, Limiter
 from gaugehinge.door.places import ACCEPT_LEAST, ACCEPT_PART, BURST, NEVER_SPOKE, Pace, yielding
 from gaugehinge.emulator.virtual import VirtualTime
-from gaugehinge.terms import Operation
+from gaugehinge.routing.types import Operation
+from gaugehinge.settings import read_settings
 from tests.helper import SETTINGS, Cache, fleet
 
 
@@ -325,21 +325,21 @@
         parties = [
             {"name": f"t{i}", "share": share, "allowancePerS": 100.0} for i, share in enumerate(shares)
         ]
-        told = charter(7, {**SETTINGS, "parties": parties})
-        self.deadlines = SimpleNamespace(clock=self.time.clock, at=self.time.at, behind=0.0, lag=0.0)
+        told = read_settings(7, {**SETTINGS, "parties": parties})
+        self.timers = SimpleNamespace(clock=self.time.clock, at=self.time.at, behind=0.0, lag=0.0)
         self.took = took
         self.sent: list = []
         self.answers: list = []
-        dispatch = SimpleNamespace(
-            deadlines=self.deadlines, clock=self.time.clock, submit=self.submit, client_gone=self.sent.append
+        dispatcher = SimpleNamespace(
+            timers=self.timers, clock=self.time.clock, submit=self.submit, client_gone=self.sent.append
         )
-        self.door = Door(told, dispatch, 64 << 20)
+        self.door = Door(told, dispatcher, 64 << 20)
         self.door.limiter.limit = self.door.limiter.most = limit
         self.types = told.deployment.traffic_types
 
-    def submit(self, operation, cargo, answer) -> int:
+    def submit(self, operation, payload, answer) -> int:
         self.sent.append(operation.key)
-        self.time.at(self.time.now + self.took, answer, b"$2\r\nok\r\n")
+        self.time.call_at(self.time.now + self.took, answer, b"$2\r\nok\r\n")
         return len(self.sent)
 
     def ask(self, key, tenant=0, kind=0, wait=1.0, client=b"c", repeat=False):
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -40,18 +40,18 @@
 )
 from gaugehinge.drains.router import RouterDrains
 from gaugehinge.forms.units import Seconds
-from gaugehinge.net.deadlines import Clock, Deadlines
-from gaugehinge.net.list_update import ListUpdate, Target
-from gaugehinge.net.pool import Cargo, Pool, RespDialect
+from gaugehinge.net.connection_pool import ConnectionPool, RequestPayload, RespCodec
+from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
+from gaugehinge.net.timer_queue import Clock, TimerQueue
 from gaugehinge.placement.shards import Terms
 from gaugehinge.rehearsal.drainsplay import woken, written_ago
 from gaugehinge.rehearsal.hostedplay import CHEAP
 from gaugehinge.rehearsal.plays import run_many
+from gaugehinge.routing.types import Attempt, EndpointEntry, EndpointState, Outcome
 from gaugehinge.store.keeper import StoreKeeper
 from gaugehinge.store.store import Full
 from gaugehinge.tenancy.credentials import Attempts
 from gaugehinge.tenancy.feed import Report
-from gaugehinge.terms import Attempt, Listing, Outcome, Presence
 
 LIMITS = {ORIGIN: 12, SERVERS: 8}
 FLOORS = {ORIGIN: 1, SERVERS: 1}
@@ -455,23 +455,25 @@
     async with trio.open_nursery() as nursery:
         peers, clock, ended = Peers(), Clock(), []
         listeners = await nursery.start(trio.serve_tcp, peers.serve, 0)
-        deadlines = Deadlines(clock)
-        nursery.start_soon(deadlines.run)
-        pool = Pool(
+        timers = TimerQueue(clock)
+        nursery.start_soon(timers.run)
+        pool = ConnectionPool(
             nursery,
-            deadlines,
+            timers,
             100,
             1.0,
             60.0,
             lambda attempt, outcome, *rest: ended.append((attempt, outcome)),
         )
         port = next(x for x in listeners if x.socket.family == socket.AF_INET).socket.getsockname()[1]
-        listing = Listing(1, "a", "std", 0, Presence.UP, 0.0)
-        pool.hear_list(ListUpdate(1, True, (Target(listing, "s-1", ("127.0.0.1", port)),)))
+        listing = EndpointEntry(1, "a", "std", 0, EndpointState.UP, 0.0)
+        pool.on_endpoints_changed(
+            EndpointListUpdate(1, True, (EndpointTarget(listing, "s-1", ("127.0.0.1", port)),))
+        )
         router = SimpleNamespace(origin=None)
         service = SimpleNamespace(
             pool=pool,
-            dispatch=SimpleNamespace(noted=None, router=router, exchanges=[]),
+            dispatcher=SimpleNamespace(noted=None, router=router, pending_operations=[]),
             farewells=[],
             configuration=SimpleNamespace(name="r"),
             lifecycle=SimpleNamespace(phase=None),
@@ -483,12 +485,12 @@
         )
         part.closing = 30.0
         tell(part, time, 1, granted)
-        server = SimpleNamespace(ident=1, origin=False, presence=Presence.UP)
+        server = SimpleNamespace(ident=1, origin=False, presence=EndpointState.UP)
 
         def send(time_out=5.0):
             attempt = Attempt(SimpleNamespace(over=False, latest=inf), server, 0, clock())
-            cargo = Cargo(b"i", b"k", (b"d=", b""), b"", b"*4\r\n$6\r\nKV.GET\r\n", b"", None)
-            pool.send(attempt, cargo, time_out, RespDialect())
+            payload = RequestPayload(b"i", b"k", (b"d=", b""), b"", b"*4\r\n$6\r\nKV.GET\r\n", b"", None)
+            pool.send(attempt, payload, time_out, RespCodec())
             return attempt
 
         yield SimpleNamespace(part=part, pool=pool, peers=peers, send=send, ended=ended, time=time)
@@ -525,7 +527,7 @@
         async with connections(tmp_path, 2) as all_:
             attempts = [all_.send() for _ in range(12)]
             await until(lambda: len(all_.ended) == len(attempts))
-            assert {outcome for _, outcome in all_.ended} == {Outcome.SETTLED} and all_.peers.most == 2
+            assert {outcome for _, outcome in all_.ended} == {Outcome.SUCCEEDED} and all_.peers.most == 2
             said = msgspec.json.decode(all_.part.report(), type=Said)
             assert said.counted[SERVERS] == 2 and said.need[SERVERS] >= 10 and said.number == 1
             all_.peers.answers = trio.Event()
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -19,7 +19,7 @@
 from gaugehinge.emulator.virtual import VirtualTime
 from gaugehinge.forms.units import Seconds, Size
 from gaugehinge.installation.form import Rules
-from gaugehinge.net.deadlines import Deadlines
+from gaugehinge.net.timer_queue import TimerQueue
 
 READ = Traffic("read", "idempotent", Seconds(1.0), service=Seconds(0.01), origin=Seconds(0.1), spread=0.0)
 MOVE = Traffic(
@@ -314,11 +314,11 @@
     import time
 
     notes: list = []
-    deadlines = Deadlines(time.monotonic)
-    nursery.start_soon(deadlines.run)
+    timers = TimerQueue(time.monotonic)
+    nursery.start_soon(timers.run)
     tables = Tables(7, {"read": READ}, RULES, Misses(), {}, lambda *row: notes.append(row))
-    server = CacheServer("c-0", Caches(**{"filled": 1.0, **changes}), deadlines, tables)
-    door = CacheDoor(nursery, deadlines, server)
+    server = CacheServer("c-0", Caches(**{"filled": 1.0, **changes}), timers, tables)
+    door = CacheDoor(nursery, timers, server)
     door.addresses = [("127.0.0.1", Ports(3).free(["127.0.0.1"]))]
     door.open()
     return Played(door, notes)
