--- a/gaugehinge/installation/build.py
+++ b/gaugehinge/installation/build.py
@@ -41,30 +41,30 @@
     limits, rules, tier = told.limits, told.rules, told.tier
     deployment = Deployment(
         seed=told.seed or secrets.randbits(63),
-        me=tier.me,
-        routers=tier.routers,
+        router_number=tier.me,
+        router_count=tier.routers,
         traffic_types=tuple(_traffic(i, entry) for i, entry in enumerate(told.traffic)),
         # Followed ones are told later; a place for each that there may be.
         tenants=tuple(Tenant(t.share, float(t.allowance)) for t in told.tenants)
         or (Tenant(0.0, 0.0),) * (told.follow.most_tenants if told.follow.keeper else 0),
-        aside=rules.asks_origin,
+        cache_aside=rules.asks_origin,
         origin_kind=rules.origin_kind or None,
-        tick=float(rules.tick),
-        most_attempts=limits.legs,
-        cold_from=rules.cold_from,
-        cold_time=float(rules.cold_time),
-        fall_multiple=rules.fall_multiple,
-        fall_time=float(rules.fall_time),
+        clock_granularity=float(rules.tick),
+        max_attempts=limits.legs,
+        cold_capacity=rules.cold_from,
+        warm_up_time=float(rules.cold_time),
+        overload_multiple=rules.fall_multiple,
+        overload_time=float(rules.fall_time),
         may_cancel=rules.may_cancel,
-        may_message=bool(tier.listen),
-        must_ask=True,  # over HTTP nothing comes unasked
-        longest_come_back=float(limits.come_back),
-        beyond_share=rules.beyond_share,
-        payoff_by_work=rules.payoff_by_work,
-        weighted=rules.weights,
+        may_gossip=bool(tier.listen),
+        must_poll=True,  # over HTTP nothing comes unasked
+        max_retry_after=float(limits.come_back),
+        over_quota_weight=rules.beyond_share,
+        weight_by_work=rules.payoff_by_work,
+        has_endpoint_weights=rules.weights,
         zone=tier.zone,
-        cross_price=rules.crossing_price,
-        one_a_connection=rules.one_leg_a_connection,
+        cross_zone_price=rules.crossing_price,
+        one_attempt_per_connection=rules.one_leg_a_connection,
         connection_price=rules.connection_price,
     )
     return Settings(
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -641,7 +641,7 @@
         if self.old_list_until and now >= self.old_list_until:
             self.old_list_until = 0.0
             logger.warning("recovery: the list is followed though it may be old")
-        self.opening.share([tenant.share for tenant in self.dispatcher.router.tenants])
+        self.opening.share([tenant.quota for tenant in self.dispatcher.router.tenants])
         self.opening.step(self._warmth(now), now)
         if self.opening.open and self.order.stage is Stage.CLIENTS:
             self.order.stage = Stage.OPEN
@@ -676,7 +676,7 @@
         if self.mind.verdict is Verdict.LONE:
             self.opening.open = True
         else:
-            self.opening.begin(bearing, [tenant.share for tenant in router.tenants], now)
+            self.opening.begin(bearing, [tenant.quota for tenant in router.tenants], now)
         logger.info(
             "recovery: ready after {:.1f} s, {}: {} servers, {:.1f} reads and {:.1f} writes a second before",
             now - self.began,
--- a/gaugehinge/routing/router.py
+++ b/gaugehinge/routing/router.py
@@ -1,9 +1,9 @@
 """All routing decisions of gaugehinge. One `Router` serves one process and shares nothing with others.
 
-Ask `where(thing, now)` for an operation that came in or whose wait is over, `after(attempt, outcome, ...)`
-when an attempt ended, `how_long(thing, now)` when the answer was "not yet". Tell it what happened with
-`hear_list`, `hear_peer` and `gone`. `router.errands` are its own standing tasks and go through the same
-calls. The plain types of the interface live in deployment.py, the reasons in docs/design.md.
+Ask `route(thing, now)` for an operation that came in or whose wait is over, `on_attempt_finished(attempt, outcome, ...)`
+when an attempt ended, `time_until_recheck(thing, now)` when the answer was "not yet". Tell it what happened with
+`on_endpoints_changed`, `on_gossip` and `cancel`. `router.background_tasks` are its own standing tasks and go through the same
+calls. The plain types of the interface live in types.py, the reasons in docs/design.md.
 """
 
 from __future__ import annotations
@@ -997,9 +997,9 @@
         for i, tenant in enumerate(self.tenants):
             if self.elsewhere:
                 everywhere = self.used[i] + self.elsewhere[i]
-                refill = tenant.allowance * (self.used[i] / everywhere if everywhere else 1.0)
+                refill = tenant.rate_limit * (self.used[i] / everywhere if everywhere else 1.0)
             else:
-                refill = 1.25 * tenant.share * sum(self.used)
+                refill = 1.25 * tenant.quota * sum(self.used)
             self.tokens[i] = min(self.tokens[i] + refill * span, max(SHARE_DEPTH, refill))
 
     # ---------------------------------------------------------------- routing, retries, the origin
--- a/gaugehinge/simhost/host.py
+++ b/gaugehinge/simhost/host.py
@@ -68,7 +68,7 @@
     def completed(self, values: dict[str, str], now: float) -> None:
         operation = self.operations.get(values["id"])
         number = int(values["trial"])
-        if operation is None or number >= len(operation.attempts) or not operation.attempts[number].out:
+        if operation is None or number >= len(operation.attempts) or not operation.attempts[number].in_flight:
             return
         steps = self.router.on_attempt_finished(
             operation.attempts[number],
@@ -86,7 +86,7 @@
         thing = self.timers.pop(int(values["name"]), None)
         if isinstance(thing, BackgroundTask):
             self._errand(thing, now)
-        elif thing is not None and not thing.over:
+        elif thing is not None and not thing.finished:
             self._do(thing, self.router.route(thing, now), now)
 
     def abandoned(self, values: dict[str, str], now: float) -> None:
@@ -301,7 +301,7 @@
     """Whether the error rose within the decision module."""
     trace = bad.__traceback__
     while trace is not None:
-        if trace.tb_frame.f_globals.get("__name__") == "gaugehinge.policy":
+        if trace.tb_frame.f_globals.get("__name__", "").startswith("gaugehinge.routing."):
             return True
         trace = trace.tb_next
     return False
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -60,16 +60,16 @@
 def is_borne(sent: list[float], rate: float, rules: dict[str, float]) -> None:
     assert sent  # it is asked at all, or it would never warm
     for end in sent:
-        began = end - rules["fall_time"]
+        began = end - rules["overload_time"]
         came = sum(began < each <= end for each in sent)
-        warm = min(max(began - 100.0, 0.0) / rules["cold_time"], 1.0)
-        part = rules["cold_from"] + (1.0 - rules["cold_from"]) * warm  # at its coldest then
-        bears = rules["fall_multiple"] * rate * part * rules["fall_time"]
+        warm = min(max(began - 100.0, 0.0) / rules["warm_up_time"], 1.0)
+        part = rules["cold_capacity"] + (1.0 - rules["cold_capacity"]) * warm  # at its coldest then
+        bears = rules["overload_multiple"] * rate * part * rules["overload_time"]
         assert came <= bears + 2 * sqrt(bears) + 2, f"{came} of {bears:.0f} before {end - 100:.1f} s"
 
 
-SHORT = {"cold_from": 0.4, "cold_time": 8.0, "fall_multiple": 2.5, "fall_time": 3.0}
-LONG = {"cold_from": 0.12, "cold_time": 24.0, "fall_multiple": 4.0, "fall_time": 1.5}
+SHORT = {"cold_capacity": 0.4, "warm_up_time": 8.0, "overload_multiple": 2.5, "overload_time": 3.0}
+LONG = {"cold_capacity": 0.12, "warm_up_time": 24.0, "overload_multiple": 4.0, "overload_time": 1.5}
 
 
 @pytest.mark.parametrize("routers", [3, 30, 200])
@@ -78,7 +78,7 @@
 def test_all_that_come_at_once_after_a_quiet_time_push_no_cold_cache_over(rate, rules, quiet, routers):
     """Nobody wants a key of it for a while, then every router at every moment: each spends all it has."""
     made, sent, now = fleet_of(routers, rate, **rules), [], 100.0
-    while now < 100.0 + quiet + 2 * rules["fall_time"]:
+    while now < 100.0 + quiet + 2 * rules["overload_time"]:
         now += STEP
         for router in made:
             at(router, now, rate * CACHES / len(made))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -814,7 +814,7 @@
 
 
 def test_an_own_zone_without_a_cache_is_no_zone_to_start_in():
-    bench = zoned(one_a_connection=True, connection_price=0.1)
+    bench = zoned(one_attempt_per_connection=True, connection_price=0.1)
     bench.hear([row(i, zone="b") for i in range(1, 9, 2)] + [origin_row()])
     assert bench.ask()[1].attempt.endpoint.zone == "b"
 
@@ -850,7 +850,7 @@
 
 def test_untold_by_peers_a_run_of_one_tenant_is_not_held_to_its_home():
     bench = Bench(
-        tenant_indexes=(Tenant(0.5, 5.0), Tenant(0.5, 5.0)), over_quota_weight=0.05, router_count=300
+        tenants=(Tenant(0.5, 5.0), Tenant(0.5, 5.0)), over_quota_weight=0.05, router_count=300
     )
     bench.router.tokens = [0.0, 9.0]
     assert all(bench.ask("k", tenant=0)[1].action is Action.SEND for _ in range(4))
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -20,7 +20,7 @@
             router_count=routers,
             cache_aside=self.dice.random() < 0.8,
             must_poll=self.dice.random() < 0.5,
-            tenant_indexes=(Tenant(0.5, 20.0), Tenant(0.5, 20.0)) if seed % 2 else (),
+            tenants=(Tenant(0.5, 20.0), Tenant(0.5, 20.0)) if seed % 2 else (),
             over_quota_weight=0.1,
         )
         self.presence = {i: EndpointState.UP for i in range(1, 7)}
