--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -197,7 +197,7 @@
             old,
             discovery=new.discovery,
             peers=new.peers,
-            deduplication_window=new.memory,
+            memory=new.memory,
             sockets=new.sockets,
         )
         logger.info("configuration read again: discovery at {}:{}", *new.discovery)
--- a/gaugehinge/recovery/effects.py
+++ b/gaugehinge/recovery/effects.py
@@ -32,7 +32,7 @@
         self.aside = deployment.cache_aside
         self.origin_kind = deployment.origin_kind
         self.memory = [
-            each.memory
+            each.deduplication_window
             if each.effect is Effect.WITH_IDEMPOTENCY_KEY
             else unrepeatable
             if each.effect is Effect.NON_IDEMPOTENT
@@ -57,7 +57,7 @@
         for row, memory in enumerate(self.memory):
             kind = self.types[row]
             kept = verdict is Verdict.LONE or (
-                kind.effect is Effect.WITH_IDEMPOTENCY_KEY and kind.group is DeduplicationScope.ALL
+                kind.effect is Effect.WITH_IDEMPOTENCY_KEY and kind.deduplication_scope is DeduplicationScope.ALL
             )
             if not memory or not kept:
                 continue  # our zone's own marks are gone with it
@@ -74,7 +74,7 @@
             self.starts = {ident: kept for ident, kept in self.starts.items() if ident in named}
         for each in entries:
             known = self.starts.get(each.ident)
-            if each.presence is EndpointState.GONE:
+            if each.state is EndpointState.GONE:
                 self.starts.pop(each.ident, None)
             elif first or (known is not None and each.started <= known[0].started):
                 self.starts[each.ident] = (each, known[1] if known else -inf)
@@ -82,7 +82,7 @@
                 self.starts[each.ident] = (each, now)
         for row, kind in enumerate(self.types):
             if kind.effect is Effect.WITH_IDEMPOTENCY_KEY:
-                self._open(row, self._lost_at(kind.group, now - self.memory[row]), now)
+                self._open(row, self._lost_at(kind.deduplication_scope, now - self.memory[row]), now)
 
     def doubt(self, ident: int, now: float) -> list[int]:
         """What a server remembers is not known to be there any more, whatever the list says by now. Returns
@@ -95,7 +95,7 @@
         rows = []
         for row, kind in enumerate(self.types):
             if kind.effect is Effect.WITH_IDEMPOTENCY_KEY:
-                lost_at = self._lost_at(kind.group, now - self.memory[row])
+                lost_at = self._lost_at(kind.deduplication_scope, now - self.memory[row])
                 self._open(row, lost_at, now)
                 if lost_at == now:
                     rows.append(row)
--- a/gaugehinge/recovery/opening.py
+++ b/gaugehinge/recovery/opening.py
@@ -219,8 +219,8 @@
         self.aside = deployment.cache_aside
         self.longest_away = deployment.max_retry_after
         self.cold_from, self.cold_time = deployment.cold_capacity, deployment.warm_up_time
-        payoffs = sorted({kind.payoff for kind in self.types}, reverse=True)
-        self.rank = [payoffs.index(kind.payoff) for kind in self.types]
+        payoffs = sorted({kind.priority_weight for kind in self.types}, reverse=True)
+        self.rank = [payoffs.index(kind.priority_weight) for kind in self.types]
         self.seed, self.draws = seed, 0
         self.writes = Lane(LEAST_RATE, len(payoffs))
         self.reads = Lane(0.0, len(payoffs))
