--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -382,7 +382,7 @@
         cluster=msgspec.structs.replace(
             told.cluster,
             listen=f"127.0.0.1:{port}",
-            router_count=(f"127.0.0.1:{port}",),
+            routers=(f"127.0.0.1:{port}",),
             command=(*told.cluster.command, CommandEntry("SET", "book", write=True, least=2, most=2)),
         ),
     )
--- a/tests/test_company.py
+++ b/tests/test_company.py
@@ -212,8 +212,8 @@
     at = []
     attempts = [event for event in play(tmp_path, scene) if isinstance(event, Attempt)]
     assert any(each.at < at[0] and each.server == "server-0" and not each.draining for each in attempts)
-    late = [attempt for attempt in attempts if attempt.endpoint == "server-0" and attempt.at > at[0] + 1.0]
-    assert not late and any(attempt.endpoint == "server-1" and attempt.at > at[0] for attempt in attempts)
+    late = [attempt for attempt in attempts if attempt.server == "server-0" and attempt.at > at[0] + 1.0]
+    assert not late and any(attempt.server == "server-1" and attempt.at > at[0] for attempt in attempts)
 
 
 def test_a_played_server_is_cold_falls_over_and_remembers_marks_but_not_without_power(tmp_path):
