--- a/benchmarks/hosted.py
+++ b/benchmarks/hosted.py
@@ -78,9 +78,9 @@
             await trio.sleep(0.3 + draw.random())
             await made.tenant(f"missed-too-{number}")
             await trio.sleep(draw.random())
-            assert follower.roster.revision < made.keeper.rev
+            assert follower.roster.revision < made.keeper.revision
             follower.client, began = kept, trio.current_time()
-            while follower.roster.revision < made.keeper.rev:
+            while follower.roster.revision < made.keeper.revision:
                 await trio.sleep(0.001)
             took.append(trio.current_time() - began)
     return took
@@ -155,7 +155,7 @@
 async def _heard(made: Hosted) -> None:
     with trio.fail_after(60):
         while not made.administration.routers or any(
-            heard.revision < made.keeper.rev for heard in made.administration.routers.values()
+            heard.revision < made.keeper.revision for heard in made.administration.routers.values()
         ):
             await trio.sleep(0.05)
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -13,8 +13,8 @@
 
 import click
 
-from gaugehinge.store.store import Store, Wanted, encode
-from gaugehinge.store.trial import kill_once
+from gaugehinge.store.crash_test import kill_writer_once
+from gaugehinge.store.store import Mutation, Store, encode
 
 
 @click.group()
@@ -33,7 +33,7 @@
         for i in range(changes):
             began = time.perf_counter()
             store.apply(
-                [Wanted("tenant", f"t{i % 1000}", encode({"n": i, "text": "x" * 200}))], "w", float(i)
+                [Mutation("tenant", f"t{i % 1000}", encode({"n": i, "text": "x" * 200}))], "w", float(i)
             )
             took.append(time.perf_counter() - began)
         took.sort()
@@ -57,7 +57,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "s.db"
         for number in range(count):
-            last, found = kill_once(path, seed * 1000 + number, draw.randint(1, 30))
+            last, found = kill_writer_once(path, seed * 1000 + number, draw.randint(1, 30))
             behind += found > last
         click.echo(
             f"{count} kills, revision {found}: all acknowledged changes there, no half; {behind} found more"
--- a/gaugehinge/admin/app.py
+++ b/gaugehinge/admin/app.py
@@ -14,10 +14,10 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from ..store.keeper import Overloaded
-from ..store.store import Full
+from ..store.async_store import StoreOverloadedError
+from ..store.store import DiskFullError
 from ..tenancy.feed import Feed, Report
-from ..tenancy.life import Order
+from ..tenancy.lifecycle import TenantAction
 from .service import Administration, Caller, Wrong
 from .types import (
     AuditPage,
@@ -145,7 +145,7 @@
         return await make()
     print_ = hashlib.sha256(f"{request.method} {request.url.path}\n".encode() + body).digest()
     keeper = administration.keeper
-    held = await keeper.call(keeper.store.answered, caller.name, key)
+    held = await keeper.run_sync(keeper.store.recorded_response, caller.name, key)
     if held is None:
         return await make(key=key, request=print_)
     if held[0] != print_:
@@ -202,7 +202,7 @@
         return answer(self.description)
 
     async def _health(self, request: Request) -> Response:
-        return answer({"revision": self.administration.keeper.rev})
+        return answer({"revision": self.administration.keeper.revision})
 
     def _guarded(self, handler: Handler) -> Callable[[Request], Awaitable[Response]]:
         """A handler within all limits; whatever goes wrong is a problem in the protocol."""
@@ -218,9 +218,9 @@
             except Wrong as bad:
                 headers = {"WWW-Authenticate": "Bearer"} if bad.status == 401 else {}
                 return problem(bad.status, bad.what, bad.detail, bad.field, bad.etag, **headers)
-            except Overloaded:
+            except StoreOverloadedError:
                 return problem(503, "overloaded", **{"Retry-After": "1"})
-            except Full:
+            except DiskFullError:
                 return problem(507, "storage full", "nothing was changed")
             except Exception:
                 logger.exception("a call of the API failed")
@@ -290,13 +290,13 @@
 
     async def activate(self, request: Request, caller: Caller) -> Response:
         """POST /v1/tenants/{name}/activate."""
-        return await self._tell(request, caller, Order.ACTIVATE)
+        return await self._tell(request, caller, TenantAction.ACTIVATE)
 
     async def suspend(self, request: Request, caller: Caller) -> Response:
         """POST /v1/tenants/{name}/suspend."""
-        return await self._tell(request, caller, Order.SUSPEND)
+        return await self._tell(request, caller, TenantAction.SUSPEND)
 
-    async def _tell(self, request: Request, caller: Caller, wanted: Order) -> Response:
+    async def _tell(self, request: Request, caller: Caller, wanted: TenantAction) -> Response:
         caller.need("operator")
         name = request.path_params["name"]
         found = await self.administration.tell(name, wanted, if_match(request), caller.name)
--- a/gaugehinge/admin/keep.py
+++ b/gaugehinge/admin/keep.py
@@ -17,10 +17,10 @@
 from ..forms import toml
 from ..forms.units import Rate, Seconds, default
 from ..installation.form import BadField, endpoint
-from ..store.keeper import Overloaded, StoreKeeper
-from ..store.store import Conflict, Full, Wanted, encode
-from ..tenancy.credentials import Attempts, Hasher
-from ..tenancy.life import UNHEARD, Stage, pass_away
+from ..store.async_store import AsyncStore, StoreOverloadedError
+from ..store.store import DiskFullError, Mutation, RevisionConflictError, encode
+from ..tenancy.credentials import AttemptLimiter, SecretHasher
+from ..tenancy.lifecycle import ROUTER_TIMEOUT, TenantStage, finish_removal
 from .app import MOST_BODY, Api
 from .service import TOMBSTONE, Administration, Part
 from .types import Kept
@@ -147,20 +147,22 @@
 async def look_at_stones(administration: Administration) -> int:
     """Let tombstones pass away whose marks are forgotten; how many went."""
     keeper, gone = administration.keeper, 0
-    stones = await keeper.call(lambda: keeper.store.items(TOMBSTONE))
+    stones = await keeper.run_sync(lambda: keeper.store.items(TOMBSTONE))
     for item in stones:
         kept = msgspec.json.decode(item.body, type=Kept)
         now = keeper.clock()
         reports = administration.reports(kept.incarnation, now)
         # From the first revision of its tombstone on they know that it leaves; later ones only say `clear`.
-        after = kept.living(pass_away(kept.tenancy, reports, kept.left_at or item.rev, kept.memory, now))
+        after = kept.living(
+            finish_removal(kept.tenancy, reports, kept.left_at or item.revision, kept.memory, now)
+        )
         if after == kept:
             continue
-        after = msgspec.structs.replace(after, left_at=kept.left_at or item.rev)
-        body = None if after.stage == Stage.GONE.value else encode(after)
+        after = msgspec.structs.replace(after, left_at=kept.left_at or item.revision)
+        body = None if after.stage == TenantStage.GONE.value else encode(after)
         try:
-            await keeper.apply([Wanted(TOMBSTONE, item.ident, body, item.rev)], "keeper")
-        except Conflict:
+            await keeper.apply([Mutation(TOMBSTONE, item.item_id, body, item.revision)], "keeper")
+        except RevisionConflictError:
             continue
         gone += body is None
     return gone
@@ -172,12 +174,12 @@
     Not before every router that there may be has had the time to be heard of: a keeper that has just started
     knows of none, and what a router holds would count as forgotten.
     """
-    await trio.sleep(UNHEARD)
+    await trio.sleep(ROUTER_TIMEOUT)
     while True:
         await trio.sleep(STONES_EVERY)
         try:
             gone = await look_at_stones(administration)
-        except (Overloaded, Full) as bad:
+        except (StoreOverloadedError, DiskFullError) as bad:
             logger.warning("tombstones not looked at: {}", bad)
             continue
         if gone:
@@ -185,13 +187,13 @@
 
 
 async def keep(
-    told: KeepFile, hasher: Hasher | None = None, parts: Sequence[Callable[[Administration], Part]] = ()
+    told: KeepFile, hasher: SecretHasher | None = None, parts: Sequence[Callable[[Administration], Part]] = ()
 ) -> None:
-    """Serve until told to end (SIGTERM, SIGINT), with the parts that the file switched on. Raises Damaged
-    before anything is served."""
-    keeper = StoreKeeper(told.store)
+    """Serve until told to end (SIGTERM, SIGINT), with the parts that the file switched on. Raises
+    StoreUnusableError before anything is served."""
+    keeper = AsyncStore(told.store)
     try:
-        administration = Administration(keeper, hasher or Hasher(), Attempts(1, keeper.clock()))
+        administration = Administration(keeper, hasher or SecretHasher(), AttemptLimiter(1, keeper.clock()))
         administration.numbers_above = told.numbers_above
         secret = await administration.first_operator()
         await administration.ready()
@@ -218,16 +220,16 @@
                         end.set()
 
                 nursery.start_soon(hear)
-                nursery.start_soon(keeper.care)
+                nursery.start_soon(keeper.run_maintenance)
                 nursery.start_soon(stones, administration)
                 for part in administration.parts:
                     nursery.start_soon(part.run)
-                logger.info("keeper of {} at {}: revision {}", told.store, told.listen, keeper.rev)
+                logger.info("keeper of {} at {}: revision {}", told.store, told.listen, keeper.revision)
                 await serve(Api(administration).app(), config, shutdown_trigger=end.wait)
                 nursery.cancel_scope.cancel()
         try:
-            await keeper.snapshot()
-        except (OSError, Full) as bad:  # an end as ordered: the store itself is whole
+            await keeper.take_snapshot()
+        except (OSError, DiskFullError) as bad:  # an end as ordered: the store itself is whole
             logger.error("no snapshot: {}", bad)
     finally:
         keeper.close()
--- a/gaugehinge/admin/service.py
+++ b/gaugehinge/admin/service.py
@@ -18,13 +18,20 @@
 import msgspec
 import trio
 
-from ..store.keeper import StoreKeeper
-from ..store.store import Change, Conflict, Item, Store, Wanted, encode
-from ..tenancy.credentials import Attempts, Credential, Hasher, revoke, rotate
-from ..tenancy.feed import MOST_TENANTS, Feed, Report, TenantRow
-from ..tenancy.lease import Ledger
-from ..tenancy.life import UNHEARD, Order, Refused, Stage, create, order
-from ..tenancy.life import Report as LifeReport
+from ..store.async_store import AsyncStore
+from ..store.store import Change, Item, Mutation, RevisionConflictError, Store, encode
+from ..tenancy.credentials import AttemptLimiter, Credential, SecretHasher, revoke, rotate
+from ..tenancy.feed import MAX_TENANTS, Feed, Report, TenantRow
+from ..tenancy.lease import LeaseTable
+from ..tenancy.lifecycle import (
+    ROUTER_TIMEOUT,
+    LifecycleError,
+    RouterReport,
+    TenantAction,
+    TenantStage,
+    apply_action,
+    create_incarnation,
+)
 from .types import (
     AuditEntry,
     Kept,
@@ -118,7 +125,7 @@
 class Administration:
     """The calls of the API on one store."""
 
-    def __init__(self, keeper: StoreKeeper, hasher: Hasher, attempts: Attempts) -> None:
+    def __init__(self, keeper: AsyncStore, hasher: SecretHasher, attempts: AttemptLimiter) -> None:
         self.keeper = keeper
         self.hasher = hasher
         self.attempts = attempts
@@ -127,14 +134,14 @@
         self.life = ""  # of this store, once it is ready
         self.run_mark = secrets.token_hex(8)  # of this start of the keeper
         self.lease = 0.0  # seconds that each answer to a router gives it; 0: none, and no part is on
-        self.leases = Ledger(time.monotonic(), 0.0)  # `give_leases` sets it
+        self.leases = LeaseTable(time.monotonic(), 0.0)  # `give_leases` sets it
         self.parts: list[Part] = []  # fixed before the API is served
         self.numbers_above = 0  # of incarnations: a store made anew knows none that another one gave
         self.told: dict[int, str] = {}  # revisions that this run told, and their marks; TOLD_MOST of them
 
     def give_leases(self, lease: float) -> None:
         """From the start on, each answer to a router carries a lease of so many seconds."""
-        self.lease, self.leases = lease, Ledger(time.monotonic(), lease)
+        self.lease, self.leases = lease, LeaseTable(time.monotonic(), lease)
 
     # -- who is it
 
@@ -146,17 +153,17 @@
         if known is not None and now < known[1] and known[2] == self._operators_rev:
             return known[0]
         ident = secret.split("_")[1] if secret.count("_") >= 2 else ""
-        wait = self.attempts.wait(source, ident, now)
+        wait = self.attempts.acquire(source, ident, now)
         if wait:
             raise Wrong(429, "too many tries", f"again in {wait:.0f} s")
-        operators = await self.keeper.call(lambda: self.keeper.store.items(OPERATOR))
+        operators = await self.keeper.run_sync(lambda: self.keeper.store.items(OPERATOR))
         kept = [msgspec.json.decode(item.body, type=OperatorKept) for item in operators]
-        mine = next((each for each in kept if any(c.ident == ident for c in each.credentials)), None)
+        mine = next((each for each in kept if any(c.credential_id == ident for c in each.credentials)), None)
         found = await trio.to_thread.run_sync(
-            self.hasher.check, secret, mine.credentials if mine else (), now
+            self.hasher.find_match, secret, mine.credentials if mine else (), now
         )
         if found is None:
-            self.attempts.wrong(source, ident, now)
+            self.attempts.record_failure(source, ident, now)
             raise Wrong(401, "unauthorized", "no such secret")
         caller = Caller(mine.name, mine.role, mine.tenant)
         while len(self._known) >= KNOWN_MOST:
@@ -168,27 +175,27 @@
 
     async def first_operator(self) -> str | None:
         """On an empty store, make `root` and return its secret."""
-        if await self.keeper.call(lambda: self.keeper.store.items(OPERATOR, most=1)):
+        if await self.keeper.run_sync(lambda: self.keeper.store.items(OPERATOR, limit=1)):
             return None
         return (await self.new_operator("root", "operator", "", "start")).secret
 
     async def new_operator(self, name: str, role: str, tenant: str, who: str) -> Secret:
         """One more who may use the API."""
-        secret, credential = await trio.to_thread.run_sync(self.hasher.make, self.keeper.clock())
+        secret, credential = await trio.to_thread.run_sync(self.hasher.issue, self.keeper.clock())
         kept = OperatorKept(name, role, tenant, [credential])
         try:
-            await self.keeper.apply([Wanted(OPERATOR, name, encode(kept), 0)], who)
-        except Conflict:
+            await self.keeper.apply([Mutation(OPERATOR, name, encode(kept), 0)], who)
+        except RevisionConflictError:
             raise Wrong(409, "conflict", f"operator {name} is there already", "name") from None
         self._operators_rev += 1
-        return Secret(credential.ident, secret)
+        return Secret(credential.credential_id, secret)
 
     async def ready(self) -> None:
         """Before routers are told anything: the store has a name, and every tenant a place."""
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             held = store.get(COUNTER, LIFE)
-            wanted = [] if held else [Wanted(COUNTER, LIFE, encode(secrets.token_hex(8)), 0)]
+            wanted = [] if held else [Mutation(COUNTER, LIFE, encode(secrets.token_hex(8)), 0)]
             taken = _places(store)
             for kind in (TENANT, TOMBSTONE):
                 for item in store.items(kind):
@@ -197,43 +204,43 @@
                         place = _free(taken)
                         taken.add(place)
                         kept = msgspec.structs.replace(kept, place=place)
-                        wanted.append(Wanted(kind, item.ident, encode(kept), item.rev))
+                        wanted.append(Mutation(kind, item.item_id, encode(kept), item.revision))
             return wanted
 
         await self.keeper.apply_planned(plan, "start")
-        held = await self.keeper.call(lambda: self.keeper.store.get(COUNTER, LIFE))
+        held = await self.keeper.run_sync(lambda: self.keeper.store.get(COUNTER, LIFE))
         self.life = msgspec.json.decode(held.body, type=str)
 
     # -- tenants
 
     async def tenants(self, after: str, most: int) -> tuple[list[Tenant], str | None]:
         """A page of them."""
-        items = await self.keeper.call(lambda: self.keeper.store.items(TENANT, after, most + 1))
-        found = [shown(_kept(item), item.rev) for item in items[:most]]
+        items = await self.keeper.run_sync(lambda: self.keeper.store.items(TENANT, after, most + 1))
+        found = [shown(_kept(item), item.revision) for item in items[:most]]
         return found, found[-1].name if len(items) > most else None
 
     async def tenant(self, name: str) -> Tenant:
         """One of them. Raises Wrong."""
-        item = await self.keeper.call(lambda: self.keeper.store.get(TENANT, name))
+        item = await self.keeper.run_sync(lambda: self.keeper.store.get(TENANT, name))
         if item is None:
             raise Wrong(404, "not found", f"no tenant {name}")
-        return shown(_kept(item), item.rev)
+        return shown(_kept(item), item.revision)
 
     async def create(self, new: NewTenant, who: str, **key: Any) -> Tenant:
         """Make one. A name whose last bearer leaves may be used again: it is another tenant."""
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             held = store.get(TENANT, new.name)
             counter = store.get(COUNTER, INCARNATION)
             # A number that a lost store gave is a key space that still has values of the one that bore it.
             last = max(int(counter.body) if counter else 0, self.numbers_above)
             try:
-                life = create(new.name, [_kept(held).tenancy] if held else [], last, now)
-            except Refused as bad:
+                life = create_incarnation(new.name, [_kept(held).tenancy] if held else [], last, now)
+            except LifecycleError as bad:
                 raise Wrong(409, "conflict", str(bad), "name") from None
             taken = _places(store)
-            if len(taken) >= MOST_TENANTS:
-                raise Wrong(409, "conflict", f"{MOST_TENANTS} tenants stand, those that leave among them")
+            if len(taken) >= MAX_TENANTS:
+                raise Wrong(409, "conflict", f"{MAX_TENANTS} tenants stand, those that leave among them")
             kept = Kept(
                 new.name,
                 life.incarnation,
@@ -251,8 +258,8 @@
                 new.most_value,
             )
             return [
-                Wanted(TENANT, new.name, encode(kept), held.rev if held else 0),
-                Wanted(COUNTER, INCARNATION, b"%d" % life.incarnation, counter.rev if counter else 0),
+                Mutation(TENANT, new.name, encode(kept), held.revision if held else 0),
+                Mutation(COUNTER, INCARNATION, b"%d" % life.incarnation, counter.revision if counter else 0),
             ]
 
         made = await self._change(plan, who, answer=_tenant_of, **key)
@@ -269,13 +276,13 @@
             name, if_match, who, lambda kept, now: msgspec.structs.replace(kept, **figures)
         )
 
-    async def tell(self, name: str, wanted: Order, if_match: int, who: str) -> Tenant:
+    async def tell(self, name: str, wanted: TenantAction, if_match: int, who: str) -> Tenant:
         """Activate or suspend one."""
 
         def alter(kept: Kept, now: float) -> Kept:
             try:
-                return kept.living(order(kept.tenancy, wanted, kept.memory, now))
-            except Refused as bad:
+                return kept.living(apply_action(kept.tenancy, wanted, kept.memory, now))
+            except LifecycleError as bad:
                 raise Wrong(409, "conflict", str(bad)) from None
 
         return await self._alter(name, if_match, who, alter)
@@ -283,28 +290,32 @@
     async def remove(self, name: str, if_match: int, who: str) -> None:
         """Let one leave: its name is free, and it stands on as a tombstone."""
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             item = _expected(store, name, if_match)
             kept = _kept(item)
-            gone = kept.living(order(kept.tenancy, Order.REMOVE, kept.memory, now))
+            gone = kept.living(apply_action(kept.tenancy, TenantAction.REMOVE, kept.memory, now))
             gone = msgspec.structs.replace(gone, credentials=[])  # nobody comes in with them any more
             stone = f"{name}#{kept.incarnation}"
-            return [Wanted(TENANT, name, None, item.rev), Wanted(TOMBSTONE, stone, encode(gone), 0)]
+            return [Mutation(TENANT, name, None, item.revision), Mutation(TOMBSTONE, stone, encode(gone), 0)]
 
         await self._change(plan, who)
 
     async def new_credential(self, name: str, overlap: float, who: str, **key: Any) -> Secret:
         """A further secret of a tenant; the one in use goes on for `overlap` seconds."""
-        secret, credential = await trio.to_thread.run_sync(self.hasher.make, self.keeper.clock())
+        secret, credential = await trio.to_thread.run_sync(self.hasher.issue, self.keeper.clock())
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             item = _expected(store, name, None)
             kept = _kept(item)
             after = list(rotate(kept.credentials, credential, overlap, now))
-            return [Wanted(TENANT, name, encode(msgspec.structs.replace(kept, credentials=after)), item.rev)]
+            return [
+                Mutation(
+                    TENANT, name, encode(msgspec.structs.replace(kept, credentials=after)), item.revision
+                )
+            ]
 
         await self._change(plan, who, **key)
-        return Secret(credential.ident, secret)
+        return Secret(credential.credential_id, secret)
 
     async def drop_credential(self, name: str, ident: str, who: str) -> None:
         """Take a tenant's secret out at once."""
@@ -320,16 +331,16 @@
     async def _alter(
         self, name: str, if_match: int | None, who: str, alter: Callable[[Kept, float], Kept]
     ) -> Tenant:
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             item = _expected(store, name, if_match)
-            return [Wanted(TENANT, name, encode(alter(_kept(item), now)), item.rev)]
+            return [Mutation(TENANT, name, encode(alter(_kept(item), now)), item.revision)]
 
         made = await self._change(plan, who)
-        return shown(msgspec.json.decode(made[0].body, type=Kept), made[0].rev)
+        return shown(msgspec.json.decode(made[0].body, type=Kept), made[0].revision)
 
     async def _change(
         self,
-        plan: Callable[[Store, float], list[Wanted]],
+        plan: Callable[[Store, float], list[Mutation]],
         who: str,
         key: str = "",
         request: bytes = b"",
@@ -338,8 +349,10 @@
         """Read, decide and write on the store's thread; tried again where another writer came between."""
         for _ in range(TRIES):
             try:
-                return await self.keeper.apply_planned(plan, who, key=key, request=request, answer=answer)
-            except Conflict:
+                return await self.keeper.apply_planned(
+                    plan, who, idempotency_key=key, request=request, response=answer
+                )
+            except RevisionConflictError:
                 continue
             except sqlite3.IntegrityError:
                 raise Wrong(409, "conflict", "a call with this key is under way") from None
@@ -349,8 +362,8 @@
 
     async def servers(self) -> list[ServerOrder]:
         """Orders that stand."""
-        items = await self.keeper.call(lambda: self.keeper.store.items(SERVER))
-        return [ServerOrder(item.ident, "drain", item.rev) for item in items]
+        items = await self.keeper.run_sync(lambda: self.keeper.store.items(SERVER))
+        return [ServerOrder(item.item_id, "drain", item.revision) for item in items]
 
     async def order_server(self, name: str, drain: bool, who: str) -> ServerOrder:
         """Let a server drain, or leave it to discovery again. The same order again changes nothing.
@@ -361,15 +374,15 @@
         if not 0 < len(name) <= MOST_SERVER:
             raise Wrong(422, "invalid", f"1 to {MOST_SERVER} characters", "server")
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             held = store.get(SERVER, name)
             if (held is not None) is drain:
                 return []
-            return [Wanted(SERVER, name, encode("drain") if drain else None, held.rev if held else 0)]
+            return [Mutation(SERVER, name, encode("drain") if drain else None, held.revision if held else 0)]
 
         await self._change(plan, who)
-        held = await self.keeper.call(lambda: self.keeper.store.get(SERVER, name))
-        return ServerOrder(name, "drain" if held else "none", held.rev if held else self.keeper.rev)
+        held = await self.keeper.run_sync(lambda: self.keeper.store.get(SERVER, name))
+        return ServerOrder(name, "drain" if held else "none", held.revision if held else self.keeper.revision)
 
     # -- routers
 
@@ -377,33 +390,33 @@
         """What a router has not heard yet, waited for as long as it asked."""
         self._hear(report)
         if await self._of_another_past(report):
-            report = msgspec.structs.replace(report, since=0)
-        since = report.since if report.store == self.life else 0
+            report = msgspec.structs.replace(report, known_revision=0)
+        since = report.known_revision if report.store_id == self.life else 0
         for part in self.parts:
             part.hear(report, time.monotonic())
-        changes = await self.keeper.changes(since, FEED_MOST + 1, report.wait if since else 0.0)
+        changes = await self.keeper.changes(since, FEED_MOST + 1, report.max_wait if since else 0.0)
         if report.router in self.routers:
             self._hear(report)  # the call stood open: the router is there
         if since and changes is not None and len(changes) <= FEED_MOST:
-            told = await self.keeper.call(self._dressed, report, lambda: self._changed(since, changes))
+            told = await self.keeper.run_sync(self._dressed, report, lambda: self._changed(since, changes))
         else:
-            told = await self.keeper.call(self._dressed, report, self._whole)
+            told = await self.keeper.run_sync(self._dressed, report, self._whole)
         # Counted from now on, when the answer goes: the router counts from its question, which was before.
-        lease = self.leases.give(report.router, report.run, since, self.lease, time.monotonic())
-        return msgspec.structs.replace(told, lease=lease)
+        lease = self.leases.grant(report.router, report.run, since, self.lease, time.monotonic())
+        return msgspec.structs.replace(told, lease_duration=lease)
 
     def _dressed(self, report: Report, feed: Callable[[], Feed]) -> Feed:
         """On the store's thread, so that what parts tell belongs to the revision that is told."""
         told = feed()
         self.mark_of(told.revision)
-        told = msgspec.structs.replace(told, mark=self.told[told.revision])
+        told = msgspec.structs.replace(told, revision_digest=self.told[told.revision])
         said = {part.name: part.feed(self.keeper.store, report) for part in self.parts}
         parts = {name: msgspec.Raw(body) for name, body in said.items() if body is not None}
-        return msgspec.structs.replace(told, keeper_run=self.run_mark, parts=parts)
+        return msgspec.structs.replace(told, control_plane_run=self.run_mark, parts=parts)
 
     def mark_of(self, revision: int) -> str:
         """On the store's thread: the mark of a revision that is about to be told, from now on known."""
-        mark = self.told.pop(revision, None) or self.keeper.store.mark(revision)
+        mark = self.told.pop(revision, None) or self.keeper.store.revision_digest(revision)
         self.told[revision] = mark
         while len(self.told) > TOLD_MOST:
             del self.told[next(iter(self.told))]
@@ -412,17 +425,20 @@
     async def _of_another_past(self, report: Report) -> bool:
         """Whether a router follows a revision that this copy of the store never had: its number says nothing
         here, though the store has gone on past it since it was put back."""
-        if not report.since or not report.mark or report.store != self.life:
+        if not report.known_revision or not report.revision_digest or report.store_id != self.life:
             return False
-        if self.told.get(report.since) == report.mark:
+        if self.told.get(report.known_revision) == report.revision_digest:
             return False
-        return await self.keeper.call(lambda: self.keeper.store.mark(report.since)) != report.mark
+        return (
+            await self.keeper.run_sync(lambda: self.keeper.store.revision_digest(report.known_revision))
+            != report.revision_digest
+        )
 
     def _hear(self, report: Report) -> None:
         if report.router not in self.routers and len(self.routers) >= ROUTERS_MOST:
             del self.routers[min(self.routers, key=lambda name: self.routers[name].at)]
-        held = {int(number): count for number, count in report.in_hand.items() if number.isdigit()}
-        revision = report.since if report.store == self.life else 0
+        held = {int(number): count for number, count in report.in_flight.items() if number.isdigit()}
+        revision = report.known_revision if report.store_id == self.life else 0
         self.routers[report.router] = Heard(time.monotonic(), report.run, revision, held)
 
     def _changed(self, since: int, changes: list[Change]) -> Feed:
@@ -433,41 +449,41 @@
                 row = _row(msgspec.json.decode(change.body, type=Kept))
                 rows[row.incarnation] = row
             elif change.kind == TOMBSTONE:
-                number = int(change.ident.rpartition("#")[2])
+                number = int(change.item_id.rpartition("#")[2])
                 rows.pop(number, None)
                 gone.append(number)
-        revision = changes[-1].rev if changes else since
+        revision = changes[-1].revision if changes else since
         return Feed(self.life, revision, False, list(rows.values()), gone, self._drained())
 
     def _whole(self) -> Feed:
         store = self.keeper.store
         rows = [_row(_kept(item)) for kind in (TENANT, TOMBSTONE) for item in store.items(kind)]
-        return Feed(self.life, store.rev, True, rows, [], self._drained())
+        return Feed(self.life, store.revision, True, rows, [], self._drained())
 
     def _drained(self) -> list[str]:
-        return [item.ident for item in self.keeper.store.items(SERVER)]
+        return [item.item_id for item in self.keeper.store.items(SERVER)]
 
-    def reports(self, incarnation: int, now: float) -> dict[str, LifeReport]:
+    def reports(self, incarnation: int, now: float) -> dict[str, RouterReport]:
         """What routers said of one incarnation last; `now` as the store's clock has it."""
         steady = time.monotonic()
         return {
-            name: LifeReport(now - (steady - heard.at), heard.in_hand.get(incarnation, 0), heard.revision)
+            name: RouterReport(now - (steady - heard.at), heard.in_hand.get(incarnation, 0), heard.revision)
             for name, heard in self.routers.items()
         }
 
     async def shown_routers(self) -> list[RouterShown]:
         """Routers heard of lately, with what they have in hand by tenant."""
-        whole = await self.keeper.call(self._whole)
+        whole = await self.keeper.run_sync(self._whole)
         names = {row.incarnation: row.name for row in whole.tenants}
         now, found = time.monotonic(), []
         for name, heard in sorted(self.routers.items()):
-            if now - heard.at > UNHEARD:
+            if now - heard.at > ROUTER_TIMEOUT:
                 continue
             held: dict[str, int] = {}
             for number, count in heard.in_hand.items():
                 tenant = names.get(number, f"#{number}")
                 held[tenant] = held.get(tenant, 0) + count
-            behind = max(self.keeper.rev - heard.revision, 0)
+            behind = max(self.keeper.revision - heard.revision, 0)
             found.append(RouterShown(name, round(now - heard.at, 3), heard.revision, behind, held))
         return found
 
@@ -479,7 +495,9 @@
         if changes is None:
             raise Wrong(410, "gone", "the log no longer goes back so far: take the whole state")
         return [
-            AuditEntry(c.rev, c.at, c.who, c.kind, c.ident, c.body is None, without_hashes(c.body))
+            AuditEntry(
+                c.revision, c.timestamp, c.actor, c.kind, c.item_id, c.body is None, without_hashes(c.body)
+            )
             for c in changes
         ]
 
@@ -509,7 +527,7 @@
 
 
 def _tenant_of(made: list[Change]) -> bytes:
-    return msgspec.json.encode(shown(msgspec.json.decode(made[0].body, type=Kept), made[0].rev))
+    return msgspec.json.encode(shown(msgspec.json.decode(made[0].body, type=Kept), made[0].revision))
 
 
 def _kept(item: Item) -> Kept:
@@ -521,9 +539,9 @@
     item = store.get(TENANT, name)
     if item is None:
         raise Wrong(404, "not found", f"no tenant {name}")
-    if if_match is not None and item.rev != if_match:
-        raise Wrong(412, "precondition failed", f"it is at revision {item.rev}", etag=item.rev)
+    if if_match is not None and item.revision != if_match:
+        raise Wrong(412, "precondition failed", f"it is at revision {item.revision}", etag=item.revision)
     return item
 
 
-__all__ = ["Administration", "Caller", "OperatorKept", "Order", "Stage", "Wrong"]
+__all__ = ["Administration", "Caller", "OperatorKept", "TenantAction", "TenantStage", "Wrong"]
--- a/gaugehinge/admin/types.py
+++ b/gaugehinge/admin/types.py
@@ -8,7 +8,7 @@
 from msgspec import UNSET, Meta, UnsetType
 
 from ..tenancy.credentials import Credential
-from ..tenancy.life import Stage, Tenancy
+from ..tenancy.lifecycle import TenantIncarnation, TenantStage
 
 Name = Annotated[str, Meta(pattern="^[a-z][a-z0-9-]{0,62}$", description="lower case, digits and dashes")]
 Share = Annotated[float, Meta(ge=0, le=1e6, description="its weight against the others")]
@@ -75,20 +75,20 @@
     left_at: int = 0  # the revision of its tombstone's first row, where that is not its last one
 
     @property
-    def tenancy(self) -> Tenancy:
+    def tenancy(self) -> TenantIncarnation:
         """Its life."""
-        return Tenancy(
-            self.name, self.incarnation, Stage(self.stage), self.since, self.marks_until, self.clear
+        return TenantIncarnation(
+            self.name, self.incarnation, TenantStage(self.stage), self.since, self.marks_until, self.clear
         )
 
-    def living(self, tenancy: Tenancy) -> Kept:
+    def living(self, tenancy: TenantIncarnation) -> Kept:
         """The same with another life."""
         return msgspec.structs.replace(
             self,
             stage=tenancy.stage.value,
-            since=tenancy.since,
-            marks_until=tenancy.marks_until,
-            clear=tenancy.clear,
+            since=tenancy.stage_since,
+            marks_until=tenancy.deduplication_until,
+            clear=tenancy.drained,
         )
 
 
@@ -220,7 +220,7 @@
         kept.share,
         kept.allowance,
         kept.memory,
-        [ShownCredential(each.ident, each.made, each.ends) for each in kept.credentials],
+        [ShownCredential(each.credential_id, each.created_at, each.expires_at) for each in kept.credentials],
         revision,
         kept.traffic,
         kept.longest_wait,
--- a/gaugehinge/cli/keep_command.py
+++ b/gaugehinge/cli/keep_command.py
@@ -18,7 +18,7 @@
 
     from ..admin.keep import keep, read_keep
     from ..forms.toml import BadFile
-    from ..store.store import Damaged
+    from ..store.store import StoreUnusableError
 
     try:
         told = read_keep(file)
@@ -35,5 +35,5 @@
         parts.append(keeping(told))
     try:
         trio.run(partial(keep, told, parts=parts))
-    except Damaged as bad:
+    except StoreUnusableError as bad:
         raise BadInput(str(bad)) from None
--- a/gaugehinge/cli/store_command.py
+++ b/gaugehinge/cli/store_command.py
@@ -11,11 +11,11 @@
 
 def _refused(call: Any, *given: Any) -> Any:
     """A call on a store; a damaged one is one line and exit 2."""
-    from ..store.store import Damaged
+    from ..store.store import StoreUnusableError
 
     try:
         return call(*given)
-    except Damaged as bad:
+    except StoreUnusableError as bad:
         raise BadInput(str(bad)) from None
     except OSError as bad:
         raise BadInput(f"{bad.filename or given[0]}: {bad.strerror}") from None
@@ -34,8 +34,8 @@
 
     store = _refused(Store, file, True)
     _refused(store.verify)
-    rev, things = _refused(store.whole)
-    click.echo(f"{file}: good: revision {rev}, {len(things)} things, log from {store.oldest}")
+    revision, items = _refused(store.read_all)
+    click.echo(f"{file}: good: revision {revision}, {len(items)} things, log from {store.oldest_revision}")
 
 
 @command.command("backup")
@@ -46,8 +46,8 @@
     from ..store.store import Store
 
     store = _refused(Store, file, True)
-    rev = _refused(store.backup, target)
-    click.echo(f"{target}: revision {rev}")
+    revision = _refused(store.backup, target)
+    click.echo(f"{target}: revision {revision}")
 
 
 @command.command("restore")
@@ -62,5 +62,5 @@
 
     if Path(file).exists() and not yes and not click.confirm(f"replace {file}?"):
         raise click.exceptions.Exit(Exit.BROKEN)
-    rev = _refused(put_back, snapshot, file)
-    click.echo(f"{file}: revision {rev}")
+    revision = _refused(put_back, snapshot, file)
+    click.echo(f"{file}: revision {revision}")
--- a/gaugehinge/cluster/front.py
+++ b/gaugehinge/cluster/front.py
@@ -167,7 +167,7 @@
         bearer = self._bearer(client)
         if bearer is not None:
             client.tenant = bearer.place
-            most = bearer.row.most_value
+            most = bearer.row.max_value_size
             if most and any(len(piece.value or b"") > most for piece in pieces):
                 raise Refused(f"ERR value over {most} bytes")
             pieces = dressed(entry, words, pieces, bearer.keys)
--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -13,7 +13,7 @@
 
 from ..admin.app import MOST_KEY, answer, if_match, read
 from ..admin.service import Caller, Wrong
-from ..store.store import Store, Wanted, encode
+from ..store.store import Mutation, Store, encode
 from .grants import Figures, figure, fits
 from .rolls import (
     ENDED,
@@ -159,16 +159,16 @@
             grants, now = part.grants, part.clock()
             slots = [slot for _, slot in part.slots(store).values()]
             found = []
-            for item in store.items(LIMIT, most=100_000):
+            for item in store.items(LIMIT, limit=100_000):
                 most = msgspec.json.decode(item.body, type=LimitOrder).most
                 found.append(
                     LimitShown(
-                        item.ident,
+                        item.item_id,
                         most,
-                        grants.spent(slots, item.ident),
-                        max(grants.most_nodes * figure(grants.floors, item.ident), 1),
-                        grants.reached(slots, item.ident, most, now),
-                        item.rev,
+                        grants.spent(slots, item.item_id),
+                        max(grants.most_nodes * figure(grants.floors, item.item_id), 1),
+                        grants.reached(slots, item.item_id, most, now),
+                        item.revision,
                     )
                 )
             return found
@@ -176,7 +176,7 @@
     async def limits(self, request: Request, caller: Caller) -> Response:
         """GET /v1/limits."""
         caller.need("reader")
-        return answer(LimitPage(await self.administration.keeper.call(self._limits, self._store)))
+        return answer(LimitPage(await self.administration.keeper.run_sync(self._limits, self._store)))
 
     @property
     def _store(self) -> Store:
@@ -188,7 +188,7 @@
         return await self._limit(request.path_params["store"])
 
     async def _limit(self, name: str) -> Response:
-        found = await self.administration.keeper.call(self._limits, self._store)
+        found = await self.administration.keeper.run_sync(self._limits, self._store)
         shown = next((each for each in found if each.store == name), None)
         if shown is None:
             raise Wrong(404, "not found", f"no limit for {name}")
@@ -208,14 +208,14 @@
             why = f"{told.most} is under {small[1]}, the floors of {grants.most_nodes} nodes"
             raise Wrong(422, "invalid", why, "most")
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             held = store.get(LIMIT, name)
-            at = held.rev if held else 0
+            at = held.revision if held else 0
             if at != expect:
                 raise Wrong(412, "precondition failed", f"it is at revision {at}", etag=at)
             if held is None and len(store.items(LIMIT)) >= 64:
                 raise Wrong(409, "conflict", "64 limits are named", "store")
-            return [Wanted(LIMIT, name, encode(told), at)]
+            return [Mutation(LIMIT, name, encode(told), at)]
 
         await self.administration._change(plan, caller.name)
         self.part.news.set()
@@ -226,7 +226,7 @@
     async def grants(self, request: Request, caller: Caller) -> Response:
         """GET /v1/grants."""
         caller.need("reader")
-        return answer(await self.administration.keeper.call(self._grants, self._store))
+        return answer(await self.administration.keeper.run_sync(self._grants, self._store))
 
     def _grants(self, store: Store) -> GrantPage:
         part = self.part
@@ -273,7 +273,7 @@
         node = request.path_params["node"]
         part = self.part
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             item = store.get(NODE, node)
             if item is None:
                 raise Wrong(404, "not found", f"no node {node}")
@@ -281,7 +281,7 @@
                 if not part.grants.over(node, part.clock()):
                     why = "it was heard of too lately: its connections may be open"
                     raise Wrong(409, "conflict", why, "node")
-            return [Wanted(NODE, node, None, item.rev)]
+            return [Mutation(NODE, node, None, item.revision)]
 
         await self.administration._change(plan, caller.name)
         with part.lock:
@@ -295,7 +295,7 @@
         caller.need("operator")
         part = self.part
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             with part.lock:
                 grants = part.grants
                 if part.clock() < grants.settled_at:
@@ -307,7 +307,7 @@
                 return (
                     []
                     if item and item.body == body
-                    else [Wanted("drains-ground", "ground", body, item.rev if item else 0)]
+                    else [Mutation("drains-ground", "ground", body, item.revision if item else 0)]
                 )
 
         await self.administration._change(plan, caller.name)
@@ -319,7 +319,7 @@
     async def rolls(self, request: Request, caller: Caller) -> Response:
         """GET /v1/rolls."""
         caller.need("reader")
-        rolls, steps, _ = await self.administration.keeper.call(self.part.standing, self._store)
+        rolls, steps, _ = await self.administration.keeper.run_sync(self.part.standing, self._store)
         rows = sorted(rolls.values(), key=lambda row: row[1].number)
         return answer(RollPage([shown(roll, steps[roll.ident], rev) for rev, roll in rows]))
 
@@ -329,7 +329,7 @@
         return await self._roll(request.path_params["id"])
 
     async def _roll(self, ident: str) -> Response:
-        found = await self.administration.keeper.call(self._one, self._store, ident)
+        found = await self.administration.keeper.run_sync(self._one, self._store, ident)
         return answer(found, etag=found.revision)
 
     def _one(self, store: Store, ident: str) -> RollShown:
@@ -346,7 +346,7 @@
         part = self.part
         made: list[str] = []
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             with part.lock:
                 facts = part.facts(store, part.clock())[order.kind]
             try:
@@ -358,15 +358,15 @@
             ident = f"roll-{number:06d}-{self.administration.run_mark[:4]}"  # of a lost store's no name again
             roll = Roll(ident, number, order, who=caller.name, at=now)
             made[:] = [roll.ident]
-            wanted = [Wanted(ROLL, roll.ident, encode(roll), 0)]
+            wanted = [Mutation(ROLL, roll.ident, encode(roll), 0)]
             for place, name in enumerate(names):
-                wanted.append(Wanted(STEP, f"{roll.ident}/{name}", encode(Step(name, place)), 0))
+                wanted.append(Mutation(STEP, f"{roll.ident}/{name}", encode(Step(name, place)), 0))
             return wanted + _room(rolls, steps, revisions)
 
         async def make(**key: Any) -> Response:
             await self.administration._change(plan, caller.name, **key)
             part.news.set()
-            found = await self.administration.keeper.call(self._one, self._store, made[0])
+            found = await self.administration.keeper.run_sync(self._one, self._store, made[0])
             return answer(found, 201, found.revision, Location=f"/v1/rolls/{found.id}")
 
         return await self._once(request, caller, body, make, made)
@@ -387,7 +387,7 @@
             return await make()
         print_ = hashlib.sha256(f"POST {request.url.path}\n".encode() + body).digest()
         keeper = self.administration.keeper
-        held = await keeper.call(keeper.store.answered, caller.name, key)
+        held = await keeper.run_sync(keeper.store.recorded_response, caller.name, key)
         if held is None:
             return await make(key=key, request=print_, answer=lambda rows: made[0].encode())
         if held[0] != print_:
@@ -420,7 +420,7 @@
         ident = request.path_params["id"]
         part = self.part
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             rolls, steps, revisions = part.standing(store)
             if ident not in rolls:
                 raise Wrong(404, "not found", f"no roll {ident}")
@@ -439,7 +439,7 @@
 
 def _room(
     rolls: dict[str, tuple[int, Roll]], steps: dict[str, list[Step]], revisions: dict[str, int]
-) -> list[Wanted]:
+) -> list[Mutation]:
     """Room for one more: the oldest that ended go. Raises Wrong where none has."""
     ended = sorted(
         (roll.number, ident, rev) for ident, (rev, roll) in rolls.items() if Status(roll.status) in ENDED
@@ -447,11 +447,11 @@
     over = len(rolls) + 1 - MOST_ROLLS
     if over > len(ended):
         raise Wrong(409, "conflict", f"{MOST_ROLLS} rolls stand")
-    gone: list[Wanted] = []
+    gone: list[Mutation] = []
     for _, ident, rev in ended[: max(over, 0)]:
-        gone.append(Wanted(ROLL, ident, None, rev))
+        gone.append(Mutation(ROLL, ident, None, rev))
         gone += [
-            Wanted(STEP, f"{ident}/{step.node}", None, revisions[f"{ident}/{step.node}"])
+            Mutation(STEP, f"{ident}/{step.node}", None, revisions[f"{ident}/{step.node}"])
             for step in steps[ident]
         ]
     return gone
--- a/gaugehinge/drains/grants.py
+++ b/gaugehinge/drains/grants.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from ..tenancy.lease import DRIFT, SLACK, Given, Held
+from ..tenancy.lease import EXPIRY_MARGIN, MAX_CLOCK_DRIFT, GrantedLease, HeldLease
 
 ORIGIN, SERVERS = "origin", "servers"  # the one store, and each cache server that no limit names
 HEADROOM = 1.25  # of the measured need that a grant is to cover
@@ -120,14 +120,14 @@
     number: int = 0
     mark: str = ""
     values: Figures = field(default_factory=dict)
-    held: Held = field(default_factory=Held)
+    held: HeldLease = field(default_factory=HeldLease)
     closed: bool = False  # it opens nothing more
     since: float = float("-inf")  # answers to questions from before are too late
 
     def holds(self, now: float) -> Figures:
         """For a report that goes now: the values that it follows. Once it has said that it follows none, what
         was asked before does not bring them back."""
-        if self.held.good(now):
+        if self.held.is_valid(now):
             return dict(self.values)
         self.since = now
         return {}
@@ -139,7 +139,7 @@
         if (grant.number, grant.mark) != (self.number, self.mark):
             self.number, self.mark, self.values = grant.number, grant.mark, dict(grant.values)
             # The lease of one number says nothing of the next: only this answer's does.
-            self.held = Held()
+            self.held = HeldLease()
         if grant.clear:
             self.floor_from = float("-inf")
         self.held.renew(asked_at, grant.lease)
@@ -149,7 +149,7 @@
         """Connections to a store that may be open and used now."""
         if self.closed:
             return 0
-        if self.held.good(now):
+        if self.held.is_valid(now):
             return figure(self.values, store)
         return figure(self.floors, store) if self.admitted and now >= self.floor_from else 0
 
@@ -172,7 +172,7 @@
     ground: Ground
     words: dict[str, Word] = field(default_factory=dict)
     heard: dict[str, float] = field(default_factory=dict)
-    given: dict[str, Given] = field(default_factory=dict)
+    given: dict[str, GrantedLease] = field(default_factory=dict)
     gone_by: dict[str, float] = field(default_factory=dict)  # when `remains` of a node are closed
     liars: set[str] = field(default_factory=set)  # nodes that had something open after they were closed
     refused: dict[str, str] = field(default_factory=dict)  # nodes not admitted, and why; emptied with words
@@ -185,19 +185,19 @@
     @property
     def closed_after(self) -> float:
         """Seconds, by this clock, in which any clock counts the longest closing time."""
-        return max(self.closing, self.ground.closing) * (1.0 + DRIFT) + SLACK
+        return max(self.closing, self.ground.closing) * (1.0 + MAX_CLOCK_DRIFT) + EXPIRY_MARGIN
 
     @property
     def settled_at(self) -> float:
         """From then on nothing that a former run gave is held by a node that this one has not heard."""
         longest = max(self.lease, self.ground.longest)
-        return self.began + longest * (1.0 + DRIFT) + SLACK + self.closed_after
+        return self.began + longest * (1.0 + MAX_CLOCK_DRIFT) + EXPIRY_MARGIN + self.closed_after
 
     @property
     def unraised(self) -> float:
         """Seconds, by any clock, in which a keeper of the same file that started on a copy of this store, of
         whatever age, raises nothing."""
-        return (self.lease + self.closing) * (1.0 - DRIFT)
+        return (self.lease + self.closing) * (1.0 - MAX_CLOCK_DRIFT)
 
     def begin_with(self, slots: Iterable[Slot]) -> None:
         """Nodes have floors of before: higher ones are told once they fit beside all that is held, or a node
@@ -267,7 +267,7 @@
         held = self.given.get(node)
         if held is None:
             return now >= self.settled_at
-        return held.over(now - self.closed_after)
+        return held.has_expired(now - self.closed_after)
 
     # -- what each may have open at worst
 
@@ -569,7 +569,7 @@
             return None
         if slot.number < word.number or (slot.number == word.number and slot.mark != word.mark):
             return None  # the next plan takes its number over
-        self.given[slot.node] = Given(now, self.lease, slot.number)
+        self.given[slot.node] = GrantedLease(now, self.lease, slot.number)
         return Grant(
             slot.number,
             slot.mark,
--- a/gaugehinge/drains/keeper.py
+++ b/gaugehinge/drains/keeper.py
@@ -20,8 +20,8 @@
 
 from ..admin.keep import KeepDrains, KeepFile
 from ..admin.service import SERVER, TENANT, Administration, Wrong
-from ..store.keeper import Overloaded
-from ..store.store import Conflict, Full, Store, Wanted, encode
+from ..store.async_store import StoreOverloadedError
+from ..store.store import DiskFullError, Mutation, RevisionConflictError, Store, encode
 from ..tenancy.feed import Report
 from .api import DrainsApi
 from .forms import NAME, Said, ServerSaid, Told
@@ -137,7 +137,7 @@
             if not self.grants.hear(said.word(report.run), now):
                 return
             self.sent_out.pop(said.node, None)
-            self.lasts[said.node] = Last(said, report.router, report.run, report.since, now)
+            self.lasts[said.node] = Last(said, report.router, report.run, report.known_revision, now)
             self._count(said, report.run)
             if said.servers:
                 self._list(said.servers, now)
@@ -220,7 +220,9 @@
         not be said, and nothing may be told."""
         with self.lock:
             good = self.grants.raises(self.clock())
-        return self.last_word.say(self.administration.life, store.rev, store.mark, good, sleepless())
+        return self.last_word.say(
+            self.administration.life, store.revision, store.revision_digest, good, sleepless()
+        )
 
     def _asks_list(self, node: str, now: float) -> bool:
         if now - self.servers_at < LIST_OLD:
@@ -235,7 +237,7 @@
         while not self.ready:
             try:
                 await self._begin()
-            except (Conflict, Full, Overloaded, OSError) as bad:
+            except (RevisionConflictError, DiskFullError, StoreOverloadedError, OSError) as bad:
                 # Started on a full disk: its end would take the leases of all routers with it, and with
                 # them service.
                 logger.warning("drains not begun: {}", bad)
@@ -247,7 +249,7 @@
             try:
                 await self._plan_grants()
                 await self._plan_rolls()
-            except (Conflict, Full, Overloaded) as bad:
+            except (RevisionConflictError, DiskFullError, StoreOverloadedError) as bad:
                 logger.warning("drains not planned: {}", bad)
             await trio.sleep(LEAST_GAP)
 
@@ -256,7 +258,7 @@
         keeper = self.administration.keeper
         told = self.told
 
-        def begin(store: Store, now: float) -> list[Wanted]:
+        def begin(store: Store, now: float) -> list[Mutation]:
             held = store.get(GROUND, "ground")
             ground = msgspec.json.decode(held.body, type=Ground) if held else Ground()
             doubt = ground.doubt or self._suspicion(held is None, ground)
@@ -272,17 +274,17 @@
                 self.grants.begin_with(slots)
                 # Killed on this machine and back on the file that it told by: what is held is in there.
                 self.grants.sure = not doubt and self.last_word.of(
-                    self.administration.life, store.mark, sleepless(), self.grants.unraised
+                    self.administration.life, store.revision_digest, sleepless(), self.grants.unraised
                 )
-            wanted = [Wanted(GROUND, "ground", encode(ground), held.rev if held else 0)]
+            wanted = [Mutation(GROUND, "ground", encode(ground), held.revision if held else 0)]
             first = {ORIGIN: told.origin, SERVERS: told.servers, **told.limits}
             for name, most in first.items():
                 if store.get(LIMIT, name) is None:
-                    wanted.append(Wanted(LIMIT, name, encode(Limit(most)), 0))
+                    wanted.append(Mutation(LIMIT, name, encode(Limit(most)), 0))
             return wanted
 
         await keeper.apply_planned(begin, "drains")
-        await keeper.call(self._attest)
+        await keeper.run_sync(self._attest)
         ground = self.grants.ground
         if self.grants.floors != self.grants.wanted:
             told = self.grants.floors, self.grants.wanted
@@ -334,21 +336,21 @@
     def slots(self, store: Store) -> dict[str, tuple[int, Slot]]:
         """All nodes that may exist, with their revisions."""
         return {
-            item.ident: (item.rev, msgspec.json.decode(item.body, type=Slot))
-            for item in store.items(NODE, most=MOST_ITEMS)
+            item.item_id: (item.revision, msgspec.json.decode(item.body, type=Slot))
+            for item in store.items(NODE, limit=MOST_ITEMS)
         }
 
     def limits(self, store: Store) -> Figures:
         """All limits."""
         return {
-            item.ident: msgspec.json.decode(item.body, type=Limit).most
-            for item in store.items(LIMIT, most=MOST_ITEMS)
+            item.item_id: msgspec.json.decode(item.body, type=Limit).most
+            for item in store.items(LIMIT, limit=MOST_ITEMS)
         }
 
     async def _plan_grants(self) -> None:
         changed: dict[str, Slot] = {}
 
-        def plan(store: Store, wall: float) -> list[Wanted]:
+        def plan(store: Store, wall: float) -> list[Mutation]:
             held = self.slots(store)
             limits = self.limits(store)
             now = self.clock()
@@ -365,19 +367,19 @@
                 ground = self.grants.ground
                 self._keep_within()
             wanted = [
-                Wanted(NODE, node, encode(slot), held[node][0] if node in held else 0)
+                Mutation(NODE, node, encode(slot), held[node][0] if node in held else 0)
                 for node, slot in changed.items()
             ]
             item = store.get(GROUND, "ground")
             if item is None or item.body != encode(ground):
-                wanted.append(Wanted(GROUND, "ground", encode(ground), item.rev if item else 0))
+                wanted.append(Mutation(GROUND, "ground", encode(ground), item.revision if item else 0))
             return wanted
 
         keeper = self.administration.keeper
         await keeper.apply_planned(plan, "drains")
         if self.grants.ground.admissions != self.grants.witnessed:
             try:
-                await keeper.call(self._attest)
+                await keeper.run_sync(self._attest)
             except OSError as bad:
                 logger.error("drains: no witness written, new nodes wait: {}", bad)
         self._say_modes(changed)
@@ -397,7 +399,7 @@
         if rate <= 0.0:
             return 0.0
         allowed = 0.0
-        for item in store.items(TENANT, most=MOST_ITEMS):
+        for item in store.items(TENANT, limit=MOST_ITEMS):
             allowed += float(msgspec.json.decode(item.body).get("allowance", 0.0))
         return allowed * used / rate
 
@@ -422,18 +424,18 @@
         """Rolls that are kept with their revisions, their steps, and the revisions of those. Not `ended`:
         only those that are not over."""
         rolls = {}
-        for item in store.items(ROLL, most=MOST_ITEMS):
+        for item in store.items(ROLL, limit=MOST_ITEMS):
             roll = msgspec.json.decode(item.body, type=Roll)
             if ended or Status(roll.status) not in ENDED:
-                rolls[item.ident] = item.rev, roll
+                rolls[item.item_id] = item.revision, roll
         steps: dict[str, list[Step]] = {ident: [] for ident in rolls}
         revisions: dict[str, int] = {}
         for ident in rolls:
-            for item in store.items(STEP, after=f"{ident}/", most=MOST_NODES):
-                if not item.ident.startswith(f"{ident}/"):
+            for item in store.items(STEP, after=f"{ident}/", limit=MOST_NODES):
+                if not item.item_id.startswith(f"{ident}/"):
                     break
                 steps[ident].append(msgspec.json.decode(item.body, type=Step))
-                revisions[item.ident] = item.rev
+                revisions[item.item_id] = item.revision
         for ident, (_, roll) in rolls.items():
             steps[ident].sort(key=lambda step, sign=-1 if roll.back else 1: sign * step.place)
         return rolls, steps, revisions
@@ -445,7 +447,7 @@
         log: list[str] = []
         told: dict[str, tuple[str, str, bool]] = {}
 
-        def plan(store: Store, wall: float) -> list[Wanted]:
+        def plan(store: Store, wall: float) -> list[Mutation]:
             rolls, steps, revisions = self.standing(store, ended=False)
             if not rolls:
                 return []
@@ -499,23 +501,23 @@
         steps: dict[str, list[Step]],
         drain: list[str],
         restore: list[str],
-    ) -> list[Wanted]:
+    ) -> list[Mutation]:
         """Rows for what is due, each for the revision that it was decided by."""
         wanted = [
-            Wanted(ROLL, ident, encode(roll), rolls[ident][0] if ident in rolls else 0)
+            Mutation(ROLL, ident, encode(roll), rolls[ident][0] if ident in rolls else 0)
             for ident, roll in changed.items()
         ]
         for ident, each in steps.items():
             for step in each:
                 name = step_ident(ident, step.node)
-                wanted.append(Wanted(STEP, name, encode(step), revisions.get(name, 0)))
+                wanted.append(Mutation(STEP, name, encode(step), revisions.get(name, 0)))
         for uid in drain:
             if store.get(SERVER, uid) is None:
-                wanted.append(Wanted(SERVER, uid, encode("drain"), 0))
+                wanted.append(Mutation(SERVER, uid, encode("drain"), 0))
         for uid in restore:
             item = store.get(SERVER, uid)
             if item is not None:
-                wanted.append(Wanted(SERVER, uid, None, item.rev))
+                wanted.append(Mutation(SERVER, uid, None, item.revision))
         return wanted
 
     def facts(self, store: Store, now: float) -> dict[str, dict[str, Fact]]:
@@ -559,7 +561,7 @@
 
     def _servers(self, store: Store, now: float) -> dict[str, Fact]:
         limits = self.limits(store)
-        ordered = {item.ident: item.rev for item in store.items(SERVER, most=MOST_ITEMS)}
+        ordered = {item.item_id: item.revision for item in store.items(SERVER, limit=MOST_ITEMS)}
         up = [uid for uid, seen in self.servers.items() if self._listed(seen)]
         attempts = sum(last.said.legs for last in self.lasts.values() if now - last.at < self.grants.lease)
         ours = self._ours(store)
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -25,7 +25,7 @@
 from ..net.pool import REST_TIME, Connection, Endpoint, PendingAttempt
 from ..net.service import Service
 from ..tenancy.feed import Feed
-from ..tenancy.lease import DRIFT, SLACK
+from ..tenancy.lease import EXPIRY_MARGIN, MAX_CLOCK_DRIFT
 from ..terms import Outcome, Presence
 from .files import NodeFile
 from .forms import MOST_SERVERS, NAME, Said, ServerSaid, Told
@@ -99,7 +99,7 @@
         now = self.clock()
         kept = self.files.kept
         self.closing = kept.closing or FIRST_CLOSING
-        from_ = now + self.closing * (1.0 + DRIFT) + SLACK
+        from_ = now + self.closing * (1.0 + MAX_CLOCK_DRIFT) + EXPIRY_MARGIN
         self.holding = Holding(dict(kept.floors), from_, kept.admitted)
         self.span_at, self.span_cpu = now, time.process_time()
         self.service.pool.warden = self
@@ -280,7 +280,7 @@
             now = self.clock()
             if self.service.lifecycle.phase is Phase.READY and not self.ready_since:
                 self.ready_since = now
-            good = self.holding.held.good(now)
+            good = self.holding.held.is_valid(now)
             if good is not self.was_good:
                 self.was_good = good
                 state = f"granted {self.holding.values}" if good else f"at its floor {self.holding.floors}"
--- a/gaugehinge/hosted/build.py
+++ b/gaugehinge/hosted/build.py
@@ -13,8 +13,8 @@
 from ..installation.form import Installation
 from ..net.clients import Client
 from ..net.service import Service
-from ..tenancy.credentials import Attempts, Hasher
-from ..tenancy.feed import WAIT
+from ..tenancy.credentials import AttemptLimiter, SecretHasher
+from ..tenancy.feed import POLL_WAIT
 from .follower import CONNECT_TIME, SLACK, BadSecret, Follower, Snapshot
 from .front import HostedClients
 from .gate import Gate
@@ -34,7 +34,7 @@
 
 
 def following(
-    told: Installation, hasher: Hasher | None = None
+    told: Installation, hasher: SecretHasher | None = None
 ) -> Callable[[Service, trio.Nursery], Follower]:
     """What makes a service follow. Raises BadSecret."""
     secret, entry = read_secret(told.follow.secret_file), told.follow
@@ -43,8 +43,8 @@
         roster, clients = Roster(), service.clients
         if not isinstance(clients, HostedClients):
             raise TypeError("its clients cannot say who they are")
-        attempts = Attempts(service.configuration.charter.deployment.seed, time.time())
-        gate = Gate(roster, hasher or Hasher(), attempts, time.time)
+        attempts = AttemptLimiter(service.configuration.charter.deployment.seed, time.time())
+        gate = Gate(roster, hasher or SecretHasher(), attempts, time.time)
         for front, _ in service.fronts:  # whichever dialect it speaks
             front.let_in_by(gate, time.time)
         if clients.door is not None:
@@ -52,7 +52,7 @@
         client = httpx.AsyncClient(
             base_url=f"http://{entry.keeper}",
             headers={"Authorization": f"Bearer {secret}", "Content-Type": "application/json"},
-            timeout=httpx.Timeout(WAIT + SLACK, connect=CONNECT_TIME),
+            timeout=httpx.Timeout(POLL_WAIT + SLACK, connect=CONNECT_TIME),
             trust_env=False,
         )
         snapshot = Snapshot(entry.snapshot) if entry.snapshot else None
--- a/gaugehinge/hosted/follower.py
+++ b/gaugehinge/hosted/follower.py
@@ -24,7 +24,7 @@
 
 from ..net.list_update import ListUpdate
 from ..net.service import Service
-from ..tenancy.feed import WAIT, Feed, Report
+from ..tenancy.feed import POLL_WAIT, Feed, Report
 from .overlay import Overlay
 from .roster import BadFeed, Change, Roster
 
@@ -116,7 +116,7 @@
         self.parts: list[Part] = []  # as switched on by the installation file; fixed before `run`
         self.first_wait = 0.0  # seconds before the first call
         self.weigh: Callable[[Feed], Feed] | None = None  # what of a feed is followed; may raise BadFeed
-        self.wait = WAIT  # seconds that a call may stand open; less where leases are short
+        self.wait = POLL_WAIT  # seconds that a call may stand open; less where leases are short
         self.first_at_once = False  # no call stands open until one was heard: it asks who is there
         self.slack = SLACK  # over that, until a call counts as failed; less where leases are short
         self.read_secret: Callable[[], str] | None = None  # again, where the keeper knows it no more
--- a/gaugehinge/hosted/front.py
+++ b/gaugehinge/hosted/front.py
@@ -111,11 +111,11 @@
         raise Refused("label c: no such class")
     if "c" in labels:
         labels["c"] = kind
-    if row.longest_wait and labels["d"].isdigit():
+    if row.max_wait and labels["d"].isdigit():
         # Shorter than its client waits is safe: it hears sooner that it comes to nothing.
-        labels["d"] = str(min(int(labels["d"]), int(row.longest_wait * 1000)))
-    if write and row.most_value and len(parts[4].body) > row.most_value:
-        raise Refused(f"value over {row.most_value} bytes")
+        labels["d"] = str(min(int(labels["d"]), int(row.max_wait * 1000)))
+    if write and row.max_value_size and len(parts[4].body) > row.max_value_size:
+        raise Refused(f"value over {row.max_value_size} bytes")
     if "k" in labels and labels["k"]:
         labels["k"] = bearer.marks.decode() + labels["k"]
     labels["t"] = bearer.name
--- a/gaugehinge/hosted/gate.py
+++ b/gaugehinge/hosted/gate.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from ..tenancy.credentials import Attempts, Hasher
+from ..tenancy.credentials import AttemptLimiter, SecretHasher
 from .roster import Bearer, Roster
 
 KNOWN_MOST = 4096  # secrets that were found right; the oldest goes first
@@ -26,7 +26,7 @@
     """Secrets to bearers."""
 
     def __init__(
-        self, roster: Roster, hasher: Hasher, attempts: Attempts, clock: Callable[[], float]
+        self, roster: Roster, hasher: SecretHasher, attempts: AttemptLimiter, clock: Callable[[], float]
     ) -> None:
         """`clock`: Unix time, by which credentials end."""
         self.roster = roster
@@ -50,13 +50,15 @@
             # By source and credential together: the middle part of a secret is no secret, and bounded by it
             # alone, whoever knows it could keep its owner out.
             pair = f"{source} {ident}"
-            wait = self.attempts.wait(source, pair, now)
+            wait = self.attempts.acquire(source, pair, now)
             if wait or self._checks.statistics().tasks_waiting >= WAITING_MOST:
                 return None, "", b"-BUSY %d\r\n" % max(int(wait * 1000), 100)
             kept = list(bearer.credentials.values()) if bearer is not None else []
-            found = await trio.to_thread.run_sync(self.hasher.check, secret, kept, now, limiter=self._checks)
+            found = await trio.to_thread.run_sync(
+                self.hasher.find_match, secret, kept, now, limiter=self._checks
+            )
             if found is None or bearer is None:
-                self.attempts.wrong(source, pair, now)
+                self.attempts.record_failure(source, pair, now)
                 return None, "", WRONG
             while len(self._known) >= KNOWN_MOST:
                 del self._known[next(iter(self._known))]
--- a/gaugehinge/hosted/roster.py
+++ b/gaugehinge/hosted/roster.py
@@ -10,8 +10,8 @@
 from math import isfinite
 
 from ..tenancy.credentials import Credential
-from ..tenancy.feed import MOST_TENANTS, Feed, TenantRow
-from ..tenancy.life import Stage
+from ..tenancy.feed import MAX_TENANTS, Feed, TenantRow
+from ..tenancy.lifecycle import TenantStage
 from ..terms import Tenant
 
 
@@ -26,7 +26,7 @@
     name: str
     incarnation: int
     place: int
-    stage: Stage
+    stage: TenantStage
     share: float
     allowance: float
     credentials: dict[str, Credential]
@@ -37,14 +37,14 @@
 
     def traffic_type(self, told: str) -> str | None:
         """The installation's name of one of its traffic types; None where it has none of that name."""
-        return self.row.traffic.get(told) if self.row.traffic else told
+        return self.row.traffic_types.get(told) if self.row.traffic_types else told
 
     def why_not(self, credential: str, now: float) -> str:
         """Why an operation of a connection that came in by a credential is not taken; empty where it is."""
         kept = self.credentials.get(credential)
-        if self.gone or kept is None or (kept.ends is not None and now >= kept.ends):
+        if self.gone or kept is None or (kept.expires_at is not None and now >= kept.expires_at):
             return "authentication required"
-        if self.stage is not Stage.ACTIVE:
+        if self.stage is not TenantStage.ACTIVE:
             return f"tenant {self.stage.value}"
         return ""
 
@@ -81,12 +81,12 @@
         nothing has changed."""
         bearers = [self._read(row) for row in feed.tenants]
         numbers = {bearer.incarnation for bearer in bearers}
-        if len(numbers) != len(bearers) or not feed.store or feed.revision < 0:
+        if len(numbers) != len(bearers) or not feed.store_id or feed.revision < 0:
             raise BadFeed("one incarnation told twice, or no store named")
-        if not feed.whole and (feed.store != self.store or feed.revision < self.revision):
+        if not feed.complete and (feed.store_id != self.store or feed.revision < self.revision):
             raise BadFeed("changes of another store, or of the past")
-        standing = {} if feed.whole else dict(self.by_incarnation)
-        for number in feed.gone:
+        standing = {} if feed.complete else dict(self.by_incarnation)
+        for number in feed.removed_incarnations:
             standing.pop(number, None)
         places = {bearer.place: bearer for bearer in standing.values() if bearer.incarnation not in numbers}
         for bearer in bearers:
@@ -99,9 +99,9 @@
             if (before := self.by_place.get(place)) is None
             or (before.incarnation, before.name) != (bearer.incarnation, bearer.name)
         }
-        drained = frozenset(feed.drained)
+        drained = frozenset(feed.drained_servers)
         orders = drained if drained != self.drained or not self.known else None
-        same = not bearers and not feed.gone and not feed.whole
+        same = not bearers and not feed.removed_incarnations and not feed.complete
         self._take(feed, standing, places)
         if same and orders is None:
             return None
@@ -110,23 +110,23 @@
 
     @staticmethod
     def _read(row: TenantRow) -> Bearer:
-        if not 0 <= row.place < MOST_TENANTS or row.incarnation < 1 or not row.name:
+        if not 0 <= row.slot < MAX_TENANTS or row.incarnation < 1 or not row.name:
             raise BadFeed(f"tenant {row.name!r}: place or incarnation out of bounds")
-        if not (isfinite(row.share) and isfinite(row.allowance)) or min(row.share, row.allowance) < 0.0:
+        if not (isfinite(row.quota) and isfinite(row.rate_limit)) or min(row.quota, row.rate_limit) < 0.0:
             raise BadFeed(f"tenant {row.name!r}: a figure that is no share")
         try:
-            stage = Stage(row.stage)
+            stage = TenantStage(row.stage)
         except ValueError:
             raise BadFeed(f"tenant {row.name!r}: no such stage {row.stage!r}") from None
         number = row.incarnation
         return Bearer(
             row.name,
             number,
-            row.place,
+            row.slot,
             stage,
-            row.share,
-            row.allowance,
-            {each.ident: each for each in row.credentials},
+            row.quota,
+            row.rate_limit,
+            {each.credential_id: each for each in row.credentials},
             b"%x/" % number,
             b"%x." % number,
             row,
@@ -151,18 +151,20 @@
                 standing[number] = places[after.place] = before
         self.by_incarnation, self.by_place = standing, places
         self.by_credential = {ident: bearer for bearer in standing.values() for ident in bearer.credentials}
-        self.store, self.revision, self.mark = feed.store, feed.revision, feed.mark
+        self.store, self.revision, self.mark = feed.store_id, feed.revision, feed.revision_digest
 
     def tenants(self) -> tuple[Tenant, ...]:
         """The table by place, as the module takes it; those that take nothing have no share."""
         size = max(self.by_place, default=0) + 1
         table = [Tenant(0.0, 0.0)] * size
         for place, bearer in self.by_place.items():
-            if bearer.stage is Stage.ACTIVE:
+            if bearer.stage is TenantStage.ACTIVE:
                 table[place] = Tenant(bearer.share, bearer.allowance)
         return tuple(table)
 
     def snapshot(self) -> Feed:
         """All of it, as a feed that `hear` takes."""
         rows = [bearer.row for bearer in self.by_incarnation.values()]
-        return Feed(self.store, self.revision, True, rows, [], sorted(self.drained), mark=self.mark)
+        return Feed(
+            self.store, self.revision, True, rows, [], sorted(self.drained), revision_digest=self.mark
+        )
--- a/gaugehinge/placement/desk.py
+++ b/gaugehinge/placement/desk.py
@@ -62,14 +62,14 @@
 
     def refresh(self, store: Store) -> None:
         """Follow the store."""
-        if not self.rev or store.oldest > self.rev + 1:
+        if not self.rev or store.oldest_revision > self.rev + 1:
             self._load(store)
             return
         while changes := store.changes(self.rev, CHANGES_MOST):
             for change in changes:
                 if change.kind == SHARD:
-                    self._take(change.ident, change.rev, change.body)
-            self.rev = changes[-1].rev
+                    self._take(change.item_id, change.revision, change.body)
+            self.rev = changes[-1].revision
 
     def _load(self, store: Store) -> None:
         self.rows.clear()
@@ -78,10 +78,10 @@
         after, found = "", []
         while items := store.items(SHARD, after):
             found += items
-            after = items[-1].ident
-        for item in sorted(found, key=lambda each: each.rev):
-            self._take(item.ident, item.rev, item.body)
-        self.rev = self.whole_below = store.rev
+            after = items[-1].item_id
+        for item in sorted(found, key=lambda each: each.revision):
+            self._take(item.item_id, item.revision, item.body)
+        self.rev = self.whole_below = store.revision
 
     def _take(self, ident: str, rev: int, body: bytes | None) -> None:
         self.newest = max(self.newest, rev)
--- a/gaugehinge/placement/keeper.py
+++ b/gaugehinge/placement/keeper.py
@@ -25,10 +25,10 @@
 from ..admin.keep import KeepPlacement
 from ..admin.service import SERVER, TENANT, TOMBSTONE, Administration, Caller, Wrong
 from ..admin.types import Kept
-from ..store.keeper import Overloaded
-from ..store.store import Full, Store, Wanted, encode
+from ..store.async_store import StoreOverloadedError
+from ..store.store import DiskFullError, Mutation, Store, encode
 from ..tenancy.feed import Report
-from ..tenancy.lease import Ledger
+from ..tenancy.lease import LeaseTable
 from .admission import Budget, Ground, Server, check_count
 from .admission import Refused as NotTaken
 from .desk import SHARD, Desk, life_of, living
@@ -74,8 +74,8 @@
         self.desk = Desk()
         self.servers = Servers()
         now = clock()
-        self.near = Ledger(now, administration.lease, grace=float(told.flight))
-        self.far = Ledger(now, float(told.alone), grace=float(told.flight))
+        self.near = LeaseTable(now, administration.lease, in_flight_grace=float(told.flight))
+        self.far = LeaseTable(now, float(told.alone), in_flight_grace=float(told.flight))
         self.doubts: dict[tuple[int, str], Doubt] = {}  # until they are written; DOUBTS_MOST of them
         self.disturbed: set[str] = set()  # zones whose servers moved, until that is written
         self.back = False  # a router acts by a history that this copy of the store does not have
@@ -99,8 +99,8 @@
         revision = min(told.clear, told.have) if known else 0
         # A reader without the part follows nothing and is given nothing.
         if self.name in report.parts:
-            self.near.give(report.router, report.run, revision, self.administration.lease, now)
-            self.far.give(report.router, report.run, revision, float(self.told.alone), now)
+            self.near.grant(report.router, report.run, revision, self.administration.lease, now)
+            self.far.grant(report.router, report.run, revision, float(self.told.alone), now)
         if told.servers is not None:
             self.disturbed |= self.servers.hear(report.router, told.servers)
         for doubt in told.doubts:
@@ -115,15 +115,15 @@
             return None
         told = msgspec.json.decode(report.parts[self.name], type=RouterTold)
         self.desk.refresh(store)
-        held = store.mark(told.have) if told.have else ""
-        back = bool(told.have) and held != told.mark and (told.have > store.rev or bool(held))
+        held = store.revision_digest(told.have) if told.have else ""
+        back = bool(told.have) and held != told.mark and (told.have > store.revision or bool(held))
         if back and not self.back:
             self.back = True
             logger.warning("placement: {} follows a history that this store does not have", report.router)
         since = told.have if held and held == told.mark else 0
         whole, rows, gone = self.desk.told(since)
         who = (report.router, report.run)
-        noted = who in self.near.given and who in self.far.given
+        noted = who in self.near.granted and who in self.far.granted
         return msgspec.json.encode(
             KeeperTold(
                 self.desk.rev,
@@ -140,16 +140,16 @@
         )
 
     def _unsure(self, store: Store) -> list[tuple[str, float]]:
-        if self._note[0] != store.rev:
+        if self._note[0] != store.revision:
             item = store.get(NOTE, UNSURE)
-            self._note = store.rev, _pairs(item.body) if item else []
+            self._note = store.revision, _pairs(item.body) if item else []
         return self._note[1]
 
     def acting(self, revision: int, far: bool) -> list[str]:
         """Who may still act by a state older than a revision."""
         ledger, now = self.far if far else self.near, self.clock()
-        former = [] if ledger.settled(now) else [FORMER]
-        return former + sorted({router for router, _ in ledger.acting_before(revision, now)})
+        former = [] if ledger.former_leases_expired(now) else [FORMER]
+        return former + sorted({router for router, _ in ledger.active_before(revision, now)})
 
     def claims(self, row: Pinned) -> bool:
         """Whether a shard may be called confined now.
@@ -159,7 +159,7 @@
         that act without a lease.
         """
         ledger = self.far if self.back else self.near
-        return row.stage == Stage.CONFINED.value and ledger.settled(self.clock())
+        return row.stage == Stage.CONFINED.value and ledger.former_leases_expired(self.clock())
 
     def grounds(self) -> set[frozenset[str]]:
         """The zones of each `only` shard, now and after its move: whoever takes servers out leaves at least
@@ -181,11 +181,11 @@
                     rezoned = True
                 if self.clock() >= next_sweep:
                     await self._change(self._sweep, "keeper")
-                    self.near.sweep(self.clock())
-                    self.far.sweep(self.clock())
+                    self.near.remove_expired(self.clock())
+                    self.far.remove_expired(self.clock())
                     next_sweep = self.clock() + SWEEP_EVERY
                 tick = await self.look()
-            except (Overloaded, Full) as bad:
+            except (StoreOverloadedError, DiskFullError) as bad:
                 logger.warning("placement not looked at: {}", bad)
             self._wake = trio.Event()
             with trio.move_on_after(tick):
@@ -200,7 +200,7 @@
             for ident in doubts:
                 self.doubts.pop(ident, None)
             self.disturbed -= disturbed
-        work = await self.keeper.call(self._work)
+        work = await self.keeper.run_sync(self._work)
         known = {(ident, rev) for ident, _, rev in work}
         self.since = {each: at for each, at in self.since.items() if each in known}
         events = {}
@@ -214,7 +214,7 @@
         due = min((row.at - self.keeper.clock() for _, row, _ in work if row.at), default=REST_TICK)
         return TICK if under_way else min(max(due, TICK), REST_TICK)
 
-    async def _change(self, plan: Callable[[Store, float], list[Wanted]], who: str) -> None:
+    async def _change(self, plan: Callable[[Store, float], list[Mutation]], who: str) -> None:
         """Conditional on what stands there: what changed meanwhile is left out, and seen at the next look."""
         await self.keeper.apply_planned(plan, who)
 
@@ -244,9 +244,9 @@
             return False
         return self.clock() - self.since.setdefault((ident, rev), self.clock()) >= span
 
-    def _carry_out(self, store: Store, now: float, events: dict[str, tuple[Event, int]]) -> list[Wanted]:
+    def _carry_out(self, store: Store, now: float, events: dict[str, tuple[Event, int]]) -> list[Mutation]:
         self.desk.refresh(store)
-        wanted: list[Wanted] = []
+        wanted: list[Mutation] = []
         for ident, (event, rev) in events.items():
             row, stands = self.desk.rows.get(ident, (None, 0))
             if row is None or stands != rev:
@@ -254,7 +254,7 @@
             before = life_of(row)
             life = step(before, event)
             if life.stage is Stage.GONE:
-                wanted.append(Wanted(SHARD, ident, None, rev))
+                wanted.append(Mutation(SHARD, ident, None, rev))
                 logger.info("shard {} of {} gone", row.shard, row.tenant)
                 continue
             after = living(row, life, now)
@@ -264,16 +264,16 @@
                 after = self._note_copies(store, after, wanted, now)
             if life.stage is not before.stage:
                 logger.info("shard {} of {} {}", row.shard, row.tenant, life.stage.value)
-            wanted.append(Wanted(SHARD, ident, encode(after), rev))
+            wanted.append(Mutation(SHARD, ident, encode(after), rev))
         return wanted
 
-    def _note_copies(self, store: Store, row: Pinned, wanted: list[Wanted], now: float) -> Pinned:
+    def _note_copies(self, store: Store, row: Pinned, wanted: list[Mutation], now: float) -> Pinned:
         """Who stands when a shard is told to move, and who when it is confined: copies may be left there."""
         crowd = {tuple(each) for each in self._crowd(store, row.crowd)} | set(self.servers.crowd())
         body = encode(sorted(crowd))
         name = xxh3_128_hexdigest(body)
-        if store.get(CROWD, name) is None and all(each.ident != name for each in wanted):
-            wanted.append(Wanted(CROWD, name, body, 0))
+        if store.get(CROWD, name) is None and all(each.item_id != name for each in wanted):
+            wanted.append(Mutation(CROWD, name, body, 0))
         return msgspec.structs.replace(row, crowd=name, confined_at=now)
 
     @staticmethod
@@ -281,7 +281,7 @@
         item = store.get(CROWD, name) if name else None
         return msgspec.json.decode(item.body, type=list[tuple[str, str, float]]) if item else []
 
-    def _rezone(self, store: Store, now: float) -> list[Wanted]:
+    def _rezone(self, store: Store, now: float) -> list[Mutation]:
         """The keeper's file may name other zones for a region than when a shard was pinned to it."""
         self.desk.refresh(store)
         wanted = []
@@ -296,21 +296,21 @@
             event = Event.LATER if life.at else Event.ASK
             life = step(life, event, terms, life.at)
             logger.info("shard {} of {}: its regions have other zones", row.shard, row.tenant)
-            wanted.append(Wanted(SHARD, ident, encode(living(row, life, now)), rev))
+            wanted.append(Mutation(SHARD, ident, encode(living(row, life, now)), rev))
         return wanted
 
-    def _sweep(self, store: Store, now: float) -> list[Wanted]:
+    def _sweep(self, store: Store, now: float) -> list[Mutation]:
         """What belongs to tenants that are gone, and lists of servers that no shard names any more."""
         self.desk.refresh(store)
         self._look_at_room(store)
         stands = {number for number, _ in _tenants(store)}
         gone = [each for each in self.desk.rows.items() if each[1][0].incarnation not in stands]
         used = {row.crowd for row, _ in self.desk.rows.values()}
-        wanted = [Wanted(SHARD, ident, None, rev) for ident, (_, rev) in gone]
-        left = [item for item in store.items(BUDGET, "", SWEPT) if int(item.ident) not in stands]
-        wanted += [Wanted(BUDGET, item.ident, None, item.rev) for item in left]
-        left = [item for item in store.items(CROWD, "", SWEPT) if item.ident not in used]
-        return wanted + [Wanted(CROWD, item.ident, None, item.rev) for item in left]
+        wanted = [Mutation(SHARD, ident, None, rev) for ident, (_, rev) in gone]
+        left = [item for item in store.items(BUDGET, "", SWEPT) if int(item.item_id) not in stands]
+        wanted += [Mutation(BUDGET, item.item_id, None, item.revision) for item in left]
+        left = [item for item in store.items(CROWD, "", SWEPT) if item.item_id not in used]
+        return wanted + [Mutation(CROWD, item.item_id, None, item.revision) for item in left]
 
     def _look_at_room(self, store: Store) -> None:
         """Pins stay where servers are lost behind them: that there is too little for them is told once."""
@@ -334,7 +334,7 @@
 
     def _alarms(
         self, store: Store, now: float, doubts: dict[tuple[int, str], Doubt], disturbed: set[str]
-    ) -> list[Wanted]:
+    ) -> list[Mutation]:
         self.desk.refresh(store)
         wanted, names = [], dict(_tenants(store))
         for (incarnation, shard), doubt in doubts.items():
@@ -344,23 +344,23 @@
                 continue
             life = step(life_of(row) if row else None, Event.LOST)
             blank = Pinned(
-                incarnation, names[incarnation], shard, doubt.prefixes, 0.0, store.rev + 1, "", now
+                incarnation, names[incarnation], shard, doubt.prefixes, 0.0, store.revision + 1, "", now
             )
             after = living(row or blank, life, now)
-            after = msgspec.structs.replace(after, version=store.rev + 1)
+            after = msgspec.structs.replace(after, version=store.revision + 1)
             logger.warning("shard {} of {} held: a newer pin of it was lost", shard, names[incarnation])
-            wanted.append(Wanted(SHARD, ident, encode(after), rev))
+            wanted.append(Mutation(SHARD, ident, encode(after), rev))
         if disturbed:
             held = store.get(NOTE, UNSURE)
             stand = {each.uid: each.started for each in self.servers.known.values()}
             noted = dict(self._unsure(store)) | self.servers.unsure
             unsure = [(uid, at) for uid, at in sorted(noted.items()) if stand.get(uid, at) == at]
-            wanted.append(Wanted(NOTE, UNSURE, encode(unsure), held.rev if held else 0))
+            wanted.append(Mutation(NOTE, UNSURE, encode(unsure), held.revision if held else 0))
             for ident, (row, rev) in self.desk.rows.items():
                 zones = {zone for each in row.now.zones for zone in each} if row.now else set()
                 if row.stage in (Stage.CONFINED.value, Stage.MOVING.value) and zones & disturbed:
                     after = living(row, step(life_of(row), Event.DISTURBED), now)
-                    wanted.append(Wanted(SHARD, ident, encode(after), rev))
+                    wanted.append(Mutation(SHARD, ident, encode(after), rev))
         return wanted
 
     # -- tenants
@@ -384,7 +384,7 @@
             kept, _ = self._standing(self.keeper.store, name)
             return [self._shown(self.keeper.store, row, rev) for row, rev in self.desk.of(kept.incarnation)]
 
-        return answer(ShardPage(await self.keeper.call(look)))
+        return answer(ShardPage(await self.keeper.run_sync(look)))
 
     async def get(self, request: Request, caller: Caller) -> Response:
         """GET /v1/tenants/{name}/shards/{shard}."""
@@ -397,7 +397,7 @@
                 raise Wrong(404, "not found", f"no shard {shard}")
             return self._shown(self.keeper.store, *rows[shard])
 
-        found = await self.keeper.call(look)
+        found = await self.keeper.run_sync(look)
         return answer(found, etag=found.revision)
 
     async def put(self, request: Request, caller: Caller) -> Response:
@@ -425,7 +425,7 @@
     ) -> ShardShown:
         """Pin a shard, or change its pin. Raises Wrong."""
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             kept, rows = self._standing(store, name)
             row, rev = rows.get(shard, (None, 0))
             _match(row, match, shard)
@@ -451,7 +451,7 @@
                 shard,
                 prefixes,
                 allowance,
-                store.rev + 1,
+                store.revision + 1,
                 life.stage.value,
                 now,
                 regions=wanted.regions,
@@ -463,7 +463,7 @@
                 former=_former(row, life),
             )
             ident = f"{kept.incarnation}/{shard}"
-            return [Wanted(SHARD, ident, encode(living(after, life, now)), rev), budget]
+            return [Mutation(SHARD, ident, encode(living(after, life, now)), rev), budget]
 
         made = await self.administration._change(plan, who, answer=self._answered, **key)
         self._wake.set()
@@ -472,7 +472,7 @@
     async def remove(self, name: str, shard: str, match: int, who: str) -> None:
         """Let a pin end. Raises Wrong."""
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             kept, rows = self._standing(store, name)
             row, rev = rows.get(shard, (None, 0))
             if row is None or row.ends:
@@ -485,15 +485,15 @@
             except NotTaken as bad:
                 raise Wrong(bad.status, bad.what, bad.detail, bad.field) from None
             after = living(row, life, now)
-            after = msgspec.structs.replace(after, version=store.rev + 1, former=_former(row, life))
-            return [Wanted(SHARD, ident, None if life.stage is Stage.GONE else encode(after), rev), budget]
+            after = msgspec.structs.replace(after, version=store.revision + 1, former=_former(row, life))
+            return [Mutation(SHARD, ident, None if life.stage is Stage.GONE else encode(after), rev), budget]
 
         await self.administration._change(plan, who)
         self._wake.set()
 
     def _answered(self, made: list[Any]) -> bytes:
         row = msgspec.json.decode(made[0].body, type=Pinned)
-        return msgspec.json.encode(self._shown(None, row, made[0].rev))
+        return msgspec.json.encode(self._shown(None, row, made[0].revision))
 
     def _standing(self, store: Store, name: str) -> tuple[Kept, dict[str, tuple[Pinned, int]]]:
         item = store.get(TENANT, name)
@@ -530,12 +530,14 @@
             for each in list(self.servers.known.values())
         ]
 
-    def _spend(self, store: Store, incarnation: int, now: float) -> Wanted:
+    def _spend(self, store: Store, incarnation: int, now: float) -> Mutation:
         held = store.get(BUDGET, str(incarnation))
         most = self.told.changes
         left, at = msgspec.json.decode(held.body, type=tuple[float, float]) if held else (most, now)
         budget = Budget(left, at).take(most, now)
-        return Wanted(BUDGET, str(incarnation), encode((budget.left, budget.at)), held.rev if held else 0)
+        return Mutation(
+            BUDGET, str(incarnation), encode((budget.left, budget.at)), held.revision if held else 0
+        )
 
     def _terms(self, regions: tuple[str, ...], only: bool) -> Terms:
         return Terms(only, tuple(regions), tuple(tuple(self.told.regions[name]) for name in regions))
@@ -652,14 +654,14 @@
     while items := store.items(kind, after):
         for item in items:
             yield msgspec.json.decode(item.body, type=form)
-        after = items[-1].ident
+        after = items[-1].item_id
 
 
 def _idents(store: Store, kind: str) -> Iterator[str]:
     after = ""
     while items := store.items(kind, after):
-        yield from (item.ident for item in items)
-        after = items[-1].ident
+        yield from (item.item_id for item in items)
+        after = items[-1].item_id
 
 
 def _tenants(store: Store) -> list[tuple[int, str]]:
--- a/gaugehinge/placement/router.py
+++ b/gaugehinge/placement/router.py
@@ -22,8 +22,8 @@
 from ..net.dispatch import FAILED, busy
 from ..net.list_update import ListUpdate
 from ..net.service import Service
-from ..tenancy.feed import WAIT, Feed
-from ..tenancy.lease import Held
+from ..tenancy.feed import POLL_WAIT, Feed
+from ..tenancy.lease import HeldLease
 from ..terms import Attempt, Effect, Operation, Presence
 from .forms import MOST_DOUBTS, MOST_SERVERS, Doubt, KeeperTold, RouterTold, Slice, Told
 from .servers import digest_of, slices
@@ -47,7 +47,7 @@
         """`clock`: the follower's, by which it says when a call was sent."""
         self.service, self.follower, self.clock = service, follower, clock
         self.table = Table()
-        self.lease, self.alone = Held(), Held()
+        self.lease, self.alone = HeldLease(), HeldLease()
         self.store = ""
         self.have, self.mark = 0, ""
         self.asked_at = 0.0  # the question whose answer was heard last
@@ -130,18 +130,18 @@
         told = msgspec.json.decode(body, type=KeeperTold)
         if asked_at < self.asked_at:
             raise BadFeed("placement: the answer to an older question than one that was answered")
-        if not told.whole and (feed.store != self.store or told.revision < self.have):
+        if not told.whole and (feed.store_id != self.store or told.revision < self.have):
             raise BadFeed("placement: changes of another store, or of the past")
-        if told.back and feed.store == self.store:
+        if told.back and feed.store_id == self.store:
             self._doubt(told)
-        elif feed.store != self.store:
+        elif feed.store_id != self.store:
             self.doubts.clear()
         standing = self.follower.roster.by_incarnation
         self.doubts = {ident: row for ident, row in self.doubts.items() if ident[0] in standing}
         gone = [tuple(ident) for ident in told.gone]
         rows = [row for row in told.rows if self._settles(row)]
         self.table.change([*rows, *self.doubts.values()], gone, told.whole)
-        self.store, self.have, self.mark = feed.store, told.revision, told.mark
+        self.store, self.have, self.mark = feed.store_id, told.revision, told.mark
         self.asked_at = asked_at
         self.unsure = dict(told.unsure)
         if told.rows or told.gone or told.whole:
@@ -149,7 +149,7 @@
         self.lease.renew(asked_at, told.lease)
         self.alone.renew(asked_at, told.alone)
         self._keep_pace(told.lease)
-        if self.cut_off and self.lease.good(self.clock()):
+        if self.cut_off and self.lease.is_valid(self.clock()):
             logger.info("placement: lease again, revision {}, {} bounced", self.have, self.bounced)
             self.cut_off, self.bounced = False, 0
         self._list_to_tell(told.servers)
@@ -159,11 +159,11 @@
 
     def ready(self) -> bool:
         """Whether a lease is held: with none `only` shards are bounced. For `recovery`."""
-        return self.lease.good(self.clock())
+        return self.lease.is_valid(self.clock())
 
     def _keep_pace(self, lease: float) -> None:
         if lease:
-            self.follower.wait = min(self.follower.wait, max(min(WAIT, lease / WAITS), LEAST_WAIT))
+            self.follower.wait = min(self.follower.wait, max(min(POLL_WAIT, lease / WAITS), LEAST_WAIT))
             self.follower.slack = min(self.follower.slack, max(lease / WAITS, LEAST_SLACK))
 
     def _list_to_tell(self, keepers: str) -> None:
@@ -204,7 +204,7 @@
     def place(self, operation: Operation) -> bytes | None:
         """At the door: the operation's regions, or its answer at once."""
         pin = self.table.find(operation.key)
-        if not self.lease.good(self.clock()):
+        if not self.lease.is_valid(self.clock()):
             reply = self._cut_off(operation, pin, operation.repeat)
             if reply is not None:
                 return reply
@@ -222,7 +222,7 @@
         operation = attempt.operation
         pin = self.table.find(operation.key)
         again = operation.repeat or operation.ran_at is not None
-        if not self.lease.good(self.clock()):
+        if not self.lease.is_valid(self.clock()):
             reply = self._cut_off(operation, pin, again)
             if reply is not None:
                 self._refuse(operation, reply)
@@ -261,7 +261,7 @@
         if not self.cut_off:
             self.cut_off = True
             logger.warning("placement: no lease, revision {}: `only` shards are bounced", self.have)
-        safe = self.alone.good(self.clock()) and not (pin is not None and pin.only)
+        safe = self.alone.is_valid(self.clock()) and not (pin is not None and pin.only)
         if safe and not (again and _marked(operation)):
             return None
         self.bounced += 1
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -548,10 +548,11 @@
         """A feed was followed."""
         before, same = (
             self.mind,
-            bool(self.former and self.former.keeper_run) and (feed.keeper_run == self.former.keeper_run),
+            bool(self.former and self.former.keeper_run)
+            and (feed.control_plane_run == self.former.keeper_run),
         )
         self.mind = evidence.hear_keeper(before, same, self.uptime())
-        self.keeper_run = feed.keeper_run
+        self.keeper_run = feed.control_plane_run
         self.facts.keeper = True
         self._changed(before)
 
@@ -561,9 +562,9 @@
     def _weigh(self, feed: Feed) -> Feed:
         """What of a feed is followed. Raises BadFeed while it is from before what was heard."""
         now, known = self.clock(), self._known_store()
-        standing = trust.keeper_answer(known, feed.store, feed.revision, feed.whole)
+        standing = trust.keeper_answer(known, feed.store_id, feed.revision, feed.complete)
         if standing is not trust.Standing.FOLLOWED:
-            what = f"store {feed.store} revision {feed.revision}, heard was {known.name} {known.revision}"
+            what = f"store {feed.store_id} revision {feed.revision}, heard was {known.name} {known.revision}"
             if not self.older_until:
                 self.older_until = now + float(self.entry.doubt)
                 logger.error("recovery: keeper is {}: {}", standing.value, what)
@@ -581,7 +582,7 @@
             )
         self.older_until = 0.0
         named = [row for row in rows if row[0] not in refused]
-        self.store = trust.remember(known._replace(name=feed.store, revision=feed.revision), named)
+        self.store = trust.remember(known._replace(name=feed.store_id, revision=feed.revision), named)
         return feed
 
     def _known_store(self) -> trust.KnownStore:
--- a/gaugehinge/recovery/evidence.py
+++ b/gaugehinge/recovery/evidence.py
@@ -22,7 +22,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from ..tenancy.lease import DRIFT
+from ..tenancy.lease import MAX_CLOCK_DRIFT
 
 LEAST_SLACK = 3.0  # seconds before our end from which a peer's start still counts as after it
 MOST_NUMBER = (1 << 32) - 1  # of runs and epochs, as messages carry them
@@ -205,7 +205,7 @@
 def _prove(peer: Peer, told: Told, uptime: float) -> Peer:
     """The sender heard us in this run of ours and of its own: what it says of itself is of now."""
     # It sent this after it heard what we sent at `echo_uptime`: so its run began no earlier than this.
-    began = told.echo_uptime - told.uptime * (1.0 + DRIFT)
+    began = told.echo_uptime - told.uptime * (1.0 + MAX_CLOCK_DRIFT)
     if told.mark == peer.mark:
         return peer._replace(
             run=max(peer.run, told.run),
--- a/gaugehinge/rehearsal/broken.py
+++ b/gaugehinge/rehearsal/broken.py
@@ -255,7 +255,7 @@
         held = await self.tenant(name)
         all_ = msgspec.structs.asdict(told)
         figures = {name: value for name, value in all_.items() if value is not msgspec.UNSET}
-        return msgspec.structs.replace(held, revision=self.keeper.rev + 1, **figures)
+        return msgspec.structs.replace(held, revision=self.keeper.revision + 1, **figures)
 
     service.Administration.change = change
 
--- a/gaugehinge/rehearsal/company.py
+++ b/gaugehinge/rehearsal/company.py
@@ -43,13 +43,13 @@
 from ..histories.events import Change, Link, Process, Recorder, Stall
 from ..net.resp import bulk
 from ..net.sockets import connect, receive, send_all, shut, tcp
-from ..store.keeper import StoreKeeper
-from ..tenancy.credentials import Attempts, Hasher
-from ..tenancy.life import Order
+from ..store.async_store import AsyncStore
+from ..tenancy.credentials import AttemptLimiter, SecretHasher
+from ..tenancy.lifecycle import TenantAction
 from .crowd import Crowd, Shape
 from .ground import Child, Ground
 
-CHEAP = Hasher(time_cost=1, memory_kib=64)  # of the secrets here: a hash says itself how it is checked
+CHEAP = SecretHasher(time_cost=1, memory_kib=64)  # of the secrets here: a hash says itself how it is checked
 MEMORY = 9.0  # seconds for which marks are remembered
 WAIT = 2.0  # longest wait of a client, seconds
 BEAT = 0.05  # seconds between two looks at whether the play's own loop stands
@@ -218,9 +218,9 @@
         """Operators, tenants and secrets, made in the store before its keeper starts."""
         files = self.children["keeper"].files
         files.mkdir(parents=True, exist_ok=True)
-        keeper = StoreKeeper(files / "store.db")
+        keeper = AsyncStore(files / "store.db")
         try:
-            desk = Administration(keeper, CHEAP, Attempts(1, keeper.clock()))
+            desk = Administration(keeper, CHEAP, AttemptLimiter(1, keeper.clock()))
             await desk.ready()
             self.root = await desk.first_operator() or self.root
             tier = await desk.new_operator("tier", "router", "", "play")
@@ -228,7 +228,7 @@
             for name in self.plan.tenants:
                 new = NewTenant(name, allowance=self.plan.allowance, memory=MEMORY)
                 made = await desk.create(new, "play")
-                await desk.tell(name, Order.ACTIVATE, made.revision, "play")
+                await desk.tell(name, TenantAction.ACTIVATE, made.revision, "play")
                 self.secrets[name] = (await desk.new_credential(name, 0.0, "play")).secret
         finally:
             keeper.close()
--- a/gaugehinge/rehearsal/drainsmodel.py
+++ b/gaugehinge/rehearsal/drainsmodel.py
@@ -15,7 +15,7 @@
 
 from ..drains.grants import ORIGIN, SERVERS, Grant, Grants, Ground, Holding, Slot, Word
 from ..drains.rolls import Fact, Roll, RollOrder, Rolls, Step, Who
-from ..tenancy.lease import DRIFT, SLACK, Held
+from ..tenancy.lease import EXPIRY_MARGIN, MAX_CLOCK_DRIFT, HeldLease
 
 LEASE, CLOSING = 1.0, 3.0
 
@@ -95,7 +95,7 @@
 
     def boot(self, node: Node) -> None:
         now = node.clock(self.now)
-        from_ = now + CLOSING * (1 + DRIFT) + SLACK
+        from_ = now + CLOSING * (1 + MAX_CLOCK_DRIFT) + EXPIRY_MARGIN
         node.holding = Holding(dict(node.floors), from_, node.admitted)
         node.open, node.paused, node.turn = 0, False, 0
 
@@ -308,7 +308,7 @@
         for node in self.nodes:
             copied = twin(node)
             copied.holding = twin(node.holding)
-            copied.holding.held = Held(node.holding.held.until)
+            copied.holding.held = HeldLease(node.holding.held.expires_at)
             other.nodes.append(copied)
         keeper = other.keeper = twin(self.keeper)
         for name in ("words", "heard", "given", "gone_by", "liars", "refused", "fresh"):
@@ -330,7 +330,7 @@
                 n.holding.number - self._base(n),
                 n.holding.mark == self._mark(n),
                 tuple(n.holding.values.items()),
-                ago(n.holding.held.until),
+                ago(n.holding.held.expires_at),
                 ago(max(n.holding.floor_from, -99.0)),
                 tuple((c, ago(t)) for c, t in n.left),
                 ago(n.used_at) if n.paused else 0.0,
@@ -358,7 +358,7 @@
             )
             for w in keeper.words.values()
         )
-        given = tuple((node, ago(each.at)) for node, each in keeper.given.items())
+        given = tuple((node, ago(each.granted_at)) for node, each in keeper.given.items())
         gone = tuple((node, ago(at)) for node, at in keeper.gone_by.items() if self.slots[node].remains)
         late = tuple(
             (kind, i, ago(at), what.number if kind == "word" else what[1].number - self._base(self.nodes[i]))
@@ -508,7 +508,7 @@
     world = made(draw.choice([6, 8, 12]) * floor, floor, 3, 3)
     first = world.limit
     for node in world.nodes:
-        node.rate = draw.choice([1.0, 1.0 - DRIFT / 2, 1.0 + DRIFT / 2])
+        node.rate = draw.choice([1.0, 1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2])
     rare = {"crash": 0.1, "keeper": 0.05, "older": 0.03, "copy": 0.3, "pause": 0.15}
     rare |= {"elsewhere": 0.02, "back_home": 0.1}
     if seed % 2:
--- a/gaugehinge/rehearsal/hostedplay.py
+++ b/gaugehinge/rehearsal/hostedplay.py
@@ -33,11 +33,11 @@
 from ..net.resp import Parser, bulk
 from ..net.service import Service
 from ..net.sockets import shut
-from ..store.keeper import StoreKeeper
-from ..tenancy.credentials import Attempts, Hasher
+from ..store.async_store import AsyncStore
+from ..tenancy.credentials import AttemptLimiter, SecretHasher
 
 HOST = "127.0.0.1"
-CHEAP = Hasher(time_cost=1, memory_kib=64)  # a rehearsal is no place to spend CPU on hashes
+CHEAP = SecretHasher(time_cost=1, memory_kib=64)  # a rehearsal is no place to spend CPU on hashes
 TRAFFIC = (
     TrafficEntry("read", "idempotent", Seconds(0.5), abandon_time=Seconds(2.0), late_payoff=0.2),
     TrafficEntry("put", "idempotent", Seconds(0.5), abandon_time=Seconds(2.0), late_payoff=0.2),
@@ -91,7 +91,7 @@
     api: str = ""
     root: str = ""  # the first operator's secret
     routers_secret: str = ""
-    keeper: StoreKeeper | None = None
+    keeper: AsyncStore | None = None
     administration: Administration | None = None
     keeping: trio.CancelScope = field(default_factory=trio.CancelScope)
     files: list[Installation] = field(default_factory=list)
@@ -106,8 +106,8 @@
 
     async def keep(self) -> None:
         """Start the keeper, at the place that it had before if it had one."""
-        keeper = self.keeper = StoreKeeper(self.folder / "store.db")
-        desk = self.administration = Administration(keeper, CHEAP, Attempts(1, keeper.clock()))
+        keeper = self.keeper = AsyncStore(self.folder / "store.db")
+        desk = self.administration = Administration(keeper, CHEAP, AttemptLimiter(1, keeper.clock()))
         await desk.ready()
         if self.lease:
             desk.give_leases(self.lease)
@@ -209,7 +209,7 @@
         with trio.fail_after(wait):
             while not all(
                 follower is not None
-                and follower.roster.revision >= self.keeper.rev
+                and follower.roster.revision >= self.keeper.revision
                 and service.dispatch.router.caches
                 for follower, service, scope in zip(self.followers, self.services, self.scopes, strict=True)
                 if not scope.cancel_called
--- a/gaugehinge/rehearsal/hostedrun.py
+++ b/gaugehinge/rehearsal/hostedrun.py
@@ -181,7 +181,7 @@
         await desk.request(method, f"/v1/tenants/{name}{end}", json=body, headers={"If-Match": etag})
 
     async def _spread(self) -> None:
-        began, revision = trio.current_time(), self.made.keeper.rev
+        began, revision = trio.current_time(), self.made.keeper.revision
         with trio.move_on_after(10.0) as limit:
             while any(follower.roster.revision < revision for follower in self.made.followers):
                 await trio.sleep(SPREAD_LOOK)
--- a/gaugehinge/rehearsal/misplaced.py
+++ b/gaugehinge/rehearsal/misplaced.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ..placement import admission, keeper, router, shards
-from ..tenancy.lease import Held
+from ..tenancy.lease import HeldLease
 
 FINDS = {
     "dozes": ("woken", {"woken", "confined"}),
@@ -27,7 +27,7 @@
 
 def dozes() -> None:
     """Its lease is never over: it wakes, and goes on by what it knew."""
-    Held.good = lambda self, now: self.until > 0.0
+    HeldLease.is_valid = lambda self, now: self.expires_at > 0.0
 
 
 def believes() -> None:
--- a/gaugehinge/store/keeper.py
+++ b/gaugehinge/store/async_store.py
@@ -17,17 +17,17 @@
 import trio
 from loguru import logger
 
-from .store import Change, Damaged, Full, Store, Wanted, snapshots
+from .store import Change, DiskFullError, Mutation, Store, StoreUnusableError, snapshots
 
 T = TypeVar("T")
 
-MOST_WAITING = 64  # calls that wait for the disk; more are refused at once
-SNAPSHOT_EVERY = 3600.0  # seconds, if anything changed
-SNAPSHOTS_KEPT = 5
-LOG_KEPT = 100_000  # rows of the log that watchers may be behind; older ones go after a snapshot
+MAX_QUEUED_CALLS = 64  # calls that wait for the disk; more are refused at once
+SNAPSHOT_INTERVAL = 3600.0  # seconds, if anything changed
+MAX_SNAPSHOTS = 5
+MAX_LOG_ROWS = 100_000  # rows of the log that watchers may be behind; older ones go after a snapshot
 
 
-class Overloaded(Exception):
+class StoreOverloadedError(Exception):
     """Too many calls wait for the disk; nothing was done."""
 
 
@@ -36,31 +36,31 @@
 
     def __init__(self, since: int) -> None:
         self.since = since
-        self.news = trio.Event()
+        self.changed = trio.Event()
 
 
-class StoreKeeper:
+class AsyncStore:
     """One store and its thread."""
 
     def __init__(self, path: str | Path, clock: Callable[[], float] = time.time) -> None:
-        """Open and verify. Raises Damaged: a file that is not whole is never served from."""
+        """Open and verify. Raises StoreUnusableError: a file that is not whole is never served from."""
         self.path = Path(path)
         self.clock = clock
         self.store = Store(path)
         self.store.verify()
-        self.rev = self.store.rev
+        self.revision = self.store.revision
         self._watchers: set[Watcher] = set()
-        self._calls: queue.Queue[Callable[[], None] | None] = queue.Queue(MOST_WAITING)
-        self._thread = threading.Thread(target=self._work, name="store", daemon=True)
+        self._calls: queue.Queue[Callable[[], None] | None] = queue.Queue(MAX_QUEUED_CALLS)
+        self._thread = threading.Thread(target=self._run_calls, name="store", daemon=True)
         self._thread.start()
-        self._snapshot_rev = -1
+        self._snapshot_revision = -1
 
-    def _work(self) -> None:
+    def _run_calls(self) -> None:
         while (call := self._calls.get()) is not None:
             call()
 
-    async def call(self, work: Callable[..., T], *given: Any) -> T:
-        """Run something on the store's thread. Raises Overloaded where too many wait already."""
+    async def run_sync(self, work: Callable[..., T], *given: Any) -> T:
+        """Run something on the store's thread. Raises StoreOverloadedError where too many wait already."""
         done, token = trio.Event(), trio.lowlevel.current_trio_token()
         told: list[Any] = []
 
@@ -75,79 +75,81 @@
         try:
             self._calls.put_nowait(run)
         except queue.Full:
-            raise Overloaded("the store is busy") from None
+            raise StoreOverloadedError("the store is busy") from None
         await done.wait()  # a caller that is cancelled here leaves; the work is done all the same
         good, value = told
         if not good:
             raise value
         return value
 
-    async def apply(self, wanted: Iterable[Wanted], who: str, **more: Any) -> list[Change]:
+    async def apply(self, wanted: Iterable[Mutation], actor: str, **more: Any) -> list[Change]:
         """Make changes, all or none, and wake the watchers. Raises as Store.apply does."""
         wanted = list(wanted)
-        return await self.apply_planned(lambda store, now: wanted, who, **more)
+        return await self.apply_planned(lambda store, now: wanted, actor, **more)
 
     async def apply_planned(
-        self, plan: Callable[[Store, float], list[Wanted]], who: str, **more: Any
+        self, plan: Callable[[Store, float], list[Mutation]], actor: str, **more: Any
     ) -> list[Change]:
         """The same, where what to change is decided on the store's thread from what stands there."""
         token = trio.lowlevel.current_trio_token()
 
         def work() -> list[Change]:
             now = self.clock()
-            made = self.store.apply(plan(self.store, now), who, now, **more)
+            made = self.store.apply(plan(self.store, now), actor, now, **more)
             if made:
                 # From here, not by the caller: that may have left, and the change is made all the same.
                 with suppress(trio.RunFinishedError):
-                    token.run_sync_soon(self._made, made[-1].rev)
+                    token.run_sync_soon(self._notify_watchers, made[-1].revision)
             return made
 
-        return await self.call(work)
+        return await self.run_sync(work)
 
-    def _made(self, rev: int) -> None:
-        self.rev = max(self.rev, rev)
+    def _notify_watchers(self, rev: int) -> None:
+        self.revision = max(self.revision, rev)
         for watcher in self._watchers:
-            watcher.news.set()
+            watcher.changed.set()
 
-    async def changes(self, since: int, most: int, wait: float) -> list[Change] | None:
+    async def changes(self, since: int, limit: int, wait: float) -> list[Change] | None:
         """Changes behind a revision, waited for up to some seconds; None where the log no longer has them."""
-        if since > self.rev:
+        if since > self.revision:
             return None  # of another life of this store
-        if since == self.rev and wait > 0:
+        if since == self.revision and wait > 0:
             watcher = Watcher(since)
             self._watchers.add(watcher)
             try:
                 with trio.move_on_after(wait):
-                    await watcher.news.wait()
+                    await watcher.changed.wait()
             finally:
                 self._watchers.discard(watcher)
-        if since == self.rev:
+        if since == self.revision:
             return []
-        found, oldest = await self.call(lambda: (self.store.changes(since, most), self.store.oldest))
+        found, oldest = await self.run_sync(
+            lambda: (self.store.changes(since, limit), self.store.oldest_revision)
+        )
         return found if since + 1 >= oldest else None
 
     # -- care
 
-    async def care(self) -> None:
+    async def run_maintenance(self) -> None:
         """Snapshots and the log's length, until cancelled."""
         while True:
-            await trio.sleep(SNAPSHOT_EVERY)
+            await trio.sleep(SNAPSHOT_INTERVAL)
             try:
-                await self.snapshot()
-            except (OSError, Damaged, Full, Overloaded) as bad:
+                await self.take_snapshot()
+            except (OSError, StoreUnusableError, DiskFullError, StoreOverloadedError) as bad:
                 logger.error("no snapshot: {}", bad)
 
-    async def snapshot(self) -> Path | None:
+    async def take_snapshot(self) -> Path | None:
         """A snapshot beside the file, if anything changed since the last one; old ones and old rows go."""
-        if self.rev == self._snapshot_rev:
+        if self.revision == self._snapshot_revision:
             return None
-        target = self.path.with_name(f"{self.path.name}.snapshot-{self.rev:012d}")
-        rev = await self.call(self.store.backup, target)
-        self._snapshot_rev = rev
-        for old in snapshots(self.path)[SNAPSHOTS_KEPT:]:
+        target = self.path.with_name(f"{self.path.name}.snapshot-{self.revision:012d}")
+        rev = await self.run_sync(self.store.backup, target)
+        self._snapshot_revision = rev
+        for old in snapshots(self.path)[MAX_SNAPSHOTS:]:
             old.unlink(missing_ok=True)
-        if rev > LOG_KEPT:
-            await self.call(self.store.compact, rev - LOG_KEPT)
+        if rev > MAX_LOG_ROWS:
+            await self.run_sync(self.store.compact, rev - MAX_LOG_ROWS)
         logger.info("store snapshot: revision {}", rev)
         return target
 
--- a/gaugehinge/store/trial.py
+++ b/gaugehinge/store/crash_test.py
@@ -1,7 +1,7 @@
 """A writer that is killed at any moment, and the judge of what it left: for tests and long runs.
 
-`python -m gaugehinge.store.trial FILE SEED` writes until it is killed, and says of each change, once it was
-acknowledged, up to which revision the log now goes.
+`python -m gaugehinge.store.crash_test FILE SEED` writes until it is killed, and says of each change, once
+it was acknowledged, up to which revision the log now goes.
 """
 
 from __future__ import annotations
@@ -11,37 +11,37 @@
 import sys
 from pathlib import Path
 
-from .store import Store, Wanted
+from .store import Mutation, Store
 
-MOST_TOGETHER = 4  # changes in one transaction
-COMPACT_EVERY = 40
-KEPT = 100  # rows of the log
+MAX_BATCH_SIZE = 4  # changes in one transaction
+COMPACTION_INTERVAL = 40
+LOG_ROWS_KEPT = 100  # rows of the log
 
 
 def write_forever(path: str, seed: int) -> None:
     """Changes of random things, some removed, the log compacted now and then."""
     store, draw, count = Store(path), random.Random(seed), 0
-    print("ready", store.rev, flush=True)
+    print("ready", store.revision, flush=True)
     while True:
         count += 1
         wanted = [
-            Wanted("t", f"k{draw.randrange(50)}", b"%d" % count if draw.random() < 0.9 else None)
-            for _ in range(draw.randint(1, MOST_TOGETHER))
+            Mutation("t", f"k{draw.randrange(50)}", b"%d" % count if draw.random() < 0.9 else None)
+            for _ in range(draw.randint(1, MAX_BATCH_SIZE))
         ]
         made = store.apply(wanted, "w", float(count))
-        print(made[-1].rev, len(made), flush=True)
-        if count % COMPACT_EVERY == 0:
-            store.compact(max(store.rev - KEPT, 1))
+        print(made[-1].revision, len(made), flush=True)
+        if count % COMPACTION_INTERVAL == 0:
+            store.compact(max(store.revision - LOG_ROWS_KEPT, 1))
 
 
-def kill_once(path: Path, seed: int, changes: int) -> tuple[int, int]:
+def kill_writer_once(path: Path, seed: int, changes: int) -> tuple[int, int]:
     """Let a writer make some changes, kill it amid the next, look at the file.
 
-    Returns the last acknowledged revision and the one found. Raises Damaged, or AssertionError where an
-    acknowledged change is gone or a half of one is there.
+    Returns the last acknowledged revision and the one found. Raises StoreUnusableError, or AssertionError
+    where an acknowledged change is gone or a half of one is there.
     """
     process = subprocess.Popen(
-        [sys.executable, "-m", "gaugehinge.store.trial", str(path), str(seed)],
+        [sys.executable, "-m", "gaugehinge.store.crash_test", str(path), str(seed)],
         stdout=subprocess.PIPE,
         text=True,
         start_new_session=True,
@@ -59,11 +59,11 @@
     store = Store(path)
     try:
         store.verify()
-        assert store.rev >= last, f"acknowledged {last}, found {store.rev}"
-        assert store.rev <= last + MOST_TOGETHER, (
-            f"acknowledged {last}, found {store.rev}: over one change more"
+        assert store.revision >= last, f"acknowledged {last}, found {store.revision}"
+        assert store.revision <= last + MAX_BATCH_SIZE, (
+            f"acknowledged {last}, found {store.revision}: over one change more"
         )
-        return last, store.rev
+        return last, store.revision
     finally:
         store.close()
 
--- a/gaugehinge/store/schema.py
+++ b/gaugehinge/store/schema.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-APPLICATION = 0x67617567  # `PRAGMA application_id`: whose file it is
-VERSION = 2
+APPLICATION_ID = 0x67617567  # `PRAGMA application_id`: whose file it is
+SCHEMA_VERSION = 2
 
 # Each step takes a file from the version before it; run in one transaction with the new version.
-STEPS: dict[int, tuple[str, ...]] = {
+MIGRATIONS: dict[int, tuple[str, ...]] = {
     1: (
         # The log: never changed, never shortened but by `compact` below a snapshot's revision.
         """CREATE TABLE change (
@@ -48,6 +48,6 @@
 }
 
 
-def steps_from(version: int) -> list[tuple[int, tuple[str, ...]]]:
+def migrations_from(version: int) -> list[tuple[int, tuple[str, ...]]]:
     """The steps that a file of that version lacks, in order."""
-    return [(number, STEPS[number]) for number in range(version + 1, VERSION + 1)]
+    return [(number, MIGRATIONS[number]) for number in range(version + 1, SCHEMA_VERSION + 1)]
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -20,12 +20,12 @@
 from gaugehinge.admin.service import Administration
 from gaugehinge.cli.main import main
 from gaugehinge.emulator.ports import Ports
-from gaugehinge.store.keeper import StoreKeeper
-from gaugehinge.store.store import Full
-from gaugehinge.tenancy.credentials import BURST as TRIES
-from gaugehinge.tenancy.credentials import Attempts, Hasher
+from gaugehinge.store.async_store import AsyncStore
+from gaugehinge.store.store import DiskFullError
+from gaugehinge.tenancy.credentials import FAILURE_BURST as TRIES
+from gaugehinge.tenancy.credentials import AttemptLimiter, SecretHasher
 
-CHEAP = Hasher(time_cost=1, memory_kib=64)
+CHEAP = SecretHasher(time_cost=1, memory_kib=64)
 
 
 class Desk:
@@ -49,8 +49,8 @@
 async def office(path):
     """A store, its API and the first operator."""
     clock = [1_000_000.0]
-    keeper = StoreKeeper(path / "s.db", lambda: clock[0])
-    administration = Administration(keeper, CHEAP, Attempts(1, clock[0]))
+    keeper = AsyncStore(path / "s.db", lambda: clock[0])
+    administration = Administration(keeper, CHEAP, AttemptLimiter(1, clock[0]))
     secret = await administration.first_operator()
     transport = httpx.ASGITransport(Api(administration).app())
     async with httpx.AsyncClient(transport=transport, base_url="http://admin") as client:
@@ -285,7 +285,7 @@
     async def scene():
         async with office(tmp_path) as desk:
             monkeypatch.setattr(
-                desk.keeper.store, "apply", lambda *a, **k: (_ for _ in ()).throw(Full("disk"))
+                desk.keeper.store, "apply", lambda *a, **k: (_ for _ in ()).throw(DiskFullError("disk"))
             )
             assert (await desk.make("acme")).status_code == 507
             monkeypatch.undo()
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -47,9 +47,9 @@
 from gaugehinge.rehearsal.drainsplay import woken, written_ago
 from gaugehinge.rehearsal.hostedplay import CHEAP
 from gaugehinge.rehearsal.plays import run_many
-from gaugehinge.store.keeper import StoreKeeper
-from gaugehinge.store.store import Full
-from gaugehinge.tenancy.credentials import Attempts
+from gaugehinge.store.async_store import AsyncStore
+from gaugehinge.store.store import DiskFullError
+from gaugehinge.tenancy.credentials import AttemptLimiter
 from gaugehinge.tenancy.feed import Report
 from gaugehinge.terms import Attempt, Listing, Outcome, Presence
 
@@ -582,9 +582,9 @@
 @asynccontextmanager
 async def desk_of(path, **figures):
     """A keeper with its part, and the API as `root` calls it."""
-    keeper = StoreKeeper(path / "store.db")
+    keeper = AsyncStore(path / "store.db")
     try:
-        admin = Administration(keeper, CHEAP, Attempts(1, keeper.clock()))
+        admin = Administration(keeper, CHEAP, AttemptLimiter(1, keeper.clock()))
         await admin.ready()
         root = await admin.first_operator() or (path / "root").read_text()
         (path / "root").write_text(root)
@@ -646,16 +646,16 @@
 
 
 def test_a_keeper_that_is_started_on_a_full_disk_begins_when_there_is_room(tmp_path, monkeypatch):
-    planned, failed = StoreKeeper.apply_planned, []
+    planned, failed = AsyncStore.apply_planned, []
 
     async def full(self, plan, who, **more):
         if who == "drains" and len(failed) < 2:
             failed.append(who)
-            raise Full("disk I/O error")
+            raise DiskFullError("disk I/O error")
         return await planned(self, plan, who, **more)
 
     async def scene():
-        monkeypatch.setattr(StoreKeeper, "apply_planned", full)
+        monkeypatch.setattr(AsyncStore, "apply_planned", full)
         monkeypatch.setattr("gaugehinge.drains.keeper.TICK", 0.01)
         async with desk_of(tmp_path) as all_:
             assert len(failed) == 2
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -27,7 +27,7 @@
 from gaugehinge.net.resp import Parser, bulk
 from gaugehinge.rehearsal.hostedplay import CHEAP, Client, hosting
 from gaugehinge.rehearsal.hostedrun import churn
-from gaugehinge.tenancy.credentials import BURST, Attempts, Credential
+from gaugehinge.tenancy.credentials import FAILURE_BURST, AttemptLimiter, Credential
 from gaugehinge.tenancy.feed import Feed, TenantRow
 from gaugehinge.terms import Listing, Presence, Tenant
 
@@ -109,12 +109,12 @@
             del standing[gone[0]]
         if draw.random() < 0.5:
             number += 1
-            taken = {each.place for each in standing.values()}
+            taken = {each.slot for each in standing.values()}
             place = next(i for i in range(99) if i not in taken)
             rows.append(row(f"t{draw.randrange(5)}", number, place, draw.choice(["active", "created"])))
         elif standing:
             before = standing[draw.choice(sorted(standing))]
-            rows.append(msgspec.structs.replace(before, share=draw.random(), stage="suspended"))
+            rows.append(msgspec.structs.replace(before, quota=draw.random(), stage="suspended"))
         for each in rows:
             standing[each.incarnation] = each
         roster.hear(news(*rows, revision=revision, gone=gone))
@@ -138,7 +138,7 @@
 
 
 def test_a_credential_ends_by_the_clock_and_by_being_taken_out():
-    old, new = Credential("a", "h", 0.0, ends=100.0), Credential("b", "h", 1.0)
+    old, new = Credential("a", "h", 0.0, expires_at=100.0), Credential("b", "h", 1.0)
     roster = Roster()
     roster.hear(whole(row(credentials=[old, new])))
     bearer = roster.by_credential["a"]
@@ -204,7 +204,7 @@
     ],
 )
 def test_a_tenant_has_traffic_types_and_bounds_of_its_own(told, value, found):
-    bearer = bearing(5, traffic={"agenda": "read"}, longest_wait=0.5, most_value=10)
+    bearer = bearing(5, traffic_types={"agenda": "read"}, max_wait=0.5, max_value_size=10)
     parser = Parser()
     parser.feed(b"*5\r\n" + b"".join(map(bulk, [b"KV.SET", b"k", b"i", told.encode(), value])))
     if isinstance(found, str):
@@ -253,18 +253,18 @@
 def test_wrong_secrets_are_told_one_thing_and_are_bounded():
     async def scene():
         roster = Roster()
-        secret, credential = CHEAP.make(0.0)
-        other, theirs = CHEAP.make(0.0)
-        gate = Gate(roster, CHEAP, Attempts(1, 0.0), lambda: 0.0)
+        secret, credential = CHEAP.issue(0.0)
+        other, theirs = CHEAP.issue(0.0)
+        gate = Gate(roster, CHEAP, AttemptLimiter(1, 0.0), lambda: 0.0)
         assert (await gate.check("s", "", secret))[2].startswith(b"-LOADING")
         roster.hear(whole(row(credentials=[credential]), row("bolt", 2, 1, credentials=[theirs])))
         bearer, ident, reply = await gate.check("s", "acme", secret)
-        assert (bearer.name, ident, reply) == ("acme", credential.ident, b"+OK\r\n")
+        assert (bearer.name, ident, reply) == ("acme", credential.credential_id, b"+OK\r\n")
         wrong = set()
         for name, told in [("bolt", secret), ("", secret[:-1] + "?"), ("none", other), ("", "nonsense")]:
             wrong.add((await gate.check("s", name, told))[2])
         assert len(wrong) == 1 and wrong.pop().startswith(b"-WRONGPASS")
-        for _ in range(int(BURST)):
+        for _ in range(int(FAILURE_BURST)):
             reply = (await gate.check("s", "", "gh_x_y"))[2]
         assert reply.startswith(b"-BUSY")
         # One that was found right is not checked again, so a crowd of wrong ones does not keep it out.
@@ -376,7 +376,7 @@
             clients = [await made.client(number, acme) for number in range(2)]
 
             async def told() -> set:
-                ident = f"i{made.keeper.rev}"
+                ident = f"i{made.keeper.revision}"
                 return {(await c.ask("KV.GET", "k", ident, "c=read,d=2000"))[:6] for c in clients}
 
             assert await told() == {b"$0\r\n\r\n"}
@@ -439,7 +439,7 @@
             clock = made.keeper.clock
             assert await look_at_stones(made.administration) == 0
             with trio.fail_after(5):
-                while made.administration.reports(1, clock())["router-0"].heard_revision < made.keeper.rev:
+                while made.administration.reports(1, clock())["router-0"].revision < made.keeper.revision:
                     await trio.sleep(0.01)
             made.keeper.clock = lambda: clock() + 60.0
             for router in made.administration.routers.values():
@@ -497,7 +497,7 @@
             follower = made.followers[0]
             with trio.fail_after(5):
                 while made.followers[0].snapshot.load() is None or (
-                    made.followers[0].snapshot.load().revision < made.keeper.rev
+                    made.followers[0].snapshot.load().revision < made.keeper.revision
                 ):
                     await trio.sleep(0.01)
             await made.stop_keeping()
@@ -533,7 +533,7 @@
             kept, follower.client = follower.client, httpx.AsyncClient(base_url="http://127.0.0.1:9")
             for count in range(30):
                 await made.tenant(f"t{count}")
-            await made.administration.keeper.call(made.keeper.store.compact, made.keeper.rev - 3)
+            await made.administration.keeper.run_sync(made.keeper.store.compact, made.keeper.revision - 3)
             async with made.desk() as desk:
                 etag = (await desk.get("/v1/tenants/t7")).headers["etag"]
                 await desk.delete("/v1/tenants/t7", headers={"If-Match": etag})
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -53,13 +53,13 @@
         if self.secret and request.headers.get("Authorization") != f"Bearer {self.secret}":
             return httpx.Response(401)
         report = msgspec.json.decode(request.content, type=Report)
-        self.waits.append(report.wait)
+        self.waits.append(report.max_wait)
         said = msgspec.json.decode(report.parts["placement"], type=RouterTold)
         self.lists += [said.servers.servers] if said.servers is not None else []
         if len(self.waits) == 3:
             self.fed.set()
-        await trio.sleep(min(report.wait, 0.05))
-        told = KeeperTold(1, "mark", report.since == 0, [], [], LEASE, 2 * LEASE, [], "")
+        await trio.sleep(min(report.max_wait, 0.05))
+        told = KeeperTold(1, "mark", report.known_revision == 0, [], [], LEASE, 2 * LEASE, [], "")
         feed = Feed("store", 1, True, [], parts={"placement": msgspec.Raw(msgspec.json.encode(told))})
         return httpx.Response(200, content=msgspec.json.encode(feed))
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -349,7 +349,7 @@
             play = Play(all_, secret, desk)
             with trio.fail_after(20):
                 while not play.part.servers.known or not all(
-                    f.parts[0].lease.good(trio.current_time()) and f.roster.by_credential
+                    f.parts[0].lease.is_valid(trio.current_time()) and f.roster.by_credential
                     for f in all_.followers
                 ):
                     await trio.sleep(0.02)
@@ -475,7 +475,7 @@
                             while ("c-0" in part.servers.known) is (state == "gone"):
                                 await trio.sleep(0.02)
                         for _ in range(2):
-                            await part.keeper.call(lambda: part._look_at_room(part.keeper.store))
+                            await part.keeper.run_sync(lambda: part._look_at_room(part.keeper.store))
                         assert [word in line for line in told if "region eu bears" in line][-1:] == [True]
                         if state == "gone":
                             tag = {"If-Match": got.headers["etag"]}
@@ -785,7 +785,7 @@
                 while any([(await play.get(each))["repeats_held"] for each in ("mine", "same")]):
                     await trio.sleep(0.02)
             copy = play.all.folder / "copy.db"
-            await play.all.keeper.call(play.all.keeper.store.backup, copy)
+            await play.all.keeper.run_sync(play.all.keeper.store.backup, copy)
             await play.put("mine", ["us"], match=made.headers["etag"], allowance=10)
             await play.until("mine", "confined")
             await play.put("new", ["us"], prefixes=["new/"], allowance=1)
@@ -811,7 +811,9 @@
             await play.until("same", "confined")
             for follower in play.all.followers:
                 roster = follower.roster
-                assert roster.mark == play.all.keeper.store.mark(roster.revision), "of the copy's own past"
+                assert roster.mark == play.all.keeper.store.revision_digest(roster.revision), (
+                    "of the copy's own past"
+                )
             assert (await play.read(0, "ap/1"))[0].startswith(b"$") and play.zones("ap/1") == {"c"}
             shown = await play.get("mine")
             await play.put("mine", ["us"], match=f'"{shown["revision"]}"')
@@ -855,16 +857,16 @@
                     body = {"router": "r", "run": "x", "parts": {"placement": part}}
                     got = await router.post("/v1/feed", json=body)
                     assert got.status_code == 422 and got.json()["field"] == "parts.placement"
-                assert ("r", "x") not in play.part.near.given
+                assert ("r", "x") not in play.part.near.granted
                 # one that does not speak of placement is told nothing of it, and holds nobody up
                 got = await router.post("/v1/feed", json={"router": "r", "run": "x"})
                 assert got.status_code == 200 and got.json()["parts"] == {}
-                assert ("r", "x") not in play.part.near.given
+                assert ("r", "x") not in play.part.near.granted
                 # a table of marks that nobody told counts as none
                 told = {"have": 5, "mark": "ff" * 16, "clear": 5}
                 body = {"router": "r", "run": "x", "parts": {"placement": told}}
                 got = await router.post("/v1/feed", json=body)
                 assert got.json()["parts"]["placement"]["whole"] is True
-                assert play.part.near.given["r", "x"].revision == 0
+                assert play.part.near.granted["r", "x"].revision == 0
 
     run(scene)
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -27,10 +27,10 @@
 from gaugehinge.placement.forms import ShardWanted
 from gaugehinge.placement.keeper import Placement
 from gaugehinge.placement.router import Placing
-from gaugehinge.store.store import Conflict, Store
+from gaugehinge.store.store import RevisionConflictError, Store
 from gaugehinge.tenancy.feed import Report
-from gaugehinge.tenancy.lease import Held, Ledger
-from gaugehinge.tenancy.life import Order
+from gaugehinge.tenancy.lease import HeldLease, LeaseTable
+from gaugehinge.tenancy.lifecycle import TenantAction
 from gaugehinge.terms import Attempt, Effect, Group, Listing, Operation, Presence, TrafficType
 
 LEASE, ALONE, FLIGHT, MEMORY = 2.0, 5.0, 0.5, 3.0
@@ -49,7 +49,7 @@
 SERVERS = [(10 + n, f"server-{n}", "abc"[n % 3]) for n in range(6)]
 SHARDS = {"x": "x/", "part": "x/y/", "z": "z/"}
 KEYS = [b"1/x/1", b"1/x/y/1", b"1/z/1"]
-RATES = [0.996, 1.0, 1.004]  # of clocks: apart by less than lease.DRIFT
+RATES = [0.996, 1.0, 1.004]  # of clocks: apart by less than lease.MAX_CLOCK_DRIFT
 
 
 class Waits:
@@ -73,16 +73,16 @@
 
     def __init__(self, path, world) -> None:
         self.store, self.world = Store(path), world
-        self.store.db.execute("PRAGMA synchronous=OFF")
+        self.store.connection.execute("PRAGMA synchronous=OFF")
 
     @property
-    def rev(self) -> int:
-        return self.store.rev
+    def revision(self) -> int:
+        return self.store.revision
 
     def clock(self) -> float:
         return 1e9 + self.world.now
 
-    async def call(self, work, *given):
+    async def run_sync(self, work, *given):
         return work(*given)
 
     async def apply_planned(self, plan, who, **more):
@@ -90,7 +90,7 @@
         return self.store.apply(plan(self.store, now), who, now, **more)
 
     async def changes(self, since, most, wait):
-        if since > self.rev:
+        if since > self.revision:
             return None
         if since and wait:
             await Waits()
@@ -163,7 +163,7 @@
         self.stub = StoreStub(self.path, self)
         self.keep()
         done(self.desk.create(NewTenant("acme", allowance=1000.0), "t"))
-        done(self.desk.tell("acme", Order.ACTIVATE, None, "t"))
+        done(self.desk.tell("acme", TenantAction.ACTIVATE, None, "t"))
         self.routers = [RouterStub(self, number, kind) for number in range(3)]
 
     def keep(self) -> None:
@@ -250,7 +250,7 @@
         self.keep()
 
     def look(self) -> None:
-        with suppress(Conflict):
+        with suppress(RevisionConflictError):
             done(self.part.look())
 
     def put(self, shard: str, regions: tuple[str, ...], hold: str) -> None:
@@ -417,7 +417,7 @@
     """Looks at its lease at the door alone."""
 
     def guard(self, attempt) -> bool:
-        held, self.lease = self.lease, Held(1e12)
+        held, self.lease = self.lease, HeldLease(1e12)
         try:
             return super().guard(attempt)
         finally:
@@ -431,7 +431,7 @@
         return (
             attempt.operation.over is False
             and any(zones is None or attempt.server.zone in zones for zones in attempt.operation.regions)
-            and self.lease.good(self.clock())
+            and self.lease.is_valid(self.clock())
         )
 
 
@@ -448,7 +448,7 @@
 
     def hear(self, report, now) -> None:
         super().hear(report, now)
-        for held in self.near.given.values():
+        for held in self.near.granted.values():
             held.revision = self.desk.rev
 
 
@@ -457,7 +457,7 @@
 
     def __init__(self, *given, **more) -> None:
         super().__init__(*given, **more)
-        self.near.began = self.far.began = -1e9
+        self.near.started_at = self.far.started_at = -1e9
 
 
 class Near(Placement):
@@ -586,11 +586,11 @@
     for _ in range(20_000):
         lease, there, back = draw.uniform(0.3, 30.0), draw.uniform(0.0, 9.0), draw.uniform(0.0, 9.0)
         fast, slow = draw.choice([(1.0, 0.9905), (1.0095, 1.0), (1.0047, 0.9953), (1.0, 1.0)])
-        held, ledger = Held(), Ledger(-1e6, lease, grace=0.5)
+        held, ledger = HeldLease(), LeaseTable(-1e6, lease, in_flight_grace=0.5)
         held.renew(0.0, lease)  # by the router's clock, at its question
-        ledger.give("r", "run", 1, lease, there * fast)
+        ledger.grant("r", "run", 1, lease, there * fast)
         free = 0.0
-        while ledger.acting_before(2, free * fast):
+        while ledger.active_before(2, free * fast):
             free += 0.01 + lease / 200.0
-        assert not held.good(free * slow), (lease, there, back, fast, slow)
-        assert not held.good((free - 0.5) * slow), "nor within the time of flight before"
+        assert not held.is_valid(free * slow), (lease, there, back, fast, slow)
+        assert not held.is_valid((free - 0.5) * slow), "nor within the time of flight before"
