--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -14,7 +14,8 @@
 import click
 
 from gaugehinge.store.crash_test import kill_writer_once
-from gaugehinge.store.store import Mutation, Store, encode
+from gaugehinge.store.records import Mutation, encode
+from gaugehinge.store.store import Store
 
 
 @click.group()
--- a/gaugehinge/admin/app.py
+++ b/gaugehinge/admin/app.py
@@ -14,8 +14,7 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from ..store.async_store import StoreOverloadedError
-from ..store.store import DiskFullError
+from ..store.errors import DiskFullError, StoreOverloadedError
 from ..tenancy.feed import Feed, Report
 from ..tenancy.lifecycle import TenantAction
 from .service import Administration, Caller, Wrong
--- a/gaugehinge/admin/keep.py
+++ b/gaugehinge/admin/keep.py
@@ -17,9 +17,11 @@
 from ..forms import toml
 from ..forms.units import Rate, Seconds, default
 from ..installation.form import BadField, endpoint
-from ..store.async_store import AsyncStore, StoreOverloadedError
-from ..store.store import DiskFullError, Mutation, RevisionConflictError, encode
-from ..tenancy.credentials import AttemptLimiter, SecretHasher
+from ..store.async_store import AsyncStore
+from ..store.errors import DiskFullError, RevisionConflictError, StoreOverloadedError
+from ..store.records import Mutation, encode
+from ..tenancy.attempt_limiter import AttemptLimiter
+from ..tenancy.credentials import SecretHasher
 from ..tenancy.lifecycle import ROUTER_TIMEOUT, TenantStage, finish_removal
 from .app import MOST_BODY, Api
 from .service import TOMBSTONE, Administration, Part
--- a/gaugehinge/admin/service.py
+++ b/gaugehinge/admin/service.py
@@ -19,8 +19,11 @@
 import trio
 
 from ..store.async_store import AsyncStore
-from ..store.store import Change, Item, Mutation, RevisionConflictError, Store, encode
-from ..tenancy.credentials import AttemptLimiter, Credential, SecretHasher, revoke, rotate
+from ..store.errors import RevisionConflictError
+from ..store.records import Change, IdempotencyRecord, Item, Mutation, encode
+from ..store.store import Store
+from ..tenancy.attempt_limiter import AttemptLimiter
+from ..tenancy.credentials import Credential, SecretHasher, revoke, rotate
 from ..tenancy.feed import MAX_TENANTS, Feed, Report, TenantRow
 from ..tenancy.lease import LeaseTable
 from ..tenancy.lifecycle import (
@@ -347,11 +350,10 @@
         answer: Callable[[list[Change]], bytes] = lambda made: b"",
     ) -> list[Change]:
         """Read, decide and write on the store's thread; tried again where another writer came between."""
+        idempotency = IdempotencyRecord(key, request, answer) if key else None
         for _ in range(TRIES):
             try:
-                return await self.keeper.apply_planned(
-                    plan, who, idempotency_key=key, request=request, response=answer
-                )
+                return await self.keeper.apply_planned(plan, who, idempotency=idempotency)
             except RevisionConflictError:
                 continue
             except sqlite3.IntegrityError:
--- a/gaugehinge/cli/keep_command.py
+++ b/gaugehinge/cli/keep_command.py
@@ -18,7 +18,7 @@
 
     from ..admin.keep import keep, read_keep
     from ..forms.toml import BadFile
-    from ..store.store import StoreUnusableError
+    from ..store.errors import StoreUnusableError
 
     try:
         told = read_keep(file)
--- a/gaugehinge/cli/store_command.py
+++ b/gaugehinge/cli/store_command.py
@@ -1,24 +1,26 @@
-"""`gaugehinge store`: backup, restore and verify of a store's file."""
+"""`gaugehinge store`: backup, restore and verification of a store file."""
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Iterator
+from contextlib import contextmanager
 
 import click
 
 from .main import BadInput, Exit
 
 
-def _refused(call: Any, *given: Any) -> Any:
-    """A call on a store; a damaged one is one line and exit 2."""
-    from ..store.store import StoreUnusableError
+@contextmanager
+def _errors_as_bad_input(path: str) -> Iterator[None]:
+    """Report an unusable store, or an I/O error on `path`, as one line with exit code 2."""
+    from ..store.errors import StoreUnusableError
 
     try:
-        return call(*given)
-    except StoreUnusableError as bad:
-        raise BadInput(str(bad)) from None
-    except OSError as bad:
-        raise BadInput(f"{bad.filename or given[0]}: {bad.strerror}") from None
+        yield
+    except StoreUnusableError as error:
+        raise BadInput(str(error)) from error
+    except OSError as error:
+        raise BadInput(f"{error.filename or path}: {error.strerror}") from error
 
 
 @click.group("store", epilog="Example: gaugehinge store verify /var/lib/gaugehinge/store.db")
@@ -32,10 +34,14 @@
     """Look at every page, row and digest of a store or snapshot."""
     from ..store.store import Store
 
-    store = _refused(Store, file, True)
-    _refused(store.verify)
-    revision, items = _refused(store.read_all)
-    click.echo(f"{file}: good: revision {revision}, {len(items)} things, log from {store.oldest_revision}")
+    with _errors_as_bad_input(file):
+        store = Store(file, read_only=True)
+        store.verify()
+        contents = store.read_all()
+    items = len(contents.items)
+    click.echo(
+        f"{file}: good: revision {contents.revision}, {items} things, log from {store.oldest_revision}"
+    )
 
 
 @command.command("backup")
@@ -45,8 +51,10 @@
     """Copy a store to TARGET while it is in use."""
     from ..store.store import Store
 
-    store = _refused(Store, file, True)
-    revision = _refused(store.backup, target)
+    with _errors_as_bad_input(file):
+        store = Store(file, read_only=True)
+    with _errors_as_bad_input(target):
+        revision = store.backup(target)
     click.echo(f"{target}: revision {revision}")
 
 
@@ -58,9 +66,10 @@
     """Put a snapshot in a store's place, while nothing uses it; what stood there is kept as FILE.replaced."""
     from pathlib import Path
 
-    from ..store.store import restore as put_back
+    from ..store.snapshots import restore as restore_snapshot
 
     if Path(file).exists() and not yes and not click.confirm(f"replace {file}?"):
         raise click.exceptions.Exit(Exit.BROKEN)
-    revision = _refused(put_back, snapshot, file)
+    with _errors_as_bad_input(snapshot):
+        revision = restore_snapshot(snapshot, file)
     click.echo(f"{file}: revision {revision}")
--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -13,7 +13,8 @@
 
 from ..admin.app import MOST_KEY, answer, if_match, read
 from ..admin.service import Caller, Wrong
-from ..store.store import Mutation, Store, encode
+from ..store.records import Mutation, encode
+from ..store.store import Store
 from .grants import Figures, figure, fits
 from .rolls import (
     ENDED,
--- a/gaugehinge/drains/keeper.py
+++ b/gaugehinge/drains/keeper.py
@@ -20,8 +20,9 @@
 
 from ..admin.keep import KeepDrains, KeepFile
 from ..admin.service import SERVER, TENANT, Administration, Wrong
-from ..store.async_store import StoreOverloadedError
-from ..store.store import DiskFullError, Mutation, RevisionConflictError, Store, encode
+from ..store.errors import DiskFullError, RevisionConflictError, StoreOverloadedError
+from ..store.records import Mutation, encode
+from ..store.store import Store
 from ..tenancy.feed import Report
 from .api import DrainsApi
 from .forms import NAME, Said, ServerSaid, Told
--- a/gaugehinge/hosted/build.py
+++ b/gaugehinge/hosted/build.py
@@ -13,7 +13,8 @@
 from ..installation.form import Installation
 from ..net.clients import Client
 from ..net.service import Service
-from ..tenancy.credentials import AttemptLimiter, SecretHasher
+from ..tenancy.attempt_limiter import AttemptLimiter
+from ..tenancy.credentials import SecretHasher
 from ..tenancy.feed import POLL_WAIT
 from .follower import CONNECT_TIME, SLACK, BadSecret, Follower, Snapshot
 from .front import HostedClients
--- a/gaugehinge/hosted/gate.py
+++ b/gaugehinge/hosted/gate.py
@@ -11,7 +11,8 @@
 
 import trio
 
-from ..tenancy.credentials import AttemptLimiter, SecretHasher
+from ..tenancy.attempt_limiter import AttemptLimiter
+from ..tenancy.credentials import SecretHasher
 from .roster import Bearer, Roster
 
 KNOWN_MOST = 4096  # secrets that were found right; the oldest goes first
--- a/gaugehinge/placement/keeper.py
+++ b/gaugehinge/placement/keeper.py
@@ -25,8 +25,9 @@
 from ..admin.keep import KeepPlacement
 from ..admin.service import SERVER, TENANT, TOMBSTONE, Administration, Caller, Wrong
 from ..admin.types import Kept
-from ..store.async_store import StoreOverloadedError
-from ..store.store import DiskFullError, Mutation, Store, encode
+from ..store.errors import DiskFullError, StoreOverloadedError
+from ..store.records import Mutation, encode
+from ..store.store import Store
 from ..tenancy.feed import Report
 from ..tenancy.lease import LeaseTable
 from .admission import Budget, Ground, Server, check_count
--- a/gaugehinge/rehearsal/company.py
+++ b/gaugehinge/rehearsal/company.py
@@ -44,7 +44,8 @@
 from ..net.resp import bulk
 from ..net.sockets import connect, receive, send_all, shut, tcp
 from ..store.async_store import AsyncStore
-from ..tenancy.credentials import AttemptLimiter, SecretHasher
+from ..tenancy.attempt_limiter import AttemptLimiter
+from ..tenancy.credentials import SecretHasher
 from ..tenancy.lifecycle import TenantAction
 from .crowd import Crowd, Shape
 from .ground import Child, Ground
--- a/gaugehinge/rehearsal/hostedplay.py
+++ b/gaugehinge/rehearsal/hostedplay.py
@@ -34,7 +34,8 @@
 from ..net.service import Service
 from ..net.sockets import shut
 from ..store.async_store import AsyncStore
-from ..tenancy.credentials import AttemptLimiter, SecretHasher
+from ..tenancy.attempt_limiter import AttemptLimiter
+from ..tenancy.credentials import SecretHasher
 
 HOST = "127.0.0.1"
 CHEAP = SecretHasher(time_cost=1, memory_kib=64)  # a rehearsal is no place to spend CPU on hashes
--- a/gaugehinge/store/__init__.py
+++ b/gaugehinge/store/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state: an append-only log of changes and what they add up to, in one sqlite file."""
+"""Durable storage of the control plane: an append-only change log and its state in one SQLite file."""
--- a/gaugehinge/store/crash_test.py
+++ b/gaugehinge/store/crash_test.py
@@ -1,7 +1,7 @@
-"""A writer that is killed at any moment, and the judge of what it left: for tests and long runs.
+"""Crash test of the store: a writer process killed at a random moment, and a check of the file it left.
 
-`python -m gaugehinge.store.crash_test FILE SEED` writes until it is killed, and says of each change, once
-it was acknowledged, up to which revision the log now goes.
+`python -m gaugehinge.store.crash_test FILE SEED` writes until it is killed. After each transaction is
+acknowledged it prints the newest revision and the number of changes.
 """
 
 from __future__ import annotations
@@ -9,63 +9,99 @@
 import random
 import subprocess
 import sys
+from contextlib import closing
 from pathlib import Path
+from typing import NamedTuple
 
-from .store import Mutation, Store
+from .records import Mutation
+from .store import Store
 
 MAX_BATCH_SIZE = 4  # changes in one transaction
-COMPACTION_INTERVAL = 40
-LOG_ROWS_KEPT = 100  # rows of the log
+COMPACTION_INTERVAL = 40  # transactions
+LOG_ROWS_KEPT = 100
+ITEM_COUNT = 50
+REMOVAL_PROBABILITY = 0.1
+READY = "ready"  # the first word that the writer prints, followed by the revision it found
+
+
+class CrashResult(NamedTuple):
+    """What one crash left behind."""
+
+    acknowledged_revision: int
+    found_revision: int
 
 
 def write_forever(path: str, seed: int) -> None:
-    """Changes of random things, some removed, the log compacted now and then."""
-    store, draw, count = Store(path), random.Random(seed), 0
-    print("ready", store.revision, flush=True)
+    """Write random items, remove some, and compact the log now and then."""
+    store = Store(path)
+    generator = random.Random(seed)
+    batch_number = 0
+    print(READY, store.revision, flush=True)
     while True:
-        count += 1
-        wanted = [
-            Mutation("t", f"k{draw.randrange(50)}", b"%d" % count if draw.random() < 0.9 else None)
-            for _ in range(draw.randint(1, MAX_BATCH_SIZE))
-        ]
-        made = store.apply(wanted, "w", float(count))
-        print(made[-1].revision, len(made), flush=True)
-        if count % COMPACTION_INTERVAL == 0:
+        batch_number += 1
+        mutations = _random_batch(generator, batch_number)
+        changes = store.apply(mutations, "w", float(batch_number))
+        print(changes[-1].revision, len(changes), flush=True)
+        if batch_number % COMPACTION_INTERVAL == 0:
             store.compact(max(store.revision - LOG_ROWS_KEPT, 1))
 
 
-def kill_writer_once(path: Path, seed: int, changes: int) -> tuple[int, int]:
-    """Let a writer make some changes, kill it amid the next, look at the file.
+def _random_batch(generator: random.Random, batch_number: int) -> list[Mutation]:
+    return [
+        Mutation(
+            "t",
+            f"k{generator.randrange(ITEM_COUNT)}",
+            b"%d" % batch_number if generator.random() < 1.0 - REMOVAL_PROBABILITY else None,
+        )
+        for _ in range(generator.randint(1, MAX_BATCH_SIZE))
+    ]
 
-    Returns the last acknowledged revision and the one found. Raises StoreUnusableError, or AssertionError
-    where an acknowledged change is gone or a half of one is there.
+
+def kill_writer_once(path: Path, seed: int, transactions: int) -> CrashResult:
+    """Kill a writer during the transaction after the given number of them, and check the file.
+
+    Raises StoreUnusableError if the file is damaged, AssertionError if an acknowledged change is missing or
+    a transaction is there in part.
     """
+    acknowledged = _acknowledged_revision(_run_and_kill(path, seed, transactions))
+    with closing(Store(path)) as store:
+        store.verify()
+        found = store.revision
+    assert found >= acknowledged, f"acknowledged {acknowledged}, found {found}"
+    assert found <= acknowledged + MAX_BATCH_SIZE, (
+        f"acknowledged {acknowledged}, found {found}: over one change more"
+    )
+    return CrashResult(acknowledged, found)
+
+
+def _run_and_kill(path: Path, seed: int, transactions: int) -> list[str]:
+    """Return the lines that the writer printed; the last one may be cut off."""
     process = subprocess.Popen(
         [sys.executable, "-m", "gaugehinge.store.crash_test", str(path), str(seed)],
         stdout=subprocess.PIPE,
         text=True,
         start_new_session=True,
     )
+    assert process.stdout is not None
     try:
-        lines = [process.stdout.readline() for _ in range(changes + 1)]
+        lines = [process.stdout.readline() for _ in range(transactions + 1)]
     finally:
         process.kill()
-        lines += process.stdout.read().splitlines()  # not by communicate, which loses what was read ahead
+        # Not by `communicate`, which loses what `readline` has buffered.
+        lines += process.stdout.read().splitlines()
         process.stdout.close()
         process.wait()
-    words = [line.split() for line in lines]  # the last line may be cut off: its figures then tell too little
-    told = [int(each[1] if each[0] == "ready" else each[0]) for each in words if len(each) == 2]
-    last = max(told)
-    store = Store(path)
-    try:
-        store.verify()
-        assert store.revision >= last, f"acknowledged {last}, found {store.revision}"
-        assert store.revision <= last + MAX_BATCH_SIZE, (
-            f"acknowledged {last}, found {store.revision}: over one change more"
-        )
-        return last, store.revision
-    finally:
-        store.close()
+    return lines
+
+
+def _acknowledged_revision(lines: list[str]) -> int:
+    revisions = []
+    for line in lines:
+        words = line.split()
+        if len(words) != 2:
+            continue  # the process was killed while it printed this line
+        revisions.append(int(words[1] if words[0] == READY else words[0]))
+    return max(revisions)
 
 
 if __name__ == "__main__":
--- a/gaugehinge/store/schema.py
+++ b/gaugehinge/store/schema.py
@@ -1,18 +1,19 @@
-"""The file's tables, by version, and how a file of an older version becomes one of this. No I/O of its own.
+"""The tables of the store file by schema version, and the migrations between versions. No I/O of its own.
 
-A file of a newer version is refused: what it holds that this build does not know would be lost on the next
-change.
+A file of a newer version is refused: data that this version does not know would be lost with the next change.
 """
 
 from __future__ import annotations
 
-APPLICATION_ID = 0x67617567  # `PRAGMA application_id`: whose file it is
-SCHEMA_VERSION = 2
+from typing import NamedTuple
 
-# Each step takes a file from the version before it; run in one transaction with the new version.
+APPLICATION_ID = 0x67617567  # `PRAGMA application_id`: marks the file as one of this program
+SCHEMA_VERSION = 2  # `PRAGMA user_version`
+
+# The statements that bring a file from the version before to this one.
 MIGRATIONS: dict[int, tuple[str, ...]] = {
     1: (
-        # The log: never changed, never shortened but by `compact` below a snapshot's revision.
+        # The log: rows are never changed, and removed only by compaction.
         """CREATE TABLE change (
             rev INTEGER PRIMARY KEY,
             at REAL NOT NULL,
@@ -22,7 +23,7 @@
             body BLOB,
             digest BLOB NOT NULL
         ) STRICT""",
-        # What the log adds up to: the newest body of each thing. A removed one has no row.
+        # The current state: the newest body of each item. A removed item has no row.
         """CREATE TABLE state (
             kind TEXT NOT NULL,
             ident TEXT NOT NULL,
@@ -33,7 +34,7 @@
         "CREATE TABLE mark (name TEXT PRIMARY KEY, value BLOB NOT NULL) STRICT, WITHOUT ROWID",
     ),
     2: (
-        # Answers to calls that carried a key of their own, so that a repeat gets the same one.
+        # Responses to calls with an idempotency key, so that a retry gets the same one.
         """CREATE TABLE answered (
             who TEXT NOT NULL,
             key TEXT NOT NULL,
@@ -48,6 +49,13 @@
 }
 
 
-def migrations_from(version: int) -> list[tuple[int, tuple[str, ...]]]:
-    """The steps that a file of that version lacks, in order."""
-    return [(number, MIGRATIONS[number]) for number in range(version + 1, SCHEMA_VERSION + 1)]
+class Migration(NamedTuple):
+    """The step to one schema version, to be run in one transaction together with the new version number."""
+
+    version: int
+    statements: tuple[str, ...]
+
+
+def migrations_from(version: int) -> list[Migration]:
+    """Return the migrations that a file of the given version still needs, in order."""
+    return [Migration(number, MIGRATIONS[number]) for number in range(version + 1, SCHEMA_VERSION + 1)]
--- a/gaugehinge/tenancy/__init__.py
+++ b/gaugehinge/tenancy/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants that come, change and go while traffic flows: their life, their key space, their credentials."""
+"""Tenants that come and go while traffic flows: lifecycle, key spaces, credentials, and leases of routers."""
--- a/gaugehinge/tenancy/credentials.py
+++ b/gaugehinge/tenancy/credentials.py
@@ -1,29 +1,27 @@
-"""Secrets of tenants: shown once, kept as argon2 hashes, two valid at a time for rotation.
+"""Credentials of tenants and operators: secrets shown once, stored as argon2 hashes, rotated with an overlap.
 
-What a wrong one is told never says whether its tenant exists, neither by its words nor by the time it takes:
-a name that is not there is checked against a hash of its own. A check costs tens of milliseconds and as many
-MiB, so it is made on a thread, and `AttemptLimiter` says beforehand whether it is made at all.
+A failed check reveals neither by its answer nor by its duration whether the named account exists: an unknown
+credential is checked against a hash of its own. A check costs tens of milliseconds and as many MiB, so it is
+run on a thread, and `attempt_limiter.AttemptLimiter` decides beforehand whether it is run at all.
 """
 
 from __future__ import annotations
 
 import secrets
 from collections.abc import Sequence
+from typing import NamedTuple
 
 import msgspec
 from argon2 import PasswordHasher
 from argon2.exceptions import InvalidHashError, VerificationError
-from xxhash import xxh64_intdigest
 
-MAX_VALID_CREDENTIALS = 2  # the one in use and the one that takes its place
-SECRET_BYTES = 24
-SECRET_PREFIX = "gh"  # what a secret begins with, so that one in a log or a page can be searched for
-MAX_SECRET_LENGTH = 200  # characters; a longer one is wrong unread
-COUNTER_COUNT = 4096  # sources and names are counted in so many: memory that no crowd of them can grow
-FAILURE_BURST = 10.0  # wrong tries in a row
-FAILURE_REFILL_RATE = 0.1  # of a try a second behind that
-CHECK_BURST = 100.0  # checks in a row of all sources together: each takes a thread's time
-CHECK_REFILL_RATE = 20.0
+MAX_VALID_CREDENTIALS = 2  # the one in use and the one that replaces it
+SECRET_PREFIX = "gh"  # lets a secret that leaked into a log or a page be searched for
+SECRET_BYTES = 24  # of randomness in a secret
+CREDENTIAL_ID_BYTES = 4
+MAX_SECRET_LENGTH = 200  # characters; a longer secret is wrong without being read
+DEFAULT_TIME_COST = 2  # argon2 passes over the memory
+DEFAULT_MEMORY_KIB = 19 * 1024
 
 
 class Credential(
@@ -31,95 +29,83 @@
     frozen=True,
     rename={"credential_id": "ident", "secret_hash": "hashed", "created_at": "made", "expires_at": "ends"},
 ):
-    """One secret's hash."""
+    """The hash of one secret. Times are Unix times."""
 
-    credential_id: str  # the middle part of the secret, told in logs and audit
+    credential_id: str  # the middle part of the secret, shown in logs and in the audit log
     secret_hash: str
     created_at: float
-    expires_at: float | None = None  # None: until it is taken out
+    expires_at: float | None = None  # None: valid until it is revoked
 
+    def is_valid(self, now: float) -> bool:
+        """Whether the credential has not expired."""
+        return self.expires_at is None or now < self.expires_at
 
-class SecretHasher:
-    """argon2id with figures that fit a router's memory."""
 
-    def __init__(self, time_cost: int = 2, memory_kib: int = 19 * 1024) -> None:
-        self._hasher = PasswordHasher(time_cost=time_cost, memory_cost=memory_kib, parallelism=1)
-        self._nobody = self._hasher.hash(secrets.token_urlsafe(SECRET_BYTES))
-
-    def issue(self, now: float) -> tuple[str, Credential]:
-        """A new secret, to be shown once, and what is kept of it."""
-        ident = secrets.token_hex(4)
-        secret = f"{SECRET_PREFIX}_{ident}_{secrets.token_urlsafe(SECRET_BYTES)}"
-        return secret, Credential(ident, self._hasher.hash(secret), now)
-
-    def find_match(self, secret: str, kept: Sequence[Credential], now: float) -> str | None:
-        """The ident of the credential that a secret fits, or None. Blocking; as long for nobody's as for a
-        wrong one."""
-        parts = secret.split("_", 2)
-        if len(secret) > MAX_SECRET_LENGTH or len(parts) != 3 or parts[0] != SECRET_PREFIX:
-            parts = ["", "", ""]
-        valid = [each for each in kept if each.expires_at is None or now < each.expires_at]
-        found = next((each for each in valid if each.credential_id == parts[1]), None)
-        try:
-            self._hasher.verify(found.secret_hash if found else self._nobody, secret[:MAX_SECRET_LENGTH])
-        except (VerificationError, InvalidHashError):
-            return None
-        return found.credential_id if found else None
+class IssuedCredential(NamedTuple):
+    """A new secret, to be shown once, and the credential to store for it."""
 
+    secret: str
+    credential: Credential
 
-def rotate(kept: Sequence[Credential], new: Credential, overlap: float, now: float) -> tuple[Credential, ...]:
-    """Add a credential; the one in use goes on for `overlap` seconds, older ones end at once."""
-    valid = [each for each in kept if each.expires_at is None or now < each.expires_at]
-    newest = max(valid, key=lambda each: each.created_at, default=None)
-    if newest is None:
-        return (new,)
-    ends = now + overlap if newest.expires_at is None else min(newest.expires_at, now + overlap)
-    return msgspec.structs.replace(newest, expires_at=ends), new
 
+class UnknownCredentialError(KeyError):
+    """There is no credential with the given id."""
 
-def revoke(kept: Sequence[Credential], ident: str) -> tuple[Credential, ...]:
-    """Take one out at once. Raises KeyError where there is none of that ident."""
-    if all(each.credential_id != ident for each in kept):
-        raise KeyError(ident)
-    return tuple(each for each in kept if each.credential_id != ident)
 
+class SecretHasher:
+    """Issues and checks secrets with argon2id. Safe to use from several threads."""
 
-class AttemptLimiter:
-    """Whether a check is made: bounded by source, by name and in all. No I/O; a fixed number of figures.
+    def __init__(self, time_cost: int = DEFAULT_TIME_COST, memory_kib: int = DEFAULT_MEMORY_KIB) -> None:
+        """Choose the cost of a check; the defaults fit the memory of a router."""
+        self._hasher = PasswordHasher(time_cost=time_cost, memory_cost=memory_kib, parallelism=1)
+        self._unknown_account_hash = self._hasher.hash(secrets.token_urlsafe(SECRET_BYTES))
+
+    def issue(self, now: float) -> IssuedCredential:
+        """Generate a secret and its credential. Blocks for the time of a hash."""
+        credential_id = secrets.token_hex(CREDENTIAL_ID_BYTES)
+        secret = f"{SECRET_PREFIX}_{credential_id}_{secrets.token_urlsafe(SECRET_BYTES)}"
+        return IssuedCredential(secret, Credential(credential_id, self._hasher.hash(secret), now))
+
+    def find_match(self, secret: str, credentials: Sequence[Credential], now: float) -> str | None:
+        """Return the id of the valid credential that a secret belongs to, or None.
+
+        Blocks for the time of a hash, whether or not the secret names one of the credentials.
+        """
+        credential_id = _credential_id_of(secret)
+        candidate = next(
+            (c for c in credentials if c.is_valid(now) and c.credential_id == credential_id), None
+        )
+        expected_hash = candidate.secret_hash if candidate else self._unknown_account_hash
+        try:
+            self._hasher.verify(expected_hash, secret[:MAX_SECRET_LENGTH])
+        except (VerificationError, InvalidHashError):
+            return None
+        return candidate.credential_id if candidate else None
 
-    Only wrong tries are counted against source and name, so that a client that opens many connections is not
-    kept out; all checks count against the whole.
-    """
 
-    def __init__(self, seed: int, now: float) -> None:
-        self.seed = seed
-        self._spent = [0.0] * COUNTER_COUNT
-        self._at = [now] * COUNTER_COUNT
-        self._all, self._all_at = 0.0, now
+def _credential_id_of(secret: str) -> str:
+    """Return the credential id in a secret, empty if it is not of the form of a secret."""
+    parts = secret.split("_", 2)
+    if len(secret) > MAX_SECRET_LENGTH or len(parts) != 3 or parts[0] != SECRET_PREFIX:
+        return ""
+    return parts[1]
 
-    def _place(self, what: str, name: str) -> int:
-        return xxh64_intdigest(f"{what} {name}".encode(), self.seed) % COUNTER_COUNT
 
-    def _read(self, place: int, now: float) -> float:
-        left = self._spent[place] - FAILURE_REFILL_RATE * max(now - self._at[place], 0.0)
-        self._spent[place], self._at[place] = max(left, 0.0), max(now, self._at[place])
-        return self._spent[place]
+def rotate(
+    credentials: Sequence[Credential], new: Credential, overlap: float, now: float
+) -> tuple[Credential, ...]:
+    """Add a credential. The newest valid one expires after `overlap` seconds, older ones at once."""
+    valid = [credential for credential in credentials if credential.is_valid(now)]
+    newest = max(valid, key=lambda credential: credential.created_at, default=None)
+    if newest is None:
+        return (new,)
+    expires_at = now + overlap if newest.expires_at is None else min(newest.expires_at, now + overlap)
+    return msgspec.structs.replace(newest, expires_at=expires_at), new
 
-    def acquire(self, source: str, name: str, now: float) -> float:
-        """0 where a check may be made now, and counts it; else seconds until one may."""
-        spent = max(
-            self._read(self._place("source", source), now), self._read(self._place("name", name), now)
-        )
-        if spent + 1.0 > FAILURE_BURST:
-            return (spent + 1.0 - FAILURE_BURST) / FAILURE_REFILL_RATE
-        self._all = max(self._all - CHECK_REFILL_RATE * max(now - self._all_at, 0.0), 0.0)
-        self._all_at = max(now, self._all_at)
-        if self._all + 1.0 > CHECK_BURST:
-            return (self._all + 1.0 - CHECK_BURST) / CHECK_REFILL_RATE
-        self._all += 1.0
-        return 0.0
-
-    def record_failure(self, source: str, name: str, now: float) -> None:
-        """A check found a wrong secret."""
-        for place in (self._place("source", source), self._place("name", name)):
-            self._spent[place] = self._read(place, now) + 1.0
+
+def revoke(credentials: Sequence[Credential], credential_id: str) -> tuple[Credential, ...]:
+    """Remove a credential at once. Raises UnknownCredentialError if there is none with that id."""
+    remaining = tuple(each for each in credentials if each.credential_id != credential_id)
+    if len(remaining) == len(credentials):
+        raise UnknownCredentialError(credential_id)
+    return remaining
--- a/gaugehinge/tenancy/feed.py
+++ b/gaugehinge/tenancy/feed.py
@@ -1,4 +1,8 @@
-"""What the keeper tells routers, and they it: the forms of the feed, for both sides. No I/O."""
+"""Messages between the control plane and the routers that watch it. No I/O.
+
+A router sends a `Report` and gets a `Feed`: everything, or the changes since the revision that it knows.
+Fields keep the names of the wire format by `rename`; the class names appear in the API's OpenAPI description.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +13,9 @@
 
 from .credentials import Credential
 
-MAX_TENANTS = 4096  # standing at a time, those that leave among them
-MAX_POLL_WAIT = (
-    20.0  # seconds that a call waits for news; a router not heard of for longer than that has ended
-)
-POLL_WAIT = 5.0  # that routers ask for
+MAX_TENANTS = 4096  # at a time, tombstones included
+MAX_POLL_WAIT = 20.0  # seconds that a call may wait for changes; less than `lifecycle.ROUTER_TIMEOUT`
+POLL_WAIT = 5.0  # seconds that routers ask for
 
 
 class TenantRow(
@@ -28,18 +30,18 @@
         "max_value_size": "most_value",
     },
 ):
-    """One incarnation as routers know it."""
+    """One incarnation of a tenant as routers know it."""
 
     name: str
     incarnation: int
-    slot: int  # in the routers' tables, the same at all of them; free again once it is gone
-    stage: str
-    quota: float
-    rate_limit: float
-    credentials: list[Credential] = []  # with hashes: they check secrets themselves
-    traffic_types: dict[str, str] = {}  # its own names of traffic types, and the installation's; empty: those
-    max_wait: float = 0.0  # seconds that its clients may wait; 0: as long as the installation lets them
-    max_value_size: int = 0  # bytes of a value that it may write; 0: as many as the protocol lets it
+    slot: int  # in the routers' tenant tables, the same at all of them; reused once the incarnation is gone
+    stage: str  # value of a `lifecycle.TenantStage`
+    quota: float  # weight against other tenants
+    rate_limit: float  # operations a second over all routers
+    credentials: list[Credential] = []  # routers check secrets themselves, by the hashes
+    traffic_types: dict[str, str] = {}  # the tenant's names to the installation's; empty: the same names
+    max_wait: float = 0.0  # seconds that its clients may wait; 0: the installation's limit
+    max_value_size: int = 0  # bytes; 0: the protocol's limit
 
 
 class Feed(
@@ -55,22 +57,18 @@
         "revision_digest": "mark",
     },
 ):
-    """Everything, or what changed behind a revision."""
+    """The state as of a revision, or what changed since the revision that the router knew."""
 
-    store_id: str  # which store this is: revisions of another one say nothing
+    store_id: str  # revisions of another store cannot be compared with this one's
     revision: int
-    complete: bool
+    complete: bool  # whether `tenants` is all of them
     tenants: list[TenantRow]
-    removed_incarnations: list[int] = []  # incarnations
-    drained_servers: list[str] = []  # all servers that operators told to drain, by the list's names
-    lease_duration: float = (
-        0.0  # seconds, from when the router sent its call: tenancy/lease.py; 0: none is given
-    )
-    control_plane_run: str = ""  # new with each start of the keeper
-    parts: dict[str, msgspec.Raw] = {}  # what each subsystem tells routers, by its name, in a form of its own
-    revision_digest: str = (
-        ""  # of this revision: one of the same number in another copy of the store has another
-    )
+    removed_incarnations: list[int] = []
+    drained_servers: list[str] = []  # all servers that operators drain, by their names in discovery's list
+    lease_duration: float = 0.0  # seconds from when the router sent its report (see `lease`); 0: no lease
+    control_plane_run: str = ""  # new with each start of the control plane
+    parts: dict[str, msgspec.Raw] = {}  # messages of subsystems by their names, each in its own format
+    revision_digest: str = ""  # tells the revision from one of the same number in another copy of the store
 
 
 class Report(
@@ -85,16 +83,16 @@
         "revision_digest": "mark",
     },
 ):
-    """What a router says with each call for news."""
+    """What a router reports with each call for changes."""
 
     router: Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,100}$")]
     run: Annotated[str, Meta(max_length=64, description="new with each start")]
     store_id: Annotated[str, Meta(max_length=64)] = ""  # empty: none is known
-    known_revision: Annotated[int, Meta(ge=0)] = 0  # the revision that it follows
-    max_wait: Annotated[float, Meta(ge=0, le=MAX_POLL_WAIT)] = 0.0
+    known_revision: Annotated[int, Meta(ge=0)] = 0  # the revision that the router follows
+    max_wait: Annotated[float, Meta(ge=0, le=MAX_POLL_WAIT)] = 0.0  # seconds
     in_flight: Annotated[dict[str, int], Meta(max_length=MAX_TENANTS)] = {}  # operations by incarnation
-    run_number: Annotated[int, Meta(ge=0)] = 0  # of the router's starts on its files, rising; 0: not known
-    parts: Annotated[dict[str, msgspec.Raw], Meta(max_length=16)] = {}  # each subsystem's own report, by name
-    revision_digest: Annotated[str, Meta(max_length=64)] = (
-        ""  # of `known_revision`, as it was told; empty: none was
-    )
+    run_number: Annotated[int, Meta(ge=0)] = 0  # counts the starts on the router's files; 0: not known
+    parts: Annotated[
+        dict[str, msgspec.Raw], Meta(max_length=16)
+    ] = {}  # reports of subsystems, by their names
+    revision_digest: Annotated[str, Meta(max_length=64)] = ""  # of `known_revision`, as the feed had it
--- a/gaugehinge/tenancy/lifecycle.py
+++ b/gaugehinge/tenancy/lifecycle.py
@@ -1,22 +1,26 @@
-"""The life of a tenant. No I/O, no clock of its own.
+"""The lifecycle of a tenant. No I/O, no clock of its own.
 
     created -> active <-> suspended
         any of these -> leaving -> gone
 
-A tenant that leaves takes nothing new. It is gone when no router has an operation of it in hand and no mark
-of it is remembered any more: until then its incarnation stands as a tombstone, so that a repeat of one of its
-writes cannot be taken for a first one. A new tenant of the same name is another incarnation with a key space
-and marks of its own, and may be made as soon as the old one leaves.
+A leaving tenant accepts no new operations. It is gone once no router has an operation of it in flight and
+none of its idempotency keys is remembered anywhere. Until then its incarnation remains as a tombstone, so
+that a retry of one of its writes cannot be taken for a first attempt. A new tenant of the same name is
+another incarnation with a key space of its own, and may be created as soon as the old one is leaving.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 from enum import Enum
 
+MAX_CLOCK_SKEW = 2.0  # seconds between the clocks of two machines; idempotency keys are kept so much longer
+ROUTER_TIMEOUT = 30.0  # seconds of silence after which a router, with all it had in flight, counts as ended
+
 
 class TenantStage(Enum):
-    """Where a tenant is in its life."""
+    """A stage of the lifecycle; values are stored and sent."""
 
     CREATED = "created"
     ACTIVE = "active"
@@ -24,9 +28,14 @@
     LEAVING = "leaving"
     GONE = "gone"
 
+    @property
+    def is_removed(self) -> bool:
+        """Whether the tenant has been removed, so that its name is free."""
+        return self in (TenantStage.LEAVING, TenantStage.GONE)
+
 
 class TenantAction(Enum):
-    """What an operator wants of a tenant."""
+    """A request of an operator."""
 
     ACTIVATE = "activate"
     SUSPEND = "suspend"
@@ -41,130 +50,136 @@
     (TenantStage.ACTIVE, TenantAction.REMOVE): TenantStage.LEAVING,
     (TenantStage.SUSPENDED, TenantAction.REMOVE): TenantStage.LEAVING,
 }
-MAX_CLOCK_SKEW = 2.0  # seconds by which the clocks of two machines may differ: a mark is kept so much longer
-ROUTER_TIMEOUT = (
-    30.0  # a router of which nothing was heard for so long has ended: what it had in hand was forfeited
-)
+STAGES_AFTER = {  # stages in which an action has nothing left to do
+    TenantAction.ACTIVATE: (TenantStage.ACTIVE,),
+    TenantAction.SUSPEND: (TenantStage.SUSPENDED,),
+    TenantAction.REMOVE: (TenantStage.LEAVING, TenantStage.GONE),
+}
 
 
 class LifecycleError(Exception):
-    """The order makes no sense for a tenant in this stage; the text says why."""
+    """A request makes no sense for a tenant in its stage."""
+
+
+class InvalidTransitionError(LifecycleError):
+    """An action is not possible in the tenant's stage."""
+
+    def __init__(self, name: str, stage: TenantStage, action: TenantAction) -> None:
+        """Build the message."""
+        super().__init__(f"{name} is {stage.value}: it cannot be told to {action.value}")
+
+
+class TenantExistsError(LifecycleError):
+    """A tenant of this name exists and has not been removed."""
+
+    def __init__(self, name: str) -> None:
+        """Build the message."""
+        super().__init__(f"{name} is there already")
 
 
 @dataclass(slots=True, frozen=True)
 class TenantIncarnation:
-    """One incarnation of a tenant."""
+    """The lifecycle state of one incarnation of a tenant. Times are Unix times."""
 
     name: str
     incarnation: int  # never used twice, whatever the name
     stage: TenantStage
-    stage_since: float  # when it entered the stage
-    deduplication_until: float = 0.0  # until then a mark of it may be remembered somewhere
-    drained: bool = False  # while it leaves: no router takes of it or holds any, as far as was told last
+    stage_since: float
+    deduplication_until: float = 0.0  # until then one of its idempotency keys may be remembered somewhere
+    drained: bool = False  # while leaving: by the last reports no router accepts or holds operations of it
 
     @property
     def accepts_operations(self) -> bool:
-        """Whether operations of it are taken in hand."""
+        """Whether routers accept operations of the tenant."""
         return self.stage is TenantStage.ACTIVE
 
 
 @dataclass(slots=True, frozen=True)
 class RouterReport:
-    """What one router says of one incarnation."""
+    """What one router last reported about one incarnation."""
 
-    received_at: float
-    in_flight: int
-    revision: int  # up to which change it follows
+    received_at: float  # Unix time
+    in_flight: int  # operations
+    revision: int  # of the store, up to which the router follows changes
 
 
 def apply_action(
-    tenancy: TenantIncarnation, action: TenantAction, deduplication_window: float, now: float
+    tenant: TenantIncarnation, action: TenantAction, deduplication_window: float, now: float
 ) -> TenantIncarnation:
-    """Carry an order out. `deduplication_window`: the longest time that marks of its traffic types are
-    remembered.
+    """Return the tenant after an action; repeating an action changes nothing.
 
-    The same order again changes nothing. Raises LifecycleError.
+    `deduplication_window` is the longest time in seconds for which idempotency keys of the tenant are
+    remembered. Raises InvalidTransitionError.
     """
-    stage = TRANSITIONS.get((tenancy.stage, action))
+    if tenant.stage in STAGES_AFTER[action]:
+        return tenant
+    stage = TRANSITIONS.get((tenant.stage, action))
     if stage is None:
-        if _is_done(tenancy.stage, action):
-            return tenancy
-        raise LifecycleError(f"{tenancy.name} is {tenancy.stage.value}: it cannot be told to {action.value}")
+        raise InvalidTransitionError(tenant.name, tenant.stage, action)
     # A clock that was set back must not shorten what an earlier reading promised.
-    until = tenancy.deduplication_until
+    deduplication_until = tenant.deduplication_until
     if stage is TenantStage.LEAVING:
-        until = max(until, now + deduplication_window + MAX_CLOCK_SKEW)
-    return replace(tenancy, stage=stage, stage_since=max(now, tenancy.stage_since), deduplication_until=until)
+        deduplication_until = max(deduplication_until, _deduplication_end(deduplication_window, now))
+    return replace(
+        tenant,
+        stage=stage,
+        stage_since=max(now, tenant.stage_since),
+        deduplication_until=deduplication_until,
+    )
 
 
-def _is_done(stage: TenantStage, action: TenantAction) -> bool:
-    return stage is {
-        TenantAction.ACTIVATE: TenantStage.ACTIVE,
-        TenantAction.SUSPEND: TenantStage.SUSPENDED,
-    }.get(action) or (action is TenantAction.REMOVE and stage in (TenantStage.LEAVING, TenantStage.GONE))
+def _deduplication_end(deduplication_window: float, now: float) -> float:
+    """Return the time at which an idempotency key that is used now is forgotten everywhere."""
+    return now + deduplication_window + MAX_CLOCK_SKEW
 
 
 def finish_removal(
-    tenancy: TenantIncarnation,
-    reports: dict[str, RouterReport],
-    revision: int,
+    tenant: TenantIncarnation,
+    reports: Mapping[str, RouterReport],
+    removal_revision: int,
     deduplication_window: float,
     now: float,
 ) -> TenantIncarnation:
-    """A leaving tenant is gone once every router has heard that it leaves (`revision`), has nothing of it in
-    hand, and its marks are forgotten; as it is, where one of these is not so yet.
+    """Return a leaving tenant as gone, once it is; else with what is known of its removal so far.
 
-    A router that did not hear of it yet goes on taking its operations. Marks are made up to the first look
-    that finds nothing in hand: counted from the last one that did, one made between outlived its tenant.
+    It is gone when every router (`reports`, by name) follows the store up to `removal_revision`, has nothing
+    of it in flight, and its idempotency keys are forgotten.
+
+    A router that does not follow yet goes on accepting its operations. Idempotency keys may be used up to the
+    first check that finds nothing in flight, so the deduplication window is counted from that check: counted
+    from the last one that found something, a key used between the two would outlive its tenant.
     """
-    if tenancy.stage is not TenantStage.LEAVING:
-        return tenancy
-    for report in reports.values():
-        if now - report.received_at > ROUTER_TIMEOUT:
-            continue
-        if report.revision < revision or report.in_flight:
-            return replace(tenancy, drained=False)
-    if not tenancy.drained:
-        until = max(tenancy.deduplication_until, now + deduplication_window + MAX_CLOCK_SKEW)
-        return replace(tenancy, drained=True, deduplication_until=until)
-    if now < tenancy.deduplication_until:
-        return tenancy
-    return replace(tenancy, stage=TenantStage.GONE, stage_since=now)
-
-
-def name_is_available(name: str, existing: list[TenantIncarnation]) -> bool:
-    """Whether a tenant of this name may be made: not while another of it is neither leaving nor gone."""
-    return all(
-        each.name != name or each.stage in (TenantStage.LEAVING, TenantStage.GONE) for each in existing
+    if tenant.stage is not TenantStage.LEAVING:
+        return tenant
+    if _may_be_in_flight(reports.values(), removal_revision, now):
+        return replace(tenant, drained=False)
+    if not tenant.drained:
+        deduplication_until = max(tenant.deduplication_until, _deduplication_end(deduplication_window, now))
+        return replace(tenant, drained=True, deduplication_until=deduplication_until)
+    if now < tenant.deduplication_until:
+        return tenant
+    return replace(tenant, stage=TenantStage.GONE, stage_since=now)
+
+
+def _may_be_in_flight(reports: Iterable[RouterReport], removal_revision: int, now: float) -> bool:
+    """Whether a router may still accept or hold operations of a tenant removed at a revision."""
+    return any(
+        report.revision < removal_revision or report.in_flight != 0
+        for report in reports
+        if now - report.received_at <= ROUTER_TIMEOUT
     )
 
 
+def name_is_available(name: str, existing: Iterable[TenantIncarnation]) -> bool:
+    """Whether no tenant of this name exists, or all that do have been removed."""
+    return all(tenant.name != name or tenant.stage.is_removed for tenant in existing)
+
+
 def create_incarnation(
     name: str, existing: list[TenantIncarnation], last_incarnation: int, now: float
 ) -> TenantIncarnation:
-    """A new tenant. `last_incarnation`: the highest number ever given. Raises LifecycleError."""
+    """Return a new tenant; `last_incarnation` is the highest number ever used. Raises TenantExistsError."""
     if not name_is_available(name, existing):
-        raise LifecycleError(f"{name} is there already")
-    highest = max([last_incarnation, *(each.incarnation for each in existing)])
+        raise TenantExistsError(name)
+    highest = max([last_incarnation, *(tenant.incarnation for tenant in existing)])
     return TenantIncarnation(name, highest + 1, TenantStage.CREATED, now)
-
-
-def tenant_key(tenancy: TenantIncarnation, key: bytes) -> bytes:
-    """A key in the tenant's own space, as cache servers and origin see it. Two incarnations never share one.
-
-    A hash tag of the client's goes on to work: the incarnation stands before it, outside the braces.
-    """
-    return b"%x/%b" % (tenancy.incarnation, key)
-
-
-def tenant_idempotency_key(tenancy: TenantIncarnation, idempotency_key: bytes) -> bytes:
-    """A mark in the tenant's own space."""
-    return b"%x.%b" % (tenancy.incarnation, idempotency_key)
-
-
-def client_key(tenant_key: bytes) -> bytes:
-    """The client's part of a key in a tenant's space. Raises ValueError on another one."""
-    head, slash, key = tenant_key.partition(b"/")
-    if not slash or not head or int(head, 16) < 0:
-        raise ValueError("no key of a tenant")
-    return key
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -21,9 +21,10 @@
 from gaugehinge.cli.main import main
 from gaugehinge.emulator.ports import Ports
 from gaugehinge.store.async_store import AsyncStore
-from gaugehinge.store.store import DiskFullError
-from gaugehinge.tenancy.credentials import FAILURE_BURST as TRIES
-from gaugehinge.tenancy.credentials import AttemptLimiter, SecretHasher
+from gaugehinge.store.errors import DiskFullError
+from gaugehinge.tenancy.attempt_limiter import FAILURE_BURST as TRIES
+from gaugehinge.tenancy.attempt_limiter import AttemptLimiter
+from gaugehinge.tenancy.credentials import SecretHasher
 
 CHEAP = SecretHasher(time_cost=1, memory_kib=64)
 
--- a/tests/test_credentials.py
+++ b/tests/test_credentials.py
@@ -3,16 +3,13 @@
 import pytest
 
 from gaugehinge.tenancy import credentials
-from gaugehinge.tenancy.credentials import (
+from gaugehinge.tenancy.attempt_limiter import (
     CHECK_BURST,
     FAILURE_BURST,
     FAILURE_REFILL_RATE,
     AttemptLimiter,
-    Credential,
-    SecretHasher,
-    revoke,
-    rotate,
 )
+from gaugehinge.tenancy.credentials import Credential, SecretHasher, UnknownCredentialError, revoke, rotate
 
 CHEAP = SecretHasher(time_cost=1, memory_kib=64)
 
@@ -59,7 +56,7 @@
     assert CHEAP.find_match(new, kept, 111.0) and CHEAP.find_match(newest, kept, 111.0)
     kept = revoke(kept, second.credential_id)
     assert CHEAP.find_match(new, kept, 111.0) is None and CHEAP.find_match(newest, kept, 1e9)
-    with pytest.raises(KeyError):
+    with pytest.raises(UnknownCredentialError):
         revoke(kept, second.credential_id)
 
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -48,8 +48,8 @@
 from gaugehinge.rehearsal.hostedplay import CHEAP
 from gaugehinge.rehearsal.plays import run_many
 from gaugehinge.store.async_store import AsyncStore
-from gaugehinge.store.store import DiskFullError
-from gaugehinge.tenancy.credentials import AttemptLimiter
+from gaugehinge.store.errors import DiskFullError
+from gaugehinge.tenancy.attempt_limiter import AttemptLimiter
 from gaugehinge.tenancy.feed import Report
 from gaugehinge.terms import Attempt, Listing, Outcome, Presence
 
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -27,7 +27,8 @@
 from gaugehinge.net.resp import Parser, bulk
 from gaugehinge.rehearsal.hostedplay import CHEAP, Client, hosting
 from gaugehinge.rehearsal.hostedrun import churn
-from gaugehinge.tenancy.credentials import FAILURE_BURST, AttemptLimiter, Credential
+from gaugehinge.tenancy.attempt_limiter import FAILURE_BURST, AttemptLimiter
+from gaugehinge.tenancy.credentials import Credential
 from gaugehinge.tenancy.feed import Feed, TenantRow
 from gaugehinge.terms import Listing, Presence, Tenant
 
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -27,7 +27,8 @@
 from gaugehinge.placement.forms import ShardWanted
 from gaugehinge.placement.keeper import Placement
 from gaugehinge.placement.router import Placing
-from gaugehinge.store.store import RevisionConflictError, Store
+from gaugehinge.store.errors import RevisionConflictError
+from gaugehinge.store.store import Store
 from gaugehinge.tenancy.feed import Report
 from gaugehinge.tenancy.lease import HeldLease, LeaseTable
 from gaugehinge.tenancy.lifecycle import TenantAction
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,21 +18,24 @@
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, consumes, initialize, invariant, rule
 
 from gaugehinge.cli.main import main
+from gaugehinge.store import connection as store_connection
 from gaugehinge.store import schema
-from gaugehinge.store import store as of_store
-from gaugehinge.store.async_store import MAX_QUEUED_CALLS, AsyncStore, StoreOverloadedError
+from gaugehinge.store.async_store import AsyncStore
 from gaugehinge.store.crash_test import kill_writer_once
-from gaugehinge.store.store import (
+from gaugehinge.store.errors import (
+    CompactionError,
     DiskFullError,
-    Mutation,
+    IncompatibleStoreError,
+    ItemTooLargeError,
     RevisionConflictError,
-    Store,
+    StoreCorruptedError,
+    StoreOverloadedError,
     StoreUnavailableError,
-    StoreUnusableError,
-    encode,
-    newest_snapshot,
-    restore,
 )
+from gaugehinge.store.records import IdempotencyRecord, Mutation, encode
+from gaugehinge.store.serial_executor import MAX_QUEUED_CALLS
+from gaugehinge.store.snapshots import newest_snapshot, restore
+from gaugehinge.store.store import Store
 
 
 def filled(path: Path, count: int = 20) -> Store:
@@ -42,6 +45,10 @@
     return store
 
 
+def recorded(key: str, response: bytes) -> IdempotencyRecord:
+    return IdempotencyRecord(key, b"r", lambda changes: response)
+
+
 def test_a_change_is_made_for_the_revision_that_was_read_or_not_at_all(tmp_path):
     store = Store(tmp_path / "s.db")
     [first] = store.apply([Mutation("tenant", "acme", b"1", expected_revision=0)], "ann", 5.0)
@@ -59,26 +66,20 @@
         store.apply([Mutation("tenant", "acme", b"3", expected_revision=1)], "bob", 8.0)
     assert told.value.current_revision == 0
     assert [change.body for change in store.history("tenant", "acme")] == [None, b"1"]
-    with pytest.raises(ValueError):
+    with pytest.raises(ItemTooLargeError):
         store.apply([Mutation("tenant", "acme", b"x" * (1 << 20))], "ann", 9.0)
 
 
 def test_two_of_a_call_with_a_key_find_one_answer_for_a_day(tmp_path):
     store = Store(tmp_path / "s.db")
-    store.apply(
-        [Mutation("tenant", "a", b"1")], "ann", 0.0, idempotency_key="k", request=b"r", response=b"made"
-    )
+    store.apply([Mutation("tenant", "a", b"1")], "ann", 0.0, recorded("k", b"made"))
     assert (
         store.recorded_response("ann", "k") == (b"r", b"made") and store.recorded_response("bob", "k") is None
     )
     with pytest.raises(sqlite3.IntegrityError):
-        store.apply(
-            [Mutation("tenant", "b", b"1")], "ann", 1.0, idempotency_key="k", request=b"r", response=b"again"
-        )
+        store.apply([Mutation("tenant", "b", b"1")], "ann", 1.0, recorded("k", b"again"))
     assert store.get("tenant", "b") is None, "the change and its answer are one"
-    store.apply(
-        [Mutation("tenant", "c", b"1")], "ann", 90_000.0, idempotency_key="k2", request=b"r", response=b"made"
-    )
+    store.apply([Mutation("tenant", "c", b"1")], "ann", 90_000.0, recorded("k2", b"made"))
     assert store.recorded_response("ann", "k") is None
 
 
@@ -90,8 +91,9 @@
     state = {}
     for change in store.changes(0):
         state[change.kind, change.item_id] = change.body
-    rev, things = store.read_all()
-    assert rev == 21 and {(kind, item.item_id): item.body for kind, item in things} == state
+    contents = store.read_all()
+    assert contents.revision == 21
+    assert {(item.kind, item.item_id): item.body for item in contents.items} == state
     store.verify()
 
 
@@ -101,10 +103,10 @@
     store.verify()
     store.apply([Mutation("tenant", "t0", b"new")], "root", 1.0)
     store.verify()
-    with pytest.raises(ValueError):
+    with pytest.raises(CompactionError):
         store.compact(99)
     store.connection.execute("UPDATE change SET who='other' WHERE rev=15")
-    with pytest.raises(StoreUnusableError, match="revision 15"):
+    with pytest.raises(StoreCorruptedError, match="revision 15"):
         store.verify()
 
 
@@ -121,7 +123,7 @@
 def test_what_does_not_add_up_is_found(tmp_path, spoil, why):
     store = filled(tmp_path / "s.db")
     store.connection.execute(spoil)
-    with pytest.raises(StoreUnusableError, match=why):
+    with pytest.raises(StoreCorruptedError, match=why):
         store.verify()
 
 
@@ -137,7 +139,7 @@
         data = bytearray((tmp_path / name).read_bytes())
         data[8192:12288] = random.Random(1).randbytes(4096)
         (tmp_path / name).write_bytes(data)
-    with pytest.raises(StoreUnusableError) as told:
+    with pytest.raises(StoreCorruptedError) as told:
         AsyncStore(path)
     assert "snapshot-000000000400, revision 400" in str(told.value) and "\n" not in str(told.value)
     run = CliRunner().invoke(main, ["store", "verify", str(path)])
@@ -147,7 +149,7 @@
     back.verify()
     assert back.revision == 400 and (tmp_path / "s.db.replaced").exists()
     path.write_bytes(b"no database at all" * 100)
-    with pytest.raises(StoreUnusableError):
+    with pytest.raises(StoreCorruptedError):
         Store(path)
 
 
@@ -155,15 +157,15 @@
     path = tmp_path / "store.db"
     with closing(Store(path)) as store:
         store.apply([Mutation("thing", "a", b"1", 0)], "ann", 1.0)
-    monkeypatch.setattr(of_store, "BUSY_TIMEOUT", 0.05)
+    monkeypatch.setattr(store_connection, "BUSY_TIMEOUT", 0.05)
     with closing(sqlite3.connect(path, isolation_level=None, check_same_thread=False)) as other:
         other.execute("PRAGMA locking_mode=EXCLUSIVE")
         other.execute("BEGIN EXCLUSIVE")
-        monkeypatch.setattr(of_store, "OPEN_TIMEOUT", 0.2)
+        monkeypatch.setattr(store_connection, "OPEN_TIMEOUT", 0.2)
         with pytest.raises(StoreUnavailableError, match="in use by another process") as told:
             Store(path).verify()
         assert "damaged" not in str(told.value)
-        monkeypatch.setattr(of_store, "OPEN_TIMEOUT", 60.0)
+        monkeypatch.setattr(store_connection, "OPEN_TIMEOUT", 60.0)
         timer = threading.Timer(0.5, other.close)
         timer.start()
         with closing(Store(path)) as store:
@@ -182,15 +184,15 @@
     old.commit()
     old.close()
     store = Store(path)  # brought forward
-    store.apply([Mutation("tenant", "a", b"1")], "root", 1.0, idempotency_key="k", request=b"", response=b"")
+    store.apply([Mutation("tenant", "a", b"1")], "root", 1.0, recorded("k", b""))
     store.connection.execute(f"PRAGMA user_version={schema.SCHEMA_VERSION + 1}")
     store.close()
-    with pytest.raises(StoreUnusableError, match="take the newer build"):
+    with pytest.raises(IncompatibleStoreError, match="take the newer build"):
         Store(path)
     other = sqlite3.connect(tmp_path / "o.db")
     other.execute("CREATE TABLE x (y)")
     other.close()
-    with pytest.raises(StoreUnusableError, match="not a store"):
+    with pytest.raises(IncompatibleStoreError, match="not a store"):
         Store(tmp_path / "o.db")
 
 
@@ -210,8 +212,8 @@
 
 FULL = """
 import resource, sys, trio
-from gaugehinge.store import async_store, store
-store.OPEN_TIMEOUT = 0.2
+from gaugehinge.store import async_store, connection, store
+connection.OPEN_TIMEOUT = 0.2
 path, after = sys.argv[1], sys.argv[2] == "after"
 held = async_store.AsyncStore(path) if after else None
 resource.setrlimit(resource.RLIMIT_FSIZE, (0, -1))  # each write is refused: as on a full disk
@@ -331,9 +333,8 @@
     def agree(self):
         if hasattr(self, "store"):
             assert self.store.revision == len(self.log)
-            found = {
-                (kind, item.item_id): (item.revision, item.body) for kind, item in self.store.read_all()[1]
-            }
+            items = self.store.read_all().items
+            found = {(item.kind, item.item_id): (item.revision, item.body) for item in items}
             assert found == self.state
             self.store.verify()
 
@@ -389,7 +390,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(keeper.run_sync, stuck.wait)
             await trio.testing.wait_all_tasks_blocked()
-            while keeper._calls.qsize():
+            while keeper.queue_length:
                 await trio.sleep(0.001)
             for _ in range(MAX_QUEUED_CALLS + 10):
                 nursery.start_soon(call)
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -7,6 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
+from gaugehinge.tenancy.keyspace import client_key, tenant_idempotency_key, tenant_key
 from gaugehinge.tenancy.lifecycle import (
     MAX_CLOCK_SKEW,
     ROUTER_TIMEOUT,
@@ -16,12 +17,9 @@
     TenantIncarnation,
     TenantStage,
     apply_action,
-    client_key,
     create_incarnation,
     finish_removal,
     name_is_available,
-    tenant_idempotency_key,
-    tenant_key,
 )
 
 MEMORY = 10.0
