--- a/gaugehinge/routing/router.py
+++ b/gaugehinge/routing/router.py
@@ -1,9 +1,10 @@
 """All routing decisions of gaugehinge. One `Router` serves one process and shares nothing with others.
 
-Ask `route(thing, now)` for an operation that came in or whose wait is over, `on_attempt_finished(attempt, outcome, ...)`
-when an attempt ended, `time_until_recheck(thing, now)` when the answer was "not yet". Tell it what happened with
-`on_endpoints_changed`, `on_gossip` and `cancel`. `router.background_tasks` are its own standing tasks and go through the same
-calls. The plain types of the interface live in types.py, the reasons in docs/design.md.
+Ask `route(thing, now)` for an operation that came in or whose wait is over, `on_attempt_finished(attempt,
+outcome, ...)` when an attempt ended, `time_until_recheck(thing, now)` when the answer was "not yet". Tell it
+what happened with `on_endpoints_changed`, `on_gossip` and `cancel`. `router.background_tasks` are its own
+standing tasks and go through the same calls. The plain types of the interface live in types.py, the reasons
+in docs/design.md.
 """
 
 from __future__ import annotations
