--- a/gaugehinge/cluster/build.py
+++ b/gaugehinge/cluster/build.py
@@ -58,7 +58,7 @@
 def add_fleet(service: Service, nursery: trio.Nursery, replicas: bool) -> SlotFleet:
     """Attempts to cluster-mode servers, and the map that says where they go."""
     dispatcher = service.dispatcher
-    caches = dispatcher.router.caches
+    caches = dispatcher.router.endpoints
 
     def presence(ident: int) -> EndpointState | None:
         cache = caches.get(ident)
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -667,7 +667,7 @@
         learnt, entry = self.learnt, self.entry
         bearing = Bearing(
             self.routers,
-            len(router.caches),
+            len(router.endpoints),
             float(entry.origin),
             float(entry.cold_reads),
             learnt.reads,
@@ -681,7 +681,7 @@
             "recovery: ready after {:.1f} s, {}: {} servers, {:.1f} reads and {:.1f} writes a second before",
             now - self.began,
             "open" if self.opening.open else "in steps",
-            len(router.caches),
+            len(router.endpoints),
             learnt.reads,
             learnt.writes,
         )
@@ -689,7 +689,7 @@
             self.service.lifecycle.enter(Phase.READY, len(self.dispatcher.pending_operations))
 
     def _warmth(self, now: float) -> float:
-        caches, cold_time = self.dispatcher.router.caches, self.deployment.warm_up_time
+        caches, cold_time = self.dispatcher.router.endpoints, self.deployment.warm_up_time
         if not caches or not cold_time:
             return 1.0
         ages = [max(now - cache.started, 0.0) if cache.started else inf for cache in caches.values()]
@@ -702,8 +702,8 @@
             return
         self.learnt_at = now
         router, old = self.dispatcher.router, self.learnt
-        reads = router.rate.read(now)
-        writes = max(sum(router.used) - reads, 0.0)
+        reads = router.completion_rate.value_at(now)
+        writes = max(sum(router.usage) - reads, 0.0)
         self.learnt = Learnt(_towards(old.reads, reads, span), _towards(old.writes, writes, span))
 
     def _flush_log(self) -> None:
--- a/gaugehinge/rehearsal/hostedplay.py
+++ b/gaugehinge/rehearsal/hostedplay.py
@@ -210,7 +210,7 @@
             while not all(
                 follower is not None
                 and follower.roster.revision >= self.keeper.rev
-                and service.dispatcher.router.caches
+                and service.dispatcher.router.endpoints
                 for follower, service, scope in zip(self.followers, self.services, self.scopes, strict=True)
                 if not scope.cancel_called
             ):
--- a/tests/test_cluster_model.py
+++ b/tests/test_cluster_model.py
@@ -24,7 +24,7 @@
 from gaugehinge.net.connection_pool import RequestPayload
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
-from gaugehinge.routing.router import MOST_REDIRECTS, Router
+from gaugehinge.routing.router import MAX_REDIRECTS, Router
 from gaugehinge.routing.types import (
     Action,
     Decision,
@@ -121,7 +121,7 @@
         self.connections = Connections()
         self.dispatcher.bind(self.connections, lambda: None, lambda *told: None)
         self.keeper = Keeper(3, self.time.now)
-        caches = self.dispatcher.router.caches
+        caches = self.dispatcher.router.endpoints
         self.fleet = SlotFleet(
             self.keeper,
             self.connections,
@@ -278,7 +278,7 @@
                 reply, at = found[0]
                 assert at <= operation.deadline + 0.006
                 assert not (reply.startswith(b"-BUSY") and b"t%d" % number in ran), "bounced, and it ran"
-            assert operation.redirect_count <= MOST_REDIRECTS + 1
+            assert operation.redirect_count <= MAX_REDIRECTS + 1
         for attempt in self.connections.sent:
             name = NAMES[attempt.endpoint.ident - 1]
             assert self.states[name] is EndpointState.UP, "sent to a server whose drain had been heard"
@@ -304,7 +304,7 @@
 def sent_though_it_drains(router, operation, key, bound):
     """A walk that does not look at what the list says."""
     return next(
-        (router.caches[ident] for ident in operation.allowed_endpoints if ident in router.caches), None
+        (router.endpoints[ident] for ident in operation.allowed_endpoints if ident in router.endpoints), None
     )
 
 
@@ -320,15 +320,15 @@
 @pytest.mark.parametrize(
     "name, fault",
     [
-        ("_walk_among", sent_though_it_drains),
-        ("_may_repeat", repeats_what_may_have_run),
+        ("_select_among", sent_though_it_drains),
+        ("_may_retry", repeats_what_may_have_run),
         ("_give_up", bounces_whatever_ran),
     ],
 )
 def test_a_known_fault_is_found(name, fault, monkeypatch):
     monkeypatch.setattr(Router, name, fault)
-    if name == "_may_repeat":
-        monkeypatch.setattr(Router, "_drops_repeats", lambda router, cache, operation: True)
+    if name == "_may_retry":
+        monkeypatch.setattr(Router, "_is_repeat_harmless", lambda router, cache, operation: True)
     with pytest.raises(AssertionError):
         # Found is enough: shrinking what was found takes minutes. It ends there; with other modules loaded
         # the steps are others, and 300 examples of them once lacked a fault.
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -44,16 +44,16 @@
 
 def at(router: Router, now: float, rate: float) -> None:
     """Its clock goes on, at a steady rate of answered attempts."""
-    router.rate.value, router.rate.at = rate, now
-    router._turn(now)
+    router.completion_rate.value, router.completion_rate.updated_at = rate, now
+    router._advance_window(now)
 
 
 def spend(made: list[Router], now: float, sent: list[float]) -> None:
     """Each sends to the cold cache all that it may."""
     for router in made:
-        cache = router.caches[COLD]
-        while cache.tokens >= 1.0 and cache.share < 1.0:
-            cache.tokens -= 1.0
+        cache = router.endpoints[COLD]
+        while cache.warm_up_budget >= 1.0 and cache.warm_up_share < 1.0:
+            cache.warm_up_budget -= 1.0
             sent.append(now)
 
 
--- a/tests/test_crossings_generated.py
+++ b/tests/test_crossings_generated.py
@@ -91,14 +91,14 @@
 
 def window_forgotten(monkeypatch):
     """Repeats go out however long ago the first attempt ran."""
-    monkeypatch.setattr(Router, "_may_repeat", lambda self, operation, now: True)
+    monkeypatch.setattr(Router, "_may_retry", lambda self, operation, now: True)
     monkeypatch.setattr(ConnectionPool, "_may_go", lambda self, attempt: True)
 
 
 def always_dropped(monkeypatch):
     """Each server counts as one that drops repeats, of whatever effect."""
     window_forgotten(monkeypatch)
-    monkeypatch.setattr(Router, "_drops_repeats", lambda self, cache, operation: True)
+    monkeypatch.setattr(Router, "_is_repeat_harmless", lambda self, cache, operation: True)
 
 
 def presence_unread(monkeypatch):
@@ -118,13 +118,13 @@
 
 def drains_unheard(monkeypatch):
     """A server that drains stays among those to choose from."""
-    hear = Router._hear_server
+    hear = Router._apply_entry
 
     def deaf(self, listing, now):
         if listing.state is not EndpointState.DRAINING:
             hear(self, listing, now)
 
-    monkeypatch.setattr(Router, "_hear_server", deaf)
+    monkeypatch.setattr(Router, "_apply_entry", deaf)
 
 
 def close_untold(monkeypatch):
--- a/tests/test_crossings_retries.py
+++ b/tests/test_crossings_retries.py
@@ -723,7 +723,7 @@
     async def scene():
         allowed = settings(mayCancel=False)
         async with fleet(tmp_path, origin=lambda *call: "stall", settings=allowed) as made:
-            made.service.dispatcher.router.gate.limit = 99.0
+            made.service.dispatcher.router.origin_limit.limit = 99.0
             first, second, door = await made.client(), await made.client(), made.service.clients
             await first.send("KV.SET", "k1", "same", ONCES, "new value")
             await until(lambda: made.origin.seen)
@@ -753,7 +753,7 @@
 
         cache = Scripted(script)
         async with fleet(tmp_path, [cache], origin=origin.hear) as made:
-            made.service.dispatcher.router.gate.limit = 99.0
+            made.service.dispatcher.router.origin_limit.limit = 99.0
             plain = made.origin.answer
 
             async def held(stream, told):
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -191,7 +191,7 @@
 def test_at_the_end_what_may_have_run_is_never_called_harmless_and_each_gets_one_answer(tmp_path):
     async def scene():
         async with fleet(tmp_path, [Holding()], origin=lambda *call: "stall") as made:
-            made.service.dispatcher.router.gate.limit = 99.0
+            made.service.dispatcher.router.origin_limit.limit = 99.0
             crowd = [await made.client() for _ in range(3)]
             for client, sent in zip(crowd, [get("r"), put("o"), put("m", "mark", ",k=m1")], strict=True):
                 await client.stream.send_all(sent)
@@ -528,7 +528,7 @@
 
     async def scene():
         async with fleet(tmp_path, origin=lambda *call: "stall") as made:
-            gate = made.service.dispatcher.router.gate
+            gate = made.service.dispatcher.router.origin_limit
             gate.limit = 1e6  # none is refused for what the others hold
             client = await made.client()
             sent = b"".join(put(f"i{n}") for n in range(count))
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -82,50 +82,50 @@
         (
             c.ident,
             c.load,
-            c.multiplier,
-            c.share,
-            c.tokens,
-            c.out,
+            c.latency_multiplier,
+            c.warm_up_share,
+            c.warm_up_budget,
+            c.in_flight,
             c.connections,
-            c.fault,
-            c.late,
-            c.told,
-            c.aside_until,
+            c.failure_score,
+            c.lateness,
+            c.reported_load,
+            c.ejected_until,
             c.full_until,
             c.latency,
-            c.pace,
-            c.kind,
-            c.near.keep,
-            sorted(c.near.failed),
+            c.completion_rate,
+            c.label_figures,
+            c.zone_figures.key_share,
+            sorted(c.zone_figures.failed),
             c.state,
             c.started,
         )
-        for c in router.caches.values()
+        for c in router.endpoints.values()
     ]
     return repr(
         (
             caches,
-            router.used,
-            router.came,
+            router.usage,
+            router.arrivals,
             router.tokens,
-            router.elsewhere,
-            router.peers,
-            router.gate,
-            router.latency,
-            router.rate,
-            router.work,
-            router.asked,
-            router.drop,
-            router.valve,
+            router.rates_elsewhere,
+            router.peer_rates,
+            router.origin_limit,
+            router.fleet_latency,
+            router.completion_rate,
+            router.mean_durations,
+            router.demand,
+            router.shed_probabilities,
+            router.shed_level,
             router.lateness,
-            router.mean_delay,
-            router.repeats,
-            router.excused,
+            router.mean_duration,
+            router.retry_budget,
+            router.excused_timeouts,
             router.counter,
-            router.total,
-            router.width,
+            router.total_load,
+            router.effective_weight,
             router.points,
-            list(router.fetches),
+            list(router.waiting_by_key),
             router.pressed_until,
         )
     )
@@ -570,20 +570,20 @@
     service = made.service
     router, clients, pool = service.dispatcher.router, service.clients, service.pool
     router_figures = (
-        router.used,
-        router.came,
+        router.usage,
+        router.arrivals,
         router.tokens,
-        router.elsewhere,
-        router.peers,
-        router.gate.limit,
-        router.gate.out,
-        router.work,
-        router.mean_delay,
-        router.repeats,
-        router.excused,
-        list(router.fetches),
-        router.valve,
-        [(c.ident, c.out, c.busy, c.fault, c.latency.finished, c.pace.value) for c in router.caches.values()],
+        router.rates_elsewhere,
+        router.peer_rates,
+        router.origin_limit.limit,
+        router.origin_limit.in_flight,
+        router.mean_durations,
+        router.mean_duration,
+        router.retry_budget,
+        router.excused_timeouts,
+        list(router.waiting_by_key),
+        router.shed_level,
+        [(c.ident, c.in_flight, c.busy_time, c.failure_score, c.latency.count, c.completion_rate.value) for c in router.endpoints.values()],
     )
     return repr(
         (
@@ -1016,7 +1016,7 @@
             place = roster.by_incarnation[2].place
             assert place != roster.by_incarnation[1].place
             # Nothing of the old one's figures.
-            assert router.used[place] == 0.0 and router.came[place] == 0
+            assert router.usage[place] == 0.0 and router.arrivals[place] == 0
             assert made.followers[0].in_hand() == {"1": 3}
             # The old credential is refused, and so is all that is new on connections that it had let in.
             assert (await (await made.client(0)).ask("AUTH", "acme", old)).startswith(b"-WRONGPASS")
@@ -1029,7 +1029,7 @@
             assert await fresh.ask("KV.GET", "k", "i4", "c=read,d=1900") == b"$10\r\nof the new\r\n"
             assert made.shelves.data[b"1/k"] == b"of the old" and made.shelves.data[b"2/k"] == b"of the new"
             assert not any(seen.repeat for seen in made.shelves.seen)
-            assert router.came[roster.by_incarnation[1].place] <= 3
+            assert router.arrivals[roster.by_incarnation[1].place] <= 3
             # One final answer for each of the old one's, and then what it asks is refused.
             hold[0].let_go.set()
             for client in clients:
@@ -1055,9 +1055,9 @@
         if answer.attempt is not None:
             router.on_attempt_finished(answer.attempt, Outcome.SUCCEEDED, 0.01, True, now + 0.01)
     router.on_gossip(1, b"\0\0\x80\x3f" * 2, 102.0)
-    kept = router.used[1], router.came[1], router.tokens[1]
-    assert router.used[0] > 0.0 and router.peers
+    kept = router.usage[1], router.arrivals[1], router.tokens[1]
+    assert router.usage[0] > 0.0 and router.peer_rates
     router.on_tenants_changed((Tenant(0.5, 9.0), Tenant(1.0, 50.0)), {0})
-    assert (router.used[0], router.came[0], router.tokens[0]) == (0.0, 0, 1.0)
-    assert (router.used[1], router.came[1], router.tokens[1]) == kept
-    assert not router.peers and not router.elsewhere  # a peer told of the one before
+    assert (router.usage[0], router.arrivals[0], router.tokens[0]) == (0.0, 0, 1.0)
+    assert (router.usage[1], router.arrivals[1], router.tokens[1]) == kept
+    assert not router.peer_rates and not router.rates_elsewhere  # a peer told of the one before
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -103,7 +103,7 @@
     def server(self, uid: str):
         """What the decisions know of a server, None where it is not in the list."""
         ident = next((p.ident for p in self.service.pool.endpoints.values() if p.uid == uid), None)
-        return self.service.dispatcher.router.caches.get(ident)
+        return self.service.dispatcher.router.endpoints.get(ident)
 
 
 class Stage:
@@ -222,7 +222,7 @@
             assert (await client.answer()).startswith((b"$", b"-"))  # one final answer of the old one's
             assert await client.answer() is None
             await old.ended.wait()
-            assert (await other.get("k1")).startswith(b"$") and new.service.dispatcher.router.caches
+            assert (await other.get("k1")).startswith(b"$") and new.service.dispatcher.router.endpoints
 
     play(scene)
 
@@ -270,7 +270,7 @@
                 new = await made.start(**told)
                 assert new.error is None, new.error
                 router = new.service.dispatcher.router
-                assert not router.peers
+                assert not router.peer_rates
                 bad = [
                     b"",
                     b"x",
@@ -284,8 +284,8 @@
                     peer.sendto(stamp + payload, where)
                 stranger.sendto(stamp + struct.pack("<f", 5.0), where)
                 peer.sendto(stamp + struct.pack("<f", 9.0), where)  # behind the others, in order
-                await until(lambda: router.peers)
-                assert {number: rates for number, (_, rates) in router.peers.items()} == {1: (9.0,)}
+                await until(lambda: router.peer_rates)
+                assert {number: rates for number, (_, rates) in router.peer_rates.items()} == {1: (9.0,)}
                 assert (await (await new.client()).get("k0")).startswith(b"$")
 
     play(scene)
@@ -319,8 +319,8 @@
             dispatcher.tell = noted
             while len(told) < 3:
                 await client.get(f"k{len(told)}", labels="c=read,t=acme,d=900")
-                heard += [rates for _, rates in new.service.dispatcher.router.peers.values()]
-            used = dispatcher.router.used
+                heard += [rates for _, rates in new.service.dispatcher.router.peer_rates.values()]
+            used = dispatcher.router.usage
             assert used[0] == 0.0 and used[1] > 1.0  # nothing of bolt's ever came
             assert not any(rates[1] for rates in heard), heard[-1]  # and bolt is second here
 
@@ -387,7 +387,7 @@
             after = made.seen()
             assert after[1] > before[1]
             if state == "anew":
-                assert new.server("s-0").share < 0.01  # cold,
+                assert new.server("s-0").warm_up_share < 0.01  # cold,
                 assert after[0] - before[0] <= 1  # and what goes there is by its budget
                 fresh = after[0] - before[0]
                 await until(lambda: made.caches[0].ended == made.caches[0].connections - fresh)
@@ -419,7 +419,7 @@
             targets = made.list_with(0, boot_ms=time.time() * 1000)
             new = await made.start(known={"rev": 7, "all": True, "targets": targets})
             assert answered(await reads(await new.client()))
-            assert made.seen()[0] <= 1 and new.server("s-0").share < 0.01
+            assert made.seen()[0] <= 1 and new.server("s-0").warm_up_share < 0.01
 
     play(scene)
 
@@ -659,7 +659,7 @@
             assert all(line.closed for line in idle)
             await until(lambda: made.caches[0].ended >= len(idle))
             if how == "anew":
-                assert made.seen()[0] - before[0] <= 1 and new.server("s-0").share < 0.01
+                assert made.seen()[0] - before[0] <= 1 and new.server("s-0").warm_up_share < 0.01
                 assert made.caches[0].connections - opened == made.seen()[0] - before[0]
             else:
                 assert made.seen()[0] == before[0]
@@ -756,9 +756,9 @@
 def test_an_entry_of_the_process_before_leaves_the_new_one_cold():
     bench = Bench(caches=3)
     bench.hear([row(1, started=99.0)], whole=False)
-    assert bench.router.caches[1].share < 0.01
+    assert bench.router.endpoints[1].warm_up_share < 0.01
     bench.hear([row(1, started=50.0)], whole=False)
-    assert bench.router.caches[1].started == 99.0 and bench.router.caches[1].share < 0.01
+    assert bench.router.endpoints[1].started == 99.0 and bench.router.endpoints[1].warm_up_share < 0.01
 
 
 @pytest.mark.parametrize("between", [EndpointState.DRAINING, EndpointState.GONE])
@@ -768,6 +768,6 @@
         bench.settle()
     bench.hear([row(1, between, started=10.0)], whole=False)
     bench.hear([row(i, started=99.9 if i == 1 else 0.0) for i in range(1, 4)] + [origin_row()])
-    cache = bench.router.caches[1]
-    assert cache.state is EndpointState.UP and cache.share < 0.01 and cache.tokens <= 1.0
-    assert cache.latency.finished == 0.0 and cache.pace.value == 0.0 and cache.fault == 0.0
+    cache = bench.router.endpoints[1]
+    assert cache.state is EndpointState.UP and cache.warm_up_share < 0.01 and cache.warm_up_budget <= 1.0
+    assert cache.latency.count == 0.0 and cache.completion_rate.value == 0.0 and cache.failure_score == 0.0
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -472,7 +472,7 @@
             async with made.desk() as desk:
                 assert (await desk.post("/v1/servers/c-1/drain")).json()["order"] == "drain"
                 await made.settle()
-                caches = made.services[0].dispatcher.router.caches
+                caches = made.services[0].dispatcher.router.endpoints
 
                 async def presences(wanted: int) -> None:
                     with trio.fail_after(5):
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -170,28 +170,28 @@
 @pytest.mark.parametrize(
     "rule, name, wrong",
     [
-        ("effects", "_may_repeat", lambda self, operation, now: True),
-        ("drain", "_hear_server", None),
-        ("cold", "_may_take", None),
+        ("effects", "_may_retry", lambda self, operation, now: True),
+        ("drain", "_apply_entry", None),
+        ("cold", "_may_serve", None),
     ],
 )
 def test_the_mixed_test_sees_a_rule_that_is_broken(tmp_path, monkeypatch, rule, name, wrong):
     right = getattr(Router, name)
-    if name == "_hear_server":
+    if name == "_apply_entry":
 
         def wrong(self, listing, now):
             right(self, listing._replace(state=type(listing.state).UP), now)
-    elif name == "_may_take":
+    elif name == "_may_serve":
 
         def wrong(self, cache, operation, key):
             return (
                 cache not in operation.tried_endpoints
-                and cache.share < 1.0
+                and cache.warm_up_share < 1.0
                 or right(self, cache, operation, key)
             )
 
     monkeypatch.setattr(Router, name, wrong)
-    if name == "_may_repeat":
-        monkeypatch.setattr(Router, "_drops_repeats", lambda self, cache, operation: True)
+    if name == "_may_retry":
+        monkeypatch.setattr(Router, "_is_repeat_harmless", lambda self, cache, operation: True)
         monkeypatch.setattr(connection_pool, "WAY", -1e9)  # nor does the pool look
     assert rule in run(tmp_path, ["old", "new"]).broken()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -190,7 +190,7 @@
         async with fleet(tmp_path, origin=lambda *call: "stall") as made:
             door = made.service.clients
             door.most_held = 1_000_000
-            made.service.dispatcher.router.gate.limit = 99.0
+            made.service.dispatcher.router.origin_limit.limit = 99.0
             crowd = [await made.client() for _ in range(12)]
             for n, client in enumerate(crowd):
                 await client.send("KV.SET", "k", f"i{n}", "c=once,d=1500", b"v" * 65536)
@@ -593,7 +593,7 @@
             while not made.origin.seen:
                 await trio.sleep(0.01)
             await waits.send("KV.GET", "k1", "i2", "c=read,d=60000")
-            while not made.service.dispatcher.router.fetches[b"k1"]:
+            while not made.service.dispatcher.router.waiting_by_key[b"k1"]:
                 await trio.sleep(0.01)
             made.service.dispatcher.fail_rest()
             assert await fetches.answer() == b"-ERR failed\r\n" and await waits.answer() == b"-BUSY 500\r\n"
@@ -741,7 +741,7 @@
     async def scene():
         async with fleet(tmp_path, discovery=discovery) as made:
             await trio.sleep(0.5)
-            assert 2 <= len(calls) <= 0.5 / PACE + 2 and made.service.dispatcher.router.list_heard
+            assert 2 <= len(calls) <= 0.5 / PACE + 2 and made.service.dispatcher.router.list_received
 
     run(scene)
 
@@ -758,11 +758,11 @@
 
     async def scene():
         async with fleet(tmp_path, discovery=discovery) as made:
-            while made.service.dispatcher.router.caches:
+            while made.service.dispatcher.router.endpoints:
                 await trio.sleep(0.01)
             assert calls[0] == calls[1] and "index=1&" in calls[1]
 
-    monkeypatch.setattr(Router, "hear_list", flawed)
+    monkeypatch.setattr(Router, "on_endpoints_changed", flawed)
     run(scene)
 
 
@@ -885,9 +885,9 @@
                 friend.sendto(struct.pack("<f", 4.0), ("127.0.0.1", own))  # with no stamp,
                 friend.sendto(b"else" + struct.pack("<f", 4.0), ("127.0.0.1", own))  # or that of others
                 friend.sendto(stamp + struct.pack("<f", 5.0), ("127.0.0.1", own))
-                while not router.peers:
+                while not router.peer_rates:
                     await trio.sleep(0.01)
-                assert list(router.peers) == [1] and router.peers[1][1] == (5.0,)
+                assert list(router.peer_rates) == [1] and router.peer_rates[1][1] == (5.0,)
                 friend.setblocking(False)
                 told = b""
                 while not told:
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -90,12 +90,12 @@
         all_.service.dispatcher.on_endpoints_changed(
             read_endpoint_list({"rev": 2, "all": True, "targets": targets})
         )
-        while made.recovery.mind.verdict is Verdict.DECIDING or not all_.service.dispatcher.router.caches:
+        while made.recovery.mind.verdict is Verdict.DECIDING or not all_.service.dispatcher.router.endpoints:
             await trio.sleep(0.01)
         assert {told[3] for told in made.placing.servers.values()} == {5.0}
         told = [target.entry.started for target in made.follower.overlay.told if target.entry.started]
         assert set(told) == {5.0}
-        believed = {cache.started for cache in all_.service.dispatcher.router.caches.values()}
+        believed = {cache.started for cache in all_.service.dispatcher.router.endpoints.values()}
         assert min(believed) >= made.recovery.began  # nobody knows whether they lived on: cold
 
     play(tmp_path, look)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -214,7 +214,7 @@
         found.add(answer.attempt.endpoint.ident)
         bench.end(answer.attempt, Outcome.SUCCEEDED)
     assert len(found) == 4, "all of the region share its keys"
-    for cache in bench.router.caches.values():
+    for cache in bench.router.endpoints.values():
         if cache.zone == "a":
             cache.full_until = bench.now + 1.0
     _, answer = ask(bench, "k1", (a, b))
@@ -251,7 +251,7 @@
     def within(*given):
         raise AssertionError("looked at a region")
 
-    monkeypatch.setattr(Router, "_within", within)
+    monkeypatch.setattr(Router, "_within_region", within)
     for seed in range(3):
         Rules(seed).run(800)
 
@@ -716,7 +716,7 @@
             for uid in ("c-0", "c-3"):
                 play.all.directory.change(uid, state="gone")
             with trio.fail_after(10):
-                while len(play.all.services[0].dispatcher.router.caches) > 4:
+                while len(play.all.services[0].dispatcher.router.endpoints) > 4:
                     await trio.sleep(0.02)
             play.forget()
             assert all(a.startswith(b"-BUSY ") for a in await play.read(0, *KEYS[:5], once=True))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -68,7 +68,7 @@
 
 
 def test_past_the_hop_cap_the_least_loaded_one_seen_is_taken(monkeypatch):
-    monkeypatch.setattr(router, "HOPS", 3)
+    monkeypatch.setattr(router, "MAX_HOPS", 3)
     bench = Bench()
     attempts = [bench.ask("k")[1].attempt for _ in range(6)]
     assert len({attempt.endpoint.ident for attempt in attempts}) == 3
@@ -81,15 +81,15 @@
     for _ in range(40):
         bench.now += 1.0
         bench.settle("any")
-        shares.append(bench.router.caches[20].share)
+        shares.append(bench.router.endpoints[20].warm_up_share)
     assert shares == sorted(shares) and shares[0] < 0.1 and shares[-1] == 1.0
-    assert abs(shares[14] - (15 / 20.0) ** router.FADE_CURVE) < 0.05
+    assert abs(shares[14] - (15 / 20.0) ** router.WARM_UP_EXPONENT) < 0.05
 
 
 def test_a_restarted_router_knows_from_the_list_who_is_cold():
     bench = Bench()
     bench.hear([row(20, started=bench.now - 1.0)], held=True)
-    assert bench.router.caches[20].share < 0.5
+    assert bench.router.endpoints[20].warm_up_share < 0.5
 
 
 def test_a_miss_goes_to_the_origin_and_a_second_one_waits_for_that_fetch():
@@ -102,7 +102,7 @@
     steps = bench.end(to_origin.attempt, Outcome.SUCCEEDED, 0.1)
     assert [(o, a.action) for o, a in steps] == [(two, Action.SEND)]
     assert steps[0].decision.attempt.endpoint is first.attempt.endpoint
-    assert not bench.router.fetches
+    assert not bench.router.waiting_by_key
 
 
 def test_a_failed_fetch_is_taken_over_by_one_of_those_that_wait():
@@ -162,7 +162,7 @@
     bench = Bench(must_poll=True, poll_deadline=5.0)
     for _ in range(200):
         bench.router.on_poll_failed(bench.now)
-        assert 0.3 < bench.router.asking.due - bench.now < 0.8 * 5.0
+        assert 0.3 < bench.router.poll_task.due - bench.now < 0.8 * 5.0
 
 
 def test_a_draining_cache_gets_nothing_more_not_even_a_further_attempt():
@@ -191,7 +191,7 @@
             break
         bench.end(answer.attempt, Outcome.SERVER_ERROR, 0.001)
     assert bench.settle("k") != home
-    bench.now += router.ASIDE_TIME + router.ASIDE_CHANCE + 0.1
+    bench.now += router.EJECTION_TIME + router.EJECTION_JITTER + 0.1
     first, second = bench.ask("k")[1].attempt, bench.ask("k")[1].attempt
     assert first.endpoint.ident == home and second.endpoint.ident != home
 
@@ -241,7 +241,7 @@
 def test_beyond_its_share_a_tenant_is_bounced_at_a_busy_home_and_others_are_not():
     bench = Bench(tenants=(Tenant(0.5, 5.0), Tenant(0.5, 5.0)), over_quota_weight=0.05, router_count=1)
     bench.router.tokens = [0.0, 9.0]
-    attempts = [bench.ask("k", tenant=0)[1].attempt for _ in range(router.SLOW_ROOM)]
+    attempts = [bench.ask("k", tenant=0)[1].attempt for _ in range(router.MIN_SLOW_CONCURRENCY)]
     assert all(attempts)
     assert bench.ask("k", tenant=0)[1].action is Action.REJECT
     assert bench.ask("k", tenant=1)[1].action is Action.SEND
@@ -249,8 +249,8 @@
 
 def test_a_crowded_cache_rests_after_an_attempt():
     bench = Bench()
-    home = bench.router.caches[bench.settle("k")]
-    home.late = 0.9
+    home = bench.router.endpoints[bench.settle("k")]
+    home.lateness = 0.9
     bench.end(bench.ask("k")[1].attempt, Outcome.SUCCEEDED, 0.8)
     assert home.full_until > bench.now
     bench.now += 0.9
@@ -261,11 +261,11 @@
     """Held for a place they came late, and the client waited for nothing."""
     bench = Bench()
     attempts = [bench.ask(f"key-{i}")[1].attempt for i in range(3)]
-    bench.router.gate.out = 99
+    bench.router.origin_limit.in_flight = 99
     for attempt in attempts:
         assert bench.end(attempt, Outcome.CACHE_MISS)[0].decision.action is Action.REJECT
     assert bench.ask(traffic=MARKED)[1].action is Action.REJECT
-    assert not bench.router.fetches
+    assert not bench.router.waiting_by_key
 
 
 def test_turned_away_attempts_do_not_raise_the_budget_of_cold_caches():
@@ -275,7 +275,7 @@
         _, answer = bench.ask(f"key-{i}")
         if answer.attempt:
             bench.end(answer.attempt, Outcome.REJECTED, 0.001)
-    assert bench.router.rate.value == 0.0
+    assert bench.router.completion_rate.value == 0.0
 
 
 def test_an_operation_turned_away_twice_is_bounced_and_full_caches_are_passed_for_a_while():
@@ -285,15 +285,15 @@
     second = bench.end(answer.attempt, Outcome.REJECTED, 0.001)[0].decision
     assert bench.end(second.attempt, Outcome.REJECTED, 0.001)[0].decision.action is Action.REJECT
     assert bench.settle("k", 0.001) not in (home, second.attempt.endpoint.ident)
-    bench.now += 2 * router.FULL_PAUSE
+    bench.now += 2 * router.REJECTION_PAUSE
     assert bench.settle("k") == home
 
 
 def test_uneven_latency_at_the_origin_is_not_taken_for_a_queue():
-    gate = router.Gate(bearable=router.GATE_QUEUE)
+    gate = router.OriginConcurrencyLimit(queue_allowance=router.QUEUE_OBJECTIVE_SHARE)
     for i in range(200):
-        gate.learn(0.05 if i % 5 else 0.6, False, True, 100.0 + i)
-    assert gate.limit > 2 * router.GATE_LEAST
+        gate.adapt(0.05 if i % 5 else 0.6, False, True, 100.0 + i)
+    assert gate.limit > 2 * router.MIN_ORIGIN_LIMIT
 
 
 def test_an_operation_that_waits_for_anothers_fetch_asks_again_while_it_could_come_in_time():
@@ -302,7 +302,7 @@
     assert bench.end(attempts[0], Outcome.CACHE_MISS)[0].decision.action is Action.SEND
     operation, answer = bench.end(attempts[1], Outcome.CACHE_MISS)[0]
     assert answer.action is Action.WAIT
-    bench.router.gate.out, bench.router.gate.smooth = 99, 0.1
+    bench.router.origin_limit.in_flight, bench.router.origin_limit.smoothed_latency = 99, 0.1
     bench.now += bench.router.time_until_recheck(operation, bench.now) + 0.001
     assert bench.now < operation.objective_at
     assert bench.router.route(operation, bench.now).action is Action.REJECT
@@ -310,7 +310,7 @@
 
 def test_the_valve_does_not_bounce_what_goes_to_the_origin_anyway():
     bench = Bench()
-    bench.router.drop, bench.router.next_beat = [1.0] * 6, 1e9
+    bench.router.shed_probabilities, bench.router.last_control_at = [1.0] * 6, 1e9
     assert bench.ask(traffic=MARKED)[1].action is Action.SEND
     assert bench.ask()[1].action is Action.REJECT
 
@@ -323,16 +323,16 @@
         if answer.attempt.endpoint.ident != home:
             break
         bench.now += 0.01
-        bench.router.caches[home].answered_at = bench.now if i < 5 else 0.0
+        bench.router.endpoints[home].last_answer_at = bench.now if i < 5 else 0.0
         bench.end(answer.attempt, Outcome.TIMED_OUT, 0.3)
-        assert bool(bench.router.caches[home].aside_until) == (i > 6)
+        assert bool(bench.router.endpoints[home].ejected_until) == (i > 6)
 
 
 def test_many_sparse_routers_do_not_crowd_a_cache_that_is_known_to_be_slow():
     bench = Bench()
-    home = bench.router.caches[bench.settle("k")]
+    home = bench.router.endpoints[bench.settle("k")]
     bench.router.next_bucket = 1e9
-    home.multiplier, home.load = 1.8, 0.0
+    home.latency_multiplier, home.load = 1.8, 0.0
     servers = [bench.ask("k")[1].attempt.endpoint for _ in range(2)]
     assert servers[0] is home and servers[1] is not home
 
@@ -340,14 +340,14 @@
 def test_a_cache_with_few_attempts_is_judged_beside_those_of_its_like():
     bench = Bench(caches=0)
     bench.hear([row(i, kind="old" if i < 5 else "new") for i in range(1, 9)] + [origin_row()])
-    unseen = bench.router.caches[1]
+    unseen = bench.router.endpoints[1]
     for i in range(400):
         bench.now += 0.02
         _, answer = bench.ask(f"key-{i}")
         if answer.attempt and answer.attempt.endpoint is not unseen:
             elapsed = 0.1 if answer.attempt.endpoint.ident < 5 else 0.02
             bench.router.on_attempt_finished(answer.attempt, Outcome.SUCCEEDED, elapsed, True, bench.now)
-    assert unseen.multiplier > 1.3
+    assert unseen.latency_multiplier > 1.3
 
 
 def test_a_lost_zone_is_set_aside_though_it_is_over_a_third_of_the_fleet():
@@ -371,10 +371,10 @@
         bench.now += 2.0
         operation, answer = bench.ask(f"key-{i}", tenant=0)
         bench.end(answer.attempt, Outcome.SUCCEEDED, 0.02)
-    assert 0.2 < bench.router.used[0] < 0.8
+    assert 0.2 < bench.router.usage[0] < 0.8
     bench.now += 1.0
-    assert 0.0 < bench.router.rate.read(bench.now) < 1.0
-    assert abs(bench.router.total - sum(c.load for c in bench.router.ready)) < 1e-9
+    assert 0.0 < bench.router.completion_rate.value_at(bench.now) < 1.0
+    assert abs(bench.router.total_load - sum(c.load for c in bench.router.ready)) < 1e-9
     bench.now += 1.0
     bench.ask("last", tenant=0)
     assert len(bench.router.active) == 1
@@ -389,7 +389,7 @@
     fresh.hear([row(i) for i in (1, 2, 3, 4, 6, 7, 8, 20, 21)] + [origin_row()])
     ring = [(p, bench.router.owners[p].ident) for p in bench.router.points]
     assert ring == [(p, fresh.router.owners[p].ident) for p in fresh.router.points]
-    assert bench.router.owners[ring[0][0]] is bench.router.caches[ring[0][1]]
+    assert bench.router.owners[ring[0][0]] is bench.router.endpoints[ring[0][1]]
 
 
 def test_a_router_tells_a_few_peers_and_scales_up_what_it_hears():
@@ -401,12 +401,12 @@
         bench.router.on_gossip(number, b"short", bench.now)
         bench.now = task.due
         answer = bench.router.route(task, bench.now)
-        assert len(set(answer.peers)) == router.MESSAGE_PEERS and set(answer.peers) < set(range(399))
+        assert len(set(answer.peers)) == router.GOSSIP_FANOUT and set(answer.peers) < set(range(399))
         told.update(answer.peers)
-    assert len(told) > 100 and abs(bench.router.elsewhere[0] - 399 * 2.0) < 1e-6
-    bench.now += 2 * router.PEER_STALE
+    assert len(told) > 100 and abs(bench.router.rates_elsewhere[0] - 399 * 2.0) < 1e-6
+    bench.now += 2 * router.PEER_EXPIRY
     bench.router.route(task, bench.now)
-    assert not bench.router.elsewhere and not bench.router.peers
+    assert not bench.router.rates_elsewhere and not bench.router.peer_rates
 
 
 def test_hundreds_of_routers_together_send_a_cold_cache_what_one_busy_router_may():
@@ -420,7 +420,7 @@
             bench.now += 0.4
             _, answer = bench.ask(f"key-{seed}-{i}")
             sent += answer.action is Action.SEND
-    assert sent < 40 * 1.2 * router.COLD_FLOOR
+    assert sent < 40 * 1.2 * router.MIN_WARM_UP_RATE
 
 
 def test_caches_of_a_slow_label_give_up_keys_before_each_was_seen():
@@ -432,7 +432,7 @@
         bench.end(answer.attempt, Outcome.SUCCEEDED, 0.12 if answer.attempt.endpoint.ident % 2 else 0.03)
     old = sum(home % 2 for home in homes(bench, 200).values())
     assert 20 < old < 85  # of 200; alike they would take about 100
-    assert [c.kind.keep for c in bench.router.ready[1::2]] == [1.0] * 20
+    assert [c.label_figures.key_share for c in bench.router.ready[1::2]] == [1.0] * 20
 
 
 def test_where_most_attempts_time_out_they_are_no_longer_repeated():
@@ -449,7 +449,7 @@
             steps = bench.end(answer.attempt, Outcome.TIMED_OUT, 0.1)
             repeats += steps[0].decision.action is Action.SEND
     # At silent caches a few more, by what settled before: they would run nothing of it.
-    assert 0 < repeats <= router.REPEAT_MOST + router.EXCUSED_MOST
+    assert 0 < repeats <= router.MAX_RETRY_BUDGET + router.MAX_EXCUSED_TIMEOUTS
 
 
 def test_where_routers_are_many_each_has_a_part_of_an_attempt_at_a_failing_origin():
@@ -467,14 +467,14 @@
             else:
                 assert step.action is Action.REJECT
     assert asked > 100 and 5 < sent < 60
-    assert bench.router.gate.limit >= router.GATE_SHARED / 100
+    assert bench.router.origin_limit.limit >= router.SHARED_ORIGIN_LIMIT / 100
     for i in range(200):
         bench.now += 0.2
         _, answer = bench.ask(f"again-{i}")
         for _, step in bench.end(answer.attempt, Outcome.CACHE_MISS, 0.001) if answer.attempt else ():
             if step.attempt:
                 bench.end(step.attempt, Outcome.SUCCEEDED, 0.1)
-    assert bench.router.gate.limit > 1.0
+    assert bench.router.origin_limit.limit > 1.0
 
 
 def test_beyond_a_share_an_unseen_cache_is_not_asked_while_attempts_are_late():
@@ -482,7 +482,7 @@
     bench = Bench(tenants=(Tenant(1.0, 0.0),), router_count=1)
     bench.router.tokens = [0.0]
     assert bench.ask("k", tenant=0)[1].action is Action.SEND
-    bench.router.lateness = 2 * router.SPARE_LATE
+    bench.router.lateness = 2 * router.OVER_QUOTA_MAX_LATENESS
     assert bench.ask("other", tenant=0)[1].action is Action.REJECT
     assert bench.ask("third")[1].action is Action.SEND
 
@@ -500,12 +500,12 @@
         if not spoilt:
             [(_, further)] = bench.end(further.attempt, Outcome.MALFORMED_RESPONSE)
         bench.end(further.attempt, Outcome.SUCCEEDED)
-    assert not any(cache.aside_until for cache in bench.router.caches.values())
-    assert bench.router.gate.limit >= router.GATE_LEAST and not bench.router.gate.tight
+    assert not any(cache.ejected_until for cache in bench.router.endpoints.values())
+    assert bench.router.origin_limit.limit >= router.MIN_ORIGIN_LIMIT and not bench.router.origin_limit.is_tight
     last = bench.router.ready[0]
     for _ in range(4):
-        bench.router._blame(last, router.FAULT_STEP, 0.01, bench.now)
-    assert last.aside_until  # one that spoils all is set aside still
+        bench.router._record_failure(last, router.FAILURE_STEP, 0.01, bench.now)
+    assert last.ejected_until  # one that spoils all is set aside still
 
 
 def test_a_spoilt_write_is_not_sent_again_unless_its_repeat_is_dropped():
@@ -521,36 +521,36 @@
         bench.now += 0.01
         _, answer = bench.ask("k")
         bench.end(answer.attempt, Outcome.CONNECTION_LOST if i % 10 in (5, 6) else Outcome.SUCCEEDED, 0.005)
-    assert not any(cache.aside_until for cache in bench.router.caches.values())
-    bench.now += router.DEAD_SILENCE + 0.1
+    assert not any(cache.ejected_until for cache in bench.router.endpoints.values())
+    bench.now += router.SILENCE_THRESHOLD + 0.1
     cache = bench.router.ready[0]
     for _ in range(2):
         attempt = Attempt(bench.ask("k")[0], cache, 0, bench.now)
-        bench.router._learn_cache(attempt, Outcome.CONNECT_FAILED, 0.0, bench.now)
-    assert cache.aside_until
+        bench.router._record_attempt(attempt, Outcome.CONNECT_FAILED, 0.0, bench.now)
+    assert cache.ejected_until
 
 
 def test_resets_at_the_origin_are_no_queue_there():
     bench = Bench()
-    bench.router.gate.limit = 20.0
+    bench.router.origin_limit.limit = 20.0
     for _ in range(20):
         _, answer = bench.ask("w", ONCE)
         bench.end(answer.attempt, Outcome.CONNECTION_LOST)
-    assert bench.router.gate.limit >= 20.0 and not bench.router.gate.tight
+    assert bench.router.origin_limit.limit >= 20.0 and not bench.router.origin_limit.is_tight
 
 
 def test_a_time_out_at_an_origin_that_answers_others_is_no_queue_there():
     bench = Bench()
-    bench.router.gate.limit = 20.0
+    bench.router.origin_limit.limit = 20.0
     for _ in range(20):
         _, hung = bench.ask("w", ONCE)
         _, other = bench.ask("w", ONCE)
         bench.end(other.attempt, Outcome.SUCCEEDED)
         bench.end(hung.attempt, Outcome.TIMED_OUT, 1.0)
-    assert bench.router.gate.limit >= 20.0 and bench.router.gate.smooth < 0.03
+    assert bench.router.origin_limit.limit >= 20.0 and bench.router.origin_limit.smoothed_latency < 0.03
     _, hung = bench.ask("w", ONCE)
     bench.end(hung.attempt, Outcome.TIMED_OUT, 1.0)  # nothing was answered since: that is one
-    assert bench.router.gate.limit < 20.0
+    assert bench.router.origin_limit.limit < 20.0
 
 
 def silent_fleet(bench, seconds, part):
@@ -564,7 +564,7 @@
             continue
         dead = answer.attempt.endpoint.ident <= 8 * part
         bench.end(answer.attempt, Outcome.TIMED_OUT if dead else Outcome.SUCCEEDED, 1.4 if dead else 0.05)
-        deepest = max(deepest, bench.router.valve)
+        deepest = max(deepest, bench.router.shed_level)
     return deepest
 
 
@@ -616,14 +616,14 @@
 def test_an_answer_from_a_zone_ends_the_suspicion_and_one_zone_alone_has_none():
     bench = two_zones()
     for ident in (4, 7, 10):  # of zone b
-        bench.router.caches[ident].near.failed.add(ident)
+        bench.router.endpoints[ident].zone_figures.failed.add(ident)
     _, answer = ask_among(bench, (13,))
     assert ask_among(bench, (4,))[1].action is not Action.SEND
     bench.end(answer.attempt, Outcome.CACHE_MISS, 0.01)
     assert not bench.router.zones["b"].failed and ask_among(bench, (4,))[1].action is Action.SEND
     alone = Bench()
     for ident in range(1, 9):
-        alone.router.caches[ident].near.failed.add(ident)
+        alone.router.endpoints[ident].zone_figures.failed.add(ident)
     assert [alone.ask("k")[1].action for _ in range(3)] == [Action.SEND] * 3
 
 
@@ -652,7 +652,7 @@
 def test_redirections_are_followed_a_few_times_and_never_to_a_server_that_drains():
     bench = Bench(cache_aside=False)
     operation, answer = ask_among(bench, (1,), traffic=ONCE)
-    for turn in range(router.MOST_REDIRECTS + 1):
+    for turn in range(router.MAX_REDIRECTS + 1):
         assert answer.action is Action.SEND
         operation.allowed_endpoints = (1 + (turn + 1) % 2,)
         answer = bench.end(answer.attempt, Outcome.MOVED, 0.001)[0].decision
@@ -669,7 +669,7 @@
     operation.allowed_endpoints = (2,)
     answer = bench.end(answer.attempt, Outcome.MOVED, 0.001)[0].decision
     assert answer.action is Action.SEND and answer.attempt.endpoint.ident == 2
-    assert not bench.router.caches[1].fault and not bench.router.late_count
+    assert not bench.router.endpoints[1].failure_score and not bench.router.lateness_count
 
 
 def test_a_redirected_attempt_that_breaks_may_have_run():
@@ -686,7 +686,7 @@
     out = [ask_among(bench, (1,), f"k{i}") for i in range(6)]
     attempts = [answer.attempt for _, answer in out if answer.attempt]
     assert [answer.action for _, answer in out] == [Action.SEND] * 2 + [Action.WAIT] * 4
-    assert bench.router.time_until_recheck(out[2][0], bench.now) <= router.QUEUE_LOOK
+    assert bench.router.time_until_recheck(out[2][0], bench.now) <= router.QUEUE_RECHECK_INTERVAL
     assert bench.router.route(out[3][0], bench.now).action is Action.WAIT  # a look changes nothing
     bench.router.cancel(out[4][0])  # its client left
     steps = bench.end(attempts[0], Outcome.SUCCEEDED, 0.02)
@@ -695,7 +695,7 @@
     assert bench.router.route(out[3][0], bench.now).action is Action.REJECT
     bench.now += 2.0
     assert bench.router.route(out[5][0], bench.now).action is Action.REJECT
-    assert not bench.router.caches[1].queue
+    assert not bench.router.endpoints[1].queue
 
 
 def test_a_line_is_no_longer_than_it_can_end_in_time():
@@ -711,30 +711,30 @@
     bench = two_zones(aside=False)
     out = [ask_among(bench, (4,), f"k{i}") for i in range(6)]
     for ident in (4, 7, 10):
-        bench.router.caches[ident].near.failed.add(ident)
+        bench.router.endpoints[ident].zone_figures.failed.add(ident)
     attempts = [answer.attempt for _, answer in out if answer.attempt]
     steps = bench.end(attempts[0], Outcome.REJECTED, 0.01)
     bench.now += 0.3
     steps = bench.end(attempts[1], Outcome.CONNECTION_LOST, 0.01)
     assert all(answer.action in (Action.WAIT, Action.REJECT, Action.SEND) for _, answer in steps)
-    assert len(bench.router.caches[4].queue) + sum(operation.finished for operation, _ in out) >= 3
+    assert len(bench.router.endpoints[4].queue) + sum(operation.finished for operation, _ in out) >= 3
 
 
 def test_tenants_may_change_in_service_and_a_place_with_another_bearer_begins_from_nothing():
     bench = Bench(tenants=(Tenant(1.0, 10.0), Tenant(1.0, 10.0)), may_gossip=True)
     router = bench.router
-    router.used[:], router.came[:], router.tokens[:] = [5.0, 6.0], [3, 4], [0.0, 0.5]
+    router.usage[:], router.arrivals[:], router.tokens[:] = [5.0, 6.0], [3, 4], [0.0, 0.5]
     router.on_gossip(1, struct.pack("<2f", 2.0, 3.0), bench.now)
     router.on_tenants_changed((Tenant(2.0, 20.0), Tenant(1.0, 5.0), Tenant(1.0, 1.0)), {1})
-    assert (router.used, router.came, router.tokens) == ([5.0, 0.0, 0.0], [3, 0, 0], [0.0, 1.0, 1.0])
-    assert not router.peers, "figures of a peer that follows another list are of other tenants"
+    assert (router.usage, router.arrivals, router.tokens) == ([5.0, 0.0, 0.0], [3, 0, 0], [0.0, 1.0, 1.0])
+    assert not router.peer_rates, "figures of a peer that follows another list are of other tenants"
     router.on_gossip(1, struct.pack("<2f", 2.0, 3.0), bench.now)  # it has not heard yet
     bench.now += 0.3
-    router._beat(bench.now)
+    router._run_control_interval(bench.now)
     assert 0.0 < router.tokens[0] <= 6.0
     router.on_tenants_changed((Tenant(2.0, 20.0),), set())
-    router._beat(bench.now + 0.1)
-    assert len(router.used) == 1
+    router._run_control_interval(bench.now + 0.1)
+    assert len(router.usage) == 1
 
 
 def shares(bench, keys=600):
@@ -765,7 +765,7 @@
     bench.hear(listed)
     bench.hear([row(3, weight=4.0, started=bench.now - 90)], whole=False)
     bench.hear([row(3, weight=0.5, started=bench.now - 60)], whole=False)
-    assert len(bench.router.points) == 7 * router.POINTS + router.POINTS // 2
+    assert len(bench.router.points) == 7 * router.POINTS_PER_ENDPOINT + router.POINTS_PER_ENDPOINT // 2
     assert set(bench.router.points) == bench.router.owners.keys()
     assert all(cache.state is EndpointState.UP for cache in bench.router.owners.values())
 
@@ -790,7 +790,7 @@
             if settle_with(bench, "hot", 12.0) != home:
                 break
         stayed += bench.settle("hot") == home
-        bench.now += 6 * router.TOLD_FADE  # a late report steers nobody for long
+        bench.now += 6 * router.REPORT_LIFETIME  # a late report steers nobody for long
         assert bench.settle("hot") == home
     assert 4 <= stayed <= 30
 
@@ -803,7 +803,7 @@
     for seed in range(30):
         other = Bench(one_attempt_per_connection=True, connection_price=0.1, seed=seed)
         found.add(other.settle("k"))
-    assert 2 <= len(found) <= router.STARTS
+    assert 2 <= len(found) <= router.START_CANDIDATES
     assert {Bench(seed=seed).settle("k") for seed in range(9)} <= found  # the home is one of them
 
 
@@ -836,13 +836,13 @@
         for attempt in filter(None, attempts):
             bench.end(attempt, Outcome.SUCCEEDED, 0.06 if attempt.endpoint.zone == "a" else 0.02)
         bench.now += 0.5
-    assert bench.router.own.keep < 0.8
+    assert bench.router.own_zone.key_share < 0.8
     found = []
     for _ in range(2):
         bench = zoned()
         found.append(set())
         for key in map(str, range(200)):
-            bench.router.own.keep = 0.5
+            bench.router.own_zone.key_share = 0.5
             if bench.settle(key) % 2:
                 found[-1].add(key)
     assert found[0] == found[1] and 25 < len(found[0]) < 80  # of 100 given up, those at home there
@@ -859,7 +859,7 @@
 def test_an_origin_that_refuses_connections_is_asked_now_and_then_and_reads_are_bounced_at_once():
     """Sixteen routers asked an origin that had stopped four thousand times a second, five attempts each."""
     bench = Bench()
-    bench.router.gate.smooth = 0.05
+    bench.router.origin_limit.smoothed_latency = 0.05
     bench.now += 1.0
     sent = 0
     for i in range(200):
@@ -870,8 +870,8 @@
             steps = bench.end(steps[0].decision.attempt, Outcome.CONNECT_FAILED, 0.001)
         assert steps[0].decision.action is Action.REJECT
         bench.now += 0.005
-    assert 4 <= sent <= 16 and bench.router.gate.smooth >= 0.05  # in 1.2 s
-    bench.now += 2 * router.ORIGIN_REST
+    assert 4 <= sent <= 16 and bench.router.origin_limit.smoothed_latency >= 0.05  # in 1.2 s
+    bench.now += 2 * router.UNREACHABLE_ORIGIN_PAUSE
     _, answer = bench.ask("k")
     [(_, answer)] = bench.end(answer.attempt, Outcome.CACHE_MISS)
     bench.end(answer.attempt, Outcome.SUCCEEDED)
@@ -883,7 +883,7 @@
     found = set()
     for seed in range(20):
         bench = Bench(one_attempt_per_connection=True, connection_price=0.1, seed=seed)
-        bench.router.pressed_until = bench.now + router.PRESSED
+        bench.router.pressed_until = bench.now + router.ORIGIN_PRESSURE_TIME
         found.add(bench.settle("k"))
     assert found == {Bench().settle("k")}
 
@@ -906,14 +906,14 @@
         bench.end(answer.attempt, Outcome.SUCCEEDED, 0.02)
     for _ in range(8):
         _, answer = bench.ask("k")
-        bench.router.repeats = 0.0
+        bench.router.retry_budget = 0.0
         attempt = answer.attempt
         bench.end(attempt, Outcome.TIMED_OUT, 0.2)
-        bench.router.excused = 0.0
+        bench.router.excused_timeouts = 0.0
         _, answer = bench.ask("k")
         if answer.attempt is not None:
             bench.end(answer.attempt, Outcome.SUCCEEDED, 0.02)
-        assert not attempt.endpoint.aside_until
+        assert not attempt.endpoint.ejected_until
 
 
 def test_where_weights_tell_a_slow_label_keeps_the_plain_ratio_and_does_not_flutter():
@@ -929,5 +929,5 @@
         base = 0.04 if answer.attempt.endpoint.ident % 2 else 0.02
         bench.end(answer.attempt, Outcome.SUCCEEDED, (0.1 if i % 10 else 9.1) * base)  # uneven work
         if i > 600:
-            found.append(bench.router.kinds["old"].keep)
+            found.append(bench.router.labels["old"].key_share)
     assert min(found) > 0.45 and max(found) - min(found) < 0.45  # the square would be 0.25
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -110,8 +110,8 @@
             self.overdue()
         assert not self.open and not self.attempts
         router = self.bench.router
-        assert not router.fetches and not router.gate.out
-        assert all(c.out == 0 for c in router.caches.values())
+        assert not router.waiting_by_key and not router.origin_limit.in_flight
+        assert all(c.in_flight == 0 for c in router.endpoints.values())
 
     def move_on(self) -> None:
         now = self.bench.now
@@ -185,5 +185,5 @@
     rules = Rules(seed, routers=400)
     rules.run(2500)
     router = rules.bench.router
-    assert rules.bench.now > 150.0 and not router.active.keys() - router.caches.keys()
-    assert router.rate.read(rules.bench.now) < 5.0 and all(used < 20.0 for used in router.used)
+    assert rules.bench.now > 150.0 and not router.active.keys() - router.endpoints.keys()
+    assert router.completion_rate.value_at(rules.bench.now) < 5.0 and all(used < 20.0 for used in router.usage)
