--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -702,8 +702,8 @@
             return
         self.learnt_at = now
         router, old = self.dispatcher.router, self.learnt
-        reads = router.completion_rate.value_at(now)
-        writes = max(sum(router.usage) - reads, 0.0)
+        reads = router.responses_per_second(now)
+        writes = max(router.operations_per_second() - reads, 0.0)
         self.learnt = Learnt(_towards(old.reads, reads, span), _towards(old.writes, writes, span))
 
     def _flush_log(self) -> None:
--- /dev/null
+++ b/gaugehinge/routing/endpoint_table.py
@@ -0,0 +1,228 @@
+"""The endpoints that the endpoint list names, those of them that are ready, and sums over these."""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Iterable, Sequence
+
+from xxhash import xxh64_intdigest
+
+from .decayed_statistics import DecayedLatency, EventRate, group_latency
+from .endpoint import Endpoint, ZoneFigures
+from .slow_start import SlowStart
+from .types import Deployment, EndpointEntry, EndpointState
+
+# A listed weight counts as at most this many times the usual one, and at least this part of it.
+MAX_RELATIVE_WEIGHT = 8.0
+MIN_EFFECTIVE_WEIGHT = 0.01  # divides the total load: a fleet that is all cold still has a mean
+
+
+class EndpointTable:
+    """Endpoints by number, the origin, zones and labels.
+
+    State: follows the endpoint list. An endpoint leaves when the list says it is gone or, whole, does
+    not name it, and is replaced by an empty one when its server started anew. Zones and labels stay:
+    there are as many as the lists named so far. The ready endpoints (up and not ejected) and the sums
+    over them are made anew by `refresh_ready`.
+    """
+
+    def __init__(self, deployment: Deployment, slow_start: SlowStart, now: float) -> None:
+        self._deployment = deployment
+        self._slow_start = slow_start
+        self.endpoints: dict[int, Endpoint] = {}
+        self.origin: Endpoint | None = None
+        self.zones: dict[str, ZoneFigures] = {}
+        self.own_zone = ZoneFigures(group_latency(now))
+        self.labels: dict[str, DecayedLatency] = {}
+        self._usual_weight = 0.0  # of the first list that told weights; only their ratios mean something
+        self._changed: list[Endpoint] = []  # emptied by `take_changed`
+        self.ready: list[Endpoint] = []
+        self._ready_by_region: dict[frozenset[str], list[Endpoint]] = {}  # emptied by `refresh_ready`
+        self.total_load = 0.0  # of the ready endpoints, by weight
+        self._ready_weight = 1.0  # the sum of their weights
+        self.effective_weight = 1.0  # the sum of their weights, each by its share while it warms up
+
+    # -- the endpoint list
+
+    def apply(self, entries: Sequence[EndpointEntry], whole: bool, now: float) -> None:
+        """Follow a whole endpoint list, or changes of it."""
+        if self._deployment.has_endpoint_weights and not self._usual_weight:
+            weights = sorted(entry.weight for entry in entries if entry.weight > 0.0)
+            self._usual_weight = weights[len(weights) // 2] if weights else 0.0
+        for entry in entries:
+            self._apply_entry(entry, now)
+        if whole:
+            self._remove_all_but({entry.ident for entry in entries})
+
+    def take_changed(self) -> list[Endpoint]:
+        """Return the endpoints that came, changed or left since the last call."""
+        changed, self._changed = self._changed, []
+        return changed
+
+    def _apply_entry(self, entry: EndpointEntry, now: float) -> None:
+        known = self._known(entry)
+        if entry.state is EndpointState.GONE:
+            if known is not None:
+                self._remove(known)
+            return
+        if known is not None and entry.started <= known.started:
+            # An entry of the process before undoes no drain of this one.
+            is_stale = entry.started < known.started and entry.state is EndpointState.UP
+            if is_stale or entry.state is known.state:
+                return
+        if known is None or entry.started > known.started:
+            if known is not None:
+                self._remove(known)
+            known = self._add(entry, now)
+        known.state = entry.state
+        self._changed.append(known)
+
+    def _known(self, entry: EndpointEntry) -> Endpoint | None:
+        if self._is_origin(entry) and self.origin is not None and self.origin.ident == entry.ident:
+            return self.origin
+        return self.endpoints.get(entry.ident)
+
+    def _is_origin(self, entry: EndpointEntry) -> bool:
+        return entry.kind == self._deployment.origin_kind
+
+    def _add(self, entry: EndpointEntry, now: float) -> Endpoint:
+        is_origin = self._is_origin(entry)
+        added = Endpoint(
+            ident=entry.ident,
+            zone=entry.zone,
+            zone_figures=self._zone_figures(entry, is_origin, now),
+            cell=entry.cell,
+            started=entry.started,
+            state=entry.state,
+            origin=is_origin,
+            label_figures=self.labels.setdefault(entry.kind, group_latency(now)),
+            latency=DecayedLatency(now),
+            completion_rate=EventRate(now),
+            last_answer_at=now,
+            silent_since=now,
+            salt=xxh64_intdigest(b"fade-%d" % entry.ident),
+        )
+        if self._usual_weight and entry.weight > 0.0:
+            relative = max(entry.weight / self._usual_weight, 1 / MAX_RELATIVE_WEIGHT)
+            added.weight = min(relative, MAX_RELATIVE_WEIGHT)
+        self._slow_start.begin(added, now)
+        if is_origin:
+            self.origin = added
+        else:
+            self.endpoints[entry.ident] = added
+        return added
+
+    def _zone_figures(self, entry: EndpointEntry, is_origin: bool, now: float) -> ZoneFigures:
+        is_own = entry.zone == self._deployment.zone
+        figures = self.own_zone if is_own else ZoneFigures(group_latency(now))
+        return figures if is_origin else self.zones.setdefault(entry.zone, figures)
+
+    def _remove_all_but(self, named: set[int]) -> None:
+        for ident in [ident for ident in self.endpoints if ident not in named]:
+            self._remove(self.endpoints[ident])
+        if self.origin is not None and self.origin.ident not in named:
+            self._remove(self.origin)
+
+    def _remove(self, endpoint: Endpoint) -> None:
+        endpoint.state = EndpointState.GONE
+        if endpoint is self.origin:
+            self.origin = None
+        elif self.is_listed(endpoint):
+            del self.endpoints[endpoint.ident]
+            self._changed.append(endpoint)
+
+    # -- questions
+
+    def get(self, ident: int) -> Endpoint | None:
+        """Return the endpoint of this number, or none where it is not listed."""
+        return self.endpoints.get(ident)
+
+    def count(self) -> int:
+        """Return how many endpoints are listed, without the origin."""
+        return len(self.endpoints)
+
+    def is_listed(self, endpoint: Endpoint) -> bool:
+        """Whether the list still names this endpoint, and its server has not started anew."""
+        return self.endpoints.get(endpoint.ident) is endpoint
+
+    def available_origin(self) -> Endpoint | None:
+        """Return the origin where it may be sent to."""
+        if self.origin is None or self.origin.state is not EndpointState.UP:
+            return None
+        return self.origin
+
+    def has_several_zones(self) -> bool:
+        """Whether endpoints of more than one zone were listed so far."""
+        return len(self.zones) > 1
+
+    def own_zone_figures(self) -> ZoneFigures:
+        """Return the figures of the zone where this router stands."""
+        return self.own_zone
+
+    def other_zones(self) -> list[ZoneFigures]:
+        """Return the figures of all other zones that were listed so far."""
+        return [zone for zone in self.zones.values() if zone is not self.own_zone]
+
+    def label_latencies(self) -> Collection[DecayedLatency]:
+        """Return the mean latencies of all labels that were listed so far."""
+        return self.labels.values()
+
+    def has_weights(self) -> bool:
+        """Whether the list tells weights that are heeded."""
+        return bool(self._usual_weight)
+
+    def ejected(self) -> list[Endpoint]:
+        """Return the listed endpoints that are ejected."""
+        return [endpoint for endpoint in self.endpoints.values() if endpoint.ejected_until]
+
+    # -- the ready endpoints
+
+    def refresh_ready(self) -> None:
+        """Find the ready endpoints and their sums anew, after a change of the list or an ejection."""
+        self._ready_by_region.clear()
+        self.ready = [
+            endpoint
+            for endpoint in self.endpoints.values()
+            if endpoint.state is EndpointState.UP and not endpoint.ejected_until
+        ]
+        self._slow_start.follow(self.ready)
+        self.total_load = sum(endpoint.load * endpoint.weight for endpoint in self.ready)
+        self._ready_weight = sum(endpoint.weight for endpoint in self.ready)
+        self._set_effective_weight(sum(endpoint.warm_up_share * endpoint.weight for endpoint in self.ready))
+
+    def advance_slow_start(self, fleet_rate: float, now: float, span: float) -> None:
+        """Let the ready endpoints warm up, and count their weights anew."""
+        if self._slow_start.has_endpoints():
+            self._set_effective_weight(self._slow_start.advance(fleet_rate, self._ready_weight, now, span))
+
+    def _set_effective_weight(self, weight: float) -> None:
+        self.effective_weight = max(weight, MIN_EFFECTIVE_WEIGHT)
+
+    def set_load(self, endpoint: Endpoint, load: float) -> None:
+        """Set the load of an endpoint, and move the total by it."""
+        if endpoint.state is EndpointState.UP and not endpoint.ejected_until:
+            self.total_load += (load - endpoint.load) * endpoint.weight
+        endpoint.load = load
+
+    def recount_load(self, loaded: Iterable[Endpoint]) -> None:
+        """Sum up the total load anew, from the endpoints that have any."""
+        self.total_load = sum(
+            endpoint.load * endpoint.weight
+            for endpoint in loaded
+            if endpoint.state is EndpointState.UP and not endpoint.ejected_until
+        )
+
+    def mean_load(self, factor: float, region: frozenset[str] | None = None) -> float:
+        """Return a factor times the mean load of the ready endpoints by weight; of those in a region only."""
+        if region is None:
+            return factor * self.total_load / self.effective_weight
+        ready = self._ready_in(region)
+        weight = sum([endpoint.warm_up_share * endpoint.weight for endpoint in ready])
+        total = sum([endpoint.load * endpoint.weight for endpoint in ready])
+        return factor * total / max(weight, MIN_EFFECTIVE_WEIGHT)
+
+    def _ready_in(self, region: frozenset[str]) -> list[Endpoint]:
+        ready = self._ready_by_region.get(region)
+        if ready is None:
+            ready = [endpoint for endpoint in self.ready if endpoint.zone in region]
+            self._ready_by_region[region] = ready
+        return ready
--- /dev/null
+++ b/gaugehinge/routing/hash_ring.py
@@ -0,0 +1,90 @@
+"""The consistent-hash ring: which endpoint owns which part of the keys.
+
+Each endpoint that is up stands at many points of the ring, by its weight; a key belongs to the owner of the
+next point clockwise. A join or a removal moves only its own keys.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+
+from xxhash import xxh64_intdigest
+
+from .endpoint import Endpoint
+from .types import Deployment, EndpointState
+
+POINTS_PER_ENDPOINT = 100  # times its weight
+MIN_CROSS_ZONE_PRICE = 0.05  # crossing zones at this price is dearer than the hits of one pool for all zones
+
+
+class HashRing:
+    """Points on the ring and their owners; the rings of the own zone and of regions.
+
+    State: follows the endpoints that are up, one `update` for each change of the endpoint list. The rings of
+    regions are emptied with each of them.
+    """
+
+    def __init__(self, deployment: Deployment) -> None:
+        self._zone = deployment.zone
+        self._prefers_own_zone = deployment.cross_zone_price >= MIN_CROSS_ZONE_PRICE
+        self.points: list[int] = []
+        self.owners: dict[int, Endpoint] = {}  # by point
+        self._rings: list[list[int]] = []  # walked one after the other: all, or the own zone's before all
+        self._rings_by_region: dict[frozenset[str], list[list[int]]] = {}
+
+    def update(self, changed: Iterable[Endpoint], is_listed: Callable[[Endpoint], bool]) -> None:
+        """Move the points of endpoints that came, changed or left; sorting all for each list is too dear."""
+        gone: set[int] = set()
+        new: list[int] = []
+        for endpoint in changed:
+            if endpoint.origin:
+                continue
+            points = _points_of(endpoint)
+            if not is_listed(endpoint) or endpoint.state is not EndpointState.UP:
+                gone.update(points)
+                continue
+            gone.difference_update(points)  # of its process before, which may have had more points
+            new += [point for point in points if point not in self.owners]
+            self.owners.update(dict.fromkeys(points, endpoint))
+        for point in gone:
+            self.owners.pop(point, None)
+        if gone or new:
+            self.points = sorted([point for point in self.points if point not in gone] + new)
+        self._rings = self._walk_order()
+        self._rings_by_region.clear()
+
+    def _walk_order(self) -> list[list[int]]:
+        if self._prefers_own_zone:
+            own = [point for point in self.points if self.owners[point].zone == self._zone]
+            if own:
+                return [own, self.points]
+        return [self.points]
+
+    def is_empty(self) -> bool:
+        """Whether no endpoint is up."""
+        return not self.points
+
+    def owner_by_point(self) -> dict[int, Endpoint]:
+        """Return the owners of all points."""
+        return self.owners
+
+    def starts_in_own_zone(self) -> bool:
+        """Whether walks go through the own zone before they go through all zones."""
+        return len(self._rings) > 1
+
+    def rings(self) -> list[list[int]]:
+        """Return the sorted points of the rings to be walked, one ring after the other."""
+        return self._rings
+
+    def rings_within(self, region: frozenset[str]) -> list[list[int]]:
+        """Return the same as far as it lies in a region's zones; nothing where no endpoint of it is up."""
+        rings = self._rings_by_region.get(region)
+        if rings is None:
+            parts = [[point for point in ring if self.owners[point].zone in region] for ring in self._rings]
+            rings = self._rings_by_region[region] = [part for part in parts if part]
+        return rings
+
+
+def _points_of(endpoint: Endpoint) -> list[int]:
+    count = max(int(POINTS_PER_ENDPOINT * endpoint.weight), 1)
+    return [xxh64_intdigest(b"%d-%d" % (endpoint.ident, number)) for number in range(count)]
--- /dev/null
+++ b/gaugehinge/routing/load_measurement.py
@@ -0,0 +1,205 @@
+"""Load measurement: what this router's own attempts and the servers' reports say of each endpoint's load.
+
+An endpoint's load is the larger of its attempts in flight and its occupancy (busy time over a short window),
+times its latency relative to the fleet's, over its weight. Endpoints with nothing in flight and nothing
+in the window have no load; only the others are looked at, so that an event costs nearly the same in any
+fleet.
+"""
+
+from __future__ import annotations
+
+from math import exp
+
+from .decayed_statistics import (
+    GROUP_ATTEMPT_DECAY,
+    LATENCY_DECAY,
+    MAX_LATENCY_MULTIPLIER,
+    DecayedLatency,
+    EventRate,
+)
+from .endpoint import Endpoint
+from .endpoint_table import EndpointTable
+from .hash_ring import HashRing
+from .outcome_groups import CONNECTION_ENDING
+from .time_buckets import BUCKET_COUNT, WINDOW_TIME, bucket_at, bucket_end
+from .types import Deployment, Outcome, TrafficType
+
+STUCK_AFTER_MEANS = 4.0  # silent for so many mean durations with attempts in flight: stuck, not quiet
+MIN_STUCK_TIME = 0.1  # seconds; never judged stuck before this
+MIN_BUSY_TIME = 1e-9  # seconds; less than this in the window is rounding
+DURATION_GAIN = 0.02  # of a new duration in the mean durations
+MIN_FIRST_DURATION = 1e-4  # seconds; a mean divides others
+REPORT_DECAY = 0.8  # of the reports before, each report: one alone is late and noisy
+REPORT_LIFETIME = 10.0  # seconds in which reports decay: late ones steer nobody for long
+REPORT_GAIN = 1.0 - LATENCY_DECAY  # of a new report in the fleet's mean
+
+
+class LoadMeasurement:
+    """Loads of the endpoints and the means of the fleet.
+
+    State: the bucket of the occupancy window; the active endpoints (one leaves when nothing of it is in
+    flight nor in the window, or with the endpoint list); the fleet's decayed latency and completion
+    rate; the mean duration of successful attempts, of all and by traffic type; the mean reported load.
+    """
+
+    def __init__(self, deployment: Deployment, table: EndpointTable, ring: HashRing, now: float) -> None:
+        self._table = table
+        self._ring = ring
+        self.next_bucket_at = now
+        self._bucket = 0
+        self.active: dict[int, Endpoint] = {}
+        self.fleet_latency = DecayedLatency(now, GROUP_ATTEMPT_DECAY)
+        self.completion_rate = EventRate(now)
+        self.mean_duration = 0.0
+        self.mean_durations = [0.0] * len(deployment.traffic_types)
+        self.mean_reported_load = 0.0
+
+    # -- the occupancy window
+
+    def is_bucket_over(self, now: float) -> bool:
+        """Whether the newest bucket is full."""
+        return now >= self.next_bucket_at
+
+    def start_bucket(self, now: float) -> None:
+        """Begin a new bucket."""
+        self._bucket = bucket_at(now)
+        self.next_bucket_at = bucket_end(self._bucket)
+
+    def reassess_active(self, now: float) -> None:
+        """Weigh the active endpoints anew, and let those rest that have no load left."""
+        for endpoint in list(self.active.values()):
+            self.reassess(endpoint, now)
+            if not endpoint.in_flight and endpoint.busy_time < MIN_BUSY_TIME:
+                endpoint.busy_time = endpoint.load = 0.0
+                del self.active[endpoint.ident]
+        self._table.recount_load(self.active.values())
+
+    def reassess(self, endpoint: Endpoint, now: float) -> None:
+        """Move the window of one endpoint on, and weigh its latency against that of all."""
+        endpoint.advance_to(self._bucket)
+        if endpoint.in_flight and self._is_stuck(endpoint, now):
+            endpoint.latency_multiplier = MAX_LATENCY_MULTIPLIER
+        else:
+            mean = self.fleet_latency.with_prior(1.0)
+            label_mean = endpoint.label_figures.with_prior(mean)
+            relative = endpoint.latency.with_prior(label_mean) / mean
+            endpoint.latency_multiplier = min(relative, MAX_LATENCY_MULTIPLIER)
+        self._update_load(endpoint)
+
+    def _is_stuck(self, endpoint: Endpoint, now: float) -> bool:
+        return now - endpoint.silent_since > max(MIN_STUCK_TIME, STUCK_AFTER_MEANS * self.mean_duration)
+
+    def _update_load(self, endpoint: Endpoint) -> None:
+        occupancy = endpoint.busy_time / WINDOW_TIME
+        in_flight = endpoint.in_flight
+        used = in_flight if in_flight > occupancy else occupancy
+        self._table.set_load(endpoint, used * endpoint.latency_multiplier / endpoint.weight)
+
+    def forget_unlisted(self, endpoints: list[Endpoint]) -> None:
+        """Stop measuring those of these endpoints that left the list."""
+        for endpoint in endpoints:
+            if not self._table.is_listed(endpoint):
+                self.active.pop(endpoint.ident, None)
+
+    # -- attempts
+
+    def on_attempt_started(self, endpoint: Endpoint, now: float) -> None:
+        """Count an attempt in flight."""
+        if not endpoint.in_flight:
+            endpoint.silent_since = now
+        endpoint.in_flight += 1
+        endpoint.connections = max(endpoint.connections, endpoint.in_flight)
+        endpoint.zone_figures.in_flight += 1
+        if endpoint.ident not in self.active:
+            self.active[endpoint.ident] = endpoint
+            self.reassess(endpoint, now)
+        else:
+            self._update_load(endpoint)
+
+    def on_attempt_ended(self, endpoint: Endpoint, outcome: Outcome, elapsed: float, now: float) -> None:
+        """Count an attempt that is no longer in flight, and the time that it took."""
+        endpoint.in_flight -= 1
+        endpoint.zone_figures.in_flight -= 1
+        endpoint.silent_since = now
+        if outcome in CONNECTION_ENDING:
+            endpoint.connections = max(endpoint.connections - 1, 0)
+        endpoint.advance_to(self._bucket)
+        endpoint.busy_buckets[self._bucket % BUCKET_COUNT] += elapsed
+        endpoint.busy_time += elapsed
+
+    def record_response(self, endpoint: Endpoint, now: float) -> None:
+        """Count an answered attempt.
+
+        Only these measure what an endpoint can bear: rejected attempts and retries swell with an
+        overload, and would raise the budgets of cold endpoints just then.
+        """
+        self.completion_rate.add(now)
+        endpoint.completion_rate.add(now)
+
+    def record_success(self, endpoint: Endpoint, row: int, elapsed: float, now: float) -> None:
+        """Learn the usual duration from a successful attempt of a traffic type, and its relative latency.
+
+        Misses are left out: they come back at once, and an empty endpoint would look the quickest.
+        """
+        durations = self.mean_durations
+        if durations[row]:
+            durations[row] += DURATION_GAIN * (elapsed - durations[row])
+        else:
+            durations[row] = max(elapsed, MIN_FIRST_DURATION)
+        # From nought it would take a sparse router minutes, and each time-out would look many means long.
+        if self.mean_duration:
+            self.mean_duration += DURATION_GAIN * (elapsed - self.mean_duration)
+        else:
+            self.mean_duration = elapsed
+        self.record_latency(endpoint, elapsed / durations[row], now)
+
+    def record_latency(self, endpoint: Endpoint, relative: float, now: float) -> None:
+        """Count a latency, relative to the usual one, for the endpoint, its label, its zone and the fleet."""
+        endpoint.latency.add(relative, now)
+        endpoint.label_figures.add(relative, now)
+        self.fleet_latency.add(relative, now)
+        if self._ring.starts_in_own_zone():
+            endpoint.zone_figures.latency.add(relative, now)
+
+    # -- load reports
+
+    def record_load_report(self, endpoint: Endpoint, held: float, now: float) -> None:
+        """Take over what an endpoint says that it holds for all routers."""
+        held = held / endpoint.weight
+        kept = 0.0
+        if endpoint.reported_at:
+            kept = REPORT_DECAY * exp((endpoint.reported_at - now) / REPORT_LIFETIME)
+        endpoint.reported_load += (1.0 - kept) * (held - endpoint.reported_load)
+        endpoint.reported_at = now
+        self.mean_reported_load += REPORT_GAIN * (held - self.mean_reported_load)
+
+    @staticmethod
+    def decayed_report(endpoint: Endpoint, now: float) -> float:
+        """Return an endpoint's reported load, less by its age."""
+        return endpoint.reported_load * exp((endpoint.reported_at - now) / REPORT_LIFETIME)
+
+    def mean_report(self, factor: float) -> float:
+        """Return a factor times the mean reported load."""
+        return factor * self.mean_reported_load
+
+    # -- questions
+
+    def usual_duration(self, traffic_type: TrafficType) -> float:
+        """Return the mean duration of an attempt of this type; of all where none of it succeeded yet."""
+        return self.mean_durations[traffic_type.row] or self.mean_duration
+
+    def duration_of_row(self, row: int) -> float:
+        """Return the mean duration of an attempt of a traffic type, 1 where none succeeded yet."""
+        return self.mean_durations[row] or 1.0
+
+    def relative_duration(self, elapsed: float) -> float:
+        """Return a duration relative to the mean, 1 where nothing succeeded yet."""
+        return elapsed / self.mean_duration if self.mean_duration else 1.0
+
+    def mean_latency(self) -> float:
+        """Return the fleet's mean relative latency."""
+        return self.fleet_latency.with_prior(1.0)
+
+    def responses_per_second(self, now: float) -> float:
+        """Return the rate of answered attempts."""
+        return self.completion_rate.value_at(now)
--- /dev/null
+++ b/gaugehinge/routing/load_shedding.py
@@ -0,0 +1,117 @@
+"""Load shedding: while attempts take too much of their latency objective, operations are rejected on arrival.
+
+What has the least priority for the work that it takes is shed first, and what is over a quota before all.
+"""
+
+from __future__ import annotations
+
+from .control_interval import intervals_in
+from .load_measurement import LoadMeasurement
+from .seeded_random import SeededRandom
+from .types import Attempt, Deployment, Operation, Outcome
+
+TARGET_LATENESS = 0.45  # mean share of the latency objective that an attempt may take before anything is shed
+SHED_RISE = 0.06  # of the shed level, a control interval at twice the target or more
+SHED_FALL = 0.06  # of the shed level, a control interval with no lateness at all
+MAX_SHED_LEVEL = 0.95
+MAX_LATENESS = 1.5  # of one attempt
+REJECTED_LATENESS = 1.0  # what a rejected attempt counts as
+LATENESS_DECAY = 0.8  # kept of the lateness measured, an interval with attempts,
+IDLE_LATENESS_DECAY = 0.98  # and an interval without: a sparse router must remember from attempt to attempt
+DEMAND_DECAY = 0.95  # kept of the arrivals, an interval
+
+
+class LoadShedder:
+    """The shed level, and the probability with which each class of operations is shed.
+
+    A class is a traffic type within its tenants' quotas, or over them: class 2n and 2n + 1 for type n.
+
+    State: the smoothed lateness and what was measured since the last interval; the shed level, the part
+    of all work that is to be shed; decayed arrivals and the shed probability of each class.
+    """
+
+    def __init__(
+        self, deployment: Deployment, load: LoadMeasurement, random: SeededRandom, log: list[str]
+    ) -> None:
+        self._deployment = deployment
+        self._load = load
+        self._random = random
+        self._log = log
+        class_count = 2 * len(deployment.traffic_types)
+        self.lateness = 0.0
+        self.lateness_sum = 0.0
+        self.lateness_count = 0
+        self.shed_level = 0.0
+        self.demand = [0.0] * class_count
+        self.shed_probabilities = [0.0] * class_count
+
+    # -- operations
+
+    def sheds(self, operation: Operation) -> bool:
+        """Count an operation that arrived; whether it is to be rejected."""
+        place = 2 * operation.traffic_type.row + operation.over_quota
+        self.demand[place] += 1.0
+        probability = self.shed_probabilities[place]
+        return bool(probability) and self._random.fraction() < probability
+
+    def is_shedding(self) -> bool:
+        """Whether anything is shed now."""
+        return bool(self.shed_level)
+
+    def current_lateness(self) -> float:
+        """Return the smoothed share of their latency objective that attempts take."""
+        return self.lateness
+
+    def record_lateness(self, attempt: Attempt, outcome: Outcome, elapsed: float) -> None:
+        """Count the share of its latency objective that an attempt took."""
+        share = min(elapsed / attempt.operation.traffic_type.latency_objective, MAX_LATENESS)
+        self.lateness_sum += REJECTED_LATENESS if outcome is Outcome.REJECTED else share
+        self.lateness_count += 1
+
+    # -- control intervals
+
+    def update_lateness(self, span: float) -> None:
+        """Smooth the lateness measured since the last interval."""
+        if self.lateness_count:
+            latest = (1 - LATENESS_DECAY) * self.lateness_sum / self.lateness_count
+            self.lateness = LATENESS_DECAY * self.lateness + latest
+            self.lateness_sum, self.lateness_count = 0.0, 0
+        else:
+            self.lateness *= IDLE_LATENESS_DECAY ** intervals_in(span)
+
+    def update(self, span: float) -> None:
+        """Move the shed level: it rises by evidence, that is by interval, and falls by time."""
+        intervals = intervals_in(span)
+        was_shedding = self.is_shedding()
+        excess = self.lateness / TARGET_LATENESS - 1.0
+        self.shed_level += SHED_RISE * min(excess, 1.0) if excess > 0.0 else SHED_FALL * excess * intervals
+        self.shed_level = min(max(self.shed_level, 0.0), MAX_SHED_LEVEL)
+        if was_shedding != self.is_shedding():
+            state = "on" if self.is_shedding() else "off"
+            share = f"attempts take {self.lateness:.2f} of the latency objective"
+            self._log.append(f"load shedding {state}: {share}")
+        self._update_probabilities(intervals)
+
+    def _update_probabilities(self, intervals: float) -> None:
+        """Shed the level's part of all work, the classes of the lowest priority first."""
+        self.demand = [arrivals * DEMAND_DECAY**intervals for arrivals in self.demand]
+        if not self.shed_level:
+            self.shed_probabilities = [0.0] * len(self.shed_probabilities)
+            return
+        work = [
+            arrivals * self._load.duration_of_row(place // 2) for place, arrivals in enumerate(self.demand)
+        ]
+        left = self.shed_level * sum(work)
+        for place in sorted(range(len(work)), key=self._priority):
+            part = min(left / work[place], 1.0) if work[place] > 0.0 else 0.0
+            self.shed_probabilities[place] = part
+            left -= part * work[place]
+
+    def _priority(self, place: int) -> tuple[float, int]:
+        traffic_type = self._deployment.traffic_types[place // 2]
+        is_over_quota = place % 2
+        weight = self._deployment.over_quota_weight if is_over_quota else 1.0
+        priority = traffic_type.priority_weight * weight
+        if not self._deployment.weight_by_work:
+            priority /= self._load.duration_of_row(traffic_type.row)
+        return priority, place
--- /dev/null
+++ b/gaugehinge/routing/quotas.py
@@ -0,0 +1,76 @@
+"""Quotas of tenants: a token bucket for each, refilled at this router's part of the tenant's rate limit."""
+
+from __future__ import annotations
+
+from collections.abc import Container, Sequence
+
+from .control_interval import intervals_in
+from .gossip import Gossip
+from .types import Tenant
+
+USAGE_DECAY = 0.95  # kept of a tenant's measured rate, a control interval
+MIN_BURST = 6.0  # operations of a tenant at once: few come through a sparse router, in random runs
+QUOTA_HEADROOM = 1.25  # times its quota of this router's traffic, where no peer tells the tenants' rates
+FIRST_TOKENS = 1.0
+
+
+class Quotas:
+    """What each tenant used at this router, and what it may still use.
+
+    State: by the tenant's place in the table, its smoothed rate, its arrivals since the last refill and its
+    tokens. All three start anew at a place that changes hands, and leave with the place.
+    """
+
+    def __init__(self, tenants: tuple[Tenant, ...], gossip: Gossip) -> None:
+        self._gossip = gossip
+        self.tenants = tenants
+        self.usage = [0.0] * len(tenants)  # operations a second
+        self.arrivals = [0] * len(tenants)
+        self.tokens = [FIRST_TOKENS] * len(tenants)
+
+    def on_tenants_changed(self, tenants: tuple[Tenant, ...], anew: Container[int]) -> None:
+        """Take over the tenants from now on, and empty what is known of the places that changed hands."""
+        kept = [place < len(self.tenants) and place not in anew for place in range(len(tenants))]
+        self.tenants = tenants
+        self._gossip.forget()
+        self.usage = [self.usage[place] if keeps else 0.0 for place, keeps in enumerate(kept)]
+        self.arrivals = [self.arrivals[place] if keeps else 0 for place, keeps in enumerate(kept)]
+        self.tokens = [self.tokens[place] if keeps else FIRST_TOKENS for place, keeps in enumerate(kept)]
+
+    def is_over_quota(self, tenant: int) -> bool:
+        """Count an operation of a tenant, and take a token for it; whether there was none."""
+        if tenant < 0:
+            return False
+        self.arrivals[tenant] += 1
+        if self.tokens[tenant] >= 1.0:
+            self.tokens[tenant] -= 1.0
+            return False
+        return True
+
+    def refill(self, span: float) -> None:
+        """Measure the tenants' rates over the time since the last call, and refill their tokens."""
+        for place, count in enumerate(self.arrivals):
+            gain = 1.0 - USAGE_DECAY ** intervals_in(span)
+            self.usage[place] += gain * (count / span - self.usage[place])
+            self.arrivals[place] = 0
+        for place, tenant in enumerate(self.tenants):
+            rate = self._refill_rate(place, tenant)
+            self.tokens[place] = min(self.tokens[place] + rate * span, max(MIN_BURST, rate))
+
+    def _refill_rate(self, place: int, tenant: Tenant) -> float:
+        if self._gossip.has_rates():
+            everywhere = self.usage[place] + self._gossip.rate_elsewhere(place)
+            return tenant.rate_limit * (self.usage[place] / everywhere if everywhere else 1.0)
+        return QUOTA_HEADROOM * tenant.quota * sum(self.usage)
+
+    def tenant_count(self) -> int:
+        """Return how many places the table of tenants has."""
+        return len(self.tenants)
+
+    def usage_by_tenant(self) -> Sequence[float]:
+        """Return each tenant's rate of operations at this router."""
+        return self.usage
+
+    def operations_per_second(self) -> float:
+        """Return the rate of all tenants' operations at this router."""
+        return sum(self.usage)
--- /dev/null
+++ b/gaugehinge/routing/retries.py
@@ -0,0 +1,171 @@
+"""Retries: whether an operation gets another attempt, how long one may take, and what is said at the end.
+
+Retries after time-outs are earned by successes: where running work is not cancelled, they are what keeps an
+overrun fleet overrun.
+"""
+
+from __future__ import annotations
+
+from . import retry_safety
+from .deadlines import end_of_waiting, time_left
+from .endpoint import Endpoint
+from .load_measurement import LoadMeasurement
+from .load_shedding import LoadShedder
+from .origin_limit import OriginConcurrencyLimit
+from .seeded_random import SeededRandom
+from .types import Action, Attempt, Decision, Deployment, Effect, Operation, Outcome
+
+FIRST_ATTEMPT_SHARE = 0.6  # of the time left, that one attempt may take while another is possible
+MIN_FIRST_DURATIONS = 3.0  # usual durations; with less than this the attempt gets all the time left
+MIN_ATTEMPT_TIMEOUT = 0.001  # seconds
+# Of a retry after a time-out, that a successful attempt earns, up to the budget: where most attempts
+# time out, retries are what keeps the fleet overrun.
+RETRIES_PER_SUCCESS = 0.1
+MAX_RETRY_BUDGET = 3.0
+# Time-outs at silent endpoints that a success excuses, up to the maximum: dead endpoints are no load,
+# but where most attempts time out they are what an overrun fleet looks like.
+EXCUSED_PER_SUCCESS = 2.0
+MAX_EXCUSED_TIMEOUTS = 6.0
+MAX_REJECTIONS = 2  # endpoints that may reject an operation before it is given up
+MAX_REDIRECTS = 5  # a slot that moves on while it is asked for takes two or three; a loop takes all
+# Seconds until a client may come back while nothing is shed, and a random part of the jitter.
+MIN_RETRY_AFTER = 0.1
+RETRY_AFTER_JITTER = 0.2
+# While operations are shed, at least this part of the longest time to come back, and up to all of it.
+MIN_SHEDDING_PART = 0.5
+
+FAIL = Decision(Action.FAIL)
+
+
+class RetryPolicy:
+    """Decides about further attempts.
+
+    State: the retry budget and the excused time-outs, both raised by successes and used up by time-outs.
+    """
+
+    def __init__(
+        self,
+        deployment: Deployment,
+        load: LoadMeasurement,
+        origin_limit: OriginConcurrencyLimit,
+        shedder: LoadShedder,
+        random: SeededRandom,
+    ) -> None:
+        self._max_attempts = deployment.max_attempts
+        self._max_retry_after = deployment.max_retry_after
+        self._load = load
+        self._origin_limit = origin_limit
+        self._shedder = shedder
+        self._random = random
+        self.retry_budget = 1.0
+        self.excused_timeouts = 0.0
+
+    # -- budgets
+
+    def record_success(self) -> None:
+        """Earn a part of a retry, and excuse some time-outs at silent endpoints."""
+        self.retry_budget = min(self.retry_budget + RETRIES_PER_SUCCESS, MAX_RETRY_BUDGET)
+        self.excused_timeouts = min(self.excused_timeouts + EXCUSED_PER_SUCCESS, MAX_EXCUSED_TIMEOUTS)
+
+    def excuses(self, attempt: Attempt, outcome: Outcome) -> bool:
+        """Excuse a time-out at a silent endpoint, so that it does not count as lateness, where one is left.
+
+        A lost zone's time-outs made all routers shed load, and kept them at it long after it.
+        """
+        is_silent_timeout = (
+            outcome is Outcome.TIMED_OUT and attempt.endpoint.last_answer_at <= attempt.sent_at
+        )
+        if not is_silent_timeout or self.excused_timeouts < 1.0:
+            return False
+        self.excused_timeouts -= 1.0
+        return True
+
+    # -- attempts
+
+    def may_start_attempt(self, operation: Operation, now: float) -> bool:
+        """Whether an attempt may start now; a miss or another's fetch may have taken the time for it."""
+        started = len(operation.attempts) - operation.redirect_count
+        has_time = started < self._max_attempts and now < operation.give_up_at
+        return has_time and retry_safety.may_retry(operation, now)
+
+    def has_attempts_left(self, operation: Operation) -> bool:
+        """Whether an operation that waits for another's fetch would have an attempt to end the wait with."""
+        return len(operation.attempts) < self._max_attempts
+
+    def attempt_timeout(self, operation: Operation, now: float) -> float:
+        """Return how long an attempt may take: time is left for another where one may follow."""
+        left = time_left(operation, now)
+        is_last = len(operation.attempts) + 2 > self._max_attempts
+        is_last = is_last or max(self.retry_budget, self.excused_timeouts) < 1.0
+        if is_last or operation.traffic_type.effect is not Effect.IDEMPOTENT:
+            return left
+        usual = self._load.usual_duration(operation.traffic_type)
+        first = FIRST_ATTEMPT_SHARE * (end_of_waiting(operation) - now)
+        return left if first < MIN_FIRST_DURATIONS * usual or first + usual > left else first
+
+    def follow_redirect(self, operation: Operation) -> bool:
+        """Whether a redirect, which ran nothing, is followed.
+
+        Servers that each name the other would be asked until the deadline.
+        """
+        operation.redirect_count += 1
+        if operation.redirect_count > MAX_REDIRECTS or not operation.allowed_endpoints:
+            return False
+        target = operation.allowed_endpoints[0]
+        tried = [endpoint for endpoint in operation.tried_endpoints if endpoint.ident != target]
+        operation.tried_endpoints = tried
+        return True
+
+    def may_retry(self, attempt: Attempt, outcome: Outcome, now: float) -> bool:
+        """Whether another attempt follows a failed one."""
+        operation = attempt.operation
+        concerns_origin = outcome in (Outcome.CANCELLED, Outcome.NOT_SENT) or attempt.endpoint.origin
+        if concerns_origin and not self._may_ask_origin_again(operation, outcome, now):
+            return False
+        usual = self._load.usual_duration(operation.traffic_type)
+        would_be_late = now + usual > operation.give_up_at
+        if would_be_late or operation.rejections >= MAX_REJECTIONS:
+            return False
+        if not retry_safety.may_retry(operation, now):
+            return False
+        return outcome is not Outcome.TIMED_OUT or self._may_retry_timeout(attempt)
+
+    def _may_ask_origin_again(self, operation: Operation, outcome: Outcome, now: float) -> bool:
+        # A full origin is not asked again for a read: retries are what keeps it full.
+        is_full = outcome in (Outcome.REJECTED, Outcome.TIMED_OUT) and not operation.is_write
+        return not is_full and now + self._origin_limit.expected_latency() <= operation.give_up_at
+
+    def _may_retry_timeout(self, attempt: Attempt) -> bool:
+        # A silent endpoint that others do not share runs nothing of it: a retry elsewhere adds no load.
+        is_free = attempt.endpoint.last_answer_at <= attempt.sent_at and self.excused_timeouts >= 1.0
+        if is_free:
+            return True
+        if self.retry_budget < 1.0:
+            return False
+        self.retry_budget -= 1.0
+        return True
+
+    # -- the end of an operation
+
+    def final_decision(self, operation: Operation, now: float) -> Decision:
+        """Return the last word on an operation: a rejection where a retry by its client does no harm."""
+        retry_after = self._retry_after()
+        if not retry_safety.may_client_retry(operation, now + retry_after):
+            return FAIL
+        return Decision(Action.REJECT, retry_after=retry_after)
+
+    def _retry_after(self) -> float:
+        longest = self._max_retry_after
+        if self._shedder.is_shedding():
+            retry_after = longest * (MIN_SHEDDING_PART + MIN_SHEDDING_PART * self._random.fraction())
+        else:
+            retry_after = MIN_RETRY_AFTER + RETRY_AFTER_JITTER * self._random.fraction()
+        return min(retry_after, longest)
+
+
+def start_attempt(operation: Operation, endpoint: Endpoint, timeout: float, now: float) -> Decision:
+    """Send an operation to an endpoint."""
+    attempt = Attempt(operation, endpoint, len(operation.attempts), now)
+    operation.attempts.append(attempt)
+    operation.tried_endpoints.append(endpoint)
+    return Decision(Action.SEND, attempt, max(timeout, MIN_ATTEMPT_TIMEOUT))
--- a/tests/test_cluster_model.py
+++ b/tests/test_cluster_model.py
@@ -24,7 +24,10 @@
 from gaugehinge.net.connection_pool import RequestPayload
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
-from gaugehinge.routing.router import MAX_REDIRECTS, Router
+from gaugehinge.routing import retry_safety
+from gaugehinge.routing.endpoint_selection import EndpointSelection
+from gaugehinge.routing.retries import MAX_REDIRECTS
+from gaugehinge.routing.router import Router
 from gaugehinge.routing.types import (
     Action,
     Decision,
@@ -301,14 +304,13 @@
         assert Morning.steps >= 10_000
 
 
-def sent_though_it_drains(router, operation, key, bound):
+def sent_though_it_drains(selection, operation, key, bound):
     """A walk that does not look at what the list says."""
-    return next(
-        (router.endpoints[ident] for ident in operation.allowed_endpoints if ident in router.endpoints), None
-    )
+    endpoints = map(selection._table.get, operation.allowed_endpoints)
+    return next((endpoint for endpoint in endpoints if endpoint is not None), None)
 
 
-def repeats_what_may_have_run(router, operation, now):
+def repeats_what_may_have_run(operation, now):
     return True
 
 
@@ -318,17 +320,17 @@
 
 
 @pytest.mark.parametrize(
-    "name, fault",
+    "owner, name, fault",
     [
-        ("_select_among", sent_though_it_drains),
-        ("_may_retry", repeats_what_may_have_run),
-        ("_give_up", bounces_whatever_ran),
+        (EndpointSelection, "_select_among", sent_though_it_drains),
+        (retry_safety, "may_retry", repeats_what_may_have_run),
+        (Router, "_give_up", bounces_whatever_ran),
     ],
 )
-def test_a_known_fault_is_found(name, fault, monkeypatch):
-    monkeypatch.setattr(Router, name, fault)
-    if name == "_may_retry":
-        monkeypatch.setattr(Router, "_is_repeat_harmless", lambda router, cache, operation: True)
+def test_a_known_fault_is_found(owner, name, fault, monkeypatch):
+    monkeypatch.setattr(owner, name, fault)
+    if owner is retry_safety:
+        monkeypatch.setattr(retry_safety, "is_retry_harmless", lambda endpoint, operation: True)
     with pytest.raises(AssertionError):
         # Found is enough: shrinking what was found takes minutes. It ends there; with other modules loaded
         # the steps are others, and 300 examples of them once lacked a fault.
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -44,8 +44,8 @@
 
 def at(router: Router, now: float, rate: float) -> None:
     """Its clock goes on, at a steady rate of answered attempts."""
-    router.completion_rate.value, router.completion_rate.updated_at = rate, now
-    router._advance_window(now)
+    router.load.completion_rate.value, router.load.completion_rate.updated_at = rate, now
+    router._start_bucket(now)
 
 
 def spend(made: list[Router], now: float, sent: list[float]) -> None:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -120,7 +120,7 @@
         async with fleet(tmp_path, [Cache("miss")], full, settings=terms) as made:
             made.origin.answer = Origin(full).answer
             await gone_behind_commands(made, close, key=lambda n: "one")
-            while len(made.service.dispatcher.router.waiting_by_key.get(b"one", ())) < 4:
+            while len(made.service.dispatcher.router.fetches.waiting.get(b"one", ())) < 4:
                 await trio.sleep(0.01)
             release.set()  # the fetch fails, and one of those that wait would fetch in its place
             await settled(made, 0)
--- a/tests/test_crossings_generated.py
+++ b/tests/test_crossings_generated.py
@@ -7,7 +7,8 @@
 from gaugehinge.net.connection_pool import ConnectionPool
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.service import Service
-from gaugehinge.routing.router import Router
+from gaugehinge.routing import retry_safety
+from gaugehinge.routing.endpoint_table import EndpointTable
 from gaugehinge.routing.types import EndpointState
 from tests import crossings
 from tests.crossings import (
@@ -91,14 +92,14 @@
 
 def window_forgotten(monkeypatch):
     """Repeats go out however long ago the first attempt ran."""
-    monkeypatch.setattr(Router, "_may_retry", lambda self, operation, now: True)
+    monkeypatch.setattr(retry_safety, "may_retry", lambda operation, now: True)
     monkeypatch.setattr(ConnectionPool, "_may_go", lambda self, attempt: True)
 
 
 def always_dropped(monkeypatch):
     """Each server counts as one that drops repeats, of whatever effect."""
     window_forgotten(monkeypatch)
-    monkeypatch.setattr(Router, "_is_repeat_harmless", lambda self, cache, operation: True)
+    monkeypatch.setattr(retry_safety, "is_retry_harmless", lambda endpoint, operation: True)
 
 
 def presence_unread(monkeypatch):
@@ -118,13 +119,13 @@
 
 def drains_unheard(monkeypatch):
     """A server that drains stays among those to choose from."""
-    hear = Router._apply_entry
+    hear = EndpointTable._apply_entry
 
     def deaf(self, listing, now):
         if listing.state is not EndpointState.DRAINING:
             hear(self, listing, now)
 
-    monkeypatch.setattr(Router, "_apply_entry", deaf)
+    monkeypatch.setattr(EndpointTable, "_apply_entry", deaf)
 
 
 def close_untold(monkeypatch):
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -76,6 +76,11 @@
 OUTCOMES = [Outcome.SUCCEEDED] * 6 + list(Outcome)
 
 
+def _figures_of(part: object) -> dict[str, object]:
+    """What a part counts, without the parts that it asks."""
+    return {name: value for name, value in vars(part).items() if isinstance(value, (int, float))}
+
+
 def figures(router: Router) -> str:
     """All that a router counts, number by number."""
     caches = [
@@ -105,28 +110,28 @@
     return repr(
         (
             caches,
-            router.usage,
-            router.arrivals,
-            router.tokens,
-            router.rates_elsewhere,
-            router.peer_rates,
-            router.origin_limit,
-            router.fleet_latency,
-            router.completion_rate,
-            router.mean_durations,
-            router.demand,
-            router.shed_probabilities,
-            router.shed_level,
-            router.lateness,
-            router.mean_duration,
-            router.retry_budget,
-            router.excused_timeouts,
-            router.counter,
-            router.total_load,
-            router.effective_weight,
-            router.points,
-            list(router.waiting_by_key),
-            router.pressed_until,
+            router.quotas.usage,
+            router.quotas.arrivals,
+            router.quotas.tokens,
+            router.gossip.rates_elsewhere,
+            router.gossip.peers,
+            _figures_of(router.origin_limit),
+            router.load.fleet_latency,
+            router.load.completion_rate,
+            router.load.mean_durations,
+            router.shedder.demand,
+            router.shedder.shed_probabilities,
+            router.shedder.shed_level,
+            router.shedder.lateness,
+            router.load.mean_duration,
+            router.retries.retry_budget,
+            router.retries.excused_timeouts,
+            router.random.drawn,
+            router.table.total_load,
+            router.table.effective_weight,
+            router.ring.points,
+            list(router.fetches.waiting),
+            router.origin_limit.pressed_until,
         )
     )
 
@@ -562,7 +567,7 @@
 
 def stop_beats(made) -> None:
     """From now on its figures change by what it is told alone: what fades or is refilled by time rests."""
-    made.service.dispatcher.router.next_bucket = inf
+    made.service.dispatcher.router.load.next_bucket_at = inf
 
 
 def counted(made) -> str:
@@ -570,20 +575,23 @@
     service = made.service
     router, clients, pool = service.dispatcher.router, service.clients, service.pool
     router_figures = (
-        router.usage,
-        router.arrivals,
-        router.tokens,
-        router.rates_elsewhere,
-        router.peer_rates,
+        router.quotas.usage,
+        router.quotas.arrivals,
+        router.quotas.tokens,
+        router.gossip.rates_elsewhere,
+        router.gossip.peers,
         router.origin_limit.limit,
         router.origin_limit.in_flight,
-        router.mean_durations,
-        router.mean_duration,
-        router.retry_budget,
-        router.excused_timeouts,
-        list(router.waiting_by_key),
-        router.shed_level,
-        [(c.ident, c.in_flight, c.busy_time, c.failure_score, c.latency.count, c.completion_rate.value) for c in router.endpoints.values()],
+        router.load.mean_durations,
+        router.load.mean_duration,
+        router.retries.retry_budget,
+        router.retries.excused_timeouts,
+        list(router.fetches.waiting),
+        router.shedder.shed_level,
+        [
+            (c.ident, c.in_flight, c.busy_time, c.failure_score, c.latency.count, c.completion_rate.value)
+            for c in router.endpoints.values()
+        ],
     )
     return repr(
         (
@@ -995,7 +1003,7 @@
             await made.settle()
             router, service = made.services[0].dispatcher.router, made.services[0]
             clients = [await made.client(0, "acme", old) for _ in range(3)]
-            router.tokens[0] = 6.0  # enough for three at once
+            router.quotas.tokens[0] = 6.0  # enough for three at once
             asked = [
                 ("KV.GET", "k", "i1", "c=read,d=1900"),
                 ("KV.SET", "k", "i2", "c=move,d=1900,k=m1", "of the old"),
@@ -1016,20 +1024,20 @@
             place = roster.by_incarnation[2].place
             assert place != roster.by_incarnation[1].place
             # Nothing of the old one's figures.
-            assert router.usage[place] == 0.0 and router.arrivals[place] == 0
+            assert router.quotas.usage[place] == 0.0 and router.quotas.arrivals[place] == 0
             assert made.followers[0].in_hand() == {"1": 3}
             # The old credential is refused, and so is all that is new on connections that it had let in.
             assert (await (await made.client(0)).ask("AUTH", "acme", old)).startswith(b"-WRONGPASS")
             assert (await (await made.client(0)).ask("AUTH", old)).startswith(b"-WRONGPASS")
             # The new one: its own space, ids and idempotency keys, while the old one's same ones are in hand.
             fresh = await made.client(0, "acme", new)
-            router.tokens[place] = 6.0
+            router.quotas.tokens[place] = 6.0
             assert await fresh.ask("KV.GET", "k", "i1", "c=read,d=1900") == b"$0\r\n\r\n"
             assert (await fresh.ask("KV.SET", "k", "i2", "c=move,d=1900,k=m1", "of the new")).startswith(b"$")
             assert await fresh.ask("KV.GET", "k", "i4", "c=read,d=1900") == b"$10\r\nof the new\r\n"
             assert made.shelves.data[b"1/k"] == b"of the old" and made.shelves.data[b"2/k"] == b"of the new"
             assert not any(seen.repeat for seen in made.shelves.seen)
-            assert router.arrivals[roster.by_incarnation[1].place] <= 3
+            assert router.quotas.arrivals[roster.by_incarnation[1].place] <= 3
             # One final answer for each of the old one's, and then what it asks is refused.
             hold[0].let_go.set()
             for client in clients:
@@ -1055,9 +1063,9 @@
         if answer.attempt is not None:
             router.on_attempt_finished(answer.attempt, Outcome.SUCCEEDED, 0.01, True, now + 0.01)
     router.on_gossip(1, b"\0\0\x80\x3f" * 2, 102.0)
-    kept = router.usage[1], router.arrivals[1], router.tokens[1]
-    assert router.usage[0] > 0.0 and router.peer_rates
+    kept = router.quotas.usage[1], router.quotas.arrivals[1], router.quotas.tokens[1]
+    assert router.quotas.usage[0] > 0.0 and router.gossip.peers
     router.on_tenants_changed((Tenant(0.5, 9.0), Tenant(1.0, 50.0)), {0})
-    assert (router.usage[0], router.arrivals[0], router.tokens[0]) == (0.0, 0, 1.0)
-    assert (router.usage[1], router.arrivals[1], router.tokens[1]) == kept
-    assert not router.peer_rates and not router.rates_elsewhere  # a peer told of the one before
+    assert (router.quotas.usage[0], router.quotas.arrivals[0], router.quotas.tokens[0]) == (0.0, 0, 1.0)
+    assert (router.quotas.usage[1], router.quotas.arrivals[1], router.quotas.tokens[1]) == kept
+    assert not router.gossip.peers and not router.gossip.rates_elsewhere  # a peer told of the one before
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -270,7 +270,7 @@
                 new = await made.start(**told)
                 assert new.error is None, new.error
                 router = new.service.dispatcher.router
-                assert not router.peer_rates
+                assert not router.gossip.peers
                 bad = [
                     b"",
                     b"x",
@@ -284,8 +284,8 @@
                     peer.sendto(stamp + payload, where)
                 stranger.sendto(stamp + struct.pack("<f", 5.0), where)
                 peer.sendto(stamp + struct.pack("<f", 9.0), where)  # behind the others, in order
-                await until(lambda: router.peer_rates)
-                assert {number: rates for number, (_, rates) in router.peer_rates.items()} == {1: (9.0,)}
+                await until(lambda: router.gossip.peers)
+                assert {number: rates for number, (_, rates) in router.gossip.peers.items()} == {1: (9.0,)}
                 assert (await (await new.client()).get("k0")).startswith(b"$")
 
     play(scene)
@@ -319,8 +319,8 @@
             dispatcher.tell = noted
             while len(told) < 3:
                 await client.get(f"k{len(told)}", labels="c=read,t=acme,d=900")
-                heard += [rates for _, rates in new.service.dispatcher.router.peer_rates.values()]
-            used = dispatcher.router.usage
+                heard += [rates for _, rates in new.service.dispatcher.router.gossip.peers.values()]
+            used = dispatcher.router.quotas.usage
             assert used[0] == 0.0 and used[1] > 1.0  # nothing of bolt's ever came
             assert not any(rates[1] for rates in heard), heard[-1]  # and bolt is second here
 
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -11,7 +11,9 @@
 from gaugehinge.net import connection_pool
 from gaugehinge.net.endpoint_list import read_endpoint_list
 from gaugehinge.net.resp import bulk
-from gaugehinge.routing.router import Router
+from gaugehinge.routing import retry_safety
+from gaugehinge.routing.endpoint_selection import EndpointSelection
+from gaugehinge.routing.endpoint_table import EndpointTable
 from tests.helper import SETTINGS, Cache, fleet
 
 OLD = SETTINGS
@@ -168,15 +170,15 @@
 
 
 @pytest.mark.parametrize(
-    "rule, name, wrong",
+    "rule, owner, name, wrong",
     [
-        ("effects", "_may_retry", lambda self, operation, now: True),
-        ("drain", "_apply_entry", None),
-        ("cold", "_may_serve", None),
+        ("effects", retry_safety, "may_retry", lambda operation, now: True),
+        ("drain", EndpointTable, "_apply_entry", None),
+        ("cold", EndpointSelection, "_may_serve", None),
     ],
 )
-def test_the_mixed_test_sees_a_rule_that_is_broken(tmp_path, monkeypatch, rule, name, wrong):
-    right = getattr(Router, name)
+def test_the_mixed_test_sees_a_rule_that_is_broken(tmp_path, monkeypatch, rule, owner, name, wrong):
+    right = getattr(owner, name)
     if name == "_apply_entry":
 
         def wrong(self, listing, now):
@@ -190,8 +192,8 @@
                 or right(self, cache, operation, key)
             )
 
-    monkeypatch.setattr(Router, name, wrong)
-    if name == "_may_retry":
-        monkeypatch.setattr(Router, "_is_repeat_harmless", lambda self, cache, operation: True)
+    monkeypatch.setattr(owner, name, wrong)
+    if owner is retry_safety:
+        monkeypatch.setattr(retry_safety, "is_retry_harmless", lambda endpoint, operation: True)
         monkeypatch.setattr(connection_pool, "WAY", -1e9)  # nor does the pool look
     assert rule in run(tmp_path, ["old", "new"]).broken()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -593,7 +593,7 @@
             while not made.origin.seen:
                 await trio.sleep(0.01)
             await waits.send("KV.GET", "k1", "i2", "c=read,d=60000")
-            while not made.service.dispatcher.router.waiting_by_key[b"k1"]:
+            while not made.service.dispatcher.router.fetches.waiting[b"k1"]:
                 await trio.sleep(0.01)
             made.service.dispatcher.fail_rest()
             assert await fetches.answer() == b"-ERR failed\r\n" and await waits.answer() == b"-BUSY 500\r\n"
@@ -741,7 +741,7 @@
     async def scene():
         async with fleet(tmp_path, discovery=discovery) as made:
             await trio.sleep(0.5)
-            assert 2 <= len(calls) <= 0.5 / PACE + 2 and made.service.dispatcher.router.list_received
+            assert 2 <= len(calls) <= 0.5 / PACE + 2 and made.service.dispatcher.router.polling.is_list_held
 
     run(scene)
 
@@ -885,9 +885,9 @@
                 friend.sendto(struct.pack("<f", 4.0), ("127.0.0.1", own))  # with no stamp,
                 friend.sendto(b"else" + struct.pack("<f", 4.0), ("127.0.0.1", own))  # or that of others
                 friend.sendto(stamp + struct.pack("<f", 5.0), ("127.0.0.1", own))
-                while not router.peer_rates:
+                while not router.gossip.peers:
                     await trio.sleep(0.01)
-                assert list(router.peer_rates) == [1] and router.peer_rates[1][1] == (5.0,)
+                assert list(router.gossip.peers) == [1] and router.gossip.peers[1][1] == (5.0,)
                 friend.setblocking(False)
                 told = b""
                 while not told:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -362,10 +362,10 @@
     assert not told.reports_load and not plain.has_endpoint_weights and not plain.one_attempt_per_connection
     assert plain.cross_zone_price == plain.connection_price == 0.0
     many = {**SETTINGS, "prices": {"handshake": 0.1}, "allowed": {**SETTINGS["allowed"], "maxStreams": 128}}
-    assert Router(read_settings(1, many).deployment, 0.0).start_candidates == 1
+    assert Router(read_settings(1, many).deployment, 0.0).selection.start_candidates == 1
     one = {**many, "allowed": {**SETTINGS["allowed"], "maxStreams": 1}, "weights": "live"}
     assert (
-        Router(read_settings(1, one).deployment, 0.0).start_candidates > 1
+        Router(read_settings(1, one).deployment, 0.0).selection.start_candidates > 1
         and not read_settings(1, one).deployment.has_endpoint_weights
     )
     for source, names, tells in (
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -25,7 +25,7 @@
 from gaugehinge.placement.servers import Servers, slices
 from gaugehinge.placement.shards import Row, Table, Terms
 from gaugehinge.rehearsal.hostedplay import hosting
-from gaugehinge.routing.router import Router
+from gaugehinge.routing.hash_ring import HashRing
 
 EU, US = Terms(True, ("eu",), (("a",),)), Terms(True, ("us",), (("b",),))
 NEAR_EU = Terms(False, ("eu", "us"), (("a",), ("b",)))
@@ -251,7 +251,7 @@
     def within(*given):
         raise AssertionError("looked at a region")
 
-    monkeypatch.setattr(Router, "_within_region", within)
+    monkeypatch.setattr(HashRing, "rings_within", within)
     for seed in range(3):
         Rules(seed).run(800)
 
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -71,7 +71,7 @@
         age = now - self.started.get(server, -1e9)
         if age < 5.0:
             self.sent_cold[server] = self.sent_cold.get(server, 0) + 1
-            fair = (0.5 if self.sparse else 25.0) * age / max(len(self.bench.router.ready), 1)
+            fair = (0.5 if self.sparse else 25.0) * age / max(len(self.bench.router.table.ready), 1)
             most = (2 if self.sparse else 4) + 1.2 * fair
             assert self.sent_cold[server] <= most, "a cold cache pushed over"
 
@@ -110,7 +110,7 @@
             self.overdue()
         assert not self.open and not self.attempts
         router = self.bench.router
-        assert not router.waiting_by_key and not router.origin_limit.in_flight
+        assert not router.fetches.waiting and not router.origin_limit.in_flight
         assert all(c.in_flight == 0 for c in router.endpoints.values())
 
     def move_on(self) -> None:
@@ -185,5 +185,7 @@
     rules = Rules(seed, routers=400)
     rules.run(2500)
     router = rules.bench.router
-    assert rules.bench.now > 150.0 and not router.active.keys() - router.endpoints.keys()
-    assert router.completion_rate.value_at(rules.bench.now) < 5.0 and all(used < 20.0 for used in router.usage)
+    assert rules.bench.now > 150.0 and not router.load.active.keys() - router.endpoints.keys()
+    assert router.load.completion_rate.value_at(rules.bench.now) < 5.0 and all(
+        used < 20.0 for used in router.quotas.usage
+    )
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -732,7 +732,7 @@
         assert recovery.effects.open(before + 5.9)  # it saw marks lost 3 s ago, of 9
         assert not recovery.effects.open(after + 6.1)
         dispatcher.on_gossip(1, struct.pack("<f", 4.0))
-        assert dispatcher.router.peer_rates[1][1] == (4.0,)
+        assert dispatcher.router.gossip.peers[1][1] == (4.0,)
 
 
 @in_trio
--- /dev/null
+++ b/tests/test_routing_concurrency_limits.py
@@ -0,0 +1,32 @@
+"""Concurrency limits: endpoints that are full or crowded."""
+
+from helper import Action, Bench, Outcome
+
+
+def test_a_crowded_endpoint_rests_after_an_attempt():
+    bench = Bench()
+    home = bench.router.endpoints[bench.settle("k")]
+    home.lateness = 0.9
+    bench.end(bench.ask("k")[1].attempt, Outcome.SUCCEEDED, 0.8)
+    assert home.full_until > bench.now
+    bench.now += 0.9
+    assert bench.settle("k") == home.ident
+
+
+def test_many_sparse_routers_do_not_crowd_an_endpoint_that_is_known_to_be_slow():
+    bench = Bench()
+    home = bench.router.endpoints[bench.settle("k")]
+    bench.router.load.next_bucket_at = 1e9
+    home.latency_multiplier, home.load = 1.8, 0.0
+    servers = [bench.ask("k")[1].attempt.endpoint for _ in range(2)]
+    assert servers[0] is home and servers[1] is not home
+
+
+def test_where_a_connection_carries_one_attempt_an_endpoint_holds_one_until_its_rate_is_known():
+    """Two attempts of each of many routers were more than a cache could answer in time, and a connection
+    each."""
+    bench = Bench(caches=1, one_attempt_per_connection=True)
+    first, second = bench.ask("a"), bench.ask("b")
+    assert first[1].action is Action.SEND and second[1].action is Action.REJECT
+    two = Bench(caches=1)
+    assert two.ask("a")[1].action is two.ask("b")[1].action is Action.SEND
--- /dev/null
+++ b/tests/test_routing_discovery_polling.py
@@ -0,0 +1,27 @@
+"""Polling of the endpoint list, and servers that it says are draining."""
+
+from helper import Action, Bench, EndpointState, Outcome, row
+
+
+def test_the_list_is_polled_again_before_what_is_missed_counts_as_told():
+    bench = Bench(must_poll=True, poll_deadline=5.0)
+    for _ in range(200):
+        bench.router.on_poll_failed(bench.now)
+        assert 0.3 < bench.router.polling.task.due - bench.now < 0.8 * 5.0
+
+
+def test_a_failed_poll_empties_nothing_and_is_made_again():
+    bench = Bench(must_poll=True)
+    task = bench.router.background_tasks[0]
+    bench.router.on_poll_failed(bench.now)
+    assert bench.router.ring.points and bench.router.route(task, bench.now).action is Action.WAIT
+    bench.now += bench.router.time_until_recheck(task, bench.now) + 8.0
+    assert bench.router.route(task, bench.now).action is Action.POLL
+
+
+def test_a_draining_endpoint_gets_nothing_more_not_even_a_retry():
+    bench = Bench(caches=2)
+    _, answer = bench.ask("k")
+    other = 3 - answer.attempt.endpoint.ident
+    bench.hear([row(other, EndpointState.DRAINING)], whole=False)
+    assert bench.end(answer.attempt, Outcome.CONNECTION_LOST)[0].decision.action is Action.REJECT
--- /dev/null
+++ b/tests/test_routing_hash_ring.py
@@ -0,0 +1,69 @@
+"""The hash ring: which keys move with the endpoint list, and weights."""
+
+from helper import Bench, EndpointState, origin_row, row
+from routing_cases import homes
+
+from gaugehinge.routing.hash_ring import POINTS_PER_ENDPOINT
+
+
+def test_a_removal_moves_only_the_keys_of_the_removed_endpoint():
+    bench = Bench()
+    before = homes(bench)
+    bench.hear([row(3, EndpointState.GONE)], whole=False)
+    after = homes(bench)
+    moved = [k for k in before if before[k] != after[k]]
+    assert moved and all(before[k] == 3 for k in moved)
+
+
+def test_a_full_join_takes_keys_only_for_itself():
+    bench = Bench()
+    before = homes(bench)
+    bench.hear([row(20)], whole=False)
+    after = homes(bench)
+    moved = [k for k in before if before[k] != after[k]]
+    assert 0 < len(moved) < 80 and all(after[k] == 20 for k in moved)
+
+
+def test_the_ring_follows_the_list_as_if_it_were_made_anew():
+    bench = Bench()
+    bench.hear([row(3, EndpointState.DRAINING), row(20), row(4, started=bench.now)], whole=False)
+    bench.hear([row(5, EndpointState.GONE)], whole=False)
+    bench.hear([row(3), row(21)], whole=False)
+    fresh = Bench(caches=0)
+    fresh.hear([row(i) for i in (1, 2, 3, 4, 6, 7, 8, 20, 21)] + [origin_row()])
+    ring = [(p, bench.router.ring.owners[p].ident) for p in bench.router.ring.points]
+    assert ring == [(p, fresh.router.ring.owners[p].ident) for p in fresh.router.ring.points]
+    assert bench.router.ring.owners[ring[0][0]] is bench.router.endpoints[ring[0][1]]
+
+
+def shares(bench, keys=600):
+    found = homes(bench, keys)
+    return {ident: sum(1 for home in found.values() if home == ident) for ident in range(1, 9)}
+
+
+def test_an_endpoint_takes_keys_by_its_listed_weight_over_the_usual_one():
+    """Taken for alike, slow caches were overrun at half load."""
+    bench = Bench(caches=0, has_endpoint_weights=True)
+    bench.hear([row(i, weight=40.0 if i < 6 else 10.0) for i in range(1, 9)] + [origin_row()])
+    found = shares(bench)
+    small, large = [found[i] for i in (6, 7, 8)], [found[i] for i in range(1, 6)]
+    assert max(small) < min(large) and 2.5 < sum(large) / 5 / (sum(small) / 3) < 6.0
+
+
+def test_weights_that_are_none_or_not_to_be_heeded_change_nothing():
+    plain = homes(Bench())
+    for weighted, weights in ((False, [1.0, 5.0]), (True, [0.0, 0.0]), (True, [7.0, 7.0])):
+        bench = Bench(caches=0, has_endpoint_weights=weighted)
+        bench.hear([row(i, weight=weights[i % 2]) for i in range(1, 9)] + [origin_row()])
+        assert homes(bench) == plain
+
+
+def test_an_endpoint_that_starts_anew_with_another_weight_leaves_no_points_behind():
+    bench = Bench(caches=0, has_endpoint_weights=True)
+    listed = [row(i, weight=1.0) for i in range(1, 9)] + [origin_row()]
+    bench.hear(listed)
+    bench.hear([row(3, weight=4.0, started=bench.now - 90)], whole=False)
+    bench.hear([row(3, weight=0.5, started=bench.now - 60)], whole=False)
+    assert len(bench.router.ring.points) == 7 * POINTS_PER_ENDPOINT + POINTS_PER_ENDPOINT // 2
+    assert set(bench.router.ring.points) == bench.router.ring.owners.keys()
+    assert all(cache.state is EndpointState.UP for cache in bench.router.ring.owners.values())
--- /dev/null
+++ b/tests/test_routing_outlier_ejection.py
@@ -0,0 +1,157 @@
+"""Outlier ejection: servers that fail, and zones that fall silent."""
+
+from helper import ORIGIN, Action, Bench, Decision, Outcome
+from routing_cases import ask_among, two_zones
+
+from gaugehinge.routing.endpoint import SILENCE_THRESHOLD
+from gaugehinge.routing.origin_limit import MIN_ORIGIN_LIMIT
+from gaugehinge.routing.outlier_ejection import EJECTION_JITTER, EJECTION_TIME, FAILURE_STEP
+from gaugehinge.routing.types import Attempt
+
+
+def test_quick_errors_eject_an_endpoint_and_it_is_readmitted_with_one_attempt():
+    bench = Bench()
+    home = bench.settle("k")
+    for _ in range(6):
+        _, answer = bench.ask("k")
+        if answer.attempt.endpoint.ident != home:
+            break
+        bench.end(answer.attempt, Outcome.SERVER_ERROR, 0.001)
+    assert bench.settle("k") != home
+    bench.now += EJECTION_TIME + EJECTION_JITTER + 0.1
+    first, second = bench.ask("k")[1].attempt, bench.ask("k")[1].attempt
+    assert first.endpoint.ident == home and second.endpoint.ident != home
+
+
+def test_the_whole_fleet_is_never_ejected():
+    bench = Bench()
+    for i in range(200):
+        bench.now += 0.01
+        _, answer = bench.ask(f"key-{i}")
+        if answer.action is Action.SEND and answer.attempt.endpoint.ident != ORIGIN:
+            bench.end(answer.attempt, Outcome.CONNECT_FAILED, 0.001)
+    assert len(bench.router.table.ready) >= 5
+
+
+def test_an_endpoint_that_answers_others_is_not_ejected_for_what_times_out():
+    bench = Bench()
+    home = bench.settle("k")
+    for i in range(10):
+        _, answer = bench.ask("k")
+        if answer.attempt.endpoint.ident != home:
+            break
+        bench.now += 0.01
+        bench.router.endpoints[home].last_answer_at = bench.now if i < 5 else 0.0
+        bench.end(answer.attempt, Outcome.TIMED_OUT, 0.3)
+        assert bool(bench.router.endpoints[home].ejected_until) == (i > 6)
+
+
+def test_a_lost_zone_is_ejected_though_it_is_over_a_third_of_the_fleet():
+    bench = Bench()
+    dead, fewest = set(range(1, 6)), 8
+    for i in range(400):
+        bench.now += 0.01
+        _, answer = bench.ask(f"key-{i}")
+        while answer.attempt:
+            lost = answer.attempt.endpoint.ident in dead
+            steps = bench.end(answer.attempt, Outcome.CONNECT_FAILED if lost else Outcome.SUCCEEDED, 0.001)
+            answer = steps[0].decision if steps else Decision(Action.NONE)
+        fewest = min(fewest, len(bench.router.table.ready))
+    assert fewest == 3
+
+
+def test_malformed_responses_now_and_then_eject_nothing_and_do_not_reduce_the_origins_limit():
+    bench = Bench()
+    for i in range(60):
+        bench.now += 0.05
+        _, answer = bench.ask(f"k{i}")
+        spoilt = i % 10 in (0, 1)
+        [(_, further)] = bench.end(
+            answer.attempt, Outcome.MALFORMED_RESPONSE if spoilt else Outcome.CACHE_MISS
+        )
+        assert further.action is Action.SEND  # a read may go again
+        if not spoilt:
+            [(_, further)] = bench.end(further.attempt, Outcome.MALFORMED_RESPONSE)
+        bench.end(further.attempt, Outcome.SUCCEEDED)
+    assert not any(cache.ejected_until for cache in bench.router.endpoints.values())
+    assert bench.router.origin_limit.limit >= MIN_ORIGIN_LIMIT and not bench.router.origin_limit.is_reduced
+    last = bench.router.table.ready[0]
+    for _ in range(4):
+        bench.router.ejection.record_failure(last, FAILURE_STEP, 0.01, bench.now)
+    assert last.ejected_until  # one that spoils all is set aside still
+
+
+def test_resets_do_not_eject_an_endpoint_that_answers_but_silent_ones_go_at_once():
+    bench = Bench(4)
+    for i in range(200):  # two attempts in ten are reset, one behind the other
+        bench.now += 0.01
+        _, answer = bench.ask("k")
+        bench.end(answer.attempt, Outcome.CONNECTION_LOST if i % 10 in (5, 6) else Outcome.SUCCEEDED, 0.005)
+    assert not any(cache.ejected_until for cache in bench.router.endpoints.values())
+    bench.now += SILENCE_THRESHOLD + 0.1
+    cache = bench.router.table.ready[0]
+    for _ in range(2):
+        attempt = Attempt(bench.ask("k")[0], cache, 0, bench.now)
+        bench.router.results.record(attempt, Outcome.CONNECT_FAILED, 0.0, bench.now)
+    assert cache.ejected_until
+
+
+def test_a_time_out_shorter_than_the_usual_silence_is_no_failure():
+    """At five attempts a second, a wait of 0.2 s sees no answer by chance: sound caches were set aside."""
+    bench = Bench(caches=4)
+    for i in range(30):
+        _, answer = bench.ask(f"key-{i}")
+        bench.end(answer.attempt, Outcome.SUCCEEDED, 0.02)
+    for _ in range(8):
+        _, answer = bench.ask("k")
+        bench.router.retries.retry_budget = 0.0
+        attempt = answer.attempt
+        bench.end(attempt, Outcome.TIMED_OUT, 0.2)
+        bench.router.retries.excused_timeouts = 0.0
+        _, answer = bench.ask("k")
+        if answer.attempt is not None:
+            bench.end(answer.attempt, Outcome.SUCCEEDED, 0.02)
+        assert not attempt.endpoint.ejected_until
+
+
+def lose(bench, zone, seconds, outcome=Outcome.TIMED_OUT):
+    """Ten reads a second, each attempt to a zone lost a second later; how many were out there at once at
+    most."""
+    out, most, sent, count, end = [], 0, 0, 0, bench.now + seconds
+    while bench.now < end:
+        count += 1
+        bench.now += 0.1
+        while out and out[0][0] <= bench.now:
+            bench.router.on_attempt_finished(out.pop(0)[1], outcome, 1.0, True, bench.now)
+        _, answer = bench.ask(f"key-{count}", left=5.0)
+        if answer.attempt is not None and answer.attempt.endpoint.zone == zone:
+            out.append((bench.now + 1.0, answer.attempt))
+            most, sent = max(most, len(out)), sent + 1
+        elif answer.attempt is not None:
+            bench.router.on_attempt_finished(answer.attempt, Outcome.SUCCEEDED, 0.01, True, bench.now)
+    for at, attempt in out:
+        bench.now = max(bench.now, at)
+        bench.router.on_attempt_finished(attempt, outcome, 1.0, True, bench.now)
+    return most, sent
+
+
+def test_a_zone_of_which_nobody_answers_gets_one_attempt_at_a_time():
+    """Learnt cache by cache, a lost zone cost each of many routers two time-outs a cache."""
+    bench = two_zones()
+    lose(bench, "b", 3.0)
+    most, sent = lose(bench, "b", 10.0)
+    assert most <= 1 and 0 < sent <= 12
+
+
+def test_an_answer_from_a_zone_ends_the_suspicion_and_one_zone_alone_has_none():
+    bench = two_zones()
+    for ident in (4, 7, 10):  # of zone b
+        bench.router.endpoints[ident].zone_figures.failed.add(ident)
+    _, answer = ask_among(bench, (13,))
+    assert ask_among(bench, (4,))[1].action is not Action.SEND
+    bench.end(answer.attempt, Outcome.CACHE_MISS, 0.01)
+    assert not bench.router.table.zones["b"].failed and ask_among(bench, (4,))[1].action is Action.SEND
+    alone = Bench()
+    for ident in range(1, 9):
+        alone.router.endpoints[ident].zone_figures.failed.add(ident)
+    assert [alone.ask("k")[1].action for _ in range(3)] == [Action.SEND] * 3
