--- a/gaugehinge/simhost/__init__.py
+++ b/gaugehinge/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The bench adapter: one decision instance for each router, spoken to over the bench wire."""
+"""The simulator's host: the same decisions under simulated time, spoken to in lines on standard streams."""
--- a/gaugehinge/simhost/wire.py
+++ b/gaugehinge/simhost/wire.py
@@ -1,12 +1,12 @@
-"""The bench wire: lines to fields and back. The wire's names are used here and in host.py only."""
+"""The simulator's wire: lines of tab-separated `name=value` fields. Its words stay in this package."""
 
 from __future__ import annotations
 
-from typing import Any
-
 from ..routing.types import EndpointEntry, EndpointState, Outcome
 from ..settings import parse_non_negative
 
+MICROSECONDS = 1e6  # in a second
+
 OUTCOMES = {
     "delivered": Outcome.SUCCEEDED,
     "app_error": Outcome.SERVER_ERROR,
@@ -18,41 +18,42 @@
     "unused": Outcome.NOT_SENT,
     "empty": Outcome.CACHE_MISS,
 }
-PRESENCES = {"U": EndpointState.UP, "L": EndpointState.DRAINING, "D": EndpointState.GONE}
+ENDPOINT_STATES = {"U": EndpointState.UP, "L": EndpointState.DRAINING, "D": EndpointState.GONE}
 
 
-class BadInput(Exception):
+class WireError(Exception):
     """The input is not the wire's; the text says what is wrong."""
 
 
-def fields(parts: list[str]) -> dict[str, str]:
-    """The name=value parts of a line, after its name."""
+def parse_fields(parts: list[str]) -> dict[str, str]:
+    """Return the fields of a line, which stand behind its name."""
     try:
         return dict([part.split("=", 1) for part in parts[1:]])
     except ValueError:
-        raise BadInput(f"{parts[0]}: a part without '='") from None
+        raise WireError(f"{parts[0]}: a part without '='") from None
+
 
+def parse_seconds(text: str) -> float:
+    """Return a count of microseconds in seconds."""
+    return int(text) / MICROSECONDS
 
-def seconds(value: Any) -> float:
-    return int(value) / 1e6
 
+def to_microseconds(seconds: float) -> int:
+    """Return seconds in whole microseconds."""
+    return int(seconds * MICROSECONDS)
 
-def micros(value: float) -> int:
-    return int(value * 1e6)
 
+def parse_endpoint_entry(fields: dict[str, str]) -> EndpointEntry:
+    """Read one `row` of an endpoint list.
 
-def listing(values: dict[str, str]) -> EndpointEntry:
-    """One `row` of a list."""
-    presence = PRESENCES.get(values.get("availability", "U"))
-    if presence is None:
-        # An unknown state may mean anything: nothing new is sent there.
-        presence = EndpointState.DRAINING
+    A state that is not known may mean anything: nothing new is sent to such a server.
+    """
     return EndpointEntry(
-        int(values["server"]),
-        values.get("az", ""),
-        values.get("classOfHost", ""),
-        int(values.get("stripe", 0)),
-        presence,
-        seconds(values.get("cameUpUs", 0)),
-        parse_non_negative(values.get("weight", "")) or 0.0,
+        ident=int(fields["server"]),
+        zone=fields.get("az", ""),
+        kind=fields.get("classOfHost", ""),
+        cell=int(fields.get("stripe", 0)),
+        state=ENDPOINT_STATES.get(fields.get("availability", "U"), EndpointState.DRAINING),
+        started=parse_seconds(fields.get("cameUpUs", "0")),
+        weight=parse_non_negative(fields.get("weight", "")) or 0.0,
     )
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -378,7 +378,7 @@
         self.host.source = io.StringIO("\n".join([f"frame\tatTimeUs={now}", *lines, "go\n"]))
         self.sink.seek(0)
         self.sink.truncate()
-        assert self.host._batch()
+        assert self.host.run_batch()
         told = self.sink.getvalue()
         assert told.endswith("ok\n")
         return told.removesuffix("ok\n").splitlines()
@@ -696,9 +696,9 @@
     "settings.SOURCES": "the operators' words for sources of load reports, read only",
     "net.endpoint_list.ENDPOINT_STATES": "discovery's words for states, read only",
     "net.sockets.SPACE": "filled by recv_into and copied to bytes in one expression, with no wait between",
-    "simhost.host.EVENTS": "the wire's names to functions of a class, read only",
+    "simhost.host.EVENTS": "the wire's names to types and functions of classes, read only",
     "simhost.wire.OUTCOMES": "the wire's words for outcomes, read only",
-    "simhost.wire.PRESENCES": "the wire's words for states, read only",
+    "simhost.wire.ENDPOINT_STATES": "the wire's words for states, read only",
 }
 
 
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -5,8 +5,13 @@
 
 import pytest
 
+from gaugehinge.routing.gossip import Gossip
+from gaugehinge.routing.hash_ring import HashRing
+from gaugehinge.routing.retry_safety import may_retry
 from gaugehinge.routing.router import Router
-from gaugehinge.simhost.host import Host
+from gaugehinge.routing.seeded_random import SeededRandom
+from gaugehinge.settings import SettingsError, parse_json
+from gaugehinge.simhost.host import Host, _is_from_decisions
 
 INFO = json.dumps(
     {
@@ -81,8 +86,30 @@
     assert play(START) == (0, "ok\n")
 
 
+@pytest.mark.parametrize(
+    "mistake",
+    [
+        lambda: HashRing(None),
+        lambda: Gossip(None, None),
+        lambda: SeededRandom(None).fraction(),
+        lambda: may_retry(None, 0.0),
+        lambda: Router(None, 0.0),
+    ],
+)
+def test_a_mistake_in_any_module_of_the_decisions_is_known_as_one(mistake):
+    with pytest.raises((AttributeError, TypeError)) as caught:
+        mistake()
+    assert _is_from_decisions(caught.value)
+
+
+def test_a_mistake_elsewhere_is_none_of_the_decisions():
+    with pytest.raises(SettingsError) as caught:
+        parse_json("{")
+    assert not _is_from_decisions(caught.value)
+
+
 def test_a_mistake_in_the_decisions_becomes_a_fault(monkeypatch, capsys):
     monkeypatch.setattr(Router, "_route", lambda self, operation, now: 1 / {}["x"])
-    monkeypatch.setattr("gaugehinge.simhost.host._from_decisions", lambda bad: True)
+    monkeypatch.setattr("gaugehinge.simhost.host._is_from_decisions", lambda bad: True)
     code, out = play(START + "frame\tatTimeUs=1005000\n" + SUBMIT + "go\n")
     assert code == 0 and "fault\ti=0\tmsg=KeyError" in out and "Traceback" in capsys.readouterr().err
