--- a/gaugehinge/settings.py
+++ b/gaugehinge/settings.py
@@ -1,6 +1,6 @@
-"""What a router is told at its start, from the operators' JSON. Their names for it end here.
+"""The operators' JSON settings, read into types. Their names for things end here.
 
-`charter` reads the settings object that both the bench and a real router's configuration carry.
+`read_settings` reads the settings object that both the simulator and a real router's configuration carry.
 """
 
 from __future__ import annotations
@@ -24,96 +24,127 @@
 }
 # Weights that follow the load would move keys with every list: they count as none.
 WEIGHTS = {"off": False, "nominal": True, "rough": True, "live": False}
-SOURCES = {"off": False, "inline": True, "on_probe": False}  # whether reports come with answers
+SOURCES = {"off": False, "inline": True, "on_probe": False}  # whether load reports come with answers
 REQUIRED = object()  # the default of a field that must be there
 
+MICROSECONDS = 1e6  # in a second
+WHOLE = "the whole"  # the path of the outermost object in an error's text
+DEFAULT_CLIENT_WAIT = 3.0  # seconds, where no traffic type is stated
+UNLIMITED_STREAMS = 2  # attempts of a connection at once where no number is stated: more than one
+
 
 class SettingsError(ValueError):
     """A field is missing or makes no sense; the text names it."""
 
+    @property
+    def path(self) -> str:
+        """The path of the field, or of the object, that the text complains of."""
+        return str(self).partition(": ")[0]
+
 
 class SettingsReader:
-    """One JSON object and the path that leads to it, so that a complaint can name the field."""
+    """One JSON object and the path that leads to it, so that an error can name the field.
+
+    Each method reads one field by its name: the default stands for a field that is missing or null, and is an
+    error itself where it is `REQUIRED`. All raise `SettingsError`.
+    """
 
     def __init__(self, values: Any, path: str = "") -> None:
+        """Read an object; anything else is an error."""
         if not isinstance(values, dict):
-            raise SettingsError(f"{path or 'the whole'}: not an object")
+            raise SettingsError(f"{path or WHOLE}: not an object")
         self.values = values
         self.path = path
 
-    def _take(self, name: str, default: Any) -> tuple[str, Any]:
-        path = f"{self.path}.{name}" if self.path else name
+    def _path_of(self, name: str) -> str:
+        return f"{self.path}.{name}" if self.path else name
+
+    def _value(self, name: str, default: Any) -> Any:
         value = self.values.get(name)
-        if value is None:
-            if default is REQUIRED:
-                raise SettingsError(f"{path}: missing")
-            value = default
-        return path, value
+        if value is not None:
+            return value
+        if default is REQUIRED:
+            raise self._error(name, "missing")
+        return default
+
+    def _error(self, name: str, problem: str) -> SettingsError:
+        return SettingsError(f"{self._path_of(name)}: {problem}")
 
     def number(self, name: str, default: Any = REQUIRED, least: float = 0.0) -> float:
-        path, value = self._take(name, default)
+        """Read a finite number of at least `least`."""
+        value = self._value(name, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value):
-            raise SettingsError(f"{path}: not a number")
+            raise self._error(name, "not a number")
         if value < least:
-            raise SettingsError(f"{path}: {value} is under {least:g}")
+            raise self._error(name, f"{value} is under {least:g}")
         return float(value)
 
     def seconds(self, name: str, default: Any = REQUIRED) -> float:
-        return self.number(name, default) / 1e6
+        """Read a number of microseconds as seconds."""
+        return self.number(name, default) / MICROSECONDS
 
     def count(self, name: str, default: Any = REQUIRED, least: int = 0) -> int:
+        """Read a number as an integer."""
         return int(self.number(name, default, least))
 
     def flag(self, name: str, default: Any = REQUIRED) -> bool:
-        path, value = self._take(name, default)
+        """Read true or false."""
+        value = self._value(name, default)
         if value not in (True, False):
-            raise SettingsError(f"{path}: neither true nor false")
+            raise self._error(name, "neither true nor false")
         return bool(value)
 
     def text(self, name: str, default: Any = REQUIRED) -> str:
-        path, value = self._take(name, default)
+        """Read a string."""
+        value = self._value(name, default)
         if not isinstance(value, str):
-            raise SettingsError(f"{path}: not text")
+            raise self._error(name, "not text")
         return value
 
     def word(self, name: str, known: dict[str, Any], default: str) -> Any:
-        path, value = self._take(name, default)
+        """Read one of the known words, and return what it stands for."""
+        value = self._value(name, default)
         if not isinstance(value, str) or value not in known:
-            raise SettingsError(f"{path}: none of {', '.join(known)}")
+            raise self._error(name, f"none of {', '.join(known)}")
         return known[value]
 
     def page(self, name: str, default: Any = REQUIRED) -> SettingsReader:
-        path, value = self._take(name, default)
-        return SettingsReader(value, path)
+        """Read an object."""
+        return SettingsReader(self._value(name, default), self._path_of(name))
 
     def row(self, name: str, default: Any = REQUIRED) -> list[Any]:
-        path, value = self._take(name, default)
+        """Read a list of anything."""
+        value = self._value(name, default)
         if not isinstance(value, list):
-            raise SettingsError(f"{path}: not a list")
+            raise self._error(name, "not a list")
         return value
 
     def texts(self, name: str, default: Any = REQUIRED) -> list[str]:
-        path = f"{self.path}.{name}" if self.path else name
+        """Read a list of strings."""
         found = self.row(name, default)
-        for i, value in enumerate(found):
+        for place, value in enumerate(found):
             if not isinstance(value, str):
-                raise SettingsError(f"{path}[{i}]: not text")
+                raise self._error(f"{name}[{place}]", "not text")
         return found
 
     def pages(self, name: str, default: Any = REQUIRED) -> list[SettingsReader]:
-        path = f"{self.path}.{name}" if self.path else name
-        return [SettingsReader(value, f"{path}[{i}]") for i, value in enumerate(self.row(name, default))]
+        """Read a list of objects."""
+        path = self._path_of(name)
+        found = self.row(name, default)
+        return [SettingsReader(value, f"{path}[{place}]") for place, value in enumerate(found)]
 
 
-def read_reported_load(text: str, mark: str) -> float | None:
-    """What a server holds, of its load report, names and values set apart by `mark`; garbled is none."""
-    return parse_non_negative(
-        dict(part.split(mark, 1) for part in text.split(",") if mark in part).get("active", "")
-    )
+def read_reported_load(text: str, separator: str) -> float | None:
+    """Return what a server's load report says that it holds; none where it is garbled.
+
+    A report is a list of names and values, set apart by the separator.
+    """
+    fields = dict(part.split(separator, 1) for part in text.split(",") if separator in part)
+    return parse_non_negative(fields.get("active", ""))
 
 
 def parse_non_negative(text: str) -> float | None:
-    """A figure told by others: finite and not below nought, or none."""
+    """Return a figure told by others, which is finite and not below nought, or none."""
     try:
         value = float(text)
     except ValueError:
@@ -123,7 +154,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The deployment, and what the door has to know besides."""
+    """The deployment, and what the network and the simulator's host have to know besides."""
 
     deployment: Deployment
     traffic_type_rows: dict[str, int]  # rows of the traffic types by name
@@ -133,40 +164,48 @@
     max_in_flight: int  # operations in hand
     max_client_wait: float  # of a client for an answer
     reports_load: bool = False  # whether answers tell what their server holds
-    endpoints_pushed: bool = (
-        False  # lists are pushed to an agent at hand: what that has counts as told at once
-    )
-
-
-def _traffic_type(row: int, page: SettingsReader) -> TrafficType:
-    return TrafficType(
-        row=row,
-        effect=EFFECTS.get(page.text("effect", ""), Effect.NON_IDEMPOTENT),
-        deduplication_scope=DEDUPLICATION_SCOPES.get(page.text("group", ""), DeduplicationScope.CELL),
-        deduplication_window=page.seconds("windowUs", 0),
-        latency_objective=page.seconds("promisedTimeUs"),
-        priority_weight=page.number("payoff", 1.0),
-        late_weight=page.number("overduePayoff", 0.0),
-    )
+    endpoints_pushed: bool = False  # lists are pushed to an agent at hand: what it has counts as told at once
 
 
 def read_settings(seed: int, settings: Any, path: str = "") -> Settings:
     """Read the settings object."""
     page = SettingsReader(settings, path)
-    allowed, rules, domain = page.page("allowed", {}), page.page("rules", {}), page.page("domain", {})
-    report, prices = page.page("report", {}), page.page("prices", {})
-    types, parties = page.pages("trafficTypes", []), page.pages("parties", [])
-    shapes, names = page.row("shapes", []), report.texts("names", [])
-    kind = int(domain.number("originKind", -1, least=-1))
-    heeds = allowed.flag("retryAfter", False)
-    deployment = Deployment(
+    allowed = page.page("allowed", {})
+    types = page.pages("trafficTypes", [])
+    parties = page.pages("parties", [])
+    report = page.page("report", {})
+    report_names = report.texts("names", [])
+    return Settings(
+        deployment=_read_deployment(seed, page, allowed, types, parties),
+        traffic_type_rows=_places_by_name(types),
+        tenant_indexes=_places_by_name(parties),
+        connect_timeout=allowed.seconds("connectTimeoutUs", 250_000),
+        idle_timeout=allowed.seconds("connIdleUs", 10_000_000),
+        max_in_flight=allowed.count("openCap", 20_000, least=1),
+        max_client_wait=_longest_client_wait(types),
+        reports_load=report.word("source", SOURCES, "off") and "active" in report_names,
+        endpoints_pushed=page.text("discovery", "") == "pushed",
+    )
+
+
+def _read_deployment(
+    seed: int,
+    page: SettingsReader,
+    allowed: SettingsReader,
+    types: list[SettingsReader],
+    parties: list[SettingsReader],
+) -> Deployment:
+    rules = page.page("rules", {})
+    domain = page.page("domain", {})
+    prices = page.page("prices", {})
+    return Deployment(
         seed=seed,
         router_number=page.count("me", 0),
         router_count=page.count("replicasOfMe", 1, least=1),
-        traffic_types=tuple(_traffic_type(i, entry) for i, entry in enumerate(types)),
-        tenants=tuple(Tenant(p.number("share", 0.0), p.number("allowancePerS", 0.0)) for p in parties),
+        traffic_types=tuple(_read_traffic_type(row, entry) for row, entry in enumerate(types)),
+        tenants=tuple(_read_tenant(entry) for entry in parties),
         cache_aside=domain.text("mode", "") == "aside",
-        origin_kind=shapes[kind] if 0 <= kind < len(shapes) else None,
+        origin_kind=_read_origin_kind(page, domain),
         clock_granularity=page.seconds("granularityUs", 1000),
         max_attempts=allowed.count("mostLegs", 1),
         cold_capacity=rules.number("coldFrom", 0.1),
@@ -176,32 +215,60 @@
         may_cancel=allowed.flag("mayCancel", False),
         may_gossip=allowed.flag("peers", False),
         must_poll=page.text("discovery", "") == "on_request",
-        max_retry_after=allowed.seconds("maxRetryAfterUs", 0) if heeds else 0.0,
+        max_retry_after=_read_max_retry_after(allowed),
         over_quota_weight=page.number("beyondSharePayoff", 1.0),
         weight_by_work=page.text("payoffBy", "") == "work",
         has_endpoint_weights=page.word("weights", WEIGHTS, "off"),
         zone=page.text("az", ""),
         cross_zone_price=prices.number("crossZone", 0.0),
-        one_attempt_per_connection=allowed.count("maxStreams", 2, least=1) == 1,
+        one_attempt_per_connection=allowed.count("maxStreams", UNLIMITED_STREAMS, least=1) == 1,
         connection_price=prices.number("handshake", 0.0),
         poll_deadline=rules.seconds("askWithinUs", 10_000_000),
     )
-    return Settings(
-        deployment,
-        {entry.text("name"): i for i, entry in enumerate(types)},
-        {entry.text("name"): i for i, entry in enumerate(parties)},
-        allowed.seconds("connectTimeoutUs", 250_000),
-        allowed.seconds("connIdleUs", 10_000_000),
-        allowed.count("openCap", 20_000, least=1),
-        max((entry.seconds("abandonTimeUs", 3_000_000) for entry in types), default=3.0),
-        report.word("source", SOURCES, "off") and "active" in names,
-        page.text("discovery", "") == "pushed",
+
+
+def _read_traffic_type(row: int, page: SettingsReader) -> TrafficType:
+    """Read a traffic type; an effect that is not known counts as one that must not be repeated."""
+    scope = page.text("group", "")
+    return TrafficType(
+        row=row,
+        effect=EFFECTS.get(page.text("effect", ""), Effect.NON_IDEMPOTENT),
+        deduplication_scope=DEDUPLICATION_SCOPES.get(scope, DeduplicationScope.CELL),
+        deduplication_window=page.seconds("windowUs", 0),
+        latency_objective=page.seconds("promisedTimeUs"),
+        priority_weight=page.number("payoff", 1.0),
+        late_weight=page.number("overduePayoff", 0.0),
     )
 
 
+def _read_tenant(page: SettingsReader) -> Tenant:
+    return Tenant(quota=page.number("share", 0.0), rate_limit=page.number("allowancePerS", 0.0))
+
+
+def _read_origin_kind(page: SettingsReader, domain: SettingsReader) -> Any:
+    """Read which kind of server the origin is: the domain names it by its place among all kinds."""
+    kinds = page.row("shapes", [])
+    place = int(domain.number("originKind", -1, least=-1))
+    return kinds[place] if 0 <= place < len(kinds) else None
+
+
+def _read_max_retry_after(allowed: SettingsReader) -> float:
+    heeds_retry_after = allowed.flag("retryAfter", False)
+    return allowed.seconds("maxRetryAfterUs", 0) if heeds_retry_after else 0.0
+
+
+def _longest_client_wait(types: list[SettingsReader]) -> float:
+    waits = (entry.seconds("abandonTimeUs", 3_000_000) for entry in types)
+    return max(waits, default=DEFAULT_CLIENT_WAIT)
+
+
+def _places_by_name(entries: list[SettingsReader]) -> dict[str, int]:
+    return {entry.text("name"): place for place, entry in enumerate(entries)}
+
+
 def parse_json(text: str) -> Any:
-    """JSON text to plain values."""
+    """Return the values of a JSON text."""
     try:
         return json.loads(text)
     except (ValueError, RecursionError):
-        raise SettingsError("the whole: not JSON") from None
+        raise SettingsError(f"{WHOLE}: not JSON") from None
