--- a/gaugehinge/recovery/effects.py
+++ b/gaugehinge/recovery/effects.py
@@ -57,7 +57,8 @@
         for row, memory in enumerate(self.memory):
             kind = self.types[row]
             kept = verdict is Verdict.LONE or (
-                kind.effect is Effect.WITH_IDEMPOTENCY_KEY and kind.deduplication_scope is DeduplicationScope.ALL
+                kind.effect is Effect.WITH_IDEMPOTENCY_KEY
+                and kind.deduplication_scope is DeduplicationScope.ALL
             )
             if not memory or not kept:
                 continue  # our zone's own marks are gone with it
--- a/gaugehinge/routing/discovery_polling.py
+++ b/gaugehinge/routing/discovery_polling.py
@@ -5,11 +5,11 @@
 from .seeded_random import SeededRandom
 from .types import Action, BackgroundTask, Decision, Deployment, TaskKind
 
-POLL_BACKOFF = 0.4  # seconds after a failed poll, times how many failed in a row, up to
-MAX_POLL_BACKOFF = 1.25  # this: a change is told after 6 s
-MAX_DEADLINE_SHARE = 0.5  # and up to this share of the time after which what was missed counts as told
-MIN_BACKOFF_PART = 0.5  # of that pause at least, and a random part of it more
-DISCOVERY_CHANGE_JITTER = 0.5  # seconds; all routers are told at once where the list is asked for from now on
+POLL_BACKOFF = 0.4  # seconds after a failed poll, times how many failed in a row
+MAX_POLL_BACKOFF = 1.25  # seconds; a change counts as known 6 s after it
+MAX_DEADLINE_SHARE = 0.5  # of the time within which the list must be polled, as a bound of the backoff
+MIN_BACKOFF_PART = 0.5  # of the backoff at least, and a random part of it more
+DISCOVERY_CHANGE_JITTER = 0.5  # seconds; all routers learn at once that discovery is elsewhere from now on
 POLL_TIMEOUT = 4.0  # seconds; a poll with no answer for this long is made again
 
 WAIT = Decision(Action.WAIT)
@@ -31,7 +31,7 @@
         self.task = BackgroundTask(TaskKind.POLL_ENDPOINTS, now)
 
     def on_list_received(self) -> None:
-        """Note that discovery told the list, and will tell its changes."""
+        """Note that discovery sent the list, and will send its changes."""
         self.is_list_held, self._failures = True, 0
 
     def on_poll_failed(self, now: float) -> None:
--- a/gaugehinge/routing/endpoint_table.py
+++ b/gaugehinge/routing/endpoint_table.py
@@ -33,7 +33,7 @@
         self.zones: dict[str, ZoneFigures] = {}
         self.own_zone = ZoneFigures(group_latency(now))
         self.labels: dict[str, DecayedLatency] = {}
-        self._usual_weight = 0.0  # of the first list that told weights; only their ratios mean something
+        self._usual_weight = 0.0  # of the first list that has weights; only their ratios mean something
         self._changed: list[Endpoint] = []  # emptied by `take_changed`
         self.ready: list[Endpoint] = []
         self._ready_by_region: dict[frozenset[str], list[Endpoint]] = {}  # emptied by `refresh_ready`
--- a/gaugehinge/routing/gossip.py
+++ b/gaugehinge/routing/gossip.py
@@ -1,7 +1,7 @@
 """Gossip: routers tell each other at which rate they serve each tenant.
 
-A few peers are told each time, and what was heard is scaled up to all routers: the traffic does not grow with
-the square of their number.
+A few peers get a message each time, and what was received is scaled up to all routers: the traffic does not
+grow with the square of their number.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 GOSSIP_INTERVAL = 1.0  # seconds
 MIN_INTERVAL_PART = 0.9  # of the interval at least, and a random part of the jitter
 INTERVAL_JITTER = 0.2
-# Peers told each time: all of a few routers, of hundreds a sample that does not grow with them.
+# Peers that get a message each time: all of a few routers, of hundreds a sample that does not grow with them.
 GOSSIP_FANOUT = 6
 PEER_EXPIRY = 5.0  # seconds; a peer silent for this long no longer counts
 
 
 class PeerRates(NamedTuple):
-    """What a peer told last."""
+    """The last message of a peer."""
 
-    heard_at: float
+    received_at: float
     rates: tuple[float, ...]  # operations a second of each tenant
 
 
 class Gossip:
-    """What peers told, and the task of telling them.
+    """The rates of peers, and the task of sending them this router's own.
 
     State: the rates of each peer (an entry leaves when it is stale, all with a change of the tenants);
-    the rates of all other routers, summed up from these each time this router tells its own.
+    the rates of all other routers, summed up from these each time this router sends its own.
     """
 
     def __init__(self, deployment: Deployment, random: SeededRandom) -> None:
@@ -45,7 +45,7 @@
         self.rates_elsewhere: list[float] = []
 
     def begin(self, has_tenants: bool, now: float) -> BackgroundTask | None:
-        """Return the standing task of telling peers, where there is any reason for one."""
+        """Return the standing task of sending messages, where there is any reason for one."""
         if not (self._is_allowed and has_tenants and self._peer_count > 0):
             return None
         return BackgroundTask(TaskKind.GOSSIP, now + GOSSIP_INTERVAL * self._random.fraction())
@@ -59,8 +59,8 @@
         if all(0.0 <= rate < inf for rate in rates):
             self.peers[peer] = PeerRates(now, rates)
 
-    def tell(self, task: BackgroundTask, rates: Sequence[float], now: float) -> Decision:
-        """Tell some peers this router's rates, and sum up what they told."""
+    def send(self, task: BackgroundTask, rates: Sequence[float], now: float) -> Decision:
+        """Send this router's rates to some peers, and sum up what peers sent."""
         jitter = MIN_INTERVAL_PART + INTERVAL_JITTER * self._random.fraction()
         task.due = now + GOSSIP_INTERVAL * jitter
         self._summarize(now)
@@ -73,7 +73,7 @@
         self.peers.clear()
 
     def has_rates(self) -> bool:
-        """Whether peers told anything of late."""
+        """Whether peers sent anything of late."""
         return bool(self.rates_elsewhere)
 
     def rate_elsewhere(self, tenant: int) -> float:
@@ -82,14 +82,14 @@
 
     def _summarize(self, now: float) -> None:
         self.peers = {
-            number: told for number, told in self.peers.items() if now - told.heard_at < PEER_EXPIRY
+            number: last for number, last in self.peers.items() if now - last.received_at < PEER_EXPIRY
         }
         scale = self._peer_count / max(len(self.peers), 1)
-        by_tenant = zip(*[told.rates for told in self.peers.values()], strict=True)
+        by_tenant = zip(*[last.rates for last in self.peers.values()], strict=True)
         self.rates_elsewhere = [scale * sum(rates) for rates in by_tenant]
 
     def _choose_peers(self) -> tuple[int, ...]:
-        """Return the peers to be told this time, in turn from a random one."""
+        """Return the peers that get a message this time, in turn from a random one."""
         count = self._peer_count
         first = int(self._random.fraction() * count)
         offsets = [(first + turn) % count for turn in range(min(GOSSIP_FANOUT, count))]
--- a/gaugehinge/routing/origin_limit.py
+++ b/gaugehinge/routing/origin_limit.py
@@ -85,7 +85,7 @@
         return True
 
     def is_under_pressure(self, now: float) -> bool:
-        """Whether an operation was turned away lately because the origin had no place for it."""
+        """Whether an operation was rejected lately because the origin had no place for it."""
         return now < self.pressed_until
 
     def expected_latency(self) -> float:
--- a/gaugehinge/routing/router.py
+++ b/gaugehinge/routing/router.py
@@ -2,7 +2,7 @@
 
 Ask `route(thing, now)` for an operation that came in or whose wait is over,
 `on_attempt_finished(attempt, outcome, ...)` when an attempt ended, `time_until_recheck(thing, now)` when
-the decision was to wait. Tell it what happened with the other `on_...` calls and `cancel`.
+the decision was to wait. Notify it of what happened with the other `on_...` calls and `cancel`.
 `background_tasks` are its own standing tasks and go through the same calls. Time and events come in,
 plain values go out: it does no I/O and has no clock. A router shares nothing with others in its process.
 
@@ -111,7 +111,7 @@
 
     @property
     def tenants(self) -> tuple[Tenant, ...]:
-        """The tenants as told last."""
+        """The tenants of the last change."""
         return self.quotas.tenants
 
     def responses_per_second(self, now: float) -> float:
@@ -250,7 +250,7 @@
         if now < task.due:
             return WAIT
         if task.kind is TaskKind.GOSSIP:
-            return self.gossip.tell(task, self.quotas.usage_by_tenant(), now)
+            return self.gossip.send(task, self.quotas.usage_by_tenant(), now)
         return self.polling.poll(now)
 
     # -- the ways of an operation
--- a/gaugehinge/routing/types.py
+++ b/gaugehinge/routing/types.py
@@ -113,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Deployment:
-    """What a router is told once, at its start."""
+    """What a router knows of its deployment from its start on."""
 
     seed: int
     router_number: int  # this router's number among them
@@ -130,8 +130,8 @@
     overload_time: float  # for this long, a cold server falls over
     may_cancel: bool
     may_gossip: bool
-    must_poll: bool  # the list is told only when asked for
-    max_retry_after: float  # 0 where clients are not told when to come back
+    must_poll: bool  # the endpoint list comes only when it is polled
+    max_retry_after: float  # 0 where clients heed no Retry-After
     over_quota_weight: float  # of the priority weight, for what is over a quota
     weight_by_work: bool  # priority weights are for the work that an operation takes
     has_endpoint_weights: bool = False  # the list tells how much each server bears beside the others
@@ -139,7 +139,7 @@
     cross_zone_price: float = 0.0  # of an attempt to another zone, in priority weights
     one_attempt_per_connection: bool = False  # a connection carries one attempt at a time
     connection_price: float = 0.0  # of a new connection
-    poll_deadline: float = 10.0  # a router that did not ask for so long counts as told what it missed
+    poll_deadline: float = 10.0  # a router that did not poll for so long counts as notified of what it missed
 
     @property
     def shortest_objective(self) -> float:
@@ -157,7 +157,7 @@
     cell: int
     state: EndpointState
     started: float  # 0: long ago
-    weight: float = 0.0  # beside that of others; 0 where none is told
+    weight: float = 0.0  # beside that of others; 0 where the list has none
 
 
 @dataclass(slots=True, eq=False)
@@ -186,7 +186,7 @@
     regions: tuple[frozenset[str] | None, ...] = (None,)  # zones where it may be, in order; None: anywhere
     allowed_endpoints: tuple[int, ...] | None = None  # the only ones that may serve its key, the owner first
     queued_at: Endpoint | None = None  # where it waits for capacity
-    redirect_count: int = 0  # attempts that told it another server
+    redirect_count: int = 0  # attempts that named another server
     ask_redirect: bool = False  # its next attempt was redirected there for this once
     may_have_run_on: Endpoint | None = None  # where it may have run first
     retry_deadline: float = inf  # until then what may have run is remembered, by an attempt's last byte
@@ -221,7 +221,7 @@
     action: Action
     attempt: Attempt | None = None  # to be sent
     timeout: float = 0.0  # seconds, of the attempt to be sent
-    retry_after: float = 0.0  # seconds; 0 where the client is not told when to come back
+    retry_after: float = 0.0  # seconds; 0 where the client gets no Retry-After
     payload: bytes = b""
     peers: tuple[int, ...] = ()  # whom to send the payload to
 
--- a/gaugehinge/settings.py
+++ b/gaugehinge/settings.py
@@ -144,7 +144,7 @@
 
 
 def parse_non_negative(text: str) -> float | None:
-    """Return a figure told by others, which is finite and not below nought, or none."""
+    """Return a figure that others sent, which is finite and not below nought, or none."""
     try:
         value = float(text)
     except ValueError:
@@ -164,7 +164,9 @@
     max_in_flight: int  # operations in hand
     max_client_wait: float  # of a client for an answer
     reports_load: bool = False  # whether answers tell what their server holds
-    endpoints_pushed: bool = False  # lists are pushed to an agent at hand: what it has counts as told at once
+    endpoints_pushed: bool = (
+        False  # lists are pushed to an agent at hand: what it has counts as known at once
+    )
 
 
 def read_settings(seed: int, settings: Any, path: str = "") -> Settings:
--- a/gaugehinge/simhost/host.py
+++ b/gaugehinge/simhost/host.py
@@ -148,7 +148,7 @@
             self._guard(instance, lambda: instance.endpoint_list(form, entries, self._now))
 
     def _guard(self, instance: Instance, call: Callable[[], None]) -> None:
-        """Make a call; a mistake in the decisions is told as such, and does not end the other instances."""
+        """Make a call; a mistake in the decisions is reported, and does not end the other instances."""
         try:
             call()
             if instance.router.log:
--- a/gaugehinge/simhost/instance.py
+++ b/gaugehinge/simhost/instance.py
@@ -13,9 +13,10 @@
 
 LOAD_REPORT_SEPARATOR = ":"  # between a name and its value
 NO_CONTENT = "-"
-POLL_FAILED = "error"  # forms of what discovery told: it failed,
-CHANGES = "diff"  # told changes alone,
-KEPT_LIST = "disk"  # or is the list that was kept over a restart
+# Forms of what discovery sent. Any other is the whole list.
+POLL_FAILED = "error"
+CHANGES = "diff"
+KEPT_LIST = "disk"  # the whole list, as it was kept over a restart
 
 
 class Instance:
@@ -114,7 +115,7 @@
             operation.finished = True
 
     def peer_message(self, message: PeerMessage, now: float) -> None:
-        """Pass on what a peer told."""
+        """Pass on a peer's message."""
         payload = b"" if message.content == NO_CONTENT else b64decode(message.content)
         self.router.on_gossip(message.peer, payload, now)
 
--- a/gaugehinge/simhost/messages.py
+++ b/gaugehinge/simhost/messages.py
@@ -1,4 +1,4 @@
-"""What the simulator tells an instance, one type for each event."""
+"""What the simulator sends to an instance, one type for each event."""
 
 from __future__ import annotations
 
@@ -91,7 +91,7 @@
 
 
 class PeerMessage(NamedTuple):
-    """Another router told something."""
+    """Another router sent something."""
 
     peer: int
     content: str  # in base 64; "-" where there is none
--- a/gaugehinge/simhost/replies.py
+++ b/gaugehinge/simhost/replies.py
@@ -1,4 +1,4 @@
-"""What an instance tells the simulator: one function for each line."""
+"""What an instance sends to the simulator: one function for each line."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def reject(instance: str, operation: Operation, retry_after: float) -> str:
-    """Reject an operation; its client may come back after a while, where that is told."""
+    """Reject an operation; its client may come back after a while, where a time is stated."""
     hint = f"\tholdOffUs={to_microseconds(retry_after)}" if retry_after else ""
     return f"deny\ti={instance}\tid={operation.ident}{hint}"
 
@@ -33,7 +33,7 @@
 
 
 def set_timer(instance: str, timer: int, wait: float) -> str:
-    """Ask to be told after a while, a microsecond at least."""
+    """Set a timer, of a microsecond at least."""
     return f"schedule\ti={instance}\tinUs={max(to_microseconds(wait), 1)}\tname={timer}"
 
 
@@ -53,5 +53,5 @@
 
 
 def fault(instance: str, error: Exception) -> str:
-    """Tell of a mistake in the decisions."""
+    """Report a mistake in the decisions."""
     return f"fault\ti={instance}\tmsg={type(error).__name__}: {error}"
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -48,7 +48,7 @@
             assert now <= operation.deadline, "answered after the abandon time"
             ran = [attempt for attempt in operation.attempts if attempt in self.may_have_run]
             if answer.action is Action.REJECT:
-                assert operation.traffic_type is not ONCE or not ran, "bounced though it may have run"
+                assert operation.traffic_type is not ONCE or not ran, "rejected though it may have run"
             self.finals.add(operation.ident)
 
     def check_attempt(self, operation, attempt, now) -> None:
@@ -57,7 +57,7 @@
         assert not [each for each in others if each.in_flight], "two attempts at once"
         server = attempt.endpoint.ident
         if server != ORIGIN:
-            assert self.presence.get(server) is EndpointState.UP, "a leg to a draining or gone cache"
+            assert self.presence.get(server) is EndpointState.UP, "an attempt at a draining or gone endpoint"
             self.count_cold(server, now)
         ran = [each for each in operation.attempts if each in self.may_have_run]
         if ran:
--- a/tests/test_routing_load_shedding.py
+++ b/tests/test_routing_load_shedding.py
@@ -11,7 +11,7 @@
 
 
 def silent_fleet(bench, seconds, part):
-    """Reads for some seconds, of which a part meets caches that answer nothing; the deepest valve."""
+    """Reads for some seconds, of which a part meets caches that answer nothing; the highest shed level."""
     deepest, end, count = 0.0, bench.now + seconds, 0
     while bench.now < end:
         count += 1
@@ -26,7 +26,7 @@
 
 
 def test_time_outs_at_a_few_silent_endpoints_shed_nothing():
-    """A lost zone's time-outs closed the valves of all routers, which bounced what the others could bear."""
+    """A lost zone's time-outs made all routers shed load that the other zones could bear."""
     assert silent_fleet(Bench(), 20.0, 0.375) == 0.0
 
 
--- a/tests/test_routing_outlier_ejection.py
+++ b/tests/test_routing_outlier_ejection.py
@@ -65,12 +65,12 @@
     for i in range(60):
         bench.now += 0.05
         _, answer = bench.ask(f"k{i}")
-        spoilt = i % 10 in (0, 1)
+        malformed = i % 10 in (0, 1)
         [(_, further)] = bench.end(
-            answer.attempt, Outcome.MALFORMED_RESPONSE if spoilt else Outcome.CACHE_MISS
+            answer.attempt, Outcome.MALFORMED_RESPONSE if malformed else Outcome.CACHE_MISS
         )
         assert further.action is Action.SEND  # a read may go again
-        if not spoilt:
+        if not malformed:
             [(_, further)] = bench.end(further.attempt, Outcome.MALFORMED_RESPONSE)
         bench.end(further.attempt, Outcome.SUCCEEDED)
     assert not any(cache.ejected_until for cache in bench.router.endpoints.values())
@@ -78,7 +78,7 @@
     last = bench.router.table.ready[0]
     for _ in range(4):
         bench.router.ejection.record_failure(last, FAILURE_STEP, 0.01, bench.now)
-    assert last.ejected_until  # one that spoils all is set aside still
+    assert last.ejected_until  # one that garbles all is ejected still
 
 
 def test_resets_do_not_eject_an_endpoint_that_answers_but_silent_ones_go_at_once():
@@ -97,7 +97,7 @@
 
 
 def test_a_time_out_shorter_than_the_usual_silence_is_no_failure():
-    """At five attempts a second, a wait of 0.2 s sees no answer by chance: sound caches were set aside."""
+    """At five attempts a second, a wait of 0.2 s sees no answer by chance: sound caches were ejected."""
     bench = Bench(caches=4)
     for i in range(30):
         _, answer = bench.ask(f"key-{i}")
