--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -76,57 +76,62 @@
 OUTCOMES = [Outcome.SUCCEEDED] * 6 + list(Outcome)
 
 
+def _figures_of(part: object) -> dict[str, object]:
+    """What a part counts, without the parts that it asks."""
+    return {name: value for name, value in vars(part).items() if isinstance(value, (int, float))}
+
+
 def figures(router: Router) -> str:
     """All that a router counts, number by number."""
     caches = [
         (
             c.ident,
             c.load,
-            c.multiplier,
-            c.share,
-            c.tokens,
-            c.out,
+            c.latency_multiplier,
+            c.warm_up_share,
+            c.warm_up_budget,
+            c.in_flight,
             c.connections,
-            c.fault,
-            c.late,
-            c.told,
-            c.aside_until,
+            c.failure_score,
+            c.lateness,
+            c.reported_load,
+            c.ejected_until,
             c.full_until,
             c.latency,
-            c.pace,
-            c.kind,
-            c.near.keep,
-            sorted(c.near.failed),
+            c.completion_rate,
+            c.label_figures,
+            c.zone_figures.key_share,
+            sorted(c.zone_figures.failed),
             c.state,
             c.started,
         )
-        for c in router.caches.values()
+        for c in router.endpoints.values()
     ]
     return repr(
         (
             caches,
-            router.used,
-            router.came,
-            router.tokens,
-            router.elsewhere,
-            router.peers,
-            router.gate,
-            router.latency,
-            router.rate,
-            router.work,
-            router.asked,
-            router.drop,
-            router.valve,
-            router.lateness,
-            router.mean_delay,
-            router.repeats,
-            router.excused,
-            router.counter,
-            router.total,
-            router.width,
-            router.points,
-            list(router.fetches),
-            router.pressed_until,
+            router.quotas.usage,
+            router.quotas.arrivals,
+            router.quotas.tokens,
+            router.gossip.rates_elsewhere,
+            router.gossip.peers,
+            _figures_of(router.origin_limit),
+            router.load.fleet_latency,
+            router.load.completion_rate,
+            router.load.mean_durations,
+            router.shedder.demand,
+            router.shedder.shed_probabilities,
+            router.shedder.shed_level,
+            router.shedder.lateness,
+            router.load.mean_duration,
+            router.retries.retry_budget,
+            router.retries.excused_timeouts,
+            router.random.drawn,
+            router.table.total_load,
+            router.table.effective_weight,
+            router.ring.points,
+            list(router.fetches.waiting),
+            router.origin_limit.pressed_until,
         )
     )
 
@@ -373,7 +378,7 @@
         self.host.source = io.StringIO("\n".join([f"frame\tatTimeUs={now}", *lines, "go\n"]))
         self.sink.seek(0)
         self.sink.truncate()
-        assert self.host._batch()
+        assert self.host.run_batch()
         told = self.sink.getvalue()
         assert told.endswith("ok\n")
         return told.removesuffix("ok\n").splitlines()
@@ -562,7 +567,7 @@
 
 def stop_beats(made) -> None:
     """From now on its figures change by what it is told alone: what fades or is refilled by time rests."""
-    made.service.dispatcher.router.next_bucket = inf
+    made.service.dispatcher.router.load.next_bucket_at = inf
 
 
 def counted(made) -> str:
@@ -570,20 +575,23 @@
     service = made.service
     router, clients, pool = service.dispatcher.router, service.clients, service.pool
     router_figures = (
-        router.used,
-        router.came,
-        router.tokens,
-        router.elsewhere,
-        router.peers,
-        router.gate.limit,
-        router.gate.out,
-        router.work,
-        router.mean_delay,
-        router.repeats,
-        router.excused,
-        list(router.fetches),
-        router.valve,
-        [(c.ident, c.out, c.busy, c.fault, c.latency.finished, c.pace.value) for c in router.caches.values()],
+        router.quotas.usage,
+        router.quotas.arrivals,
+        router.quotas.tokens,
+        router.gossip.rates_elsewhere,
+        router.gossip.peers,
+        router.origin_limit.limit,
+        router.origin_limit.in_flight,
+        router.load.mean_durations,
+        router.load.mean_duration,
+        router.retries.retry_budget,
+        router.retries.excused_timeouts,
+        list(router.fetches.waiting),
+        router.shedder.shed_level,
+        [
+            (c.ident, c.in_flight, c.busy_time, c.failure_score, c.latency.count, c.completion_rate.value)
+            for c in router.endpoints.values()
+        ],
     )
     return repr(
         (
@@ -688,9 +696,9 @@
     "settings.SOURCES": "the operators' words for sources of load reports, read only",
     "net.endpoint_list.ENDPOINT_STATES": "discovery's words for states, read only",
     "net.sockets.SPACE": "filled by recv_into and copied to bytes in one expression, with no wait between",
-    "simhost.host.EVENTS": "the wire's names to functions of a class, read only",
+    "simhost.host.EVENTS": "the wire's names to types and functions of classes, read only",
     "simhost.wire.OUTCOMES": "the wire's words for outcomes, read only",
-    "simhost.wire.PRESENCES": "the wire's words for states, read only",
+    "simhost.wire.ENDPOINT_STATES": "the wire's words for states, read only",
 }
 
 
@@ -998,7 +1006,7 @@
             await made.settle()
             router, service = made.services[0].dispatcher.router, made.services[0]
             clients = [await made.client(0, "acme", old) for _ in range(3)]
-            router.tokens[0] = 6.0  # enough for three at once
+            router.quotas.tokens[0] = 6.0  # enough for three at once
             asked = [
                 ("KV.GET", "k", "i1", "c=read,d=1900"),
                 ("KV.SET", "k", "i2", "c=move,d=1900,k=m1", "of the old"),
@@ -1019,20 +1027,20 @@
             place = roster.by_incarnation[2].place
             assert place != roster.by_incarnation[1].place
             # Nothing of the old one's figures.
-            assert router.used[place] == 0.0 and router.came[place] == 0
+            assert router.quotas.usage[place] == 0.0 and router.quotas.arrivals[place] == 0
             assert made.followers[0].in_hand() == {"1": 3}
             # The old credential is refused, and so is all that is new on connections that it had let in.
             assert (await (await made.client(0)).ask("AUTH", "acme", old)).startswith(b"-WRONGPASS")
             assert (await (await made.client(0)).ask("AUTH", old)).startswith(b"-WRONGPASS")
             # The new one: its own space, ids and idempotency keys, while the old one's same ones are in hand.
             fresh = await made.client(0, "acme", new)
-            router.tokens[place] = 6.0
+            router.quotas.tokens[place] = 6.0
             assert await fresh.ask("KV.GET", "k", "i1", "c=read,d=1900") == b"$0\r\n\r\n"
             assert (await fresh.ask("KV.SET", "k", "i2", "c=move,d=1900,k=m1", "of the new")).startswith(b"$")
             assert await fresh.ask("KV.GET", "k", "i4", "c=read,d=1900") == b"$10\r\nof the new\r\n"
             assert made.shelves.data[b"1/k"] == b"of the old" and made.shelves.data[b"2/k"] == b"of the new"
             assert not any(seen.repeat for seen in made.shelves.seen)
-            assert router.came[roster.by_incarnation[1].place] <= 3
+            assert router.quotas.arrivals[roster.by_incarnation[1].place] <= 3
             # One final answer for each of the old one's, and then what it asks is refused.
             hold[0].let_go.set()
             for client in clients:
@@ -1058,9 +1066,9 @@
         if answer.attempt is not None:
             router.on_attempt_finished(answer.attempt, Outcome.SUCCEEDED, 0.01, True, now + 0.01)
     router.on_gossip(1, b"\0\0\x80\x3f" * 2, 102.0)
-    kept = router.used[1], router.came[1], router.tokens[1]
-    assert router.used[0] > 0.0 and router.peers
+    kept = router.quotas.usage[1], router.quotas.arrivals[1], router.quotas.tokens[1]
+    assert router.quotas.usage[0] > 0.0 and router.gossip.peers
     router.on_tenants_changed((Tenant(0.5, 9.0), Tenant(1.0, 50.0)), {0})
-    assert (router.used[0], router.came[0], router.tokens[0]) == (0.0, 0, 1.0)
-    assert (router.used[1], router.came[1], router.tokens[1]) == kept
-    assert not router.peers and not router.elsewhere  # a peer told of the one before
+    assert (router.quotas.usage[0], router.quotas.arrivals[0], router.quotas.tokens[0]) == (0.0, 0, 1.0)
+    assert (router.quotas.usage[1], router.quotas.arrivals[1], router.quotas.tokens[1]) == kept
+    assert not router.gossip.peers and not router.gossip.rates_elsewhere  # a peer told of the one before
