--- a/gaugehinge/cluster/attempts.py
+++ b/gaugehinge/cluster/attempts.py
@@ -9,7 +9,8 @@
 
 from loguru import logger
 
-from ..net.connection_pool import Connection, ConnectionLost, MalformedReply, RequestPayload, ServerReply
+from ..net.codec import ConnectionLost, MalformedReply, RequestPayload, ServerReply
+from ..net.connection import Connection
 from ..routing.types import Outcome
 from .resp3 import SERVER, Error, Malformed, Push, Reader, Status, command
 
--- a/gaugehinge/cluster/front.py
+++ b/gaugehinge/cluster/front.py
@@ -21,7 +21,7 @@
 
 from .. import __version__
 from ..net.client_server import AdmissionControl, ClientConnection, ClientServer, PendingReply
-from ..net.connection_pool import RequestPayload
+from ..net.codec import RequestPayload
 from ..net.dispatcher import BUSY_REPLY, Dispatcher
 from ..net.lifecycle import Lifecycle, Phase
 from ..net.resp import Malformed
--- a/gaugehinge/door/door.py
+++ b/gaugehinge/door/door.py
@@ -16,7 +16,7 @@
 from loguru import logger
 
 from ..net.client_server import ClientConnection, ClientServer
-from ..net.connection_pool import RequestPayload
+from ..net.codec import RequestPayload
 from ..net.dispatcher import BUSY_REPLY, Dispatcher, busy_reply
 from ..routing.types import Operation
 from ..settings import Settings
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -21,7 +21,8 @@
 
 from ..hosted.follower import Follower
 from ..hosted.roster import BadFeed
-from ..net.connection_pool import REST_TIME, Connection, PendingAttempt, ServerPool
+from ..net.connection import Connection, PendingAttempt, ServerPool
+from ..net.connection_pool import REST_TIME
 from ..net.lifecycle import Phase
 from ..net.service import Service
 from ..routing.types import EndpointState, Outcome
--- a/gaugehinge/hosted/front.py
+++ b/gaugehinge/hosted/front.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from ..net.client_server import PLAIN, ClientConnection, ClientServer, RequestError, read_labels
-from ..net.connection_pool import RequestPayload
+from ..net.codec import RequestPayload
 from ..net.resp import BULK, Message, bulk
 from ..routing.types import Operation
 from .gate import Gate
--- a/gaugehinge/net/client_server.py
+++ b/gaugehinge/net/client_server.py
@@ -17,7 +17,7 @@
 
 from ..routing.types import Effect, Operation
 from ..settings import Settings
-from .connection_pool import RequestPayload
+from .codec import RequestPayload
 from .dispatcher import BUSY_REPLY, Dispatcher
 from .handle_table import HandleTable
 from .lifecycle import Lifecycle, Phase
--- a/gaugehinge/net/connection_pool.py
+++ b/gaugehinge/net/connection_pool.py
@@ -6,20 +6,18 @@
 
 from __future__ import annotations
 
-import socket
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any, NamedTuple, Protocol
+from typing import Protocol
 
 import trio
 from loguru import logger
 
 from ..routing.types import Attempt, EndpointState, Outcome
-from .configuration import Address
+from .codec import Codec, ConnectionLost, MalformedReply, RequestPayload
+from .connection import Connection, PendingAttempt, ServerPool
 from .endpoint_list import EndpointListUpdate
-from .resp import ARRAY, BULK, ERROR, MOST_ANSWER, Malformed, Message, Parser
 from .sockets import connect, receive, send_some, shut, silent, tcp
-from .timer_queue import Timer, TimerQueue
+from .timer_queue import TimerQueue
 
 IDLE_PART = 0.7  # of the time after which a server closes an idle connection: one written to then may be lost
 REST_TIME = 0.01  # an answered connection is not used before this: its end or a second copy may follow.
@@ -27,88 +25,6 @@
 # attempt.
 WAY = 0.05  # of an attempt's last byte to its server, kept before the time by which it has to be there
 SWEEP_EVERY = 0.5
-ANSWER_PARTS = 3  # the value, how it went, the load report
-
-
-@dataclass(slots=True, frozen=True)
-class RequestPayload:
-    """What an operation carries to servers: the bytes that came, with a gap for the wait that is left."""
-
-    ident: bytes
-    key: bytes
-    labels: tuple[bytes, bytes]  # before and behind the figure of `d`
-    told: bytes  # the labels as they came
-    before: bytes  # the command up to its labels
-    behind: bytes  # and what follows them
-    value: bytes | None  # of a write
-    words: bytes = b""  # the command as it goes on where servers take it as it came
-    wanted: Callable[[], bool] = lambda: True  # whether its client is still there
-
-
-class ServerReply(NamedTuple):
-    """What came back."""
-
-    outcome: Outcome
-    value: bytes | None = None  # as the client gets it; of a redirection: its words
-    keep: bool = True  # whether the connection is good for another attempt
-    told: bytes = b""  # the load report, or what stands for it
-
-
-class Codec(Protocol):
-    """How to speak to one kind of server, with no I/O."""
-
-    def parser(self) -> Any:
-        """The state of a new connection."""
-
-    def command(self, connection: Connection, payload: RequestPayload, left: float) -> bytes:
-        """All the bytes of an attempt."""
-
-    def answer(self, connection: Connection, data: bytes) -> ServerReply | None:
-        """What came, or nothing at the end of the connection; the answer once it is whole."""
-
-
-class ConnectionLost(Exception):
-    """The other side ended the connection."""
-
-
-class MalformedReply(ConnectionLost):
-    """The other side answered with what makes no sense. It is up, and the attempt has run there."""
-
-
-@dataclass(slots=True, eq=False)
-class Connection:
-    """One connection to a server, with a task that reads it."""
-
-    raw: socket.socket
-    endpoint: ServerPool
-    parser: Any
-    pending: PendingAttempt | None  # the attempt that it carries
-    idle_since: float = 0.0
-    written: bool = False  # whether the attempt's last byte is out
-    closed: bool = False
-
-
-@dataclass(slots=True, eq=False)
-class ServerPool:
-    """A server as the pool knows it. It leaves when the list says that it is gone."""
-
-    ident: int
-    uid: str
-    address: Address
-    started: float
-    idle: list[Connection] = field(default_factory=list)  # oldest first; swept
-
-
-@dataclass(slots=True, eq=False)
-class PendingAttempt:
-    """An attempt on its way."""
-
-    attempt: Attempt
-    payload: RequestPayload
-    dialect: Codec
-    due: float
-    time_out: Timer | None = None
-    connection: Connection | None = None
 
 
 class ConnectionBudget(Protocol):
@@ -134,56 +50,6 @@
         """The pool has done with a connection: its socket is the warden's to close."""
 
 
-class RespCodec:
-    """The cache servers' protocol."""
-
-    def parser(self) -> Parser:
-        return Parser(MOST_ANSWER)
-
-    def command(self, connection: Connection, payload: RequestPayload, left: float) -> bytes:
-        before, behind = payload.labels
-        labels = b"%b%d%b" % (before, max(int(left * 1000), 1), behind)
-        return b"%b$%d\r\n%b\r\n%b" % (payload.before, len(labels), labels, payload.behind)
-
-    def answer(self, connection: Connection, data: bytes) -> ServerReply | None:
-        if not data:
-            raise ConnectionLost("ended")
-        connection.parser.feed(data)
-        try:
-            message = connection.parser.next()
-        except Malformed as bad:
-            raise MalformedReply(str(bad)) from None
-        if message is None:
-            return None
-        # What follows an answer unasked belongs to no attempt: the next one would take it for its own. And
-        # where it is no second copy, the answer began with half of another's: no server gave such a value.
-        rest = connection.parser.rest()
-        if rest.strip() and not (message.raw.startswith(rest[:4]) or rest.startswith(message.raw[:4])):
-            raise MalformedReply("an answer with bytes of another behind it")
-        return read_reply(message)._replace(keep=not len(connection.parser))
-
-
-def read_reply(message: Message) -> ServerReply:
-    """A cache server's answer, by the protocol's table."""
-    top = message.top
-    if top.kind == ERROR:
-        word = top.body.split(b" ", 1)[0]
-        if word == b"BUSY":
-            return ServerReply(Outcome.REJECTED)
-        if word != b"ERR":
-            logger.warning("a cache server answered {!r}", top.body[:80])
-        return ServerReply(Outcome.SERVER_ERROR, told=top.body.rpartition(b" ")[2])
-    if top.kind != ARRAY or top.body is None or len(top.body) != ANSWER_PARTS:
-        raise MalformedReply("an answer that is no array of three")
-    value, how, report = top.body  # whatever stands for the load report spoils nothing
-    told = report.body if report.kind == BULK and report.body is not None else b""
-    if value.kind != BULK or how.kind != BULK:
-        raise MalformedReply("an answer that is no value with how it went")
-    if value.body is None:
-        return ServerReply(Outcome.CACHE_MISS, told=told)
-    return ServerReply(Outcome.SUCCEEDED, message.part(value), told=told)
-
-
 class ConnectionPool:
     """Connections to all servers, within a limit, and the attempts that are out."""
 
--- a/gaugehinge/net/discovery.py
+++ b/gaugehinge/net/discovery.py
@@ -13,10 +13,10 @@
 from loguru import logger
 
 from ..settings import SettingsError, parse_json
+from .codec import ConnectionLost
 from .configuration import Address
-from .connection_pool import ConnectionLost
 from .endpoint_list import EndpointListUpdate, read_endpoint_list
-from .origin import HttpExchange, HttpResponse
+from .http_exchange import HttpExchange, HttpResponse
 from .sockets import connect, receive, send_all, shut, tcp
 from .timer_queue import TimerQueue
 
--- a/gaugehinge/net/dispatcher.py
+++ b/gaugehinge/net/dispatcher.py
@@ -10,10 +10,12 @@
 from ..routing.router import Router
 from ..routing.types import Action, Attempt, BackgroundTask, Decision, Deployment, Operation, Outcome, Step
 from ..settings import read_reported_load
-from .connection_pool import Codec, ConnectionPool, RequestPayload, RespCodec
+from .codec import Codec, RequestPayload
+from .connection_pool import ConnectionPool
 from .endpoint_list import EndpointListUpdate
 from .handle_table import HandleTable
-from .origin import OriginCodec
+from .origin_codec import OriginCodec
+from .resp_codec import RespCodec
 from .timer_queue import Timer, TimerQueue
 
 FAILED_REPLY = b"-ERR failed\r\n"
--- a/gaugehinge/net/origin.py
+++ b/gaugehinge/net/http_exchange.py
@@ -1,16 +1,13 @@
-"""HTTP by h11: the exchange that origin and discovery share, and attempts to the origin."""
+"""The client's side of HTTP over h11, shared by the origin's codec and discovery. No I/O."""
 
 from __future__ import annotations
 
 import re
 from typing import NamedTuple
-from urllib.parse import quote
 
 import h11
 
-from ..routing.types import Outcome
-from .connection_pool import Connection, ConnectionLost, MalformedReply, RequestPayload, ServerReply
-from .resp import MOST_ANSWER, bulk
+from .codec import ConnectionLost, MalformedReply
 
 MOST_HEAD = 32 * 1024
 BLANK = re.compile(rb"\n\r?\n")  # ends a head
@@ -99,38 +96,3 @@
         if keep:
             self._state.start_next_cycle()
         return HttpResponse(head.status_code, dict(head.headers), body, keep)
-
-
-class OriginCodec:
-    """The origin's protocol."""
-
-    def parser(self) -> HttpExchange:
-        return HttpExchange(MOST_ANSWER)
-
-    def command(self, connection: Connection, payload: RequestPayload, left: float) -> bytes:
-        host, port = connection.endpoint.address
-        # `d` as the client told it would let the origin work on for nobody: a miss has used up part of it.
-        before, behind = payload.labels
-        labels = b"%b%d%b" % (before, max(int(left * 1000), 1), behind)
-        headers = [
-            ("Host", f"{host}:{port}".encode()),
-            ("X-Txn", payload.ident),
-            ("X-Labels", labels),
-        ]
-        method = "GET" if payload.value is None else "PUT"
-        return connection.parser.request(method, "/" + quote(payload.key, safe=""), headers, payload.value)
-
-    def answer(self, connection: Connection, data: bytes) -> ServerReply | None:
-        got = connection.parser.answer(data)
-        if got is None:
-            return None
-        return ServerReply(read_status(got), bulk(got.body) if got.status == 200 else None, got.keep)
-
-
-def read_status(got: HttpResponse) -> Outcome:
-    """An origin's answer, by the protocol's words: whatever is not told as never run may have."""
-    if got.status == 200:
-        return Outcome.SUCCEEDED
-    if got.status in (503, 504) and got.headers.get(b"x-turned-away") == b"1":
-        return Outcome.REJECTED
-    return Outcome.SERVER_ERROR
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -20,8 +20,9 @@
 from ..hosted.follower import Follower
 from ..hosted.roster import BadFeed
 from ..installation.form import RecoveryEntry
+from ..net.codec import RequestPayload
 from ..net.configuration import address
-from ..net.connection_pool import Connection, PendingAttempt, RequestPayload
+from ..net.connection import Connection, PendingAttempt
 from ..net.dispatcher import FAILED_REPLY, busy_reply
 from ..net.endpoint_list import ENDPOINT_STATES, EndpointListUpdate, EndpointTarget
 from ..net.lifecycle import Phase
--- a/gaugehinge/rehearsal/broken.py
+++ b/gaugehinge/rehearsal/broken.py
@@ -22,10 +22,13 @@
 
 from ..admin import service
 from ..net import endpoint_list
-from ..net.connection_pool import Connection, RequestPayload, RespCodec
+from ..net.codec import RequestPayload
+from ..net.connection import Connection
 from ..net.dispatcher import Dispatcher, PendingOperation, busy_reply
-from ..net.origin import HttpExchange, OriginCodec
+from ..net.http_exchange import HttpExchange
+from ..net.origin_codec import OriginCodec
 from ..net.resp import MOST_ANSWER, bulk
+from ..net.resp_codec import RespCodec
 from ..routing.types import Effect, EndpointState
 
 EACH = 3  # one of so many is done wrong
--- a/gaugehinge/rehearsal/brokenterms.py
+++ b/gaugehinge/rehearsal/brokenterms.py
@@ -11,7 +11,7 @@
 
 from ..net import discovery
 from ..net.client_server import ClientConnection, ClientServer, _no_more
-from ..net.connection_pool import RequestPayload
+from ..net.codec import RequestPayload
 from ..net.discovery import DiscoveryClient, Watch
 from ..net.dispatcher import Dispatcher
 from ..routing.types import Operation
--- a/gaugehinge/rehearsal/faulty.py
+++ b/gaugehinge/rehearsal/faulty.py
@@ -21,7 +21,7 @@
 from ..net.configuration import Configuration
 from ..net.discovery import PATH, Watch
 from ..net.endpoint_list import EndpointTarget
-from ..net.origin import HttpExchange
+from ..net.http_exchange import HttpExchange
 from ..net.resp import MOST_ANSWER, Message, Parser, bulk
 from ..net.timer_queue import TimerQueue
 from ..routing.types import EndpointState
--- a/tests/test_cluster_model.py
+++ b/tests/test_cluster_model.py
@@ -21,7 +21,7 @@
 from gaugehinge.cluster.slots import SLOTS, Node, Redirection, SlotMap, even, read_slots, slot_of
 from gaugehinge.emulator.shards import Shards, Wire
 from gaugehinge.emulator.virtual import VirtualTime
-from gaugehinge.net.connection_pool import RequestPayload
+from gaugehinge.net.codec import RequestPayload
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
 from gaugehinge.routing.router import MOST_REDIRECTS, Router
--- a/tests/test_crossings_pool.py
+++ b/tests/test_crossings_pool.py
@@ -7,7 +7,10 @@
 import trio
 
 from gaugehinge.net import connection_pool as module
-from gaugehinge.net.connection_pool import ConnectionPool, RequestPayload, RespCodec, ServerPool
+from gaugehinge.net.codec import RequestPayload
+from gaugehinge.net.connection import ServerPool
+from gaugehinge.net.connection_pool import ConnectionPool
+from gaugehinge.net.resp_codec import RespCodec
 from gaugehinge.net.timer_queue import Clock, TimerQueue
 from gaugehinge.routing.types import Outcome
 from tests.helper import Bench, Cache
--- a/tests/test_crossings_retries.py
+++ b/tests/test_crossings_retries.py
@@ -11,8 +11,11 @@
 import trio
 
 from gaugehinge.net import connection_pool, sockets
-from gaugehinge.net.connection_pool import ConnectionPool, RequestPayload, RespCodec, ServerPool
+from gaugehinge.net.codec import RequestPayload
+from gaugehinge.net.connection import ServerPool
+from gaugehinge.net.connection_pool import ConnectionPool
 from gaugehinge.net.resp import bulk
+from gaugehinge.net.resp_codec import RespCodec
 from gaugehinge.net.timer_queue import Clock, TimerQueue
 from gaugehinge.routing.types import EndpointState, Outcome
 from tests.helper import MARKED, SETTINGS, Bench, Cache, fleet
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -40,8 +40,10 @@
 )
 from gaugehinge.drains.router import RouterDrains
 from gaugehinge.forms.units import Seconds
-from gaugehinge.net.connection_pool import ConnectionPool, RequestPayload, RespCodec
+from gaugehinge.net.codec import RequestPayload
+from gaugehinge.net.connection_pool import ConnectionPool
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
+from gaugehinge.net.resp_codec import RespCodec
 from gaugehinge.net.timer_queue import Clock, TimerQueue
 from gaugehinge.placement.shards import Terms
 from gaugehinge.rehearsal.drainsplay import woken, written_ago
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -17,18 +17,15 @@
 from gaugehinge.door.door import Door
 from gaugehinge.net import client_server, connection_pool, sockets
 from gaugehinge.net.client_server import PendingReply
-from gaugehinge.net.connection_pool import (
-    ConnectionPool,
-    PendingAttempt,
-    RequestPayload,
-    RespCodec,
-    ServerPool,
-)
+from gaugehinge.net.codec import RequestPayload
+from gaugehinge.net.connection import PendingAttempt, ServerPool
+from gaugehinge.net.connection_pool import ConnectionPool
 from gaugehinge.net.discovery import PACE
 from gaugehinge.net.dispatcher import PendingOperation
 from gaugehinge.net.endpoint_list import read_endpoint_list
 from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.resp import MOST_ANSWER, bulk
+from gaugehinge.net.resp_codec import RespCodec
 from gaugehinge.net.timer_queue import Clock, TimerQueue
 from gaugehinge.routing.router import Router
 from gaugehinge.routing.types import Attempt, EndpointEntry, EndpointState, Operation, Outcome
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -10,11 +10,12 @@
 
 from gaugehinge.net import resp
 from gaugehinge.net.client_server import RequestError, read_labels
+from gaugehinge.net.codec import ConnectionLost, MalformedReply
 from gaugehinge.net.configuration import read_configuration
-from gaugehinge.net.connection_pool import ConnectionLost, MalformedReply, read_reply
 from gaugehinge.net.endpoint_list import read_endpoint_list
 from gaugehinge.net.handle_table import HandleTable
-from gaugehinge.net.origin import HttpExchange
+from gaugehinge.net.http_exchange import HttpExchange
+from gaugehinge.net.resp_codec import read_reply
 from gaugehinge.net.timer_queue import MOST_LAG, Clock, TimerQueue
 from gaugehinge.routing.router import Router
 from gaugehinge.routing.types import EndpointState, Outcome
