--- a/gaugehinge/net/codec.py
+++ b/gaugehinge/net/codec.py
@@ -1,4 +1,8 @@
-"""What a codec is: how an attempt becomes bytes for one kind of server, and bytes its reply. No I/O."""
+"""Codecs: how an attempt becomes bytes for one kind of server, and bytes become its reply. No I/O.
+
+`resp_codec` speaks to cache servers, `origin_codec` to the origin, `gaugehinge.cluster.attempts` to servers
+in cluster mode.
+"""
 
 from __future__ import annotations
 
@@ -11,47 +15,63 @@
 if TYPE_CHECKING:
     from .connection import Connection
 
+MIN_REMAINING_MS = 1  # a request with no time left is still sent with a valid figure
+
+
+class ConnectionLost(Exception):
+    """The server ended the connection, or sent bytes that belong to no attempt."""
+
+
+class MalformedReply(ConnectionLost):
+    """The server's reply cannot be parsed. The server is up, and the attempt has run there."""
+
 
 @dataclass(slots=True, frozen=True)
 class RequestPayload:
-    """What an operation carries to servers: the bytes that came, with a gap for the wait that is left."""
+    """What an operation sends to servers: the client's bytes, with a gap for the remaining time."""
 
     ident: bytes
     key: bytes
-    label_parts: tuple[bytes, bytes]  # before and behind the figure of `d`
-    labels: bytes  # the labels as they came
+    label_parts: tuple[bytes, bytes]  # the labels before and after the figure of `d`, the remaining time
+    labels: bytes  # as the client sent them
     command_head: bytes  # the command up to its labels
-    command_tail: bytes  # and what follows them
-    value: bytes | None  # of a write
-    verbatim_command: bytes = b""  # the command as it goes on where servers take it as it came
-    client_is_waiting: Callable[[], bool] = lambda: True  # whether its client is still there
+    command_tail: bytes  # the command after its labels
+    value: bytes | None  # of a write; None for a read
+    verbatim_command: bytes = b""  # the whole command, for servers that take it as the client sent it
+    client_is_waiting: Callable[[], bool] = lambda: True  # asked before an attempt begins
+
+    def labels_with(self, remaining_time: float) -> bytes:
+        """The labels with the remaining time, in seconds, written into label `d` in milliseconds.
+
+        The client's own figure would let a server work on after the client has given up: earlier attempts
+        have used up part of that time.
+        """
+        before, after = self.label_parts
+        return b"%b%d%b" % (before, max(int(remaining_time * 1000), MIN_REMAINING_MS), after)
 
 
 class ServerReply(NamedTuple):
-    """What came back."""
+    """A server's complete reply to one attempt."""
 
     outcome: Outcome
-    value: bytes | None = None  # as the client gets it; of a redirection: its words
-    reusable: bool = True  # whether the connection is good for another attempt
-    reported_load: bytes = b""  # the load report, or what stands for it
+    value: bytes | None = None  # as the client gets it; for a redirection, the words of the redirection
+    reusable: bool = True  # whether the connection can carry another attempt
+    reported_load: bytes = b""  # the server's load report, or what stands in its place
 
 
 class Codec(Protocol):
-    """How to speak to one kind of server, with no I/O."""
+    """The protocol of one kind of server. It keeps its state for each connection in `codec_state`."""
 
     def new_state(self) -> Any:
-        """The state of a new connection."""
+        """The state for a new connection."""
 
     def encode(self, connection: Connection, payload: RequestPayload, remaining_time: float) -> bytes:
-        """All the bytes of an attempt."""
+        """All bytes of an attempt, which has `remaining_time` seconds left."""
 
     def decode(self, connection: Connection, data: bytes) -> ServerReply | None:
-        """What came, or nothing at the end of the connection; the answer once it is whole."""
+        """Take bytes that were received, or b"" at the end of the stream; the reply once it is complete.
 
-
-class ConnectionLost(Exception):
-    """The other side ended the connection."""
-
-
-class MalformedReply(ConnectionLost):
-    """The other side answered with what makes no sense. It is up, and the attempt has run there."""
+        Raises:
+            ConnectionLost: the stream ended before the reply was complete.
+            MalformedReply: what was received is no reply of this protocol.
+        """
--- a/gaugehinge/net/connection.py
+++ b/gaugehinge/net/connection.py
@@ -1,4 +1,4 @@
-"""A connection to a server, the attempt that it carries, and the server's idle ones."""
+"""The data of connections to servers: a connection, its server's idle list, the attempt that it carries."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """One connection to a server, with a task that reads it."""
+    """One connection to a server. A task of the pool owns it and reads it until it ends."""
 
     sock: socket.socket
     endpoint: ServerPool
-    codec_state: Any
-    pending: PendingAttempt | None  # the attempt that it carries
-    idle_since: float = 0.0
-    request_sent: bool = False  # whether the attempt's last byte is out
+    codec_state: Any  # belongs to the codec
+    pending: PendingAttempt | None  # the attempt that it carries; None while it is idle
+    idle_since: float = 0.0  # by the pool's clock; 0 until it has been idle once
+    request_sent: bool = False  # whether the last byte of the attempt has been written
     closed: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class ServerPool:
-    """A server as the pool knows it. It leaves when the list says that it is gone."""
+    """One process of a server with its idle connections, for as long as discovery lists it."""
 
     ident: int
     uid: str
     address: Address
-    started: float
-    idle: list[Connection] = field(default_factory=list)  # oldest first; swept
+    started: float  # Unix time; a process that was started later is another ServerPool
+    idle: list[Connection] = field(default_factory=list)  # in the order of `idle_since`
 
 
 @dataclass(slots=True, eq=False)
 class PendingAttempt:
-    """An attempt on its way."""
+    """An attempt that has not ended yet."""
 
     attempt: Attempt
     payload: RequestPayload
     codec: Codec
-    deadline: float
+    deadline: float  # by the pool's clock; then the attempt has timed out
     timer: Timer | None = None
-    connection: Connection | None = None
+    connection: Connection | None = None  # None before it has one, and after it gave it up
--- a/gaugehinge/net/connection_pool.py
+++ b/gaugehinge/net/connection_pool.py
@@ -1,7 +1,7 @@
-"""Connections to servers, and attempts on them: one attempt a connection at a time, in a dialect.
+"""Connections to servers within limits, and the attempts on them: one attempt at a time on a connection.
 
-An attempt's outcome follows from where it stood when it ended: before its last byte was written it never ran,
-after that it may have. Nothing is sent again from here.
+The outcome of an attempt follows from how far it had come when it ended: before its last byte was written it
+never ran, after that it may have. Nothing is retried from here.
 """
 
 from __future__ import annotations
@@ -19,23 +19,25 @@
 from .sockets import connect, receive, send_some, shut, silent, tcp
 from .timer_queue import TimerQueue
 
-IDLE_TIMEOUT_FRACTION = 0.7  # of the time after which a server closes an idle connection: one written to then may be lost
-REUSE_DELAY = 0.01  # an answered connection is not used before this: its end or a second copy may follow.
-# Second copies were seen 2.7 to 3.8 ms behind the first: used after 3 ms, a connection gave one to the next
-# attempt.
-RETRY_DEADLINE_MARGIN = 0.05  # of an attempt's last byte to its server, kept before the time by which it has to be there
-SWEEP_INTERVAL = 0.5
+# Of the time after which a server closes an idle connection. A request written just then may be lost.
+IDLE_TIMEOUT_FRACTION = 0.7
+# Seconds for which a connection is not used again after a reply: its end, or a second copy of the reply, may
+# follow. Second copies were seen 2.7 to 3.8 ms after the first: reused after 3 ms, a connection gave such a
+# copy to the next attempt.
+REUSE_DELAY = 0.01
+# Seconds for an attempt's last byte to reach its server, before the time by which it has to be there.
+RETRY_DEADLINE_MARGIN = 0.05
+SWEEP_INTERVAL = 0.5  # seconds between two looks for connections that have been idle for too long
 
 
 class ConnectionBudget(Protocol):
-    """Who says how many connections may be open to each server, where that is not this router's alone to
-    say."""
+    """Says how many connections may be open to each server, where not this router alone decides that."""
 
     def may_open(self, endpoint: ServerPool) -> bool:
         """Whether one more may be opened now."""
 
     def may_use(self, connection: Connection) -> bool:
-        """Whether a connection that stood idle may carry an attempt now; else it is closed."""
+        """Whether a connection that was idle may carry an attempt now; else it is closed."""
 
     def wait(self, endpoint: ServerPool, pending: PendingAttempt) -> bool:
         """Keep an attempt for which no connection may be opened; False: it is not kept."""
@@ -47,11 +49,11 @@
         """A connection's attempt ended, and it is idle."""
 
     def closed(self, connection: Connection) -> None:
-        """The pool has done with a connection: its socket is the warden's to close."""
+        """The pool is about to close a connection's socket."""
 
 
 class ConnectionPool:
-    """Connections to all servers, within a limit, and the attempts that are out."""
+    """Connections to all servers, within a limit, and the attempts that have not ended."""
 
     def __init__(
         self,
@@ -62,6 +64,11 @@
         server_idle_timeout: float,
         on_attempt_ended: Callable[[Attempt, Outcome, float, bytes | None, bytes], None],
     ) -> None:
+        """Times are in seconds; a server closes connections that were idle for `server_idle_timeout`.
+
+        `on_attempt_ended` gets each attempt once, with its outcome, the seconds since it was sent, the value
+        and the server's load report.
+        """
         self.nursery = nursery
         self.timers = timers
         self.clock = timers.clock
@@ -69,46 +76,46 @@
         self.connect_timeout = connect_timeout
         self.max_idle_time = IDLE_TIMEOUT_FRACTION * server_idle_timeout
         self.on_attempt_ended = on_attempt_ended
-        self.endpoints: dict[int, ServerPool] = {}  # follows the list
-        self.pending: dict[Attempt, PendingAttempt] = {}  # until the attempt ended
+        self.endpoints: dict[int, ServerPool] = {}  # as discovery lists them
+        self.pending: dict[Attempt, PendingAttempt] = {}  # until the attempt has ended
         self.open_connections = 0
-        self.exhausted = False
-        self.guard: Callable[[Attempt], bool] | None = None  # where one stands: asked before each byte
+        self.exhausted = False  # whether an attempt found no connection within the limit, as last logged
+        self.guard: Callable[[Attempt], bool] | None = None  # asked before each byte of an attempt
         self.warden: ConnectionBudget | None = None
-        self.lost: Callable[[Connection, PendingAttempt | None], None] | None = None  # servers ended these
+        self.lost: Callable[[Connection, PendingAttempt | None], None] | None = None  # hears of lost ones
         self._sweep()
 
-    # -- the list
+    # -- the servers
 
     def on_endpoints_changed(self, update: EndpointListUpdate) -> None:
-        """Follow the list. A server that started anew, or moved, took its connections with it."""
+        """Follow the endpoint list. A server that restarted or moved gets a new pool of connections."""
         for listing, uid, address in update.targets:
             ident = listing.ident
             endpoint = self.endpoints.get(ident)
             if address is None:
-                self._drop_endpoint(ident)
+                self._remove_endpoint(ident)
             elif endpoint is not None and listing.started < endpoint.started:
-                continue  # of its process before, and perhaps at an address that is another's now
+                continue  # of its former process, and perhaps at an address that is another server's now
             elif endpoint is None or (endpoint.address, endpoint.started) != (address, listing.started):
-                self._drop_endpoint(ident)
+                self._remove_endpoint(ident)
                 self.endpoints[ident] = ServerPool(ident, uid, address, listing.started)
-                logger.info("server {} at {}:{} is cache {}", uid, *address, ident)
+                logger.info("server {} at {}:{} is endpoint {}", uid, *address, ident)
         if update.complete:
-            named = {target.entry.ident for target in update.targets}
-            for ident in [ident for ident in self.endpoints if ident not in named]:
-                self._drop_endpoint(ident)
+            listed = {target.entry.ident for target in update.targets}
+            for ident in [ident for ident in self.endpoints if ident not in listed]:
+                self._remove_endpoint(ident)
 
-    def _drop_endpoint(self, ident: int) -> None:
+    def _remove_endpoint(self, ident: int) -> None:
         endpoint = self.endpoints.pop(ident, None)
         if endpoint is not None:
-            logger.info("server {} left, or starts anew", endpoint.uid)
+            logger.info("server {} removed, restarted or moved", endpoint.uid)
             while endpoint.idle:
                 self._close(endpoint.idle.pop())
 
     # -- attempts
 
     def send(self, attempt: Attempt, payload: RequestPayload, timeout: float, codec: Codec) -> None:
-        """Start an attempt; its outcome is told to `on_attempt_ended`, never before this returns."""
+        """Start an attempt that may take `timeout` seconds. It never ends before this returns."""
         pending = PendingAttempt(attempt, payload, codec, self.clock() + timeout)
         self.pending[attempt] = pending
         pending.timer = self.timers.call_at(pending.deadline, self._on_timeout, pending)
@@ -125,19 +132,21 @@
             self._open(endpoint, pending)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up: its connection closes."""
+        """Give an attempt up, if it has not ended: its connection closes."""
         pending = self.pending.get(attempt)
         if pending is not None:
-            written = self._abandon(pending)
-            self._end_soon(pending, Outcome.CANCELLED if written else Outcome.NOT_SENT)
+            sent = self._abandon(pending)
+            self._end_soon(pending, Outcome.CANCELLED if sent else Outcome.NOT_SENT)
 
     def _on_timeout(self, pending: PendingAttempt) -> None:
-        written = self._abandon(pending)
-        self._end(pending, Outcome.TIMED_OUT if written else Outcome.CONNECT_FAILED)
+        sent = self._abandon(pending)
+        self._end(pending, Outcome.TIMED_OUT if sent else Outcome.CONNECT_FAILED)
 
     def _abandon(self, pending: PendingAttempt) -> bool:
-        """Close an attempt's connection, lest its late answer be taken for that of the next; whether it was
-        written."""
+        """Close an attempt's connection; whether the attempt had been sent.
+
+        Left open, the connection would give the late reply to the next attempt.
+        """
         connection, pending.connection = pending.connection, None
         if connection is None:
             return False
@@ -147,14 +156,9 @@
 
     def _start(self, connection: Connection, pending: PendingAttempt) -> None:
         """Write an attempt on a connection that is up."""
-        attempt = pending.attempt
-        # The list may have changed while the connection came up: a drain is kept from the first byte.
-        # The server may be reached elsewhere by now, and what stands at its old address be somebody else's.
-        # And its client may have gone, with that still unread: nothing may begin for one that left.
-        over = attempt.operation.finished or attempt.endpoint.state is not EndpointState.UP
-        over = over or self.endpoints.get(connection.endpoint.ident) is not connection.endpoint
-        if over or not self._may_send(attempt) or not pending.payload.client_is_waiting():
-            # No longer its own: called off behind this, it closed the connection under the next attempt.
+        if not self._may_start(connection, pending):
+            # The connection is no longer this attempt's own: an attempt that was cancelled after this closed
+            # it under the next one.
             pending.connection = None
             self._release(connection)
             self._end_soon(pending, Outcome.NOT_SENT)
@@ -163,9 +167,9 @@
         try:
             data = pending.codec.encode(connection, pending.payload, pending.deadline - self.clock())
             sent = send_some(connection.sock, data)
-        except Exception as bad:
-            if not isinstance(bad, OSError):  # a defect fails this attempt alone
-                logger.exception("an attempt of {} could not be written", pending.payload.ident)
+        except Exception as error:
+            if not isinstance(error, OSError):  # a defect fails this attempt alone
+                logger.exception("failed to send an attempt of operation {}", pending.payload.ident)
             self._abandon(pending)
             self._end_soon(pending, Outcome.CONNECT_FAILED)
             return
@@ -173,21 +177,35 @@
         if not connection.request_sent:
             self.nursery.start_soon(self._send_rest, connection, pending, data[sent:])
 
+    def _may_start(self, connection: Connection, pending: PendingAttempt) -> bool:
+        """Whether an attempt may still begin on a connection that has come up.
+
+        Meanwhile its operation may have finished, and the endpoint list changed. A draining server must not
+        get the first byte, and what listens at a server's former address may be somebody else's. Its client
+        may have gone, with that still unread: nothing may begin for a client that left.
+        """
+        attempt, endpoint = pending.attempt, connection.endpoint
+        if attempt.operation.finished or attempt.endpoint.state is not EndpointState.UP:
+            return False
+        if self.endpoints.get(endpoint.ident) is not endpoint:
+            return False
+        return self._may_send(attempt) and pending.payload.client_is_waiting()
+
     def _may_send(self, attempt: Attempt) -> bool:
-        """Whether the next byte of an attempt may go out: with the last one its server acts.
+        """Whether the next byte of an attempt may be written: with the last one its server acts.
 
-        A connection that came up late, or a server that read slowly, held a repeat up until its first try
-        was forgotten: it took effect a second time.
+        A connection that came up late, or a server that read slowly, held a retry up until its server had
+        forgotten the first attempt: the operation took effect a second time.
         """
         if self.clock() > attempt.operation.retry_deadline - RETRY_DEADLINE_MARGIN:
             return False
         return self.guard is None or self.guard(attempt)
 
     async def _send_rest(self, connection: Connection, pending: PendingAttempt, rest: bytes) -> None:
-        """Write what did not go at once. A connection that breaks is noticed by its reader."""
+        """Write what could not be written at once. The connection's reader notices its end."""
         try:
             while rest:
-                if not connection.closed:  # by its reader or a time-out, before this began
+                if not connection.closed:  # by its reader or a timeout, before this task began
                     await trio.lowlevel.wait_writable(connection.sock)
                 if connection.pending is not pending:
                     return
@@ -200,10 +218,13 @@
         except (OSError, trio.ClosedResourceError):
             pass
         except Exception:  # a defect fails this attempt alone
-            logger.exception("a connection to {} could not be written", connection.endpoint.uid)
+            logger.exception("failed to write to server {}", connection.endpoint.uid)
 
     def _end_soon(self, pending: PendingAttempt, outcome: Outcome) -> None:
-        """Not from within the call that started or gave up the attempt: its caller is not done with it."""
+        """End an attempt in the next turn of the timers: the caller that started or cancelled it is not done.
+
+        Called from within `send` or `cancel`, `on_attempt_ended` would find the caller's state half changed.
+        """
         self.timers.cancel(pending.timer)
         self.timers.call_at(self.clock(), self._end, pending, outcome)
 
@@ -217,23 +238,25 @@
         if self.pending.pop(pending.attempt, None) is None:
             return
         self.timers.cancel(pending.timer)
+        elapsed = self.clock() - pending.attempt.sent_at
         try:
-            self.on_attempt_ended(pending.attempt, outcome, self.clock() - pending.attempt.sent_at, value, reported_load)
+            self.on_attempt_ended(pending.attempt, outcome, elapsed, value, reported_load)
         except Exception:  # a defect fails this attempt alone
-            logger.exception("the end of an attempt of {} failed", pending.payload.ident)
+            ident = pending.payload.ident
+            logger.exception("failed to handle the outcome of an attempt of operation {}", ident)
 
     # -- connections
 
     def take_idle(self, endpoint: ServerPool) -> Connection | None:
-        """The connection used last, if it had its rest and the server did not close it meanwhile.
+        """The connection that was used last, if it may be used again and the server has not closed it.
 
-        Used at once, what still came behind one attempt's answer was taken for that of the next.
+        Used again at once, it gave bytes that followed one attempt's reply to the next attempt.
         """
         now = self.clock()
-        rested = sum(connection.idle_since <= now - REUSE_DELAY for connection in endpoint.idle)
-        while rested:
-            rested -= 1
-            connection = endpoint.idle.pop(rested)
+        settled = sum(connection.idle_since <= now - REUSE_DELAY for connection in endpoint.idle)
+        while settled:
+            settled -= 1
+            connection = endpoint.idle.pop(settled)
             if (
                 connection.idle_since > now - self.max_idle_time
                 and silent(connection.sock)
@@ -244,26 +267,26 @@
         return None
 
     def set_limit(self, max_connections: int) -> None:
-        """How many connections may be open, from now on. Idle ones over it are closed at once."""
+        """Change how many connections may be open. Idle ones over the limit are closed at once."""
         self.max_connections = max_connections
         while self.open_connections > max_connections and self._close_longest_idle():
             pass
 
     def _make_room(self) -> bool:
-        """Whether one more connection fits; the longest idle ones go if need be."""
-        # Not only one: with more open than a lowered limit lets be, one for one would keep it so for good.
+        """Whether one more connection may be opened; closes those that were idle for longest if need be."""
+        # Not only one of them: while more are open than a lowered limit allows, one for one would keep it so.
         while self.open_connections >= self.max_connections:
             found = self._close_longest_idle()
             if found is self.exhausted:
                 self.exhausted = not found
-                state = "easy" if found else "used up"
-                logger.warning("connections to servers {}: {} out", state, self.open_connections)
+                state = "available again" if found else "exhausted"
+                logger.warning("connections to servers {}: {} open", state, self.open_connections)
             if not found:
                 return False
         return True
 
     def _close_longest_idle(self) -> bool:
-        """Close the connection that has been idle for longest, if one is idle."""
+        """Close the connection that has been idle for longest; False: none is idle."""
         idle = [endpoint.idle[0] for endpoint in self.endpoints.values() if endpoint.idle]
         if not idle:
             return False
@@ -273,10 +296,11 @@
         return True
 
     def _open(self, endpoint: ServerPool, pending: PendingAttempt) -> None:
+        """Open a connection for an attempt, which is written as soon as it is up."""
         try:
             sock = tcp(endpoint.address)
-        except OSError as bad:
-            logger.warning("no socket to be had: {}", bad)
+        except OSError as error:
+            logger.warning("cannot create a socket: {}", error)
             self._end_soon(pending, Outcome.NOT_SENT)
             return
         self.open_connections += 1
@@ -289,31 +313,36 @@
         """A connection's task: connect, write the attempt that it was opened for, read until it ends."""
         malformed = False
         try:
-            with self.timers.timeout_scope(self.connect_timeout) as limit:
+            with self.timers.timeout_scope(self.connect_timeout) as scope:
                 await connect(connection.sock, connection.endpoint.address)
-            if not limit.cancelled_caught and not connection.closed:
+            if not scope.cancelled_caught and not connection.closed:
                 self._start(connection, connection.pending)
-                while not connection.closed:
-                    data = await receive(connection.sock)
-                    self._on_data(connection, data)
-                    if not data:
-                        break
+                await self._read(connection)
         except MalformedReply:
             malformed = True
         except (OSError, ConnectionLost, trio.ClosedResourceError):
             pass
         except Exception:
-            logger.exception("a connection to {} failed", connection.endpoint.uid)
+            logger.exception("connection to server {} failed", connection.endpoint.uid)
         finally:
             self._on_connection_ended(connection, malformed)
 
+    async def _read(self, connection: Connection) -> None:
+        while not connection.closed:
+            data = await receive(connection.sock)
+            self._on_data(connection, data)
+            if not data:
+                break
+
     def _on_data(self, connection: Connection, data: bytes) -> None:
+        """Take bytes that were received, or b"" at the end of the stream. Raises ConnectionLost."""
         pending = connection.pending
         if pending is None:
-            raise ConnectionLost("the end, or bytes that nobody asked for")
+            raise ConnectionLost("end of stream, or bytes that no attempt asked for")
         if data and not connection.request_sent:
-            # Not of this one, which has not gone out whole: a late copy of the receipt before called it done.
-            raise ConnectionLost("an answer before the request was out")
+            # Not the reply to this request, which has not been written whole: a late copy of the reply before
+            # it, which would have called it done.
+            raise ConnectionLost("a reply before the request was sent")
         reply = pending.codec.decode(connection, data)
         if reply is None:
             return
@@ -325,24 +354,25 @@
         self._end(pending, reply.outcome, reply.value, reply.reported_load)
 
     def _on_connection_ended(self, connection: Connection, malformed: bool) -> None:
-        """A connection has ended: so has the attempt on it, by where that stood.
+        """End the attempt on a connection that ended, by how far the attempt had come.
 
-        What answers nonsense now and then is up: taken for lost connections, two such answers in a row set
-        a sound server aside, and the others drowned.
+        A server that sends a malformed reply now and then is up: taken for lost connections, two such replies
+        in a row ejected a sound server, and the others were overloaded.
         """
         if connection in connection.endpoint.idle:
             connection.endpoint.idle.remove(connection)
-        there = not (connection.closed or malformed)
+        ended_by_server = not (connection.closed or malformed)
         self._close(connection)
         pending, connection.pending = connection.pending, None
         if pending is not None:
             pending.connection = None
             may_have_run = Outcome.MALFORMED_RESPONSE if malformed else Outcome.CONNECTION_LOST
             self._end(pending, may_have_run if connection.request_sent else Outcome.CONNECT_FAILED)
-        if there and self.lost is not None:
+        if ended_by_server and self.lost is not None:
             self.lost(connection, pending)
 
     def _release(self, connection: Connection) -> None:
+        """Make a connection idle, or close it if its server's process is no longer listed."""
         connection.pending = None
         if self.endpoints.get(connection.endpoint.ident) is not connection.endpoint:
             self._close(connection)
@@ -361,7 +391,7 @@
             shut(connection.sock)
 
     def _sweep(self) -> None:
-        """Close idle connections before their servers do."""
+        """Close idle connections before their servers do, each SWEEP_INTERVAL."""
         oldest = self.clock() - self.max_idle_time
         for endpoint in self.endpoints.values():
             while endpoint.idle and endpoint.idle[0].idle_since <= oldest:
--- a/gaugehinge/net/http_exchange.py
+++ b/gaugehinge/net/http_exchange.py
@@ -1,4 +1,4 @@
-"""The client's side of HTTP over h11, shared by the origin's codec and discovery. No I/O."""
+"""The client's side of HTTP/1.1 over h11, for the origin's codec and for discovery. No I/O."""
 
 from __future__ import annotations
 
@@ -10,28 +10,29 @@
 from .codec import ConnectionLost, MalformedReply
 
 MAX_HEAD_BYTES = 32 * 1024
-END_OF_HEAD = re.compile(rb"\n\r?\n")  # ends a head
-LOAD_REPORT_HEADER = re.compile(rb"(?i)\nx-pressure:[^\n]*")  # the load report, which is not used here
+END_OF_HEAD = re.compile(rb"\n\r?\n")
+LOAD_REPORT_HEADER = re.compile(rb"(?i)\nx-pressure:[^\n]*")  # not used by this router
 
 
 class HttpResponse(NamedTuple):
-    """A whole HTTP answer."""
+    """A complete HTTP response."""
 
     status: int
-    headers: dict[bytes, bytes]
+    headers: dict[bytes, bytes]  # names in lower case
     body: bytes
-    reusable: bool  # whether the connection goes on
+    reusable: bool  # whether the connection can carry another request
 
 
 class HttpExchange:
-    """The client's side of one HTTP connection, with no I/O."""
+    """One HTTP connection: a request, its response, the next request, with no I/O."""
 
     def __init__(self, max_body_bytes: int) -> None:
+        """A response with a longer body counts as malformed."""
         self.max_body_bytes = max_body_bytes
         self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._head: h11.Response | None = None
         self._body = bytearray()
-        self._early = bytearray()  # of a head that is not whole yet
+        self._incomplete_head = bytearray()
 
     def request(
         self,
@@ -40,7 +41,7 @@
         headers: list[tuple[str, bytes]],
         body: bytes | None = None,
     ) -> bytes:
-        """The bytes of one request."""
+        """The bytes of one request. Raises h11.LocalProtocolError where none can be sent now."""
         if body is not None:
             headers = [*headers, ("Content-Length", b"%d" % len(body))]
         data = self._state.send(h11.Request(method=method, target=target, headers=headers))
@@ -49,50 +50,62 @@
         return data + self._state.send(h11.EndOfMessage())
 
     def receive(self, data: bytes) -> HttpResponse | None:
-        """What came, or nothing at the end; the answer once it is whole. Raises ConnectionLost otherwise.
+        """Take bytes that were received, or b"" at the end of the stream; the response once it is complete.
 
-        A head goes on whole and without its load report: one that cannot be read would spoil a good answer.
+        h11 gets each head complete and without its load report: a report that h11 cannot parse would spoil a
+        good response.
+
+        Raises:
+            ConnectionLost: the stream ended before the response was complete.
+            MalformedReply: what was received is no HTTP response, or one that is too long.
         """
         if self._head is not None or not data:
-            return self._take(data)
-        self._early += data
-        blank = END_OF_HEAD.search(self._early)
-        if blank is None and len(self._early) < MAX_HEAD_BYTES:
+            return self._parse(data)
+        self._incomplete_head += data
+        end_of_head = END_OF_HEAD.search(self._incomplete_head)
+        if end_of_head is None and len(self._incomplete_head) < MAX_HEAD_BYTES:
             return None
-        end = blank.end() if blank else len(self._early)
-        head, rest = bytes(self._early[:end]), bytes(self._early[end:])
-        self._early.clear()
-        got = self._take(LOAD_REPORT_HEADER.sub(b"", head))
-        if got is not None:
-            return got._replace(reusable=got.reusable and not rest)
+        end = end_of_head.end() if end_of_head else len(self._incomplete_head)
+        head, rest = bytes(self._incomplete_head[:end]), bytes(self._incomplete_head[end:])
+        self._incomplete_head.clear()
+        response = self._parse(LOAD_REPORT_HEADER.sub(b"", head))
+        if response is not None:
+            return response._replace(reusable=response.reusable and not rest)
         return self.receive(rest) if rest else None
 
-    def _take(self, data: bytes) -> HttpResponse | None:
+    def _parse(self, data: bytes) -> HttpResponse | None:
         try:
             self._state.receive_data(data)
-            while True:
-                event = self._state.next_event()
-                if event is h11.NEED_DATA:
-                    return None
-                if isinstance(event, h11.Response):
-                    self._head = event
-                elif isinstance(event, h11.Data):
-                    self._body += event.data
-                    if len(self._body) > self.max_body_bytes:
-                        raise MalformedReply("answer too long")
-                elif isinstance(event, h11.EndOfMessage):
-                    return self._whole()
-                elif isinstance(event, h11.ConnectionClosed):
-                    raise ConnectionLost("ended")
-        except h11.RemoteProtocolError as bad:
-            raise (MalformedReply if data else ConnectionLost)(str(bad)) from None
-
-    def _whole(self) -> HttpResponse:
+            return self._next_response()
+        except h11.RemoteProtocolError as error:
+            kind = MalformedReply if data else ConnectionLost
+            raise kind(str(error)) from error
+
+    def _next_response(self) -> HttpResponse | None:
+        """Work off what h11 has parsed, up to the end of a response."""
+        while True:
+            event = self._state.next_event()
+            if event is h11.NEED_DATA:
+                return None
+            if isinstance(event, h11.Response):
+                self._head = event
+            elif isinstance(event, h11.Data):
+                self._body += event.data
+                if len(self._body) > self.max_body_bytes:
+                    raise MalformedReply("response too long")
+            elif isinstance(event, h11.EndOfMessage):
+                return self._complete()
+            elif isinstance(event, h11.ConnectionClosed):
+                raise ConnectionLost("end of stream")
+
+    def _complete(self) -> HttpResponse:
+        """The response that just ended; the exchange is ready for the next request if it is reusable."""
         head, body = self._head, bytes(self._body)
         self._head = None
         self._body.clear()
-        keep = self._state.our_state is h11.DONE and self._state.their_state is h11.DONE
-        keep = keep and self._state.trailing_data == (b"", False)  # nothing behind it, not the end either
-        if keep:
+        reusable = self._state.our_state is h11.DONE and self._state.their_state is h11.DONE
+        # Nothing may follow the response, neither bytes nor the end of the stream.
+        reusable = reusable and self._state.trailing_data == (b"", False)
+        if reusable:
             self._state.start_next_cycle()
-        return HttpResponse(head.status_code, dict(head.headers), body, keep)
+        return HttpResponse(head.status_code, dict(head.headers), body, reusable)
--- a/gaugehinge/net/origin_codec.py
+++ b/gaugehinge/net/origin_codec.py
@@ -1,7 +1,8 @@
-"""The origin's protocol: attempts as HTTP requests."""
+"""The codec of the origin: attempts as HTTP requests."""
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from urllib.parse import quote
 
 from ..routing.types import Outcome
@@ -10,37 +11,44 @@
 from .http_exchange import HttpExchange, HttpResponse
 from .resp import MAX_REPLY_BYTES, bulk
 
+REJECTED_HEADER = b"x-turned-away"  # "1": the origin says that it did not run the request
+REJECTING_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
+
 
 class OriginCodec:
-    """The origin's protocol."""
+    """Speaks to the origin."""
 
     def new_state(self) -> HttpExchange:
+        """An HTTP exchange for a new connection."""
         return HttpExchange(MAX_REPLY_BYTES)
 
     def encode(self, connection: Connection, payload: RequestPayload, remaining_time: float) -> bytes:
+        """A GET for a read, a PUT for a write, with the operation's id and labels as headers."""
         host, port = connection.endpoint.address
-        # `d` as the client told it would let the origin work on for nobody: a miss has used up part of it.
-        before, behind = payload.label_parts
-        labels = b"%b%d%b" % (before, max(int(remaining_time * 1000), 1), behind)
         headers = [
             ("Host", f"{host}:{port}".encode()),
             ("X-Txn", payload.ident),
-            ("X-Labels", labels),
+            ("X-Labels", payload.labels_with(remaining_time)),
         ]
         method = "GET" if payload.value is None else "PUT"
-        return connection.codec_state.request(method, "/" + quote(payload.key, safe=""), headers, payload.value)
+        target = "/" + quote(payload.key, safe="")
+        exchange: HttpExchange = connection.codec_state
+        return exchange.request(method, target, headers, payload.value)
 
     def decode(self, connection: Connection, data: bytes) -> ServerReply | None:
-        got = connection.codec_state.receive(data)
-        if got is None:
+        """The reply once it is complete. Raises ConnectionLost or MalformedReply, see `Codec.decode`."""
+        exchange: HttpExchange = connection.codec_state
+        response = exchange.receive(data)
+        if response is None:
             return None
-        return ServerReply(outcome_of(got), bulk(got.body) if got.status == 200 else None, got.reusable)
+        value = bulk(response.body) if response.status == HTTPStatus.OK else None
+        return ServerReply(outcome_of(response), value, response.reusable)
 
 
-def outcome_of(got: HttpResponse) -> Outcome:
-    """An origin's answer, by the protocol's words: whatever is not told as never run may have."""
-    if got.status == 200:
+def outcome_of(response: HttpResponse) -> Outcome:
+    """What a response means: a request may have run unless the origin says that it did not."""
+    if response.status == HTTPStatus.OK:
         return Outcome.SUCCEEDED
-    if got.status in (503, 504) and got.headers.get(b"x-turned-away") == b"1":
+    if response.status in REJECTING_STATUSES and response.headers.get(REJECTED_HEADER) == b"1":
         return Outcome.REJECTED
     return Outcome.SERVER_ERROR
--- a/gaugehinge/net/resp_codec.py
+++ b/gaugehinge/net/resp_codec.py
@@ -1,4 +1,4 @@
-"""The cache servers' protocol: attempts and their replies in RESP2."""
+"""The codec of cache servers: commands with labels, and replies with a load report, in RESP2."""
 
 from __future__ import annotations
 
@@ -7,56 +7,81 @@
 from ..routing.types import Outcome
 from .codec import ConnectionLost, MalformedReply, RequestPayload, ServerReply
 from .connection import Connection
-from .resp import ARRAY, BULK, ERROR, MAX_REPLY_BYTES, Malformed, Message, Parser
+from .resp import ARRAY, BULK, ERROR, MAX_REPLY_BYTES, Frame, Malformed, Message, Parser
 
-REPLY_PARTS = 3  # the value, how it went, the load report
+REPLY_PARTS = 3  # the value, whether it was a hit, the load report
+COMPARED_BYTES = 4  # of what follows a reply, enough to recognise a second copy of that reply
+MAX_LOGGED_BYTES = 80
 
 
 class RespCodec:
-    """The cache servers' protocol."""
+    """Speaks to cache servers."""
 
     def new_state(self) -> Parser:
+        """A parser for a new connection."""
         return Parser(MAX_REPLY_BYTES)
 
     def encode(self, connection: Connection, payload: RequestPayload, remaining_time: float) -> bytes:
-        before, behind = payload.label_parts
-        labels = b"%b%d%b" % (before, max(int(remaining_time * 1000), 1), behind)
+        """The client's command with the remaining time, in seconds, in its labels."""
+        labels = payload.labels_with(remaining_time)
         return b"%b$%d\r\n%b\r\n%b" % (payload.command_head, len(labels), labels, payload.command_tail)
 
     def decode(self, connection: Connection, data: bytes) -> ServerReply | None:
+        """The reply once it is complete. Raises ConnectionLost or MalformedReply, see `Codec.decode`."""
         if not data:
-            raise ConnectionLost("ended")
-        connection.codec_state.feed(data)
+            raise ConnectionLost("end of stream")
+        parser: Parser = connection.codec_state
+        parser.feed(data)
         try:
-            message = connection.codec_state.next()
-        except Malformed as bad:
-            raise MalformedReply(str(bad)) from None
+            message = parser.next()
+        except Malformed as error:
+            raise MalformedReply(str(error)) from error
         if message is None:
             return None
-        # What follows an answer unasked belongs to no attempt: the next one would take it for its own. And
-        # where it is no second copy, the answer began with half of another's: no server gave such a value.
-        rest = connection.codec_state.unparsed()
-        if rest.strip() and not (message.raw.startswith(rest[:4]) or rest.startswith(message.raw[:4])):
-            raise MalformedReply("an answer with bytes of another behind it")
-        return read_reply(message)._replace(reusable=not len(connection.codec_state))
+        _check_what_follows(message, parser.unparsed())
+        return read_reply(message)._replace(reusable=not len(parser))
+
+
+def _check_what_follows(message: Message, rest: bytes) -> None:
+    """Reject a reply that is followed by bytes of another one.
+
+    Unrequested bytes after a reply belong to no attempt: the next one would take them for its own reply. And
+    where they are no second copy of this reply, it began with half of another one: no server stored such a
+    value.
+    """
+    if not rest.strip():
+        return
+    if message.raw.startswith(rest[:COMPARED_BYTES]) or rest.startswith(message.raw[:COMPARED_BYTES]):
+        return
+    raise MalformedReply("a reply followed by bytes of another one")
 
 
 def read_reply(message: Message) -> ServerReply:
-    """A cache server's answer, by the protocol's table."""
+    """What a cache server's complete reply means. Raises MalformedReply on one of an unknown form."""
     top = message.top
     if top.kind == ERROR:
-        word = top.body.split(b" ", 1)[0]
-        if word == b"BUSY":
-            return ServerReply(Outcome.REJECTED)
-        if word != b"ERR":
-            logger.warning("a cache server answered {!r}", top.body[:80])
-        return ServerReply(Outcome.SERVER_ERROR, reported_load=top.body.rpartition(b" ")[2])
+        return _read_error(top.body)
     if top.kind != ARRAY or top.body is None or len(top.body) != REPLY_PARTS:
-        raise MalformedReply("an answer that is no array of three")
-    value, how, report = top.body  # whatever stands for the load report spoils nothing
-    reported_load = report.body if report.kind == BULK and report.body is not None else b""
-    if value.kind != BULK or how.kind != BULK:
-        raise MalformedReply("an answer that is no value with how it went")
+        raise MalformedReply("a reply that is no array of three")
+    value, status, load = top.body
+    reported_load = _read_load(load)
+    if value.kind != BULK or status.kind != BULK:
+        raise MalformedReply("a reply without a value and its status")
     if value.body is None:
         return ServerReply(Outcome.CACHE_MISS, reported_load=reported_load)
     return ServerReply(Outcome.SUCCEEDED, message.part(value), reported_load=reported_load)
+
+
+def _read_error(text: bytes) -> ServerReply:
+    """An error reply; the last word of all but BUSY may be the load report."""
+    code = text.split(b" ", 1)[0]
+    if code == b"BUSY":
+        return ServerReply(Outcome.REJECTED)
+    if code != b"ERR":
+        logger.warning("unexpected error reply from a cache server: {!r}", text[:MAX_LOGGED_BYTES])
+    return ServerReply(Outcome.SERVER_ERROR, reported_load=text.rpartition(b" ")[2])
+
+
+def _read_load(frame: Frame) -> bytes:
+    """The load report. One in an unknown form must not spoil a good reply: it counts as missing."""
+    return frame.body if frame.kind == BULK and frame.body is not None else b""
