--- a/gaugehinge/rehearsal/brokenterms.py
+++ b/gaugehinge/rehearsal/brokenterms.py
@@ -12,7 +12,8 @@
 from ..net import discovery
 from ..net.client_server import ClientConnection, ClientServer, _no_more
 from ..net.codec import RequestPayload
-from ..net.discovery import DiscoveryClient, Watch
+from ..net.discovery import DiscoveryClient
+from ..net.discovery_watch import Watch
 from ..net.dispatcher import Dispatcher
 from ..routing.types import Operation
 
--- a/gaugehinge/rehearsal/faulty.py
+++ b/gaugehinge/rehearsal/faulty.py
@@ -19,7 +19,7 @@
 from ..installation.build import configuration_of
 from ..installation.form import Installation
 from ..net.configuration import Configuration
-from ..net.discovery import PATH, Watch
+from ..net.discovery_watch import PATH, Watch
 from ..net.endpoint_list import EndpointTarget
 from ..net.http_exchange import HttpExchange
 from ..net.resp import MAX_REPLY_BYTES, Message, Parser, bulk
--- a/tests/test_list_moves.py
+++ b/tests/test_list_moves.py
@@ -10,7 +10,8 @@
 import trio.testing
 
 from gaugehinge.net import discovery as module
-from gaugehinge.net.discovery import PATH, WHOLE_FROM, WHOLE_SPREAD, DiscoveryClient
+from gaugehinge.net.discovery import WHOLE_FROM, WHOLE_SPREAD, DiscoveryClient
+from gaugehinge.net.discovery_watch import PATH
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.endpoint_list import EndpointListUpdate
 from gaugehinge.net.timer_queue import TimerQueue
