--- a/gaugehinge/net/discovery_watch.py
+++ b/gaugehinge/net/discovery_watch.py
@@ -14,29 +14,29 @@
 from .sockets import connect, receive, send_all, shut, tcp
 from .timer_queue import TimerQueue
 
-PATH = "/discovery/hosts"
-MOST_LIST = 4 << 20  # bytes of an answer
+ENDPOINTS_PATH = "/discovery/hosts"
+MAX_LIST_BYTES = 4 << 20  # bytes of an answer
 
 
 class Watch:
     """One watch and its connection."""
 
-    def __init__(self, where: Address, timers: TimerQueue) -> None:
-        self.where = where
+    def __init__(self, address: Address, timers: TimerQueue) -> None:
+        self.address = address
         self.timers = timers
-        self.silent = False  # whether the last call failed for want of an answer
+        self.timed_out = False  # whether the last call failed for want of an answer
         self.answered = False  # whether any was answered, since its owner said that none was
-        self._raw: socket.socket | None = None
-        self._talk = HttpExchange(MOST_LIST)
+        self._sock: socket.socket | None = None
+        self._exchange = HttpExchange(MAX_LIST_BYTES)
 
-    async def call(self, target: str, most_time: float) -> EndpointListUpdate | None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate | None:
         """The list that a GET brings; None where the call fails. Raises SettingsError on a bad one."""
         body = None
-        with self.timers.timeout_scope(most_time) as limit:
+        with self.timers.timeout_scope(time_limit) as limit:
             body = await self._fetch(target)
-        self.silent = limit.cancelled_caught
-        if self.silent or body is None:
-            self.hang_up()
+        self.timed_out = limit.cancelled_caught
+        if self.timed_out or body is None:
+            self.close()
             return None
         try:
             return read_endpoint_list(parse_json(body.decode()))
@@ -45,32 +45,32 @@
 
     async def _fetch(self, target: str) -> bytes | None:
         while True:
-            fresh = self._raw is None
+            fresh = self._sock is None
             try:
                 answer = await self._get(target)
             except (OSError, ConnectionLost, h11.LocalProtocolError):
-                self.hang_up()
+                self.close()
                 if fresh:
                     return None
                 continue  # it closed between two calls
             if not answer.reusable:
-                self.hang_up()
+                self.close()
             return answer.body if answer.status == 200 else None
 
     async def _get(self, target: str) -> HttpResponse:
         """A GET, on the connection of the last call if that is still there."""
-        if self._raw is None:
-            self._raw = tcp(self.where)
-            self._talk = HttpExchange(MOST_LIST)
-            await connect(self._raw, self.where)
-        host = f"{self.where[0]}:{self.where[1]}".encode()
-        await send_all(self._raw, self._talk.request("GET", target, [("Host", host)]))
+        if self._sock is None:
+            self._sock = tcp(self.address)
+            self._exchange = HttpExchange(MAX_LIST_BYTES)
+            await connect(self._sock, self.address)
+        host = f"{self.address[0]}:{self.address[1]}".encode()
+        await send_all(self._sock, self._exchange.request("GET", target, [("Host", host)]))
         answer = None
         while answer is None:
-            answer = self._talk.receive(await receive(self._raw))
+            answer = self._exchange.receive(await receive(self._sock))
         return answer
 
-    def hang_up(self) -> None:
-        if self._raw is not None:
-            shut(self._raw)
-        self._raw = None
+    def close(self) -> None:
+        if self._sock is not None:
+            shut(self._sock)
+        self._sock = None
--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -108,7 +108,7 @@
                     settings.deployment.seed,
                     near,
                 )
-                self.dispatcher.bind(pool, discovery.follow, peers.tell if peers else lambda *told: None)
+                self.dispatcher.bind(pool, discovery.start_watch, peers.tell if peers else lambda *told: None)
                 if known is not None and not near:
                     self.dispatcher.on_endpoints_changed(known, held=True)
                 memory = configuration.memory
--- a/gaugehinge/rehearsal/brokenterms.py
+++ b/gaugehinge/rehearsal/brokenterms.py
@@ -26,17 +26,17 @@
 
 def deaf() -> None:
     """It never begins a watch anew that fell silent."""
-    right = Watch.call
+    right = Watch.poll
 
-    async def call(self: Watch, target: str, most_time: float) -> object:
+    async def poll(self: Watch, target: str, time_limit: float) -> object:
         return await right(self, target, inf)
 
-    Watch.call = call
+    Watch.poll = poll
 
 
 def sleeps() -> None:
     """After an outage it takes its time to ask its agent again."""
-    discovery.NEAR_PAUSE = ASLEEP
+    discovery.AGENT_RETRY_DELAY = ASLEEP
 
 
 def unmoved() -> None:
--- a/gaugehinge/rehearsal/faulty.py
+++ b/gaugehinge/rehearsal/faulty.py
@@ -19,7 +19,7 @@
 from ..installation.build import configuration_of
 from ..installation.form import Installation
 from ..net.configuration import Configuration
-from ..net.discovery_watch import PATH, Watch
+from ..net.discovery_watch import ENDPOINTS_PATH, Watch
 from ..net.endpoint_list import EndpointTarget
 from ..net.http_exchange import HttpExchange
 from ..net.resp import MAX_REPLY_BYTES, Message, Parser, bulk
@@ -56,7 +56,7 @@
 
     async def _follow(self) -> None:
         while True:
-            update = await self.watch.call(PATH, ATTEMPT_TIME)
+            update = await self.watch.poll(ENDPOINTS_PATH, ATTEMPT_TIME)
             if update is not None:
                 self.servers = {target.uid: target for target in update.targets}
             await trio.sleep(LIST_EVERY)
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -789,7 +789,7 @@
     def _observe(self) -> None:
         """Note what the router takes, and which lists it reads."""
         service = self.made.service
-        submit, heard = service.dispatcher.submit, service.discovery.heard
+        submit, heard = service.dispatcher.submit, service.discovery.on_update
 
         def note(operation, payload, answer):
             self.taken.add(payload.ident)
@@ -801,7 +801,7 @@
             self.read.set()
             self.read = trio.Event()
 
-        service.dispatcher.submit, service.discovery.heard = note, hear
+        service.dispatcher.submit, service.discovery.on_update = note, hear
 
     async def _sample(self) -> None:
         while True:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 import trio.testing
 
 from gaugehinge.net import discovery as module
-from gaugehinge.net.discovery import MOST_AGAIN, NEAR_PAUSE, DiscoveryClient
+from gaugehinge.net.discovery import AGENT_RETRY_DELAY, MAX_RECONNECTS, DiscoveryClient
 from gaugehinge.net.endpoint_list import EndpointListUpdate
 from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.timer_queue import TimerQueue
@@ -35,11 +35,11 @@
         self.news.set()
         self.news = trio.Event()
 
-    async def call(self, target: str, most_time: float) -> EndpointListUpdate | None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate | None:
         wait = float(target.rpartition("wait=")[2]) / 1000 if "wait=" in target else 0.0
         since = int(target.partition("index=")[2].partition("&")[0]) if "index=" in target else 0
         self.calls.append((self.clock(), wait))
-        self.silent = False
+        self.timed_out = False
         if self.refused:
             return None
         mute = self.silent_calls > 0 and self.clock() >= self.silent_from
@@ -50,12 +50,12 @@
             mute = limit.cancelled_caught and self.clock() >= self.silent_from and self.silent_calls > 0
         if mute:
             self.silent_calls -= 1
-            await trio.sleep_until(self.calls[-1][0] + most_time)
-            self.silent = True
+            await trio.sleep_until(self.calls[-1][0] + time_limit)
+            self.timed_out = True
             return None
         return EndpointListUpdate(self.rev, False, ())
 
-    def hang_up(self) -> None:
+    def close(self) -> None:
         pass
 
 
@@ -77,7 +77,7 @@
                 seed,
                 near,
             )
-            made.follow()
+            made.start_watch()
             await scene(service, heard, failed)
             nursery.cancel_scope.cancel()
 
@@ -134,7 +134,7 @@
         service.silent_from, service.silent_calls = trio.current_time(), 10**6
         before = len(service.calls)
         await trio.sleep(60.0)
-        assert len(failed) == 1 and len(service.calls) <= before + 1 + MOST_AGAIN
+        assert len(failed) == 1 and len(service.calls) <= before + 1 + MAX_RECONNECTS
 
     play(refused, monkeypatch)
     play(silent, monkeypatch)
@@ -149,15 +149,15 @@
         service.refused, back = False, trio.current_time()
         await trio.sleep(1.0)
         arrived = next(at for at, rev in heard if rev == service.rev)
-        assert arrived <= back + NEAR_PAUSE and not failed
+        assert arrived <= back + AGENT_RETRY_DELAY and not failed
 
     play(scene, monkeypatch, near=True)
 
 
 def test_a_silence_on_sockets_at_connect_after_the_request_and_amid_the_body(tmp_path, monkeypatch):
     """Each call of a kind is silent in its way once, then the list comes, indented and in pieces."""
-    monkeypatch.setattr(module, "FIRST_SILENCE", 0.3)
-    monkeypatch.setattr(module, "AGAIN_SILENCE", 0.3)
+    monkeypatch.setattr(module, "INITIAL_GRACE", 0.3)
+    monkeypatch.setattr(module, "RECONNECT_GRACE", 0.3)
     told = {
         "rev": 5,
         "all": True,
@@ -203,9 +203,9 @@
                 listener.socket.getsockname(),
                 1,
                 heard.append,
-                lambda: (failed.append(1), made.follow()),
+                lambda: (failed.append(1), made.start_watch()),
             )
-            made.follow()
+            made.start_watch()
             with trio.fail_after(60):
                 while not heard:
                     await trio.sleep(0.01)
--- a/tests/test_list_moves.py
+++ b/tests/test_list_moves.py
@@ -10,8 +10,8 @@
 import trio.testing
 
 from gaugehinge.net import discovery as module
-from gaugehinge.net.discovery import WHOLE_FROM, WHOLE_SPREAD, DiscoveryClient
-from gaugehinge.net.discovery_watch import PATH
+from gaugehinge.net.discovery import FULL_POLL_DELAY, FULL_POLL_JITTER, DiscoveryClient
+from gaugehinge.net.discovery_watch import ENDPOINTS_PATH
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.endpoint_list import EndpointListUpdate
 from gaugehinge.net.timer_queue import TimerQueue
@@ -49,11 +49,11 @@
 
 class Call:
     def __init__(self, served: Served) -> None:
-        self.served, self.silent, self.answered, self.goes_on = served, False, False, -1.0
+        self.served, self.timed_out, self.answered, self.goes_on = served, False, False, -1.0
 
-    async def call(self, target: str, most_time: float) -> EndpointListUpdate | None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate | None:
         served, began = self.served, trio.current_time()
-        with trio.move_on_at(began + most_time) as limit:
+        with trio.move_on_at(began + time_limit) as limit:
             if "index" not in target:
                 served.whole += 1
                 return await self._answer(served.call_lines + served.servers, True)
@@ -65,7 +65,7 @@
                 while served.rev == since:
                     await served.changed.wait()
             return await self._answer(float(served.rev - since), False)
-        self.silent = limit.cancelled_caught
+        self.timed_out = limit.cancelled_caught
         return None
 
     async def _answer(self, lines: float, whole: bool) -> EndpointListUpdate | None:
@@ -74,7 +74,7 @@
         self.goes_on = trio.current_time() + 0.2
         return EndpointListUpdate(self.served.rev, whole, ())
 
-    def hang_up(self) -> None:
+    def close(self) -> None:
         pass
 
 
@@ -100,7 +100,7 @@
                 mine.append((trio.current_time(), update.rev))
 
             made = DiscoveryClient(nursery, timers, HERE, 10, hear, dispatcher.on_poll_failed, number)
-            dispatcher.bind(NOBODY, made.follow, lambda *told: None)
+            dispatcher.bind(NOBODY, made.start_watch, lambda *told: None)
             dispatcher.begin()
             nursery.start_soon(timers.run)
             return made, dispatcher
@@ -132,21 +132,21 @@
 
     def __init__(self, answers: list) -> None:
         self.answers, self.targets = answers, []
-        self.silent = self.answered = False
+        self.timed_out = self.answered = False
 
-    async def call(self, target: str, most_time: float) -> EndpointListUpdate | None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate | None:
         self.targets.append((trio.current_time(), target.partition("&")[0]))
         answer = self.answers.pop(0) if self.answers else "held"
-        self.silent = answer == "silent"
-        if self.silent:
-            await trio.sleep(most_time)
+        self.timed_out = answer == "silent"
+        if self.timed_out:
+            await trio.sleep(time_limit)
             return None
         if answer == "held":
             await trio.sleep(float(target.rpartition("wait=")[2]) / 1000 if "wait=" in target else 0.1)
             return EndpointListUpdate(41, "index" not in target, ())
         return answer
 
-    def hang_up(self) -> None:
+    def close(self) -> None:
         pass
 
 
@@ -161,7 +161,7 @@
             timers = TimerQueue(trio.current_time)
             made = DiscoveryClient(nursery, timers, HERE, 41, heard.append, lambda: None, 3, near)
             made.move(THERE)
-            made.follow()
+            made.start_watch()
             await trio.sleep(lasts)
             nursery.cancel_scope.cancel()
 
@@ -170,10 +170,10 @@
 
 
 def test_where_versions_go_on_the_whole_list_is_asked_for_later_and_once(monkeypatch):
-    targets, heard = moved(monkeypatch, [], WHOLE_FROM + WHOLE_SPREAD + 5.0)
-    assert targets[0][1] == f"{PATH}?index=41"
-    whole = [at for at, target in targets if target == PATH]
-    assert len(whole) == 1 and WHOLE_FROM <= whole[0] <= WHOLE_FROM + WHOLE_SPREAD + 3.0
+    targets, heard = moved(monkeypatch, [], FULL_POLL_DELAY + FULL_POLL_JITTER + 5.0)
+    assert targets[0][1] == f"{ENDPOINTS_PATH}?index=41"
+    whole = [at for at, target in targets if target == ENDPOINTS_PATH]
+    assert len(whole) == 1 and FULL_POLL_DELAY <= whole[0] <= FULL_POLL_DELAY + FULL_POLL_JITTER + 3.0
     assert any(each.complete for each in heard)
 
 
@@ -181,13 +181,13 @@
 def test_where_they_count_anew_the_whole_list_comes_at_once_and_older_news_undo_nothing(monkeypatch, first):
     whole = EndpointListUpdate(7, True, ())
     targets, heard = moved(monkeypatch, [first, whole], 3.0)
-    assert [target for _, target in targets[:2]] == [f"{PATH}?index=41", PATH] and targets[1][0] < 2.2
+    assert [target for _, target in targets[:2]] == [f"{ENDPOINTS_PATH}?index=41", ENDPOINTS_PATH] and targets[1][0] < 2.2
     assert heard[0] is whole
 
 
 def test_an_agent_at_hand_is_asked_for_the_whole_list(monkeypatch):
     targets, _ = moved(monkeypatch, [EndpointListUpdate(7, True, ())], 1.0, near=True)
-    assert targets[0][1] == PATH
+    assert targets[0][1] == ENDPOINTS_PATH
 
 
 def test_changes_of_an_older_version_undo_nothing_where_the_service_is_the_same(monkeypatch):
--- a/tests/test_list_outages.py
+++ b/tests/test_list_outages.py
@@ -73,19 +73,19 @@
     """What stands for one router's connection to it."""
 
     def __init__(self, service: Outage) -> None:
-        self.service, self.silent, self.answered = service, False, False
+        self.service, self.timed_out, self.answered = service, False, False
         self.goes_on = -1.0  # until when a further call goes on with this watch: it costs little
 
-    async def call(self, target: str, most_time: float) -> EndpointListUpdate | None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate | None:
         service, began = self.service, trio.current_time()
         wait = float(target.rpartition("wait=")[2]) / 1000 if "wait=" in target else 0.0
         since = int(target.partition("index=")[2].partition("&")[0]) if "index=" in target else 0
-        new, self.goes_on, self.silent = began > self.goes_on, -1.0, False
+        new, self.goes_on, self.timed_out = began > self.goes_on, -1.0, False
         if new:
             service.calls.append(began)
         if service.down():
-            return await self._fail(began + most_time)
-        with trio.move_on_at(began + most_time) as limit:
+            return await self._fail(began + time_limit)
+        with trio.move_on_at(began + time_limit) as limit:
             if service.capacity and new and not await service.turn():
                 return None
             with trio.move_on_after(min(wait, max(service.start - trio.current_time(), 0.0))):
@@ -97,7 +97,7 @@
             if service.mode == "refused":
                 return None  # what stood open is reset
             await trio.sleep_forever()
-        self.silent = limit.cancelled_caught
+        self.timed_out = limit.cancelled_caught
         return None
 
     async def _fail(self, last: float) -> None:
@@ -107,11 +107,11 @@
             service.end = trio.current_time() + 1e-6
         if service.mode == "silent":
             await trio.sleep_until(last)
-            self.silent = True
+            self.timed_out = True
         elif service.mode == "503 after 1 s":
             await trio.sleep(1.0)
 
-    def hang_up(self) -> None:
+    def close(self) -> None:
         pass
 
 
@@ -136,7 +136,7 @@
         discovery = DiscoveryClient(
             nursery, timers, ("127.0.0.1", 1), 0, hear, dispatcher.on_poll_failed, own
         )
-        dispatcher.bind(NOBODY, discovery.follow, lambda *told: None)
+        dispatcher.bind(NOBODY, discovery.start_watch, lambda *told: None)
         dispatcher.begin()
         nursery.start_soon(timers.run)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,7 +20,7 @@
 from gaugehinge.net.codec import RequestPayload
 from gaugehinge.net.connection import PendingAttempt, ServerPool
 from gaugehinge.net.connection_pool import ConnectionPool
-from gaugehinge.net.discovery import PACE
+from gaugehinge.net.discovery import MIN_POLL_INTERVAL
 from gaugehinge.net.dispatcher import PendingOperation
 from gaugehinge.net.endpoint_list import read_endpoint_list
 from gaugehinge.net.lifecycle import Phase
@@ -738,7 +738,7 @@
     async def scene():
         async with fleet(tmp_path, discovery=discovery) as made:
             await trio.sleep(0.5)
-            assert 2 <= len(calls) <= 0.5 / PACE + 2 and made.service.dispatcher.router.list_heard
+            assert 2 <= len(calls) <= 0.5 / MIN_POLL_INTERVAL + 2 and made.service.dispatcher.router.list_heard
 
     run(scene)
 
