--- /dev/null
+++ b/gaugehinge/net/discovery_schedule.py
@@ -0,0 +1,102 @@
+"""When discovery is polled, how long a poll may take, and how long to pause after one that failed.
+
+A poll asks for changes since a version and names a wait: discovery answers as soon as there is a change, and
+with no change at the end of the wait (a long poll). What has not come some time after that, the grace, counts
+as timed out. A full poll asks for the whole list and is answered at once.
+
+The worst case. What a silent watch misses counts as notified 6 s after it fell silent, or 2 s after the wait
+of the poll that was open, if that is later. The worst is a watch that falls silent just as a poll goes out, at
+time T:
+
+- The poll times out at T + LONG_POLL_WAIT + RESPONSE_GRACE = T + 3.75.
+- A new connection polls by T + 4.0 (RECONNECT_JITTER). An answer is due at once.
+- Silent once more, it is followed by another one by T + 5.3 (RECONNECT_WAIT + RECONNECT_GRACE +
+  RECONNECT_JITTER).
+
+That leaves 0.7 s of the 6 for the last answer. A poll that was open for longer has later limits.
+"""
+
+from __future__ import annotations
+
+import zlib
+from math import inf
+from typing import NamedTuple
+
+# All times are in seconds.
+INITIAL_WAIT = 0.5  # of a watch's first poll: once that was held this long, it need not be repeated
+# A discovery with too many callers is slow, and polling it again makes it slower.
+INITIAL_GRACE = 2.0
+# Of further polls, less a random part of LONG_POLL_JITTER: after a change the polls of all routers go out
+# together, and where those time out, the routers must not all reconnect in one instant.
+LONG_POLL_WAIT = 2.5
+LONG_POLL_JITTER = 0.5
+RESPONSE_GRACE = 1.25
+RECONNECT_JITTER = 0.25  # at most, before a watch that timed out reconnects
+RECONNECT_WAIT = 0.05  # of the first poll after that
+RECONNECT_GRACE = 1.0
+MAX_RECONNECTS = 2  # after this many timeouts in a row the decision module says when to poll again
+# Where a new discovery went on with the version that was known, the whole list is polled after this delay and
+# a part of the jitter that is each router's own: whole lists for a whole fleet at once took discovery half a
+# minute.
+FULL_POLL_DELAY = 5.0
+FULL_POLL_JITTER = 30.0
+AGENT_RETRY_DELAY = 0.1  # after a failed poll of an agent on this machine: what it has counts as notified
+MIN_POLL_INTERVAL = 0.05  # between polls that are answered at once; discovery keeps a watch for 0.2 s
+
+RANDOM_RANGE = 1 << 32  # of crc32
+
+
+class PollTiming(NamedTuple):
+    """The times of one poll, in seconds."""
+
+    wait: float  # for which discovery may hold it
+    grace: float  # for the answer after that
+
+
+class DiscoverySchedule:
+    """The times of one router's polls. Its jitter is drawn from the seed, the same each time."""
+
+    def __init__(self, seed: int, local_agent: bool) -> None:
+        """`local_agent`: discovery is an agent on this machine, which is never slow."""
+        self.initial_grace = RESPONSE_GRACE if local_agent else INITIAL_GRACE
+        self.full_poll_at = inf  # by the clock; then the whole list is polled, to be sure of it
+        self._seed = seed
+        self._draws = 0
+
+    def initial(self) -> PollTiming:
+        """The times of a watch's first poll."""
+        return PollTiming(INITIAL_WAIT, self.initial_grace)
+
+    def subsequent(self) -> PollTiming:
+        """The times of the poll after one that was answered."""
+        return PollTiming(LONG_POLL_WAIT - LONG_POLL_JITTER * self._random(), RESPONSE_GRACE)
+
+    def after_failure(self) -> PollTiming:
+        """The times of the first poll after one that failed."""
+        return PollTiming(RECONNECT_WAIT, RECONNECT_GRACE)
+
+    def reconnect_delay(self) -> float:
+        """How long to pause before a watch that timed out reconnects."""
+        return RECONNECT_JITTER * self._random()
+
+    def agent_retry_delay(self) -> float:
+        """How long to pause after a failed poll of an agent on this machine."""
+        return AGENT_RETRY_DELAY
+
+    def on_discovery_moved(self) -> None:
+        """Discovery is at a new address: what it has there counts as notified 4 s after the order."""
+        self.initial_grace = RESPONSE_GRACE
+
+    def postpone_full_poll(self, now: float) -> None:
+        """Poll the whole list some time from now."""
+        part = zlib.crc32(b"%d whole" % self._seed) / RANDOM_RANGE
+        self.full_poll_at = now + FULL_POLL_DELAY + FULL_POLL_JITTER * part
+
+    def cancel_full_poll(self) -> None:
+        """The whole list has come."""
+        self.full_poll_at = inf
+
+    def _random(self) -> float:
+        """From 0 up to 1."""
+        self._draws += 1
+        return zlib.crc32(b"%d watch %d" % (self._seed, self._draws)) / RANDOM_RANGE
--- a/gaugehinge/net/discovery_watch.py
+++ b/gaugehinge/net/discovery_watch.py
@@ -1,8 +1,9 @@
-"""A watch on discovery's list of servers: HTTP calls on one connection."""
+"""A watch on discovery's endpoint list: polls over HTTP, on one connection for as long as that lasts."""
 
 from __future__ import annotations
 
 import socket
+from http import HTTPStatus
 
 import h11
 
@@ -15,62 +16,79 @@
 from .timer_queue import TimerQueue
 
 ENDPOINTS_PATH = "/discovery/hosts"
-MAX_LIST_BYTES = 4 << 20  # bytes of an answer
+MAX_LIST_BYTES = 4 << 20
+
+
+class PollError(Exception):
+    """A poll failed: it was refused or reset, or answered with an error."""
+
+
+class PollTimedOut(PollError):
+    """A poll got no answer within its time."""
 
 
 class Watch:
-    """One watch and its connection."""
+    """One watch and its connection, which is opened by the first poll."""
 
     def __init__(self, address: Address, timers: TimerQueue) -> None:
+        """A watch on the discovery service at `address`."""
         self.address = address
         self.timers = timers
-        self.timed_out = False  # whether the last call failed for want of an answer
-        self.answered = False  # whether any was answered, since its owner said that none was
         self._sock: socket.socket | None = None
         self._exchange = HttpExchange(MAX_LIST_BYTES)
 
-    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate | None:
-        """The list that a GET brings; None where the call fails. Raises SettingsError on a bad one."""
-        body = None
-        with self.timers.timeout_scope(time_limit) as limit:
-            body = await self._fetch(target)
-        self.timed_out = limit.cancelled_caught
-        if self.timed_out or body is None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate:
+        """The list that a GET of `target` brings within `time_limit` seconds.
+
+        Raises:
+            PollError: the poll failed; the connection is closed.
+            SettingsError: the answer is no endpoint list; the connection stays.
+        """
+        body: bytes | None = None
+        with self.timers.timeout_scope(time_limit) as scope:
+            body = await self._get_body(target)
+        if scope.cancelled_caught or body is None:
             self.close()
-            return None
+            raise PollTimedOut(f"no answer within {time_limit} s")
         try:
             return read_endpoint_list(parse_json(body.decode()))
-        except UnicodeDecodeError:
-            raise SettingsError("the whole: not UTF-8") from None
+        except UnicodeDecodeError as error:
+            raise SettingsError("the whole: not UTF-8") from error
 
-    async def _fetch(self, target: str) -> bytes | None:
+    async def _get_body(self, target: str) -> bytes:
+        response = await self._get_with_retry(target)
+        if response.status != HTTPStatus.OK:
+            self.close()
+            raise PollError(f"status {response.status}")
+        if not response.reusable:
+            self.close()
+        return response.body
+
+    async def _get_with_retry(self, target: str) -> HttpResponse:
+        """A GET, once more on a new connection if the one of the last poll has been closed since then."""
         while True:
-            fresh = self._sock is None
+            new_connection = self._sock is None
             try:
-                answer = await self._get(target)
-            except (OSError, ConnectionLost, h11.LocalProtocolError):
-                self.close()
-                if fresh:
-                    return None
-                continue  # it closed between two calls
-            if not answer.reusable:
+                return await self._get(target)
+            except (OSError, ConnectionLost, h11.LocalProtocolError) as error:
                 self.close()
-            return answer.body if answer.status == 200 else None
+                if new_connection:
+                    raise PollError(str(error)) from error
 
     async def _get(self, target: str) -> HttpResponse:
-        """A GET, on the connection of the last call if that is still there."""
         if self._sock is None:
             self._sock = tcp(self.address)
             self._exchange = HttpExchange(MAX_LIST_BYTES)
             await connect(self._sock, self.address)
         host = f"{self.address[0]}:{self.address[1]}".encode()
         await send_all(self._sock, self._exchange.request("GET", target, [("Host", host)]))
-        answer = None
-        while answer is None:
-            answer = self._exchange.receive(await receive(self._sock))
-        return answer
+        response = None
+        while response is None:
+            response = self._exchange.receive(await receive(self._sock))
+        return response
 
     def close(self) -> None:
+        """Close the connection; the next poll opens a new one."""
         if self._sock is not None:
             shut(self._sock)
         self._sock = None
--- a/gaugehinge/rehearsal/brokenterms.py
+++ b/gaugehinge/rehearsal/brokenterms.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from math import inf
 
-from ..net import discovery
+from ..net import discovery_schedule
 from ..net.client_server import ClientConnection, ClientServer, _no_more
 from ..net.codec import RequestPayload
 from ..net.discovery import DiscoveryClient
@@ -36,7 +36,7 @@
 
 def sleeps() -> None:
     """After an outage it takes its time to ask its agent again."""
-    discovery.AGENT_RETRY_DELAY = ASLEEP
+    discovery_schedule.AGENT_RETRY_DELAY = ASLEEP
 
 
 def unmoved() -> None:
--- a/gaugehinge/rehearsal/faulty.py
+++ b/gaugehinge/rehearsal/faulty.py
@@ -10,6 +10,7 @@
 
 import sys
 import time
+from contextlib import suppress
 from urllib.parse import quote
 from zlib import crc32
 
@@ -19,7 +20,7 @@
 from ..installation.build import configuration_of
 from ..installation.form import Installation
 from ..net.configuration import Configuration
-from ..net.discovery_watch import ENDPOINTS_PATH, Watch
+from ..net.discovery_watch import ENDPOINTS_PATH, PollError, Watch
 from ..net.endpoint_list import EndpointTarget
 from ..net.http_exchange import HttpExchange
 from ..net.resp import MAX_REPLY_BYTES, Message, Parser, bulk
@@ -56,8 +57,8 @@
 
     async def _follow(self) -> None:
         while True:
-            update = await self.watch.poll(ENDPOINTS_PATH, ATTEMPT_TIME)
-            if update is not None:
+            with suppress(PollError):
+                update = await self.watch.poll(ENDPOINTS_PATH, ATTEMPT_TIME)
                 self.servers = {target.uid: target for target in update.targets}
             await trio.sleep(LIST_EVERY)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,10 @@
 import trio.testing
 
 from gaugehinge.net import discovery as module
-from gaugehinge.net.discovery import AGENT_RETRY_DELAY, MAX_RECONNECTS, DiscoveryClient
+from gaugehinge.net import discovery_schedule
+from gaugehinge.net.discovery import DiscoveryClient
+from gaugehinge.net.discovery_schedule import AGENT_RETRY_DELAY, MAX_RECONNECTS
+from gaugehinge.net.discovery_watch import PollError, PollTimedOut
 from gaugehinge.net.endpoint_list import EndpointListUpdate
 from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.timer_queue import TimerQueue
@@ -35,13 +38,12 @@
         self.news.set()
         self.news = trio.Event()
 
-    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate | None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate:
         wait = float(target.rpartition("wait=")[2]) / 1000 if "wait=" in target else 0.0
         since = int(target.partition("index=")[2].partition("&")[0]) if "index=" in target else 0
         self.calls.append((self.clock(), wait))
-        self.timed_out = False
         if self.refused:
-            return None
+            raise PollError
         mute = self.silent_calls > 0 and self.clock() >= self.silent_from
         if not mute:
             with trio.move_on_after(min(wait, max(self.silent_from - self.clock(), 0.0))) as limit:
@@ -51,8 +53,7 @@
         if mute:
             self.silent_calls -= 1
             await trio.sleep_until(self.calls[-1][0] + time_limit)
-            self.timed_out = True
-            return None
+            raise PollTimedOut
         return EndpointListUpdate(self.rev, False, ())
 
     def close(self) -> None:
@@ -156,8 +157,8 @@
 
 def test_a_silence_on_sockets_at_connect_after_the_request_and_amid_the_body(tmp_path, monkeypatch):
     """Each call of a kind is silent in its way once, then the list comes, indented and in pieces."""
-    monkeypatch.setattr(module, "INITIAL_GRACE", 0.3)
-    monkeypatch.setattr(module, "RECONNECT_GRACE", 0.3)
+    monkeypatch.setattr(discovery_schedule, "INITIAL_GRACE", 0.3)
+    monkeypatch.setattr(discovery_schedule, "RECONNECT_GRACE", 0.3)
     told = {
         "rev": 5,
         "all": True,
--- a/tests/test_list_moves.py
+++ b/tests/test_list_moves.py
@@ -10,8 +10,9 @@
 import trio.testing
 
 from gaugehinge.net import discovery as module
-from gaugehinge.net.discovery import FULL_POLL_DELAY, FULL_POLL_JITTER, DiscoveryClient
-from gaugehinge.net.discovery_watch import ENDPOINTS_PATH
+from gaugehinge.net.discovery import DiscoveryClient
+from gaugehinge.net.discovery_schedule import FULL_POLL_DELAY, FULL_POLL_JITTER
+from gaugehinge.net.discovery_watch import ENDPOINTS_PATH, PollError, PollTimedOut
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.endpoint_list import EndpointListUpdate
 from gaugehinge.net.timer_queue import TimerQueue
@@ -49,28 +50,27 @@
 
 class Call:
     def __init__(self, served: Served) -> None:
-        self.served, self.timed_out, self.answered, self.goes_on = served, False, False, -1.0
+        self.served, self.goes_on = served, -1.0
 
-    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate | None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate:
         served, began = self.served, trio.current_time()
-        with trio.move_on_at(began + time_limit) as limit:
+        with trio.move_on_at(began + time_limit):
             if "index" not in target:
                 served.whole += 1
                 return await self._answer(served.call_lines + served.servers, True)
             since = int(target.partition("index=")[2].partition("&")[0])
             lines = served.call_lines if began > self.goes_on else 0.0
             if lines and not await served.turn(lines):
-                return None
+                raise PollError
             with trio.move_on_after(float(target.rpartition("wait=")[2]) / 1000):
                 while served.rev == since:
                     await served.changed.wait()
             return await self._answer(float(served.rev - since), False)
-        self.timed_out = limit.cancelled_caught
-        return None
+        raise PollTimedOut
 
-    async def _answer(self, lines: float, whole: bool) -> EndpointListUpdate | None:
+    async def _answer(self, lines: float, whole: bool) -> EndpointListUpdate:
         if lines and not await self.served.turn(lines):
-            return None
+            raise PollError
         self.goes_on = trio.current_time() + 0.2
         return EndpointListUpdate(self.served.rev, whole, ())
 
@@ -132,15 +132,13 @@
 
     def __init__(self, answers: list) -> None:
         self.answers, self.targets = answers, []
-        self.timed_out = self.answered = False
 
-    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate | None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate:
         self.targets.append((trio.current_time(), target.partition("&")[0]))
         answer = self.answers.pop(0) if self.answers else "held"
-        self.timed_out = answer == "silent"
-        if self.timed_out:
+        if answer == "silent":
             await trio.sleep(time_limit)
-            return None
+            raise PollTimedOut
         if answer == "held":
             await trio.sleep(float(target.rpartition("wait=")[2]) / 1000 if "wait=" in target else 0.1)
             return EndpointListUpdate(41, "index" not in target, ())
--- a/tests/test_list_outages.py
+++ b/tests/test_list_outages.py
@@ -10,6 +10,7 @@
 from dataclasses import replace
 from math import inf
 from types import SimpleNamespace
+from typing import NoReturn
 
 import pytest
 import trio
@@ -17,6 +18,7 @@
 
 from gaugehinge.net import discovery as module
 from gaugehinge.net.discovery import DiscoveryClient
+from gaugehinge.net.discovery_watch import PollError, PollTimedOut
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.endpoint_list import EndpointListUpdate
 from gaugehinge.net.timer_queue import TimerQueue
@@ -73,21 +75,21 @@
     """What stands for one router's connection to it."""
 
     def __init__(self, service: Outage) -> None:
-        self.service, self.timed_out, self.answered = service, False, False
+        self.service = service
         self.goes_on = -1.0  # until when a further call goes on with this watch: it costs little
 
-    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate | None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate:
         service, began = self.service, trio.current_time()
         wait = float(target.rpartition("wait=")[2]) / 1000 if "wait=" in target else 0.0
         since = int(target.partition("index=")[2].partition("&")[0]) if "index=" in target else 0
-        new, self.goes_on, self.timed_out = began > self.goes_on, -1.0, False
+        new, self.goes_on = began > self.goes_on, -1.0
         if new:
             service.calls.append(began)
         if service.down():
-            return await self._fail(began + time_limit)
-        with trio.move_on_at(began + time_limit) as limit:
+            await self._fail(began + time_limit)
+        with trio.move_on_at(began + time_limit):
             if service.capacity and new and not await service.turn():
-                return None
+                raise PollError
             with trio.move_on_after(min(wait, max(service.start - trio.current_time(), 0.0))):
                 while service.rev == since:
                     await service.changed.wait()
@@ -95,21 +97,21 @@
                 self.goes_on = trio.current_time() + 0.2
                 return EndpointListUpdate(service.rev, False, ())
             if service.mode == "refused":
-                return None  # what stood open is reset
+                raise PollError  # what stood open is reset
             await trio.sleep_forever()
-        self.timed_out = limit.cancelled_caught
-        return None
+        raise PollTimedOut
 
-    async def _fail(self, last: float) -> None:
+    async def _fail(self, last: float) -> NoReturn:
         service = self.service
         service.failed += 1
         if service.failed == service.behind:
             service.end = trio.current_time() + 1e-6
         if service.mode == "silent":
             await trio.sleep_until(last)
-            self.timed_out = True
-        elif service.mode == "503 after 1 s":
+            raise PollTimedOut
+        if service.mode == "503 after 1 s":
             await trio.sleep(1.0)
+        raise PollError
 
     def close(self) -> None:
         pass
