--- a/gaugehinge/door/door.py
+++ b/gaugehinge/door/door.py
@@ -336,7 +336,7 @@
             left, refusing = self.turnstile.looked()
             self.level.sample(left, refusing / span, now)
         self.queue.sample(now)
-        lag = self.timers.behind
+        lag = self.timers.current_lag
         self.limiter.sample(lag, self.in_hand, self.queue.live, self.lateness, now)
         backlogs = [self.queue.backlog(line) for line in self.queue.lines]
         self.tap.sample(backlogs, self._rooms(span), now)
--- a/gaugehinge/emulator/part.py
+++ b/gaugehinge/emulator/part.py
@@ -285,7 +285,7 @@
 
     def _gauge(self) -> None:
         now = self.clock()
-        self.record.row("lag", self.world.part, now, round(self.timers.behind, 4))
+        self.record.row("lag", self.world.part, now, round(self.timers.current_lag, 4))
         for door in self.doors.values():
             machine, server = door.machine, door.server
             self.record.row(
--- a/gaugehinge/net/client_server.py
+++ b/gaugehinge/net/client_server.py
@@ -465,7 +465,7 @@
     def behind(self) -> bool:
         """Whether the loop is. Short of CPU, more in hand makes all of it late: what comes then is answered
         while that is cheap."""
-        return self.door is None and self.dispatcher.timers.behind > MOST_BEHIND
+        return self.door is None and self.dispatcher.timers.current_lag > MOST_BEHIND
 
     def _close_ident(self, ident: bytes) -> None:
         self.idents_open.discard(ident)
--- a/gaugehinge/net/endpoint_list.py
+++ b/gaugehinge/net/endpoint_list.py
@@ -31,13 +31,13 @@
     targets: tuple[EndpointTarget, ...]
 
 
-def read_endpoint_list(told: Any) -> EndpointListUpdate:
+def read_endpoint_list(value: Any) -> EndpointListUpdate:
     """Discovery's JSON to a list; one bad entry spoils it, as a failed call would."""
-    page = SettingsReader(told)
+    reader = SettingsReader(value)
     return EndpointListUpdate(
-        int(page.number("rev")),
-        page.flag("all"),
-        tuple(_target(entry) for entry in page.pages("targets")),
+        int(reader.number("rev")),
+        reader.flag("all"),
+        tuple(_target(entry) for entry in reader.pages("targets")),
     )
 
 
--- a/gaugehinge/net/gossip.py
+++ b/gaugehinge/net/gossip.py
@@ -12,9 +12,9 @@
 from .configuration import Address
 from .sockets import family
 
-MOST_BYTES = 256  # by the protocol; a longer one must never leave here
+MAX_MESSAGE_BYTES = 256  # by the protocol; a longer one must never leave here
 STAMP_BYTES = 4
-REST = 0.01  # after an error, lest a lasting one take the whole core
+ERROR_PAUSE = 0.01  # after an error, lest a lasting one take the whole core
 
 
 class GossipChannel:
@@ -24,49 +24,49 @@
     them until a moment ago, told of one tenant what counted here as another's.
     """
 
-    def __init__(self, listen: Address, addresses: tuple[Address, ...], meaning: bytes = b"") -> None:
-        self.know(addresses)
-        self.stamp = zlib.crc32(meaning).to_bytes(STAMP_BYTES, "big")
-        self.raw = socket.socket(family(listen), socket.SOCK_DGRAM)
-        self.raw.setblocking(False)
+    def __init__(self, listen: Address, addresses: tuple[Address, ...], context: bytes = b"") -> None:
+        self.set_peers(addresses)
+        self.stamp = zlib.crc32(context).to_bytes(STAMP_BYTES, "big")
+        self.sock = socket.socket(family(listen), socket.SOCK_DGRAM)
+        self.sock.setblocking(False)
         # The process before tells its peers of its end to the last, and may hold the address until then: the
         # next one could not start. What comes goes to who bound it last.
-        self.raw.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            self.raw.bind(listen)
+            self.sock.bind(listen)
         except OSError as bad:
-            self.raw.close()
+            self.sock.close()
             raise OSError(bad.errno, f"{listen[0]}:{listen[1]} (peers): {bad.strerror}") from None
 
-    def know(self, addresses: tuple[Address, ...]) -> None:
+    def set_peers(self, addresses: tuple[Address, ...]) -> None:
         self.addresses = addresses
         self.numbers = {address: number for number, address in enumerate(addresses)}
 
-    def tell(self, numbers: tuple[int, ...], payload: bytes) -> None:
+    def send(self, numbers: tuple[int, ...], payload: bytes) -> None:
         payload = self.stamp + payload
-        if len(payload) > MOST_BYTES:
+        if len(payload) > MAX_MESSAGE_BYTES:
             logger.error("a message of {} bytes is not sent", len(payload))
             return
         for number in numbers:
             if number < len(self.addresses):
                 try:
-                    self.raw.sendto(payload, self.addresses[number])
+                    self.sock.sendto(payload, self.addresses[number])
                 except OSError:  # a peer that is down, a full buffer, or closed: messages may be lost
                     continue
 
-    async def hear(self, heard: Callable[[int, bytes], None]) -> None:
+    async def receive(self, on_message: Callable[[int, bytes], None]) -> None:
         """Pass on what listed peers send, until cancelled; everything else is dropped."""
-        incoming = trio.socket.from_stdlib_socket(self.raw)
+        incoming = trio.socket.from_stdlib_socket(self.sock)
         while True:
             try:
-                payload, sender = await incoming.recvfrom(MOST_BYTES + 1)
+                payload, sender = await incoming.recvfrom(MAX_MESSAGE_BYTES + 1)
             except OSError:  # the refusal of an earlier datagram is reported here
-                await trio.sleep(REST)
+                await trio.sleep(ERROR_PAUSE)
                 continue
             number = self.numbers.get(sender[:2])
-            if number is None or len(payload) > MOST_BYTES or not payload.startswith(self.stamp):
+            if number is None or len(payload) > MAX_MESSAGE_BYTES or not payload.startswith(self.stamp):
                 continue
             try:
-                heard(number, payload[STAMP_BYTES:])
+                on_message(number, payload[STAMP_BYTES:])
             except Exception:
                 logger.exception("a message of peer {} failed", number)
--- a/gaugehinge/net/handle_table.py
+++ b/gaugehinge/net/handle_table.py
@@ -7,7 +7,7 @@
 
 T = TypeVar("T")
 
-NUMBER_BITS = 20  # a million slots, far over what any limit of ours lets in
+SLOT_BITS = 20  # a million slots, far over what any limit of ours lets in
 
 
 class HandleTable(Generic[T]):
@@ -27,27 +27,27 @@
     def add(self, item: T) -> int:
         """Put an item in; returns its handle."""
         if self._free:
-            number = self._free.pop()
-            self._items[number] = item
+            slot = self._free.pop()
+            self._items[slot] = item
         else:
-            number = len(self._items)
+            slot = len(self._items)
             self._items.append(item)
             self._generations.append(0)
-        return self._generations[number] << NUMBER_BITS | number
+        return self._generations[slot] << SLOT_BITS | slot
 
     def get(self, handle: int) -> T | None:
         """The item, or None where it left its slot."""
-        number = handle & ((1 << NUMBER_BITS) - 1)
-        if number >= len(self._items) or self._generations[number] != handle >> NUMBER_BITS:
+        slot = handle & ((1 << SLOT_BITS) - 1)
+        if slot >= len(self._items) or self._generations[slot] != handle >> SLOT_BITS:
             return None
-        return self._items[number]
+        return self._items[slot]
 
     def remove(self, handle: int) -> T | None:
         """Empty the slot, once: a second removal, or a stale one, does nothing."""
         item = self.get(handle)
         if item is not None:
-            number = handle & ((1 << NUMBER_BITS) - 1)
-            self._items[number] = None
-            self._generations[number] += 1
-            self._free.append(number)
+            slot = handle & ((1 << SLOT_BITS) - 1)
+            self._items[slot] = None
+            self._generations[slot] += 1
+            self._free.append(slot)
         return item
--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -108,7 +108,7 @@
                     settings.deployment.seed,
                     near,
                 )
-                self.dispatcher.bind(pool, discovery.start_watch, peers.tell if peers else lambda *told: None)
+                self.dispatcher.bind(pool, discovery.start_watch, peers.send if peers else lambda *told: None)
                 if known is not None and not near:
                     self.dispatcher.on_endpoints_changed(known, held=True)
                 memory = configuration.memory
@@ -128,7 +128,7 @@
                     self.extend(self, nursery)  # what it puts before the dispatch acts from the first call on
                 self.dispatcher.begin()
                 if peers is not None:
-                    nursery.start_soon(peers.hear, self.dispatcher.on_gossip)
+                    nursery.start_soon(peers.receive, self.dispatcher.on_gossip)
                 self._divide(configuration)
                 accepting = trio.CancelScope()
                 nursery.start_soon(self._accept, accepting)
@@ -203,7 +203,7 @@
         logger.info("configuration read again: discovery at {}:{}", *new.discovery)
         self._divide(new)
         if self.peers is not None:
-            self.peers.know(new.peers)
+            self.peers.set_peers(new.peers)
         if new.discovery != old.discovery:
             self.discovery.move(new.discovery)
             self.dispatcher.on_discovery_changed()
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -542,7 +542,7 @@
             lost_ago=now - effects.lost_at if settled and effects.open(now) else -1.0,
             kept=self._kept(number),
         )
-        self.service.peers.tell((number,), self.wire.write(told))
+        self.service.peers.send((number,), self.wire.write(told))
 
     # -- the keeper: a part of the follower's feed
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -240,7 +240,7 @@
             finally:
                 await client.answer()
                 await old.ended.wait()
-                shut(old.service.peers.raw)
+                shut(old.service.peers.sock)
 
     play(scene)
 
@@ -265,7 +265,7 @@
                 stamp = old.service.peers.stamp
                 peer.sendto(stamp + struct.pack("<f", 77.0), where)
                 await old.ended.wait()
-                shut(old.service.peers.raw)  # as the end of its process would
+                shut(old.service.peers.sock)  # as the end of its process would
                 shut(old.service.listening)
                 new = await made.start(**told)
                 assert new.error is None, new.error
--- a/tests/test_list_moves.py
+++ b/tests/test_list_moves.py
@@ -179,7 +179,8 @@
 def test_where_they_count_anew_the_whole_list_comes_at_once_and_older_news_undo_nothing(monkeypatch, first):
     whole = EndpointListUpdate(7, True, ())
     targets, heard = moved(monkeypatch, [first, whole], 3.0)
-    assert [target for _, target in targets[:2]] == [f"{ENDPOINTS_PATH}?index=41", ENDPOINTS_PATH] and targets[1][0] < 2.2
+    assert [target for _, target in targets[:2]] == [f"{ENDPOINTS_PATH}?index=41", ENDPOINTS_PATH]
+    assert targets[1][0] < 2.2
     assert heard[0] is whole
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -16,7 +16,7 @@
 from gaugehinge.net.handle_table import HandleTable
 from gaugehinge.net.http_exchange import HttpExchange
 from gaugehinge.net.resp_codec import read_reply
-from gaugehinge.net.timer_queue import MOST_LAG, Clock, TimerQueue
+from gaugehinge.net.timer_queue import MAX_LAG, Clock, TimerQueue
 from gaugehinge.routing.router import Router
 from gaugehinge.routing.types import EndpointState, Outcome
 from gaugehinge.settings import SettingsError, read_reported_load, read_settings
@@ -207,7 +207,7 @@
             with trio.fail_after(10):
                 while timers.lag < 0.2:
                     await trio.sleep(0.001)
-            assert timers.lag <= MOST_LAG
+            assert timers.lag <= MAX_LAG
             nursery.cancel_scope.cancel()
 
     trio.run(main)
