--- a/gaugehinge/net/discovery_schedule.py
+++ b/gaugehinge/net/discovery_schedule.py
@@ -5,8 +5,8 @@
 as timed out. A full poll asks for the whole list and is answered at once.
 
 The worst case. What a silent watch misses counts as notified 6 s after it fell silent, or 2 s after the wait
-of the poll that was open, if that is later. The worst is a watch that falls silent just as a poll goes out, at
-time T:
+of the poll that was open, if that is later. The worst is a watch that falls silent just as a poll goes out,
+at time T:
 
 - The poll times out at T + LONG_POLL_WAIT + RESPONSE_GRACE = T + 3.75.
 - A new connection polls by T + 4.0 (RECONNECT_JITTER). An answer is due at once.
--- a/gaugehinge/net/endpoint_list.py
+++ b/gaugehinge/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of servers in discovery's form: the whole of it, or what changed."""
+"""The endpoint list in discovery's JSON: all servers, or what changed."""
 
 from __future__ import annotations
 
@@ -12,6 +12,8 @@
 from .configuration import Address, address
 
 ENDPOINT_STATES = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
+MILLISECONDS = 1000.0  # a second
+NO_CELL = -1  # the least number of a `pod_group`
 
 
 class EndpointTarget(NamedTuple):
@@ -19,41 +21,48 @@
 
     entry: EndpointEntry
     uid: str
-    address: Address | None  # None: gone
+    address: Address | None  # None: the server is gone
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListUpdate:
-    """The list, or what changed of it."""
+    """The endpoint list, or what changed of it."""
 
-    rev: int
-    complete: bool
+    rev: int  # discovery's version of the list
+    complete: bool  # whether servers that are not named are gone
     targets: tuple[EndpointTarget, ...]
 
 
 def read_endpoint_list(value: Any) -> EndpointListUpdate:
-    """Discovery's JSON to a list; one bad entry spoils it, as a failed call would."""
+    """An update from discovery's decoded JSON.
+
+    Raises SettingsError: one bad entry rejects the whole update, as a failed poll would.
+    """
     reader = SettingsReader(value)
     return EndpointListUpdate(
         int(reader.number("rev")),
         reader.flag("all"),
-        tuple(_target(entry) for entry in reader.pages("targets")),
+        tuple(_read_target(entry) for entry in reader.pages("targets")),
     )
 
 
-def _target(entry: SettingsReader) -> EndpointTarget:
-    # An unknown state may mean anything: nothing new is sent there.
-    presence = ENDPOINT_STATES.get(entry.text("state", "ready"), EndpointState.DRAINING)
-    gone = presence is EndpointState.GONE
-    where = None if gone else address(entry.text("endpoint"), f"{entry.path}.endpoint")
-    # The ring must be alike at all routers: only `uid` is the same at each of them.
-    uid = entry.text("uid")
+def _read_target(reader: SettingsReader) -> EndpointTarget:
+    # A state that is not known may mean anything: nothing new is sent there.
+    state = ENDPOINT_STATES.get(reader.text("state", "ready"), EndpointState.DRAINING)
+    gone = state is EndpointState.GONE
+    where = None if gone else address(reader.text("endpoint"), f"{reader.path}.endpoint")
+    # The hash ring must be the same at all routers: only the `uid` is.
+    uid = reader.text("uid")
     ident = xxh64_intdigest(uid.encode())
-    started = entry.number("boot_ms", 0) / 1000.0
-    cell = int(entry.number("pod_group", 0, least=-1))
-    hint = entry.values.get("capacity_hint")
-    weight = 0.0 if isinstance(hint, bool) else parse_non_negative(str(hint)) or 0.0
-    listing = EndpointEntry(
-        ident, entry.text("az", ""), entry.text("model", ""), cell, presence, started, weight
-    )
-    return EndpointTarget(listing, uid, where)
+    started = reader.number("boot_ms", 0) / MILLISECONDS
+    cell = int(reader.number("pod_group", 0, least=NO_CELL))
+    weight = _read_weight(reader)
+    zone, kind = reader.text("az", ""), reader.text("model", "")
+    entry = EndpointEntry(ident, zone, kind, cell, state, started, weight)
+    return EndpointTarget(entry, uid, where)
+
+
+def _read_weight(reader: SettingsReader) -> float:
+    """The capacity hint; 0 where there is none, or none that makes sense."""
+    hint = reader.values.get("capacity_hint")
+    return 0.0 if isinstance(hint, bool) else parse_non_negative(str(hint)) or 0.0
--- a/gaugehinge/net/resp.py
+++ b/gaugehinge/net/resp.py
@@ -1,19 +1,21 @@
-"""RESP2, read piece by piece as it comes, with no I/O. What is not asked about stays the bytes that came."""
+"""RESP2, parsed piece by piece as it comes, with no I/O. A message keeps its own bytes, to be forwarded."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MAX_VALUE_BYTES = 64 * 1024  # bytes of a client's bulk string, by the protocol
-MAX_REPLY_BYTES = 1 << 20  # of a server's: some give values of several times that, and they are whole
-MAX_LINE_BYTES = 1024  # a status, an error, a number or a length
-MAX_ARRAY_ITEMS = 16  # of an array: no command or answer has as many
+MAX_VALUE_BYTES = 64 * 1024  # of a client's bulk string, by the protocol
+MAX_REPLY_BYTES = 1 << 20  # of a server's bulk string: some serve values of several times the clients' limit
+MAX_LINE_BYTES = 1024  # of a status, an error, a number or a length
+MAX_ARRAY_ITEMS = 16  # no command or reply has as many
 MAX_DEPTH = 3
 MAX_OVERHEAD_BYTES = 16 * 1024  # of a message beside one value
 MAX_LENGTH_DIGITS = 7
 
-ERROR, STATUS, NUMBER, BULK, ARRAY = b"-+:$*"
+CRLF = b"\r\n"
+CRLF_BYTES = 2
+ERROR, STATUS, NUMBER, BULK, ARRAY = b"-+:$*"  # a value's first byte
 
 
 class Malformed(Exception):
@@ -31,40 +33,43 @@
 
 
 class Message(NamedTuple):
-    """A whole value as it came, and its parts."""
+    """A complete value as it came, and its parts."""
 
     raw: bytes
     top: Frame
 
     def part(self, frame: Frame) -> bytes:
-        """A part's own bytes, head and end included."""
+        """A part's own bytes with its head and its end."""
         return self.raw[frame.start : frame.end]
 
 
 class Parser:
-    """Takes bytes as they come and gives whole messages."""
+    """Takes bytes as they come and gives complete messages."""
 
     def __init__(self, max_value_bytes: int = MAX_VALUE_BYTES) -> None:
+        """A longer bulk string is malformed."""
         self.max_value_bytes = max_value_bytes
         self._buffer = bytearray()
-        self._wanted = 0  # fewer bytes than this cannot be a whole message
+        self._needed = 0  # with fewer bytes the message cannot be complete
 
     def __len__(self) -> int:
+        """How many bytes wait to be parsed."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> None:
+        """Append bytes that were received."""
         self._buffer += data
 
     def unparsed(self) -> bytes:
-        """What stands behind the last message."""
+        """The bytes after the last message."""
         return bytes(self._buffer)
 
     def next(self) -> Message | None:
-        """The next whole message, or None until more has come."""
-        if not self._buffer or len(self._buffer) < self._wanted:
+        """The next complete message, or None until more has come. Raises Malformed."""
+        if not self._buffer or len(self._buffer) < self._needed:
             return None
-        self._wanted = 0
-        top = self._frame(0, 0)
+        self._needed = 0
+        top = self._parse(0, 0)
         if top is None:
             if len(self._buffer) > self.max_value_bytes + MAX_OVERHEAD_BYTES:
                 raise Malformed("message too long")
@@ -77,61 +82,65 @@
             del self._buffer[: top.end]
         return Message(raw, top)
 
-    def _frame(self, start: int, depth: int) -> Frame | None:
+    def _parse(self, start: int, depth: int) -> Frame | None:
+        """The value that begins at `start`; None while it is incomplete."""
         if start >= len(self._buffer):
             return None
         kind = self._buffer[start]
         if kind not in (ERROR, STATUS, NUMBER, BULK, ARRAY):
             raise Malformed(f"no RESP type {chr(kind)!r}")
-        stop = self._buffer.find(b"\r\n", start, start + MAX_LINE_BYTES)
-        if stop < 0:
+        line_end = self._buffer.find(CRLF, start, start + MAX_LINE_BYTES)
+        if line_end < 0:
             if len(self._buffer) - start >= MAX_LINE_BYTES:
                 raise Malformed("line too long")
             return None
-        line = bytes(self._buffer[start + 1 : stop])
+        line = bytes(self._buffer[start + 1 : line_end])
+        line_end += CRLF_BYTES
         if kind == BULK:
-            return self._bulk(start, stop + 2, line)
+            return self._parse_bulk(start, line_end, line)
         if kind == ARRAY:
-            return self._array(start, stop + 2, line, depth)
+            return self._parse_array(start, line_end, line, depth)
         if kind == NUMBER and not line.removeprefix(b"-").isdigit():
             raise Malformed("not a number")
-        return Frame(kind, start, stop + 2, line)
+        return Frame(kind, start, line_end, line)
 
-    def _bulk(self, start: int, body: int, line: bytes) -> Frame | None:
+    def _parse_bulk(self, start: int, body_start: int, line: bytes) -> Frame | None:
         if line == b"-1":
-            return Frame(BULK, start, body, None)
-        length = _length(line, self.max_value_bytes, "value too long")
-        end = body + length + 2
+            return Frame(BULK, start, body_start, None)
+        body_end = body_start + _read_length(line, self.max_value_bytes, "value too long")
+        end = body_end + CRLF_BYTES
         if len(self._buffer) < end:
-            self._wanted = end
+            self._needed = end
             return None
-        if self._buffer[end - 2 : end] != b"\r\n":
+        if self._buffer[body_end:end] != CRLF:
             raise Malformed("value longer than told")
-        return Frame(BULK, start, end, bytes(self._buffer[body : end - 2]))
+        return Frame(BULK, start, end, bytes(self._buffer[body_start:body_end]))
 
-    def _array(self, start: int, place: int, line: bytes, depth: int) -> Frame | None:
+    def _parse_array(self, start: int, item_start: int, line: bytes, depth: int) -> Frame | None:
         if line == b"-1":
-            return Frame(ARRAY, start, place, None)
+            return Frame(ARRAY, start, item_start, None)
         if depth + 1 >= MAX_DEPTH:
             raise Malformed("nested too deep")
         items: list[Frame] = []
-        for _ in range(_length(line, MAX_ARRAY_ITEMS, "too many items")):
-            item = self._frame(place, depth + 1)
+        for _ in range(_read_length(line, MAX_ARRAY_ITEMS, "too many items")):
+            item = self._parse(item_start, depth + 1)
             if item is None:
                 return None
             items.append(item)
-            place = item.end
-        return Frame(ARRAY, start, place, items)
+            item_start = item.end
+        return Frame(ARRAY, start, item_start, items)
 
 
-def _length(line: bytes, most: int, complaint: str) -> int:
-    # Sent on as it came, a length that others may not read (007) would end a connection to a server.
+def _read_length(line: bytes, limit: int, error: str) -> int:
+    """A length; Malformed with the text `error` where it is over the limit."""
+    # Forwarded as it came, a length that other parsers may reject (007) would end a connection to a server.
     if not line.isdigit() or (line.startswith(b"0") and line != b"0"):
         raise Malformed("not a length")
-    if len(line) > MAX_LENGTH_DIGITS or int(line) > most:
-        raise Malformed(complaint)
+    if len(line) > MAX_LENGTH_DIGITS or int(line) > limit:
+        raise Malformed(error)
     return int(line)
 
 
 def bulk(body: bytes) -> bytes:
+    """The bulk string of a value."""
     return b"$%d\r\n%b\r\n" % (len(body), body)
--- a/gaugehinge/net/sockets.py
+++ b/gaugehinge/net/sockets.py
@@ -15,95 +15,104 @@
 
 from .configuration import Address
 
-SIOCOUTQNSD = 0x894B  # linux/sockios.h: of the send queue, what has not been sent
-# Long values come in few passes with so much room; one space for all, since nothing waits while it is in use.
+SIOCOUTQNSD = 0x894B  # linux/sockios.h: asks how much of the send queue has not been sent
+# Long values come in few passes with so much room. One buffer serves all: nothing waits while it is in use.
 SPACE = memoryview(bytearray(256 * 1024))
 
 
 def family(address: Address) -> socket.AddressFamily:
+    """The address family of a numeric address."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
 def tcp(address: Address) -> socket.socket:
-    """An unconnected socket."""
-    raw = socket.socket(family(address))
-    raw.setblocking(False)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return raw
+    """A TCP socket for a connection to an address, not connected yet. Raises OSError."""
+    sock = socket.socket(family(address))
+    sock.setblocking(False)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return sock
 
 
 def listener(address: Address, backlog: int) -> socket.socket:
-    raw = socket.socket(family(address))
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    raw.setblocking(False)
+    """A listening TCP socket. Raises OSError, with the address in its message."""
+    sock = socket.socket(family(address))
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.setblocking(False)
     try:
-        raw.bind(address)
-        raw.listen(backlog)
-    except OSError as bad:
-        raw.close()
-        raise OSError(bad.errno, f"{address[0]}:{address[1]}: {bad.strerror}") from None
-    return raw
+        sock.bind(address)
+        sock.listen(backlog)
+    except OSError as error:
+        sock.close()
+        raise OSError(error.errno, f"{address[0]}:{address[1]}: {error.strerror}") from error
+    return sock
 
 
-async def connect(raw: socket.socket, address: Address) -> None:
-    await trio.socket.from_stdlib_socket(raw).connect(address)
+async def connect(sock: socket.socket, address: Address) -> None:
+    """Connect a socket of `tcp`. Raises OSError."""
+    await trio.socket.from_stdlib_socket(sock).connect(address)
 
 
-async def receive(raw: socket.socket) -> bytes:
-    """What comes next; nothing at the end."""
-    while raw.fileno() >= 0:
-        await trio.lowlevel.wait_readable(raw)
+async def receive(sock: socket.socket) -> bytes:
+    """What comes next; b"" at the end of the stream.
+
+    Raises OSError, or trio.ClosedResourceError where the socket was closed on this side.
+    """
+    while sock.fileno() >= 0:
+        await trio.lowlevel.wait_readable(sock)
         try:
-            return bytes(SPACE[: raw.recv_into(SPACE)])
+            return bytes(SPACE[: sock.recv_into(SPACE)])
         except BlockingIOError:
             continue
     raise trio.ClosedResourceError
 
 
-def send_some(raw: socket.socket, data: bytes) -> int:
-    """Write what goes at once; returns how much."""
+def send_some(sock: socket.socket, data: bytes | memoryview) -> int:
+    """Write what can be written at once; returns how many bytes. Raises OSError."""
     try:
-        return raw.send(data)
+        return sock.send(data)
     except BlockingIOError:
         return 0
 
 
-async def send_all(raw: socket.socket, data: bytes) -> None:
-    view = memoryview(data)
+async def send_all(sock: socket.socket, data: bytes) -> None:
+    """Write all of the data. Raises OSError, or trio.ClosedResourceError."""
+    rest = memoryview(data)
     while True:
-        view = view[send_some(raw, view) :]
-        if not view:
+        rest = rest[send_some(sock, rest) :]
+        if not rest:
             return
-        await trio.lowlevel.wait_writable(raw)
+        await trio.lowlevel.wait_writable(sock)
+
 
+def shut(sock: socket.socket) -> None:
+    """Close a socket, if it is open; tasks that wait for it get ClosedResourceError."""
+    if sock.fileno() >= 0:
+        trio.lowlevel.notify_closing(sock)
+        sock.close()
 
-def shut(raw: socket.socket) -> None:
-    """Close; a task that waits for the socket is woken with ClosedResourceError."""
-    if raw.fileno() >= 0:
-        trio.lowlevel.notify_closing(raw)
-        raw.close()
 
+def hung_up(sock: socket.socket) -> bool:
+    """Whether the peer has ended the connection, though bytes from it may still be unread."""
+    poll = select.poll()
+    poll.register(sock, select.POLLRDHUP)
+    return bool(poll.poll(0))
 
-def hung_up(raw: socket.socket) -> bool:
-    """Whether the other side ended the connection, though bytes of it may still stand there unread."""
-    look = select.poll()
-    look.register(raw, select.POLLRDHUP)
-    return bool(look.poll(0))
 
+def unsent(sock: socket.socket) -> int:
+    """How many written bytes the peer has not taken yet; 0 where the system does not tell.
 
-def unsent(raw: socket.socket) -> int:
-    """Bytes written that the other side has not taken yet: a connection that is closed over them, and then
-    written to, is reset, and they are gone. 0 where the system does not tell."""
+    A connection that is closed over them, and then written to by the peer, is reset, and they are lost.
+    """
     try:
-        return struct.unpack("i", fcntl.ioctl(raw, SIOCOUTQNSD, b"\0\0\0\0"))[0]
+        return struct.unpack("i", fcntl.ioctl(sock, SIOCOUTQNSD, b"\0\0\0\0"))[0]
     except OSError:
         return 0
 
 
-def silent(raw: socket.socket) -> bool:
-    """Whether the connection is up with nothing to read, as an idle one must be."""
+def silent(sock: socket.socket) -> bool:
+    """Whether a connection is up with nothing to read, as an idle one must be."""
     try:
-        raw.recv(1, socket.MSG_PEEK)
+        sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
         return True
     except OSError:
--- a/gaugehinge/net/timer_queue.py
+++ b/gaugehinge/net/timer_queue.py
@@ -1,4 +1,7 @@
-"""All that falls due, in one heap: attempt time-outs, waits, deadlines, errands. Measures the loop's lag."""
+"""Timers of one router in one heap: timeouts of attempts, waits, deadlines, periodic tasks.
+
+The queue also measures the lag of the event loop: how late it gets to what is due.
+"""
 
 from __future__ import annotations
 
@@ -13,66 +16,78 @@
 import trio
 from loguru import logger
 
-LAG_SAMPLE_INTERVAL = 0.05  # how often the lag is looked at, even with nothing due
-LAG_DECAY = 0.99  # a sample: a long lag is remembered for some seconds
-MAX_LAG = 0.6  # a stall longer than this is no measure of the next one
-MIN_CANCELLED_TO_COMPACT = 64  # a heap this small is not worth cleaning
+LAG_SAMPLE_INTERVAL = 0.05  # seconds between two measures of the lag, also with nothing due
+LAG_DECAY = 0.99  # for each sample: a long lag is remembered for some seconds
+MAX_LAG = 0.6  # seconds; a longer stall is no measure of the next one
+MIN_CANCELLED_TO_COMPACT = 64  # with fewer cancelled timers the heap is not worth compacting
 
 
 class Clock:
-    """Unix time set once at the start and monotonic from there: `boot_ms` compares, and no step is felt."""
+    """Unix time, read once at the start and monotonic from there.
+
+    Times can be compared with those of other processes, such as a server's `boot_ms`, and steps of the
+    system's clock are not felt.
+    """
 
     def __init__(self) -> None:
+        """Start from the system's clock."""
         self._base = time.time() - time.monotonic()
 
     def __call__(self) -> float:
+        """The time in seconds."""
         return self._base + time.monotonic()
 
 
 @dataclass(slots=True, eq=False)
 class Timer:
-    """Something to do at a time."""
+    """A call at some time."""
 
-    action: Callable[..., Any] | None
+    action: Callable[..., Any] | None  # None: it was called or cancelled
     args: tuple[Any, ...]
 
 
 class TimerQueue:
-    """The heap; entries leave it when due, or when most of it is dropped ones."""
+    """A heap of timers. A timer leaves it when due, or once half of the heap is cancelled ones."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
+        """`clock` gives the time in seconds."""
         self.clock = clock
-        self.current_lag = 0.0  # how late the last sample was
-        self.lag = 0.0  # the same, remembered
+        self.current_lag = 0.0  # seconds, by the last sample
+        self.lag = 0.0  # seconds, the longest of late, decaying
         self._heap: list[tuple[float, int, Timer]] = []
-        self._counter = 0
-        self._cancelled = 0
+        self._counter = 0  # keeps timers of the same time in order
+        self._cancelled = 0  # timers of the heap
         self._earlier_timer = trio.Event()
 
     def __len__(self) -> int:
+        """How many timers the heap holds, cancelled ones among them."""
         return len(self._heap)
 
     def call_at(self, when: float, action: Callable[..., Any], *args: Any) -> Timer:
+        """Call `action` at a time by the clock, at the earliest in the next turn of `run`."""
         timer = Timer(action, args)
         self._counter += 1
         if not self._heap or when < self._heap[0][0]:
             self._earlier_timer.set()
         heappush(self._heap, (when, self._counter, timer))
-        return due
+        return timer
 
     @contextmanager
     def timeout_scope(self, wait: float) -> Iterator[trio.CancelScope]:
-        """A scope that is cancelled after a wait."""
+        """A scope that is cancelled after `wait` seconds."""
         with trio.CancelScope() as scope:
             timer = self.call_at(self.clock() + wait, scope.cancel) if wait < inf else None
             try:
                 yield scope
             finally:
-                if due is not None:
+                if timer is not None:
                     self.cancel(timer)
 
     def cancel(self, timer: Timer) -> None:
-        """Not wanted any more. Most time-outs never fall due: left in, they would outnumber the others."""
+        """Cancel a timer, if it was not called yet.
+
+        Most timeouts never fall due. Left in the heap, cancelled ones would outnumber the others.
+        """
         if timer.action is None:
             return
         timer.action, timer.args = None, ()
@@ -83,18 +98,18 @@
             self._cancelled = 0
 
     async def run(self) -> None:
-        """Do what falls due, until cancelled."""
-        sample = self.clock() + LAG_SAMPLE_INTERVAL
+        """Call timers as they fall due, until cancelled."""
+        next_sample = self.clock() + LAG_SAMPLE_INTERVAL
         while True:
             self._earlier_timer = trio.Event()
-            until = min(self._heap[0][0], sample) if self._heap else sample
+            until = min(self._heap[0][0], next_sample) if self._heap else next_sample
             with trio.move_on_after(max(until - self.clock(), 0.0)):
                 await self._earlier_timer.wait()
             now = self.clock()
-            if now >= sample:
-                self.current_lag = now - sample
+            if now >= next_sample:
+                self.current_lag = now - next_sample
                 self.lag = max(min(self.current_lag, MAX_LAG), self.lag * LAG_DECAY)
-                sample = now + LAG_SAMPLE_INTERVAL
+                next_sample = now + LAG_SAMPLE_INTERVAL
             self._run_due(now)
 
     def _run_due(self, now: float) -> None:
@@ -107,5 +122,5 @@
             timer.action, timer.args = None, ()
             try:
                 action(*args)
-            except Exception:  # one thing that fails must not take the others' deadlines with it
-                logger.exception("a deadline's action failed")
+            except Exception:  # a callback that fails must not take the other timers with it
+                logger.exception("a timer's callback failed")
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -797,7 +797,10 @@
 def test_the_shared_space_is_filled_and_copied_in_one_expression():
     source = (ROOT / "gaugehinge/net/sockets.py").read_text()
     uses = [line.strip() for line in source.splitlines() if re.search(r"\bSPACE\b", line)]
-    assert uses == ["SPACE = memoryview(bytearray(256 * 1024))", "return bytes(SPACE[:raw.recv_into(SPACE)])"]
+    assert uses == [
+        "SPACE = memoryview(bytearray(256 * 1024))",
+        "return bytes(SPACE[: sock.recv_into(SPACE)])",
+    ]
     # The door's reader has the same space, and copies it in the same step.
     lines = (ROOT / "gaugehinge/door/turnstile.py").read_text().splitlines()
     uses = [line.strip() for line in lines if re.search(r"\bSPACE\b|\b_space\b", line)]
