--- a/gaugehinge/net/connection.py
+++ b/gaugehinge/net/connection.py
@@ -44,5 +44,5 @@
     payload: RequestPayload
     codec: Codec
     deadline: float  # by the pool's clock; then the attempt has timed out
-    timer: Timer | None = None
+    timer: Timer = field(init=False)  # of the deadline; set as the pool starts the attempt
     connection: Connection | None = None  # None before it has one, and after it gave it up
--- a/gaugehinge/net/connection_pool.py
+++ b/gaugehinge/net/connection_pool.py
@@ -315,7 +315,8 @@
         try:
             with self.timers.timeout_scope(self.connect_timeout) as scope:
                 await connect(connection.sock, connection.endpoint.address)
-            if not scope.cancelled_caught and not connection.closed:
+            up = not scope.cancelled_caught and not connection.closed
+            if up and connection.pending is not None:  # no local variable may keep the attempt alive
                 self._start(connection, connection.pending)
                 await self._read(connection)
         except MalformedReply:
--- a/gaugehinge/net/discovery.py
+++ b/gaugehinge/net/discovery.py
@@ -15,7 +15,7 @@
 from ..settings import SettingsError
 from .configuration import Address
 from .discovery_schedule import MAX_RECONNECTS, MIN_POLL_INTERVAL, DiscoverySchedule, PollTiming
-from .discovery_watch import ENDPOINTS_PATH, PollError, PollTimedOut, Watch
+from .discovery_watch import ENDPOINTS_PATH, PollError, PollTimeoutError, Watch
 from .endpoint_list import EndpointListUpdate
 from .timer_queue import TimerQueue
 
@@ -135,7 +135,7 @@
             except (PollError, SettingsError) as error:
                 if not scope.cancel_called:
                     self._on_poll_error(error)
-                return WatchEnd(isinstance(error, PollTimedOut), answered)
+                return WatchEnd(isinstance(error, PollTimeoutError), answered)
             if scope.cancel_called:  # the list may have come just as the watch was cancelled
                 return WatchEnd(timed_out=False, answered=answered)
             answered = True
@@ -161,7 +161,7 @@
         if isinstance(error, SettingsError):
             logger.warning("invalid endpoint list: {}", error)
             self.version = None  # changes on top of a list that was not understood would not add up
-        elif isinstance(error, PollTimedOut) and self.moved:
+        elif isinstance(error, PollTimeoutError) and self.moved:
             self.version = None  # a service with another count may wait for a version that is far away
 
     def _accept(self, update: EndpointListUpdate) -> None:
--- a/gaugehinge/net/discovery_watch.py
+++ b/gaugehinge/net/discovery_watch.py
@@ -23,7 +23,7 @@
     """A poll failed: it was refused or reset, or answered with an error."""
 
 
-class PollTimedOut(PollError):
+class PollTimeoutError(PollError):
     """A poll got no answer within its time."""
 
 
@@ -49,7 +49,7 @@
             body = await self._get_body(target)
         if scope.cancelled_caught or body is None:
             self.close()
-            raise PollTimedOut(f"no answer within {time_limit} s")
+            raise PollTimeoutError(f"no answer within {time_limit} s")
         try:
             return read_endpoint_list(parse_json(body.decode()))
         except UnicodeDecodeError as error:
@@ -81,7 +81,7 @@
             self._exchange = HttpExchange(MAX_LIST_BYTES)
             await connect(self._sock, self.address)
         host = f"{self.address[0]}:{self.address[1]}".encode()
-        await send_all(self._sock, self._exchange.request("GET", target, [("Host", host)]))
+        await send_all(self._sock, self._exchange.request("GET", target, [(b"Host", host)]))
         response = None
         while response is None:
             response = self._exchange.receive(await receive(self._sock))
--- a/gaugehinge/net/http_exchange.py
+++ b/gaugehinge/net/http_exchange.py
@@ -38,12 +38,12 @@
         self,
         method: str,
         target: str,
-        headers: list[tuple[str, bytes]],
+        headers: list[tuple[bytes, bytes]],
         body: bytes | None = None,
     ) -> bytes:
         """The bytes of one request. Raises h11.LocalProtocolError where none can be sent now."""
         if body is not None:
-            headers = [*headers, ("Content-Length", b"%d" % len(body))]
+            headers = [*headers, (b"Content-Length", b"%d" % len(body))]
         data = self._state.send(h11.Request(method=method, target=target, headers=headers))
         if body:
             data += self._state.send(h11.Data(data=body))
@@ -101,6 +101,7 @@
     def _complete(self) -> HttpResponse:
         """The response that just ended; the exchange is ready for the next request if it is reusable."""
         head, body = self._head, bytes(self._body)
+        assert head is not None  # h11 gives no end of a message without its head
         self._head = None
         self._body.clear()
         reusable = self._state.our_state is h11.DONE and self._state.their_state is h11.DONE
--- a/gaugehinge/net/origin_codec.py
+++ b/gaugehinge/net/origin_codec.py
@@ -26,9 +26,9 @@
         """A GET for a read, a PUT for a write, with the operation's id and labels as headers."""
         host, port = connection.endpoint.address
         headers = [
-            ("Host", f"{host}:{port}".encode()),
-            ("X-Txn", payload.ident),
-            ("X-Labels", payload.labels_with(remaining_time)),
+            (b"Host", f"{host}:{port}".encode()),
+            (b"X-Txn", payload.ident),
+            (b"X-Labels", payload.labels_with(remaining_time)),
         ]
         method = "GET" if payload.value is None else "PUT"
         target = "/" + quote(payload.key, safe="")
--- a/gaugehinge/net/resp_codec.py
+++ b/gaugehinge/net/resp_codec.py
@@ -7,7 +7,7 @@
 from ..routing.types import Outcome
 from .codec import ConnectionLost, MalformedReply, RequestPayload, ServerReply
 from .connection import Connection
-from .resp import ARRAY, BULK, ERROR, MAX_REPLY_BYTES, Frame, Malformed, Message, Parser
+from .resp import BULK, ERROR, MAX_REPLY_BYTES, Frame, Malformed, Message, Parser
 
 REPLY_PARTS = 3  # the value, whether it was a hit, the load report
 COMPARED_BYTES = 4  # of what follows a reply, enough to recognise a second copy of that reply
@@ -59,9 +59,9 @@
 def read_reply(message: Message) -> ServerReply:
     """What a cache server's complete reply means. Raises MalformedReply on one of an unknown form."""
     top = message.top
-    if top.kind == ERROR:
+    if isinstance(top.body, bytes) and top.kind == ERROR:
         return _read_error(top.body)
-    if top.kind != ARRAY or top.body is None or len(top.body) != REPLY_PARTS:
+    if not isinstance(top.body, list) or len(top.body) != REPLY_PARTS:
         raise MalformedReply("a reply that is no array of three")
     value, status, load = top.body
     reported_load = _read_load(load)
@@ -84,4 +84,4 @@
 
 def _read_load(frame: Frame) -> bytes:
     """The load report. One in an unknown form must not spoil a good reply: it counts as missing."""
-    return frame.body if frame.kind == BULK and frame.body is not None else b""
+    return frame.body if frame.kind == BULK and isinstance(frame.body, bytes) else b""
--- a/gaugehinge/rehearsal/broken.py
+++ b/gaugehinge/rehearsal/broken.py
@@ -176,7 +176,7 @@
     def command(self: OriginCodec, connection: Connection, payload: RequestPayload, left: float) -> bytes:
         told = change(payload) if payload.value is not None else None
         if told is not None and turns.wrong():
-            headers = [("Host", b"origin"), ("X-Txn", told[0]), ("X-Labels", told[1])]
+            headers = [(b"Host", b"origin"), (b"X-Txn", told[0]), (b"X-Labels", told[1])]
             data = HttpExchange(MAX_REPLY_BYTES).request(
                 "PUT", "/" + quote(payload.key, safe=""), headers, payload.value
             )
@@ -211,7 +211,9 @@
 
 def ghost() -> None:
     """It writes under an id that no client ever used."""
-    _again(lambda payload: (payload.ident + b"-nobody", payload.labels) if b"c=put" in payload.labels else None)
+    _again(
+        lambda payload: (payload.ident + b"-nobody", payload.labels) if b"c=put" in payload.labels else None
+    )
 
 
 def drains() -> None:
--- a/gaugehinge/rehearsal/faulty.py
+++ b/gaugehinge/rehearsal/faulty.py
@@ -155,7 +155,7 @@
             return FAILED
         talk = HttpExchange(MAX_REPLY_BYTES)
         body = words[4] if words[0] == b"KV.SET" else None
-        head = [("Host", b"origin"), ("X-Txn", words[2]), ("X-Labels", words[3])]
+        head = [(b"Host", b"origin"), (b"X-Txn", words[2]), (b"X-Labels", words[3])]
         data = talk.request("GET" if body is None else "PUT", "/" + quote(words[1], safe=""), head, body)
         try:
             with trio.move_on_after(ATTEMPT_TIME):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,7 @@
 from gaugehinge.net import discovery_schedule
 from gaugehinge.net.discovery import DiscoveryClient
 from gaugehinge.net.discovery_schedule import AGENT_RETRY_DELAY, MAX_RECONNECTS
-from gaugehinge.net.discovery_watch import PollError, PollTimedOut
+from gaugehinge.net.discovery_watch import PollError, PollTimeoutError
 from gaugehinge.net.endpoint_list import EndpointListUpdate
 from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.timer_queue import TimerQueue
@@ -53,7 +53,7 @@
         if mute:
             self.silent_calls -= 1
             await trio.sleep_until(self.calls[-1][0] + time_limit)
-            raise PollTimedOut
+            raise PollTimeoutError
         return EndpointListUpdate(self.rev, False, ())
 
     def close(self) -> None:
--- a/tests/test_list_moves.py
+++ b/tests/test_list_moves.py
@@ -12,7 +12,7 @@
 from gaugehinge.net import discovery as module
 from gaugehinge.net.discovery import DiscoveryClient
 from gaugehinge.net.discovery_schedule import FULL_POLL_DELAY, FULL_POLL_JITTER
-from gaugehinge.net.discovery_watch import ENDPOINTS_PATH, PollError, PollTimedOut
+from gaugehinge.net.discovery_watch import ENDPOINTS_PATH, PollError, PollTimeoutError
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.endpoint_list import EndpointListUpdate
 from gaugehinge.net.timer_queue import TimerQueue
@@ -66,7 +66,7 @@
                 while served.rev == since:
                     await served.changed.wait()
             return await self._answer(float(served.rev - since), False)
-        raise PollTimedOut
+        raise PollTimeoutError
 
     async def _answer(self, lines: float, whole: bool) -> EndpointListUpdate:
         if lines and not await self.served.turn(lines):
@@ -138,7 +138,7 @@
         answer = self.answers.pop(0) if self.answers else "held"
         if answer == "silent":
             await trio.sleep(time_limit)
-            raise PollTimedOut
+            raise PollTimeoutError
         if answer == "held":
             await trio.sleep(float(target.rpartition("wait=")[2]) / 1000 if "wait=" in target else 0.1)
             return EndpointListUpdate(41, "index" not in target, ())
--- a/tests/test_list_outages.py
+++ b/tests/test_list_outages.py
@@ -18,7 +18,7 @@
 
 from gaugehinge.net import discovery as module
 from gaugehinge.net.discovery import DiscoveryClient
-from gaugehinge.net.discovery_watch import PollError, PollTimedOut
+from gaugehinge.net.discovery_watch import PollError, PollTimeoutError
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.endpoint_list import EndpointListUpdate
 from gaugehinge.net.timer_queue import TimerQueue
@@ -99,7 +99,7 @@
             if service.mode == "refused":
                 raise PollError  # what stood open is reset
             await trio.sleep_forever()
-        raise PollTimedOut
+        raise PollTimeoutError
 
     async def _fail(self, last: float) -> NoReturn:
         service = self.service
@@ -108,7 +108,7 @@
             service.end = trio.current_time() + 1e-6
         if service.mode == "silent":
             await trio.sleep_until(last)
-            raise PollTimedOut
+            raise PollTimeoutError
         if service.mode == "503 after 1 s":
             await trio.sleep(1.0)
         raise PollError
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -281,7 +281,8 @@
             while made.service.dispatcher.pool.pending or len(made.service.dispatcher.pending_operations):
                 await trio.sleep(0.01)
             assert (
-                len(made.service.clients.connections) == 0 and made.service.dispatcher.pool.open_connections == 0
+                len(made.service.clients.connections) == 0
+                and made.service.dispatcher.pool.open_connections == 0
             )
 
     run(scene)
@@ -422,7 +423,8 @@
             nursery.start_soon(timers.run)
             made = ConnectionPool(nursery, timers, 5, 1.0, 10.0, lambda *told: ended.append(told))
             operation, answer = bench.ask(traffic=MARKED)
-            operation.retry_deadline = timers.clock() + (0.3 if slow == "server" else connection_pool.RETRY_DEADLINE_MARGIN / 2)
+            late = connection_pool.RETRY_DEADLINE_MARGIN / 2
+            operation.retry_deadline = timers.clock() + (0.3 if slow == "server" else late)
             server = answer.attempt.endpoint.ident
             made.endpoints[server] = ServerPool(server, "s", listener.socket.getsockname(), 0.0)
             size = 64 << 20 if slow == "server" else 1
@@ -738,7 +740,8 @@
     async def scene():
         async with fleet(tmp_path, discovery=discovery) as made:
             await trio.sleep(0.5)
-            assert 2 <= len(calls) <= 0.5 / MIN_POLL_INTERVAL + 2 and made.service.dispatcher.router.list_heard
+            assert 2 <= len(calls) <= 0.5 / MIN_POLL_INTERVAL + 2
+            assert made.service.dispatcher.router.list_heard
 
     run(scene)
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -132,33 +132,33 @@
     whole = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"
     talk = HttpExchange(100)
     for keep, behind in ((True, b""), (False, b"HTTP/1.1 200")):
-        talk.request("GET", "/k", [("Host", b"h")])
+        talk.request("GET", "/k", [(b"Host", b"h")])
         for byte in whole[:-1]:
             assert talk.receive(bytes([byte])) is None
         got = talk.receive(whole[-1:] + behind)
         assert (got.status, got.body, got.reusable) == (200, b"ab", keep)
     ends = HttpExchange(100)
-    ends.request("GET", "/k", [("Host", b"h")])
+    ends.request("GET", "/k", [(b"Host", b"h")])
     assert ends.receive(b"HTTP/1.1 200 OK\r\n\r\nab") is None
     got = ends.receive(b"")
     assert (got.body, got.reusable) == (b"ab", False)
     for bad in (b"nonsense\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + b"x" * 101):
         talk = HttpExchange(100)
-        talk.request("GET", "/k", [("Host", b"h")])
+        talk.request("GET", "/k", [(b"Host", b"h")])
         with pytest.raises(MalformedReply):
             talk.receive(bad)
     odd = b"HTTP/1.1 103 Wait\r\nx-pressure: \x01\r\n\r\n"
     odd += whole.replace(b"\r\n", b"\r\nX-Pressure:\x00=\xff\r\n", 1)
     for pieces in ([odd], [odd[i : i + 1] for i in range(len(odd))]):
         talk = HttpExchange(100)
-        talk.request("GET", "/k", [("Host", b"h")])
+        talk.request("GET", "/k", [(b"Host", b"h")])
         answers = [talk.receive(piece) for piece in pieces]
         assert answers[-1][2:] == (b"ab", True) and not any(answers[:-1])
     empty = HttpExchange(100)
-    empty.request("GET", "/k", [("Host", b"h")])
+    empty.request("GET", "/k", [(b"Host", b"h")])
     assert not empty.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200").reusable
     talk = HttpExchange(100)
-    talk.request("GET", "/k", [("Host", b"h")])
+    talk.request("GET", "/k", [(b"Host", b"h")])
     talk.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na")
     with pytest.raises(ConnectionLost) as ended:
         talk.receive(b"")
