--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -1177,7 +1177,7 @@
             request = attempt.request
             if request is None or request.kind == "read":
                 continue
-            place = (request.mark, attempt.endpoint.cell if self.plan.group == "cell" else 0)
+            place = (request.mark, attempt.server.cell if self.plan.group == "cell" else 0)
             if request.mark and attempt.done <= known.get(place, -inf) + self.plan.window:
                 continue  # dropped as a repeat
             known[place] = attempt.done
@@ -1194,10 +1194,10 @@
         for rev, server in self.leaving:
             told = self.told_at.get(rev, inf)
             latest = told + DRAIN_GRACE + self.stood(told, attempt.began)
-            if server is attempt.endpoint and attempt.began > latest:
+            if server is attempt.server and attempt.began > latest:
                 self.broke(DRAIN, f"{attempt}: {attempt.began - told:.3f} s after its list")
         for at, server in self.strict_servers:
-            if server is attempt.endpoint and attempt.began > at:
+            if server is attempt.server and attempt.began > at:
                 self.broke(DRAIN, f"{attempt}: {attempt.began - at:.3f} s after its list was read")
 
     def _check_close(self, attempt: Attempt) -> None:
