--- a/gaugehinge/net/connection_pool.py
+++ b/gaugehinge/net/connection_pool.py
@@ -89,16 +89,16 @@
 
     def on_endpoints_changed(self, update: EndpointListUpdate) -> None:
         """Follow the endpoint list. A server that restarted or moved gets a new pool of connections."""
-        for listing, uid, address in update.targets:
-            ident = listing.ident
+        for entry, uid, address in update.targets:
+            ident = entry.ident
             endpoint = self.endpoints.get(ident)
             if address is None:
                 self._remove_endpoint(ident)
-            elif endpoint is not None and listing.started < endpoint.started:
+            elif endpoint is not None and entry.started < endpoint.started:
                 continue  # of its former process, and perhaps at an address that is another server's now
-            elif endpoint is None or (endpoint.address, endpoint.started) != (address, listing.started):
+            elif endpoint is None or (endpoint.address, endpoint.started) != (address, entry.started):
                 self._remove_endpoint(ident)
-                self.endpoints[ident] = ServerPool(ident, uid, address, listing.started)
+                self.endpoints[ident] = ServerPool(ident, uid, address, entry.started)
                 logger.info("server {} at {}:{} is endpoint {}", uid, *address, ident)
         if update.complete:
             listed = {target.entry.ident for target in update.targets}
--- a/tests/test_crossings_pool.py
+++ b/tests/test_crossings_pool.py
@@ -37,7 +37,8 @@
             while not made.endpoints[server].idle:
                 await trio.sleep(0.001)
             made.send(second.attempt, payload(), 5.0, RespCodec())
-            assert made.open_connections == 1 and not made.endpoints[server].idle
+            assert made.open_connections == 1
+            assert not made.endpoints[server].idle
             made.cancel(first.attempt)
             nursery.start_soon(timers.run)
             with trio.fail_after(4.0):  # the second's own time-out would end it after 5 s
--- a/tests/test_crossings_retries.py
+++ b/tests/test_crossings_retries.py
@@ -136,7 +136,8 @@
             await rested(made)
             [first] = [cache for cache in made.caches if cache.streams]
             done = at_look(monkeypatch, lambda: close(first.streams[-1], how))
-            assert await client.get("k1", "i2") == b"$5\r\nof k1\r\n" and done
+            assert await client.get("k1", "i2") == b"$5\r\nof k1\r\n"
+            assert done
             got = [command[2] for cache in made.caches for command in cache.commands]
             assert got.count(b"i2") == 1
             assert await client.ask("PING") == b"+PONG\r\n"
@@ -166,12 +167,14 @@
             answer = await client.put("i2", labels)
             assert done
             if labels == ONCES and how == "FIN":
-                assert answer == FAILED and txns(made) == ["i1"]
+                assert answer == FAILED
+                assert txns(made) == ["i1"]
             elif labels == ONCES:
                 assert answer == FETCHED or answer.startswith(HARMLESS)
                 assert txns(made).count("i2") == (answer == FETCHED)
             else:
-                assert answer == FETCHED and txns(made) == ["i1", "i2"]
+                assert answer == FETCHED
+                assert txns(made) == ["i1", "i2"]
             assert await client.ask("PING") == b"+PONG\r\n"
             await settled(made)
 
@@ -236,7 +239,8 @@
             if when == "while it rests":
                 await rested(made)
                 write(cache.streams[0], more)  # it stands in the kernel when the next request comes
-            assert await client.get("k2") == b"$5\r\nof k2\r\n" and cache.connections == 2
+            assert await client.get("k2") == b"$5\r\nof k2\r\n"
+            assert cache.connections == 2
 
     run(scene)
 
@@ -351,7 +355,7 @@
                 made = ConnectionPool(nursery, timers, most, 1.0, 10.0, lambda *told: ended.append(told))
 
                 def send(key):
-                    operation, answer = bench.ask(key)
+                    _operation, answer = bench.ask(key)
                     ident = answer.attempt.endpoint.ident
                     if ident not in made.endpoints:
                         made.endpoints[ident] = ServerPool(ident, "s", listener.socket.getsockname(), 0.0)
@@ -404,11 +408,14 @@
             connection_pool.connect = connect
         outcomes = {told[0]: told[1] for told in ended}
         assert outcomes == {first: Outcome.NOT_SENT, second: Outcome.NOT_SENT}
-        assert len(ended) == 2 and third in made.pending and made.open_connections == 1
+        assert len(ended) == 2
+        assert third in made.pending
+        assert made.open_connections == 1
         assert [command[2] for command in cache.commands] == [b"k3"]  # of the first not a byte
         made.cancel(third)
         await until(lambda: len(ended) == 3)
-        assert ended[2][:2] == (third, Outcome.CANCELLED) and made.open_connections == 0
+        assert ended[2][:2] == (third, Outcome.CANCELLED)
+        assert made.open_connections == 0
 
     scene_of_pool(scene, 1)
 
@@ -428,7 +435,9 @@
         await until(lambda: ended)
         made._start = start
         assert [told[:2] for told in ended] == [(attempt, Outcome.NOT_SENT)]
-        assert cache.commands == [] and done == [[]] and made.open_connections in (0, 1)
+        assert cache.commands == []
+        assert done == [[]]
+        assert made.open_connections in (0, 1)
         assert made.open_connections == sum(len(place.idle) for place in made.endpoints.values())
 
     scene_of_pool(scene, 1)
@@ -458,7 +467,8 @@
         await until(lambda: cache.commands)
         [second] = attempts
         kept = made.pending[second].connection
-        assert kept is not None and not kept.closed
+        assert kept is not None
+        assert not kept.closed
 
     scene_of_pool(scene, 1)
 
@@ -568,7 +578,8 @@
                 monkeypatch.setattr(connection_pool, "send_some", half)
             client = await made.client()
             answer = await client.put("i1", MARKS.format(1))
-            assert held and len(origin.came) == 1
+            assert held
+            assert len(origin.came) == 1
             monkeypatch.undo()
             assert answer == FAILED, answer  # a repeat by the client would take effect a second time
             await settled(made)
@@ -600,7 +611,9 @@
             monkeypatch.setattr(connection_pool, "connect", late)
             client = await made.client()
             answer = await client.put("i1", MARKS.format(1))
-            assert answer == FETCHED and len(origin.came) == 2 and origin.effects == ["m1"]
+            assert answer == FETCHED
+            assert len(origin.came) == 2
+            assert origin.effects == ["m1"]
 
     run(scene)
 
@@ -685,7 +698,8 @@
                 assert answer == FAILED or answer.startswith(HARMLESS)
             if kind == "once":
                 assert txns(made) == ["i1"]
-            assert ends and await client.ask("PING") == b"+PONG\r\n"
+            assert ends
+            assert await client.ask("PING") == b"+PONG\r\n"
             await settled(made)
 
     run(scene)
@@ -715,7 +729,8 @@
                 b"-ERR id in use\r\n",
                 b"+PONG\r\n",
             ]
-            assert txns(made) == [] and len(cache.commands) == 1
+            assert txns(made) == []
+            assert len(cache.commands) == 1
 
     run(scene)
 
@@ -739,7 +754,8 @@
             assert len(made.service.pool.pending) == 1
             await second.send("KV.SET", "k1", "same", "c=once,t=acme,d=300", "new value")
             answer = await second.answer()
-            assert txns(made) == ["same"] and answer == b"-ERR id in use\r\n"
+            assert txns(made) == ["same"]
+            assert answer == b"-ERR id in use\r\n"
 
     run(scene)
 
@@ -782,7 +798,8 @@
             assert [await first.answer(), await second.answer()] == [wanted, wanted]
             assert await first.ask("PING") == await second.ask("PING") == b"+PONG\r\n"
             if traffic == "mark":
-                assert origin.effects == ["m1"] and txns(made) == ["i1", "i2"]
+                assert origin.effects == ["m1"]
+                assert txns(made) == ["i1", "i2"]
                 told = [headers["x-labels"] for _, _, headers, _ in made.origin.seen]
                 left = re.compile(r"d=\d+")  # all but the time that is left
                 told = [left.sub("", each) for each in told]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -120,7 +120,8 @@
 
         play(scene, monkeypatch, seed)
     most = max(sum(at <= each < at + 0.05 for each in back) for at in back)
-    assert most <= 60 and max(back) - min(back) > 0.4  # of 200, in any 50 ms
+    assert most <= 60  # of 200, in any 50 ms
+    assert max(back) - min(back) > 0.4
 
 
 def test_a_refusal_and_too_many_silences_are_left_to_the_module(monkeypatch):
@@ -128,14 +129,16 @@
         await trio.sleep(1.0)
         service.refused = True
         await trio.sleep(30.0)
-        assert len(failed) == 1 and service.calls[-1][0] <= failed[0]
+        assert len(failed) == 1
+        assert service.calls[-1][0] <= failed[0]
 
     async def silent(service, heard, failed):
         await trio.sleep(1.0)
         service.silent_from, service.silent_calls = trio.current_time(), 10**6
         before = len(service.calls)
         await trio.sleep(60.0)
-        assert len(failed) == 1 and len(service.calls) <= before + 1 + MAX_RECONNECTS
+        assert len(failed) == 1
+        assert len(service.calls) <= before + 1 + MAX_RECONNECTS
 
     play(refused, monkeypatch)
     play(silent, monkeypatch)
@@ -150,7 +153,8 @@
         service.refused, back = False, trio.current_time()
         await trio.sleep(1.0)
         arrived = next(at for at, rev in heard if rev == service.rev)
-        assert arrived <= back + AGENT_RETRY_DELAY and not failed
+        assert arrived <= back + AGENT_RETRY_DELAY
+        assert not failed
 
     play(scene, monkeypatch, near=True)
 
@@ -211,7 +215,9 @@
                 while not heard:
                     await trio.sleep(0.01)
             assert len(failed) == 1  # after as many silences in a row as are not the module's matter
-            assert heard[0].rev == 5 and heard[0].targets[0].uid == "s-9" and len(calls) == 4
+            assert heard[0].rev == 5
+            assert heard[0].targets[0].uid == "s-9"
+            assert len(calls) == 4
             nursery.cancel_scope.cancel()
 
     trio.run(main)
@@ -219,7 +225,8 @@
 
 def test_where_lists_are_pushed_a_new_router_first_asks_the_agent(tmp_path):
     told = {**SETTINGS, "discovery": "pushed"}
-    assert read_settings(1, told).endpoints_pushed and not read_settings(1, SETTINGS).endpoints_pushed
+    assert read_settings(1, told).endpoints_pushed
+    assert not read_settings(1, SETTINGS).endpoints_pushed
     asked = []
 
     def agent(method, target, headers, body):
@@ -245,8 +252,10 @@
             while made.service.lifecycle.phase is not Phase.READY:
                 await trio.sleep(0.01)
             # The list kept from before has it ready: by that one, the drain would have been broken.
-            assert answer.startswith(b"-BUSY") and not made.caches[0].commands
-            assert (await client.get("k2", "j2")).startswith(b"-BUSY") and not made.caches[0].commands
+            assert answer.startswith(b"-BUSY")
+            assert not made.caches[0].commands
+            assert (await client.get("k2", "j2")).startswith(b"-BUSY")
+            assert not made.caches[0].commands
             assert asked[0] == "/discovery/hosts"
 
     trio.run(main)
--- a/tests/test_list_moves.py
+++ b/tests/test_list_moves.py
@@ -171,7 +171,8 @@
     targets, heard = moved(monkeypatch, [], FULL_POLL_DELAY + FULL_POLL_JITTER + 5.0)
     assert targets[0][1] == f"{ENDPOINTS_PATH}?index=41"
     whole = [at for at, target in targets if target == ENDPOINTS_PATH]
-    assert len(whole) == 1 and FULL_POLL_DELAY <= whole[0] <= FULL_POLL_DELAY + FULL_POLL_JITTER + 3.0
+    assert len(whole) == 1
+    assert FULL_POLL_DELAY <= whole[0] <= FULL_POLL_DELAY + FULL_POLL_JITTER + 3.0
     assert any(each.complete for each in heard)
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -356,7 +356,7 @@
     async def scene():
         async with fleet(tmp_path, [Cache()]) as made:
             monkeypatch.setattr(Cache, "answer", twice)
-            monkeypatch.setattr(connection_pool, "REUSE_DELAY", 0.5, raising=False)
+            monkeypatch.setattr(connection_pool, "REUSE_DELAY", 0.5)
             client = await made.client()
             for n in range(8):
                 assert await client.get(f"k{n}") == b"$5\r\nof k%d\r\n" % n
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -51,7 +51,8 @@
             parser.feed(bytes([byte]))
             assert parser.next() is None
         parser.feed(whole[-1:])
-        assert parser.next().raw == whole and len(parser) == 0
+        assert parser.next().raw == whole
+        assert len(parser) == 0
 
 
 def test_the_parser_fed_in_chance_pieces_finds_the_same_messages():
@@ -96,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer, outcome, value",
+    ("answer", "outcome", "value"),
     [
         (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n", Outcome.SUCCEEDED, b"$1\r\nv\r\n"),
         (b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", Outcome.SUCCEEDED, b"$0\r\n\r\n"),
@@ -153,7 +154,8 @@
         talk = HttpExchange(100)
         talk.request("GET", "/k", [(b"Host", b"h")])
         answers = [talk.receive(piece) for piece in pieces]
-        assert answers[-1][2:] == (b"ab", True) and not any(answers[:-1])
+        assert answers[-1][2:] == (b"ab", True)
+        assert not any(answers[:-1])
     empty = HttpExchange(100)
     empty.request("GET", "/k", [(b"Host", b"h")])
     assert not empty.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200").reusable
@@ -168,9 +170,14 @@
 def test_a_stale_handle_finds_nothing_and_slots_are_used_again():
     slots = HandleTable()
     first = slots.add("a")
-    assert slots.remove(first) == "a" and slots.remove(first) is None and len(slots) == 0
+    assert slots.remove(first) == "a"
+    assert slots.remove(first) is None
+    assert len(slots) == 0
     second = slots.add("b")
-    assert second != first and slots.get(first) is None and slots.get(second) == "b" and list(slots) == ["b"]
+    assert second != first
+    assert slots.get(first) is None
+    assert slots.get(second) == "b"
+    assert list(slots) == ["b"]
     for _ in range(1000):
         slots.remove(slots.add("c"))
     assert len(slots._items) == 2
@@ -218,7 +225,8 @@
     kept = timers.call_at(0.0, print)
     for i in range(10_000):
         timers.cancel(timers.call_at(1e12 + i, print))
-    assert len(timers) < 200 and kept.action is print
+    assert len(timers) < 200
+    assert kept.action is print
 
 
 ENTRY = {
@@ -242,8 +250,10 @@
         }
     ).targets[1]
     other = read_endpoint_list({"rev": 9, "all": False, "targets": [{**ENTRY, "uid": "s-2"}]}).targets[0]
-    assert here.entry == there.entry and here.address != there.address
-    assert here.entry.started == 1.5 and other.entry.ident != here.entry.ident
+    assert here.entry == there.entry
+    assert here.address != there.address
+    assert here.entry.started == 1.5
+    assert other.entry.ident != here.entry.ident
 
 
 def test_an_unknown_state_gets_nothing_new_and_a_server_gone_needs_no_endpoint():
@@ -296,7 +306,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, field",
+    ("change", "field"),
     [
         ({"listen": "here"}, "listen"),
         ({"listen": None}, "listen"),
@@ -319,16 +329,19 @@
     path.write_text(json.dumps({**CONFIG, **change}))
     with pytest.raises(SettingsError) as told:
         read_configuration({"LB_CONFIG": str(path)})
-    assert str(told.value).startswith(field + ":") and "\n" not in str(told.value)
+    assert str(told.value).startswith(field + ":")
+    assert "\n" not in str(told.value)
 
 
 def test_a_good_configuration_is_read_and_the_list_is_always_asked_for(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**CONFIG, "settings": {**SETTINGS, "discovery": "pushed", "novel": 1}}))
     configuration = read_configuration({"LB_CONFIG": str(path), "LB_NAME": "n7"})
-    assert configuration.name == "n7" and configuration.listen == ("127.0.0.1", 7000)
+    assert configuration.name == "n7"
+    assert configuration.listen == ("127.0.0.1", 7000)
     assert configuration.memory == 192 << 20
-    assert configuration.settings.deployment.must_poll and configuration.settings.deployment.seed == 0x8C1F
+    assert configuration.settings.deployment.must_poll
+    assert configuration.settings.deployment.seed == 0x8C1F
     assert not read_settings(1, {**SETTINGS, "discovery": "pushed"}).deployment.must_poll
     for missing in ({}, {"LB_CONFIG": str(tmp_path / "none")}):
         with pytest.raises(SettingsError, match="LB_CONFIG"):
@@ -336,7 +349,7 @@
 
 
 @pytest.mark.parametrize(
-    "field, value, told",
+    ("field", "value", "told"),
     [
         ("weights", "heavy", "weights: none of off, nominal, rough, live"),
         ("weights", 2, "weights: none of"),
@@ -360,15 +373,15 @@
 def test_without_the_settings_of_the_new_shape_nothing_of_it_acts():
     told = read_settings(1, SETTINGS)
     plain = told.deployment
-    assert not told.reports_load and not plain.has_endpoint_weights and not plain.one_attempt_per_connection
+    assert not told.reports_load
+    assert not plain.has_endpoint_weights
+    assert not plain.one_attempt_per_connection
     assert plain.cross_zone_price == plain.connection_price == 0.0
     many = {**SETTINGS, "prices": {"handshake": 0.1}, "allowed": {**SETTINGS["allowed"], "maxStreams": 128}}
     assert Router(read_settings(1, many).deployment, 0.0).starts == 1
     one = {**many, "allowed": {**SETTINGS["allowed"], "maxStreams": 1}, "weights": "live"}
-    assert (
-        Router(read_settings(1, one).deployment, 0.0).starts > 1
-        and not read_settings(1, one).deployment.has_endpoint_weights
-    )
+    assert Router(read_settings(1, one).deployment, 0.0).starts > 1
+    assert not read_settings(1, one).deployment.has_endpoint_weights
     for source, names, tells in (
         ("inline", ["rps", "active"], True),
         ("inline", ["rps"], False),
@@ -380,7 +393,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    ("text", "told"),
     [
         ("active=7,rps=3.5", 7.0),
         ("rps=3,active=0", 0.0),
@@ -402,7 +415,7 @@
 
 
 @pytest.mark.parametrize(
-    "hint, weight",
+    ("hint", "weight"),
     [
         (2.5, 2.5),
         (1, 1.0),
