--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,7 +20,7 @@
 from gaugehinge.net.codec import RequestPayload
 from gaugehinge.net.connection import PendingAttempt, ServerPool
 from gaugehinge.net.connection_pool import ConnectionPool
-from gaugehinge.net.discovery import MIN_POLL_INTERVAL
+from gaugehinge.net.discovery_schedule import MIN_POLL_INTERVAL
 from gaugehinge.net.dispatcher import PendingOperation
 from gaugehinge.net.endpoint_list import read_endpoint_list
 from gaugehinge.net.lifecycle import Phase
