--- a/gaugehinge/door/door.py
+++ b/gaugehinge/door/door.py
@@ -16,7 +16,7 @@
 from loguru import logger
 
 from ..net.client_server import ClientConnection, ClientServer
-from ..net.connection_pool import RequestPayload
+from ..net.codec import RequestPayload
 from ..net.dispatcher import BUSY_REPLY, Dispatcher, busy_reply
 from ..routing.types import Operation
 from ..settings import Settings
@@ -178,7 +178,7 @@
         """The name in the labels, where that tells clients apart; empty where there is none."""
         if not self.label:
             return b""
-        for part in payload.told.split(b","):
+        for part in payload.labels.split(b","):
             if part.startswith(self.label):
                 return part
         return b""
@@ -336,7 +336,7 @@
             left, refusing = self.turnstile.looked()
             self.level.sample(left, refusing / span, now)
         self.queue.sample(now)
-        lag = self.timers.behind
+        lag = self.timers.current_lag
         self.limiter.sample(lag, self.in_hand, self.queue.live, self.lateness, now)
         backlogs = [self.queue.backlog(line) for line in self.queue.lines]
         self.tap.sample(backlogs, self._rooms(span), now)
--- a/gaugehinge/net/client_server.py
+++ b/gaugehinge/net/client_server.py
@@ -17,7 +17,7 @@
 
 from ..routing.types import Effect, Operation
 from ..settings import Settings
-from .connection_pool import RequestPayload
+from .codec import RequestPayload
 from .dispatcher import BUSY_REPLY, Dispatcher
 from .handle_table import HandleTable
 from .lifecycle import Lifecycle, Phase
@@ -465,7 +465,7 @@
     def behind(self) -> bool:
         """Whether the loop is. Short of CPU, more in hand makes all of it late: what comes then is answered
         while that is cheap."""
-        return self.door is None and self.dispatcher.timers.behind > MOST_BEHIND
+        return self.door is None and self.dispatcher.timers.current_lag > MOST_BEHIND
 
     def _close_ident(self, ident: bytes) -> None:
         self.idents_open.discard(ident)
@@ -523,7 +523,7 @@
             message.raw[: parts[3].start],
             message.raw[parts[3].end :],
             parts[4].body if write else None,
-            wanted=partial(self.present, client),
+            client_is_waiting=partial(self.present, client),
         )
         return operation, payload
 
--- /dev/null
+++ b/gaugehinge/net/connection.py
@@ -0,0 +1,48 @@
+"""The data of connections to servers: a connection, its server's idle list, the attempt that it carries."""
+
+from __future__ import annotations
+
+import socket
+from dataclasses import dataclass, field
+from typing import Any
+
+from ..routing.types import Attempt
+from .codec import Codec, RequestPayload
+from .configuration import Address
+from .timer_queue import Timer
+
+
+@dataclass(slots=True, eq=False)
+class Connection:
+    """One connection to a server. A task of the pool owns it and reads it until it ends."""
+
+    sock: socket.socket
+    endpoint: ServerPool
+    codec_state: Any  # belongs to the codec
+    pending: PendingAttempt | None  # the attempt that it carries; None while it is idle
+    idle_since: float = 0.0  # by the pool's clock; 0 until it has been idle once
+    request_sent: bool = False  # whether the last byte of the attempt has been written
+    closed: bool = False
+
+
+@dataclass(slots=True, eq=False)
+class ServerPool:
+    """One process of a server with its idle connections, for as long as discovery lists it."""
+
+    ident: int
+    uid: str
+    address: Address
+    started: float  # Unix time; a process that was started later is another ServerPool
+    idle: list[Connection] = field(default_factory=list)  # in the order of `idle_since`
+
+
+@dataclass(slots=True, eq=False)
+class PendingAttempt:
+    """An attempt that has not ended yet."""
+
+    attempt: Attempt
+    payload: RequestPayload
+    codec: Codec
+    deadline: float  # by the pool's clock; then the attempt has timed out
+    timer: Timer = field(init=False)  # of the deadline; set as the pool starts the attempt
+    connection: Connection | None = None  # None before it has one, and after it gave it up
--- a/gaugehinge/net/timer_queue.py
+++ b/gaugehinge/net/timer_queue.py
@@ -1,4 +1,7 @@
-"""All that falls due, in one heap: attempt time-outs, waits, deadlines, errands. Measures the loop's lag."""
+"""Timers of one router in one heap: timeouts of attempts, waits, deadlines, periodic tasks.
+
+The queue also measures the lag of the event loop: how late it gets to what is due.
+"""
 
 from __future__ import annotations
 
@@ -13,99 +16,111 @@
 import trio
 from loguru import logger
 
-SAMPLE_EVERY = 0.05  # how often the lag is looked at, even with nothing due
-LAG_KEEP = 0.99  # a sample: a long lag is remembered for some seconds
-MOST_LAG = 0.6  # a stall longer than this is no measure of the next one
-SPARSE = 64  # a heap this small is not worth cleaning
+LAG_SAMPLE_INTERVAL = 0.05  # seconds between two measures of the lag, also with nothing due
+LAG_DECAY = 0.99  # for each sample: a long lag is remembered for some seconds
+MAX_LAG = 0.6  # seconds; a longer stall is no measure of the next one
+MIN_CANCELLED_TO_COMPACT = 64  # with fewer cancelled timers the heap is not worth compacting
 
 
 class Clock:
-    """Unix time set once at the start and monotonic from there: `boot_ms` compares, and no step is felt."""
+    """Unix time, read once at the start and monotonic from there.
+
+    Times can be compared with those of other processes, such as a server's `boot_ms`, and steps of the
+    system's clock are not felt.
+    """
 
     def __init__(self) -> None:
+        """Start from the system's clock."""
         self._base = time.time() - time.monotonic()
 
     def __call__(self) -> float:
+        """The time in seconds."""
         return self._base + time.monotonic()
 
 
 @dataclass(slots=True, eq=False)
 class Timer:
-    """Something to do at a time."""
+    """A call at some time."""
 
-    action: Callable[..., Any] | None
-    given: tuple[Any, ...]
+    action: Callable[..., Any] | None  # None: it was called or cancelled
+    args: tuple[Any, ...]
 
 
 class TimerQueue:
-    """The heap; entries leave it when due, or when most of it is dropped ones."""
+    """A heap of timers. A timer leaves it when due, or once half of the heap is cancelled ones."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
+        """`clock` gives the time in seconds."""
         self.clock = clock
-        self.behind = 0.0  # how late the last sample was
-        self.lag = 0.0  # the same, remembered
+        self.current_lag = 0.0  # seconds, by the last sample
+        self.lag = 0.0  # seconds, the longest of late, decaying
         self._heap: list[tuple[float, int, Timer]] = []
-        self._counter = 0
-        self._dropped = 0
-        self._sooner = trio.Event()
+        self._counter = 0  # keeps timers of the same time in order
+        self._cancelled = 0  # timers of the heap
+        self._earlier_timer = trio.Event()
 
     def __len__(self) -> int:
+        """How many timers the heap holds, cancelled ones among them."""
         return len(self._heap)
 
-    def call_at(self, when: float, action: Callable[..., Any], *given: Any) -> Timer:
-        due = Timer(action, given)
+    def call_at(self, when: float, action: Callable[..., Any], *args: Any) -> Timer:
+        """Call `action` at a time by the clock, at the earliest in the next turn of `run`."""
+        timer = Timer(action, args)
         self._counter += 1
         if not self._heap or when < self._heap[0][0]:
-            self._sooner.set()
-        heappush(self._heap, (when, self._counter, due))
-        return due
+            self._earlier_timer.set()
+        heappush(self._heap, (when, self._counter, timer))
+        return timer
 
     @contextmanager
     def timeout_scope(self, wait: float) -> Iterator[trio.CancelScope]:
-        """A scope that is cancelled after a wait."""
+        """A scope that is cancelled after `wait` seconds."""
         with trio.CancelScope() as scope:
-            due = self.call_at(self.clock() + wait, scope.cancel) if wait < inf else None
+            timer = self.call_at(self.clock() + wait, scope.cancel) if wait < inf else None
             try:
                 yield scope
             finally:
-                if due is not None:
-                    self.cancel(due)
+                if timer is not None:
+                    self.cancel(timer)
+
+    def cancel(self, timer: Timer) -> None:
+        """Cancel a timer, if it was not called yet.
 
-    def cancel(self, due: Timer) -> None:
-        """Not wanted any more. Most time-outs never fall due: left in, they would outnumber the others."""
-        if due.action is None:
+        Most timeouts never fall due. Left in the heap, cancelled ones would outnumber the others.
+        """
+        if timer.action is None:
             return
-        due.action, due.given = None, ()
-        self._dropped += 1
-        if self._dropped > SPARSE and 2 * self._dropped > len(self._heap):
+        timer.action, timer.args = None, ()
+        self._cancelled += 1
+        if self._cancelled > MIN_CANCELLED_TO_COMPACT and 2 * self._cancelled > len(self._heap):
             self._heap = [entry for entry in self._heap if entry[2].action is not None]
             heapify(self._heap)
-            self._dropped = 0
+            self._cancelled = 0
 
     async def run(self) -> None:
-        """Do what falls due, until cancelled."""
-        sample = self.clock() + SAMPLE_EVERY
+        """Call timers as they fall due, until cancelled."""
+        next_sample = self.clock() + LAG_SAMPLE_INTERVAL
         while True:
-            self._sooner = trio.Event()
-            until = min(self._heap[0][0], sample) if self._heap else sample
+            self._earlier_timer = trio.Event()
+            until = min(self._heap[0][0], next_sample) if self._heap else next_sample
             with trio.move_on_after(max(until - self.clock(), 0.0)):
-                await self._sooner.wait()
+                await self._earlier_timer.wait()
             now = self.clock()
-            if now >= sample:
-                self.behind = now - sample
-                self.lag = max(min(self.behind, MOST_LAG), self.lag * LAG_KEEP)
-                sample = now + SAMPLE_EVERY
-            self._work_off(now)
+            if now >= next_sample:
+                self.current_lag = now - next_sample
+                self.lag = max(min(self.current_lag, MAX_LAG), self.lag * LAG_DECAY)
+                next_sample = now + LAG_SAMPLE_INTERVAL
+            self._run_due(now)
 
-    def _work_off(self, now: float) -> None:
+    def _run_due(self, now: float) -> None:
         while self._heap and self._heap[0][0] <= now:
-            due = heappop(self._heap)[2]
-            if due.action is None:
-                self._dropped -= 1
+            timer = heappop(self._heap)[2]
+            if timer.action is None:
+                self._cancelled -= 1
                 continue
-            action, given = due.action, due.given
-            due.action, due.given = None, ()
+            action, args = timer.action, timer.args
+            timer.action, timer.args = None, ()
             try:
-                action(*given)
-            except Exception:  # one thing that fails must not take the others' deadlines with it
-                logger.exception("a deadline's action failed")
+                action(*args)
+            except Exception:  # a callback that fails must not take the other timers with it
+                logger.exception("a timer's callback failed")
--- a/gaugehinge/rehearsal/faulty.py
+++ b/gaugehinge/rehearsal/faulty.py
@@ -10,6 +10,7 @@
 
 import sys
 import time
+from contextlib import suppress
 from urllib.parse import quote
 from zlib import crc32
 
@@ -19,10 +20,10 @@
 from ..installation.build import configuration_of
 from ..installation.form import Installation
 from ..net.configuration import Configuration
-from ..net.discovery import PATH, Watch
+from ..net.discovery_watch import ENDPOINTS_PATH, PollError, Watch
 from ..net.endpoint_list import EndpointTarget
-from ..net.origin import HttpExchange
-from ..net.resp import MOST_ANSWER, Message, Parser, bulk
+from ..net.http_exchange import HttpExchange
+from ..net.resp import MAX_REPLY_BYTES, Message, Parser, bulk
 from ..net.timer_queue import TimerQueue
 from ..routing.types import EndpointState
 
@@ -56,8 +57,8 @@
 
     async def _follow(self) -> None:
         while True:
-            update = await self.watch.call(PATH, ATTEMPT_TIME)
-            if update is not None:
+            with suppress(PollError):
+                update = await self.watch.poll(ENDPOINTS_PATH, ATTEMPT_TIME)
                 self.servers = {target.uid: target for target in update.targets}
             await trio.sleep(LIST_EVERY)
 
@@ -118,7 +119,7 @@
 
     async def _ask_cache(self, target: EndpointTarget, raw: bytes) -> bytes | None:
         """The value as it came; None for a miss."""
-        parser = Parser(MOST_ANSWER)
+        parser = Parser(MAX_REPLY_BYTES)
         try:
             with trio.move_on_after(ATTEMPT_TIME):
                 async with await trio.open_tcp_stream(*target.address) as stream:
@@ -152,16 +153,16 @@
         target = self._origin()
         if target is None:
             return FAILED
-        talk = HttpExchange(MOST_ANSWER)
+        talk = HttpExchange(MAX_REPLY_BYTES)
         body = words[4] if words[0] == b"KV.SET" else None
-        head = [("Host", b"origin"), ("X-Txn", words[2]), ("X-Labels", words[3])]
+        head = [(b"Host", b"origin"), (b"X-Txn", words[2]), (b"X-Labels", words[3])]
         data = talk.request("GET" if body is None else "PUT", "/" + quote(words[1], safe=""), head, body)
         try:
             with trio.move_on_after(ATTEMPT_TIME):
                 async with await trio.open_tcp_stream(*target.address) as stream:
                     await stream.send_all(data)
                     async for came in stream:
-                        answer = talk.answer(came)
+                        answer = talk.receive(came)
                         if answer is not None:
                             return bulk(answer.body) if answer.status == 200 else FAILED
         except (OSError, trio.BrokenResourceError):
--- a/tests/test_cluster_model.py
+++ b/tests/test_cluster_model.py
@@ -21,7 +21,7 @@
 from gaugehinge.cluster.slots import SLOTS, Node, Redirection, SlotMap, even, read_slots, slot_of
 from gaugehinge.emulator.shards import Shards, Wire
 from gaugehinge.emulator.virtual import VirtualTime
-from gaugehinge.net.connection_pool import RequestPayload
+from gaugehinge.net.codec import RequestPayload
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
 from gaugehinge.routing import retry_safety
@@ -104,7 +104,7 @@
         self.pending[attempt] = (payload, asking)
         self.sent.append(attempt)
 
-    def call_off(self, attempt) -> None:
+    def cancel(self, attempt) -> None:
         self.pending.pop(attempt, None)
 
 
@@ -175,7 +175,7 @@
 
     def _runs(self, attempt, payload, asking) -> bytes:
         shard = self.shards.all[NAMES[attempt.endpoint.ident - 1]]
-        value = self.shards.answer(shard, Wire(asking=asking), payload.words)
+        value = self.shards.answer(shard, Wire(asking=asking), payload.verbatim_command)
         return value, encode(value)
 
     def _end(self, attempt, outcome, value=None) -> None:
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -195,5 +195,5 @@
     monkeypatch.setattr(owner, name, wrong)
     if owner is retry_safety:
         monkeypatch.setattr(retry_safety, "is_retry_harmless", lambda endpoint, operation: True)
-        monkeypatch.setattr(connection_pool, "WAY", -1e9)  # nor does the pool look
+        monkeypatch.setattr(connection_pool, "RETRY_DEADLINE_MARGIN", -1e9)  # nor does the pool look
     assert rule in run(tmp_path, ["old", "new"]).broken()
