--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -134,7 +134,7 @@
             monkeypatch.setattr(
                 connection_pool, "send_some", lambda raw, data: sockets.send_some(raw, data[:3])
             )
-            monkeypatch.setattr(ConnectionPool, "_push", nothing_more)
+            monkeypatch.setattr(ConnectionPool, "_send_rest", nothing_more)
             assert (await client.put(labels="c=once,d=500")).startswith(b"-BUSY") and made.origin.seen == []
 
     run(scene)
@@ -762,7 +762,7 @@
                 await trio.sleep(0.01)
             assert calls[0] == calls[1] and "index=1&" in calls[1]
 
-    monkeypatch.setattr(Router, "hear_list", flawed)
+    monkeypatch.setattr(Router, "on_endpoints_changed", flawed)
     run(scene)
 
 
