--- a/gaugehinge/placement/router.py
+++ b/gaugehinge/placement/router.py
@@ -213,7 +213,7 @@
         if pin.held and operation.is_client_retry and _marked(operation):
             return FAILED_REPLY
         if not pin.regions:
-            return self.busy()
+            return self.busy_reply()
         operation.regions = pin.regions
         return None
 
@@ -240,7 +240,7 @@
             self._refuse(operation, FAILED_REPLY)
             return False
         if not regions:
-            self._refuse(operation, self.busy())
+            self._refuse(operation, self.busy_reply())
             return False
         return attempt.endpoint.origin or self._inside(attempt, regions)
 
@@ -267,7 +267,7 @@
         self.bounced += 1
         if operation.may_have_run_on is not None and operation.traffic_type.effect is not Effect.IDEMPOTENT:
             return FAILED_REPLY
-        return self.busy()
+        return self.busy_reply()
 
     def _refuse(self, operation: Operation, reply: bytes) -> None:
         ran = operation.may_have_run_on is not None and operation.traffic_type.effect is not Effect.IDEMPOTENT
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -485,10 +485,10 @@
         )
         part.closing = 30.0
         tell(part, time, 1, granted)
-        server = SimpleNamespace(ident=1, origin=False, presence=EndpointState.UP)
+        server = SimpleNamespace(ident=1, origin=False, state=EndpointState.UP)
 
         def send(time_out=5.0):
-            attempt = Attempt(SimpleNamespace(over=False, latest=inf), server, 0, clock())
+            attempt = Attempt(SimpleNamespace(finished=False, retry_deadline=inf), server, 0, clock())
             payload = RequestPayload(b"i", b"k", (b"d=", b""), b"", b"*4\r\n$6\r\nKV.GET\r\n", b"", None)
             pool.send(attempt, payload, time_out, RespCodec())
             return attempt
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -114,7 +114,7 @@
         self.paused = False
         self.operation = None  # in hand since the door
         self.roster = Roster()
-        deployment = SimpleNamespace(origin_kind="origin", longest_come_back=2.0)
+        deployment = SimpleNamespace(origin_kind="origin", max_retry_after=2.0)
         dispatcher = SimpleNamespace(on_endpoints_changed=lambda *told: None, place=None, refuse=self.refuse)
         pool = SimpleNamespace(pending={}, guard=None)
         configuration = SimpleNamespace(settings=SimpleNamespace(deployment=deployment))
