--- a/tests/test_cluster_model.py
+++ b/tests/test_cluster_model.py
@@ -70,7 +70,7 @@
 class VirtualTimers(VirtualTime):
     """The heap's other words."""
 
-    behind = lag = 0.0
+    current_lag = lag = 0.0
 
     def call_at(self, when, action, *given):
         due = SimpleNamespace(action=action)
