--- a/gaugehinge/cli/keep_command.py
+++ b/gaugehinge/cli/keep_command.py
@@ -30,9 +30,9 @@
 
         parts.append(placing(told))
     if told.drains.on:
-        from ..drains.keeper import keeping
+        from ..drains.controller import control_plane_part
 
-        parts.append(keeping(told))
+        parts.append(control_plane_part(told))
     try:
         trio.run(partial(keep, told, parts=parts))
     except Damaged as bad:
--- a/gaugehinge/cli/serve_command.py
+++ b/gaugehinge/cli/serve_command.py
@@ -62,11 +62,11 @@
 
             follow = placed(follow)
         if told.drains.on:
-            from ..drains.build import Taken, draining
+            from ..drains.build import NodeFileLockedError, drains_extension
 
             try:
-                follow = _joined(follow, draining(told))
-            except Taken as bad:
+                follow = _joined(follow, drains_extension(told))
+            except NodeFileLockedError as bad:
                 raise BadInput(f"{file}: drains.file: {bad}") from None
         extensions.append(follow)
         more["kind"] = HostedClients
--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -14,38 +14,38 @@
 from ..admin.app import MOST_KEY, answer, if_match, read
 from ..admin.service import Caller, Wrong
 from ..store.store import Store, Wanted, encode
-from .grants import Figures, figure, fits
-from .rolls import (
+from .leases import ConnectionCounts, count_for, undersized_limit
+from .restarts import (
     ENDED,
     MOST_ROLLS,
     OUT,
-    Refused,
-    Roll,
-    RollOrder,
-    Stage,
-    Status,
-    Step,
+    InvalidOrderError,
+    RestartOrder,
+    RestartStatus,
+    RestartStep,
+    RollingRestart,
+    StepStage,
     cancel,
-    chosen,
-    go_back,
     pause,
     resume,
+    roll_back,
+    select_nodes,
 )
 
 if TYPE_CHECKING:
-    from .keeper import KeeperDrains
+    from .controller import DrainsController
 
 LIMIT, NODE, ROLL, STEP = "drains-limit", "drains-node", "drains-roll", "drains-step"
 MOST_NAME = 200
 
 
-class LimitOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LimitUpdate(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How many connections a store bears."""
 
     most: Annotated[int, Meta(ge=1, le=10**6)]
 
 
-class LimitShown(msgspec.Struct, frozen=True):
+class LimitView(msgspec.Struct, frozen=True):
     """A limit and what of it is held at worst."""
 
     store: str  # `origin`, `servers` (each that is not named), or a server's name
@@ -59,10 +59,10 @@
 class LimitPage(msgspec.Struct, frozen=True):
     """All limits."""
 
-    limits: list[LimitShown]
+    limits: list[LimitView]
 
 
-class NodeShown(msgspec.Struct, frozen=True):
+class NodeView(msgspec.Struct, frozen=True):
     """A node that may exist, and its grant."""
 
     node: str
@@ -76,17 +76,17 @@
     stage: str  # `granted`, `silent`, `lost` (at its floor for certain), `closed`, `leaving`
 
 
-class GrantPage(msgspec.Struct, frozen=True):
+class LeasePage(msgspec.Struct, frozen=True):
     """All grants."""
 
-    nodes: list[NodeShown]
+    nodes: list[NodeView]
     most_nodes: int
     refused: dict[str, str]  # nodes that are not admitted, and why
     doubt: str  # why nobody new is admitted; empty: no reason
     settled_in: float  # seconds until grants may be raised after this keeper's start
 
 
-class StepShown(msgspec.Struct, frozen=True):
+class StepView(msgspec.Struct, frozen=True):
     """A node of a roll."""
 
     node: str
@@ -94,12 +94,12 @@
     why: str = ""
 
 
-class RollShown(msgspec.Struct, frozen=True):
+class RestartView(msgspec.Struct, frozen=True):
     """A roll as it stands."""
 
     id: str
     status: str
-    order: RollOrder
+    order: RestartOrder
     nodes: int
     waiting: int
     out: int
@@ -110,16 +110,16 @@
     by: str
     at: float
     revision: int
-    steps: list[StepShown] = []  # of one roll alone
+    steps: list[StepView] = []  # of one roll alone
 
 
-class RollPage(msgspec.Struct, frozen=True):
+class RestartPage(msgspec.Struct, frozen=True):
     """Rolls, newest last."""
 
-    rolls: list[RollShown]
+    rolls: list[RestartView]
 
 
-class Done(msgspec.Struct, frozen=True):
+class ChangeResult(msgspec.Struct, frozen=True):
     """What was changed."""
 
     detail: str
@@ -128,7 +128,7 @@
 class DrainsApi:
     """The calls."""
 
-    def __init__(self, part: KeeperDrains) -> None:
+    def __init__(self, part: DrainsController) -> None:
         self.part = part
         self.administration = part.administration
 
@@ -136,23 +136,23 @@
         """method, path, what, form in, form out, handler."""
         return [
             ("GET", "/v1/limits", "limits on connections", None, LimitPage, self.limits),
-            ("GET", "/v1/limits/{store}", "one limit", None, LimitShown, self.limit),
-            ("PUT", "/v1/limits/{store}", "change a limit", LimitOrder, LimitShown, self.put_limit),
-            ("GET", "/v1/grants", "who may have how many open", None, GrantPage, self.grants),
-            ("POST", "/v1/nodes/{node}/gone", "a node that is no more", None, Done, self.gone),
-            ("POST", "/v1/nodes/confirm", "all nodes there are, are known", None, Done, self.confirm),
-            ("GET", "/v1/rolls", "rolls that stand or stood", None, RollPage, self.rolls),
-            ("POST", "/v1/rolls", "roll nodes", RollOrder, RollShown, self.new_roll),
-            ("GET", "/v1/rolls/{id}", "one roll", None, RollShown, self.roll),
-            ("POST", "/v1/rolls/{id}/pause", "tell nobody more", None, RollShown, self.pause),
-            ("POST", "/v1/rolls/{id}/resume", "go on", None, RollShown, self.resume),
-            ("POST", "/v1/rolls/{id}/cancel", "end it as it stands", None, RollShown, self.cancel),
-            ("POST", "/v1/rolls/{id}/back", "take back what was done", None, RollShown, self.back),
+            ("GET", "/v1/limits/{store}", "one limit", None, LimitView, self.limit),
+            ("PUT", "/v1/limits/{store}", "change a limit", LimitUpdate, LimitView, self.put_limit),
+            ("GET", "/v1/grants", "who may have how many open", None, LeasePage, self.grants),
+            ("POST", "/v1/nodes/{node}/gone", "a node that is no more", None, ChangeResult, self.gone),
+            ("POST", "/v1/nodes/confirm", "all nodes there are, are known", None, ChangeResult, self.confirm),
+            ("GET", "/v1/rolls", "rolls that stand or stood", None, RestartPage, self.rolls),
+            ("POST", "/v1/rolls", "roll nodes", RestartOrder, RestartView, self.new_roll),
+            ("GET", "/v1/rolls/{id}", "one roll", None, RestartView, self.roll),
+            ("POST", "/v1/rolls/{id}/pause", "tell nobody more", None, RestartView, self.pause),
+            ("POST", "/v1/rolls/{id}/resume", "go on", None, RestartView, self.resume),
+            ("POST", "/v1/rolls/{id}/cancel", "end it as it stands", None, RestartView, self.cancel),
+            ("POST", "/v1/rolls/{id}/back", "take back what was done", None, RestartView, self.back),
         ]
 
     # -- limits
 
-    def _limits(self, store: Store) -> list[LimitShown]:
+    def _limits(self, store: Store) -> list[LimitView]:
         part = self.part
         part.note(store)
         with part.lock:
@@ -160,13 +160,13 @@
             slots = [slot for _, slot in part.slots(store).values()]
             found = []
             for item in store.items(LIMIT, most=100_000):
-                most = msgspec.json.decode(item.body, type=LimitOrder).most
+                most = msgspec.json.decode(item.body, type=LimitUpdate).most
                 found.append(
-                    LimitShown(
+                    LimitView(
                         item.ident,
                         most,
                         grants.spent(slots, item.ident),
-                        max(grants.most_nodes * figure(grants.floors, item.ident), 1),
+                        max(grants.most_nodes * count_for(grants.floors, item.ident), 1),
                         grants.reached(slots, item.ident, most, now),
                         item.rev,
                     )
@@ -198,12 +198,12 @@
         """PUT /v1/limits/{store}: for the revision that was read; 0 names a server for the first time."""
         caller.need("operator")
         name = request.path_params["store"]
-        told, _ = await read(request, LimitOrder)
+        told, _ = await read(request, LimitUpdate)
         expect = if_match(request)
         if not 0 < len(name) <= MOST_NAME:
             raise Wrong(422, "invalid", f"1 to {MOST_NAME} characters", "store")
         grants = self.part.grants
-        small = fits({name: told.most}, grants.floors, grants.most_nodes)
+        small = undersized_limit({name: told.most}, grants.floors, grants.most_nodes)
         if small is not None:
             why = f"{told.most} is under {small[1]}, the floors of {grants.most_nodes} nodes"
             raise Wrong(422, "invalid", why, "most")
@@ -228,7 +228,7 @@
         caller.need("reader")
         return answer(await self.administration.keeper.call(self._grants, self._store))
 
-    def _grants(self, store: Store) -> GrantPage:
+    def _grants(self, store: Store) -> LeasePage:
         part = self.part
         with part.lock:
             grants, now = part.grants, part.clock()
@@ -246,9 +246,9 @@
                     stage = "silent"
                 elif last is not None and last.said.leaving:
                     stage = "leaving"
-                held: Figures = {store: grants.charge(slot, store) for store in limits}
+                held: ConnectionCounts = {store: grants.charge(slot, store) for store in limits}
                 nodes.append(
-                    NodeShown(
+                    NodeView(
                         node,
                         slot.run,
                         slot.number,
@@ -263,7 +263,7 @@
             settled = max(grants.settled_at - now, 0.0)
             if grants.raises(now) and not grants.ground.doubt:
                 settled = 0.0
-            return GrantPage(
+            return LeasePage(
                 nodes, grants.most_nodes, dict(grants.refused), grants.ground.doubt, round(settled, 3)
             )
 
@@ -288,7 +288,7 @@
             part.grants.drop(node)
             part.lasts.pop(node, None)
         part.news.set()
-        return answer(Done(f"{node} is no more: its floor is free"))
+        return answer(ChangeResult(f"{node} is no more: its floor is free"))
 
     async def confirm(self, request: Request, caller: Caller) -> Response:
         """POST /v1/nodes/confirm: every node that exists is known, so new ones may be admitted again."""
@@ -312,7 +312,7 @@
 
         await self.administration._change(plan, caller.name)
         part.news.set()
-        return answer(Done("new nodes are admitted"))
+        return answer(ChangeResult("new nodes are admitted"))
 
     # -- rolls
 
@@ -321,7 +321,7 @@
         caller.need("reader")
         rolls, steps, _ = await self.administration.keeper.call(self.part.standing, self._store)
         rows = sorted(rolls.values(), key=lambda row: row[1].number)
-        return answer(RollPage([shown(roll, steps[roll.ident], rev) for rev, roll in rows]))
+        return answer(RestartPage([view_of(roll, steps[roll.ident], rev) for rev, roll in rows]))
 
     async def roll(self, request: Request, caller: Caller) -> Response:
         """GET /v1/rolls/{id}."""
@@ -332,17 +332,17 @@
         found = await self.administration.keeper.call(self._one, self._store, ident)
         return answer(found, etag=found.revision)
 
-    def _one(self, store: Store, ident: str) -> RollShown:
+    def _one(self, store: Store, ident: str) -> RestartView:
         rolls, steps, _ = self.part.standing(store)
         if ident not in rolls:
             raise Wrong(404, "not found", f"no roll {ident}")
         rev, roll = rolls[ident]
-        return shown(roll, steps[ident], rev, True)
+        return view_of(roll, steps[ident], rev, True)
 
     async def new_roll(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls."""
         caller.need("operator")
-        order, body = await read(request, RollOrder)
+        order, body = await read(request, RestartOrder)
         part = self.part
         made: list[str] = []
 
@@ -350,17 +350,17 @@
             with part.lock:
                 facts = part.facts(store, part.clock())[order.kind]
             try:
-                names = chosen(order, facts.values())
-            except Refused as bad:
+                names = select_nodes(order, facts.values())
+            except InvalidOrderError as bad:
                 raise Wrong(422, "invalid", str(bad), bad.field) from None
             rolls, steps, revisions = part.standing(store)
             number = max((roll.number for _, roll in rolls.values()), default=0) + 1
             ident = f"roll-{number:06d}-{self.administration.run_mark[:4]}"  # of a lost store's no name again
-            roll = Roll(ident, number, order, who=caller.name, at=now)
+            roll = RollingRestart(ident, number, order, who=caller.name, at=now)
             made[:] = [roll.ident]
             wanted = [Wanted(ROLL, roll.ident, encode(roll), 0)]
             for place, name in enumerate(names):
-                wanted.append(Wanted(STEP, f"{roll.ident}/{name}", encode(Step(name, place)), 0))
+                wanted.append(Wanted(STEP, f"{roll.ident}/{name}", encode(RestartStep(name, place)), 0))
             return wanted + _room(rolls, steps, revisions)
 
         async def make(**key: Any) -> Response:
@@ -408,13 +408,15 @@
 
     async def back(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls/{id}/back."""
-        return await self._tell(request, caller, go_back)
+        return await self._tell(request, caller, roll_back)
 
     async def _tell(
         self,
         request: Request,
         caller: Caller,
-        alter: Callable[[Roll, list[Step]], tuple[Roll, list[Step], list[str]]],
+        alter: Callable[
+            [RollingRestart, list[RestartStep]], tuple[RollingRestart, list[RestartStep], list[str]]
+        ],
     ) -> Response:
         caller.need("operator")
         ident = request.path_params["id"]
@@ -427,7 +429,7 @@
             before = rolls[ident][1]
             try:
                 after, changed, restore = alter(before, steps[ident])
-            except Refused as bad:
+            except InvalidOrderError as bad:
                 raise Wrong(409, "conflict", str(bad), bad.field) from None
             altered = {ident: after} if after != before else {}
             return part.write(store, rolls, revisions, altered, {ident: changed}, [], restore)
@@ -438,11 +440,15 @@
 
 
 def _room(
-    rolls: dict[str, tuple[int, Roll]], steps: dict[str, list[Step]], revisions: dict[str, int]
+    rolls: dict[str, tuple[int, RollingRestart]],
+    steps: dict[str, list[RestartStep]],
+    revisions: dict[str, int],
 ) -> list[Wanted]:
     """Room for one more: the oldest that ended go. Raises Wrong where none has."""
     ended = sorted(
-        (roll.number, ident, rev) for ident, (rev, roll) in rolls.items() if Status(roll.status) in ENDED
+        (roll.number, ident, rev)
+        for ident, (rev, roll) in rolls.items()
+        if RestartStatus(roll.status) in ENDED
     )
     over = len(rolls) + 1 - MOST_ROLLS
     if over > len(ended):
@@ -457,22 +463,24 @@
     return gone
 
 
-def shown(roll: Roll, steps: list[Step], revision: int, whole: bool = False) -> RollShown:
+def view_of(
+    roll: RollingRestart, steps: list[RestartStep], revision: int, whole: bool = False
+) -> RestartView:
     """A roll as the API shows it."""
-    stages = [Stage(step.stage) for step in steps]
-    return RollShown(
+    stages = [StepStage(step.stage) for step in steps]
+    return RestartView(
         roll.ident,
         roll.status,
         roll.order,
         len(steps),
-        stages.count(Stage.WAITING),
+        stages.count(StepStage.WAITING),
         sum(stage in OUT for stage in stages),
-        stages.count(Stage.DONE),
-        stages.count(Stage.SKIPPED),
+        stages.count(StepStage.DONE),
+        stages.count(StepStage.SKIPPED),
         roll.back,
         roll.why,
         roll.who,
         roll.at,
         revision,
-        [StepShown(step.node, step.stage, step.why) for step in steps] if whole else [],
+        [StepView(step.node, step.stage, step.why) for step in steps] if whole else [],
     )
--- a/gaugehinge/drains/build.py
+++ b/gaugehinge/drains/build.py
@@ -9,17 +9,17 @@
 from ..hosted.follower import Follower
 from ..installation.form import Installation
 from ..net.service import Service
-from .files import NodeFile, Taken
-from .router import RouterDrains
+from .node_file import NodeFile, NodeFileLockedError
+from .router import DrainsAgent
 
 
-def draining(told: Installation) -> Callable[[Service, trio.Nursery, Follower], RouterDrains]:
-    """What adds the part to a follower; this run is counted on its file now. Raises Taken."""
+def drains_extension(told: Installation) -> Callable[[Service, trio.Nursery, Follower], DrainsAgent]:
+    """What adds the part to a follower; this run is counted on its file now. Raises NodeFileLockedError."""
     entry = told.drains
     files = NodeFile(entry.file)
 
-    def extend(service: Service, nursery: trio.Nursery, follower: Follower) -> RouterDrains:
-        part = RouterDrains(service, follower, files, nursery, told.tier.zone, entry.build, entry.labels)
+    def extend(service: Service, nursery: trio.Nursery, follower: Follower) -> DrainsAgent:
+        part = DrainsAgent(service, follower, files, nursery, told.tier.zone, entry.build, entry.labels)
         follower.parts.append(part)
         nursery.start_soon(part.run)
         return part
@@ -27,4 +27,4 @@
     return extend
 
 
-__all__ = ["Taken", "draining"]
+__all__ = ["NodeFileLockedError", "drains_extension"]
--- a/gaugehinge/drains/keeper.py
+++ b/gaugehinge/drains/controller.py
@@ -24,10 +24,28 @@
 from ..store.store import Conflict, Full, Store, Wanted, encode
 from ..tenancy.feed import Report
 from .api import DrainsApi
-from .forms import NAME, Said, ServerSaid, Told
-from .grants import ORIGIN, SERVERS, Figures, Grants, Ground, Slot, figure
-from .lastword import LastWord, sleepless
-from .rolls import ENDED, MOST_NODES, Fact, Roll, Rolls, Stage, Status, Step, told_as
+from .high_water_mark import HighWaterMarkFile, boot_clock
+from .leases import (
+    DEFAULT_SERVER,
+    ORIGIN,
+    ConnectionCounts,
+    DurableState,
+    LeaseManager,
+    NodeRecord,
+    count_for,
+)
+from .messages import NAME, ControlPlaneReply, RouterReport, ServerReport
+from .restarts import (
+    ENDED,
+    MOST_NODES,
+    NodeStatus,
+    RestartPlanner,
+    RestartStatus,
+    RestartStep,
+    RollingRestart,
+    StepStage,
+    restart_token,
+)
 
 LIMIT, NODE, GROUND, ROLL, STEP = (
     "drains-limit",
@@ -44,17 +62,17 @@
 WITNESSES = 2  # routers asked for the list
 
 
-class Limit(msgspec.Struct, frozen=True):
+class ConnectionLimit(msgspec.Struct, frozen=True):
     """A limit, as the store has it."""
 
     most: int
 
 
 @dataclass(slots=True, frozen=True)
-class Last:
+class LatestReport:
     """What one node said last."""
 
-    said: Said
+    said: RouterReport
     router: str
     run: str
     since: int  # the store's revision that it follows
@@ -62,10 +80,10 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class KnownServer:
     """A server as routers said it last."""
 
-    said: ServerSaid
+    said: ServerReport
     since: float  # of this start of it, as this keeper saw it
     at: float
 
@@ -76,17 +94,17 @@
 
 
 @dataclass(slots=True, eq=False)
-class KeeperDrains:
+class DrainsController:
     """`admin.service.Part`. Nodes leave its tables as they leave those of `Grants`; servers with the list."""
 
     administration: Administration
     told: KeepDrains
     clock: Callable[[], float] = time.monotonic
     name: str = NAME
-    grants: Grants = field(init=False)
-    rolls: Rolls = field(default_factory=Rolls)
-    lasts: dict[str, Last] = field(default_factory=dict)  # by node
-    servers: dict[str, Seen] = field(default_factory=dict)
+    grants: LeaseManager = field(init=False)
+    rolls: RestartPlanner = field(default_factory=RestartPlanner)
+    lasts: dict[str, LatestReport] = field(default_factory=dict)  # by node
+    servers: dict[str, KnownServer] = field(default_factory=dict)
     servers_at: float = float("-inf")
     counts: dict[str, tuple[str, int, int]] = field(default_factory=dict)  # run, settled and lost, by node
     settled: int = 0  # since the last plan
@@ -100,13 +118,13 @@
     orders: dict[str, tuple[str, str, bool]] = field(default_factory=dict)  # by router: roll, run, at once
     sent_out: dict[str, str] = field(default_factory=dict)  # runs told to end, by node, until they say more
     moved: dict[str, str] = field(default_factory=dict)  # modes that the log told last
-    last_word: LastWord = field(init=False)
+    last_word: HighWaterMarkFile = field(init=False)
 
     def __post_init__(self) -> None:
         told = self.told
-        floors = {ORIGIN: told.floor_origin, SERVERS: told.floor_servers}
+        floors = {ORIGIN: told.floor_origin, DEFAULT_SERVER: told.floor_servers}
         desk = self.administration
-        self.grants = Grants(
+        self.grants = LeaseManager(
             self.clock(),
             desk.lease,
             float(told.closing),
@@ -115,9 +133,9 @@
             told.reserve,
             desk.run_mark,
             desk.life,
-            Ground(),
+            DurableState(),
         )
-        self.last_word = LastWord.beside(desk.keeper.path)
+        self.last_word = HighWaterMarkFile.beside(desk.keeper.path)
 
     # -- what routers say
 
@@ -127,7 +145,7 @@
         if raw is None:
             return
         try:
-            said = msgspec.json.decode(raw, type=Said)
+            said = msgspec.json.decode(raw, type=RouterReport)
         except msgspec.MsgspecError as bad:
             raise Wrong(422, "invalid", str(bad), f"parts.{NAME}") from None
         if said.node.rpartition("@")[0] != report.router:
@@ -137,33 +155,33 @@
             if not self.grants.hear(said.word(report.run), now):
                 return
             self.sent_out.pop(said.node, None)
-            self.lasts[said.node] = Last(said, report.router, report.run, report.since, now)
+            self.lasts[said.node] = LatestReport(said, report.router, report.run, report.since, now)
             self._count(said, report.run)
             if said.servers:
                 self._list(said.servers, now)
-            values = figure(known.holds, ORIGIN) if known is not None else 0
+            values = count_for(known.holds, ORIGIN) if known is not None else 0
             if (
                 known is None
                 or known.run != report.run
                 or known.number != said.number
                 or said.closed
                 or said.counted.get(ORIGIN, 0) < known.counted.get(ORIGIN, 0)
-                or figure(said.need, ORIGIN) > values
+                or count_for(said.need, ORIGIN) > values
             ):
                 self.news.set()
 
-    def _count(self, said: Said, run: str) -> None:
+    def _count(self, said: RouterReport, run: str) -> None:
         before = self.counts.get(said.node)
         if before is not None and before[0] == run:
             self.settled += max(said.settled - before[1], 0)
             self.lost += max(said.lost - before[2], 0)
         self.counts[said.node] = run, said.settled, said.lost
 
-    def _list(self, servers: list[ServerSaid], now: float) -> None:
+    def _list(self, servers: list[ServerReport], now: float) -> None:
         for each in servers:
             seen = self.servers.get(each.uid)
             if seen is None or seen.said.started != each.started:
-                self.servers[each.uid] = Seen(each, now, now)
+                self.servers[each.uid] = KnownServer(each, now, now)
             else:
                 seen.said, seen.at = each, now
         self.servers_at = now
@@ -177,25 +195,25 @@
         raw = report.parts.get(NAME)
         if raw is None or not self.ready:
             return None
-        said = msgspec.json.decode(raw, type=Said)
+        said = msgspec.json.decode(raw, type=RouterReport)
         life = self.administration.life
         if not self.note(store):
             return None
         item = store.get(NODE, said.node)
-        slot = msgspec.json.decode(item.body, type=Slot) if item is not None else None
+        slot = msgspec.json.decode(item.body, type=NodeRecord) if item is not None else None
         with self.lock:
             now = self.clock()
             word = self.grants.words.get(said.node)
             if slot is not None and slot.run != report.run and said.run_number <= slot.run_number:
-                return msgspec.json.encode(Told(life, again=slot.run_number))
+                return msgspec.json.encode(ControlPlaneReply(life, again=slot.run_number))
             if word is None or word.run != report.run:
-                return msgspec.json.encode(Told(life))
+                return msgspec.json.encode(ControlPlaneReply(life))
             grant = self.grants.tell(slot, word, now) if slot is not None else None
             roll, run, hard = self.orders.get(report.router, ("", "", False))
             leave = roll if run == report.run else ""
             if leave:
                 self.sent_out[said.node] = report.run
-            told = Told(
+            told = ControlPlaneReply(
                 life,
                 closing=self.grants.closing,
                 leave=leave,
@@ -220,7 +238,7 @@
         not be said, and nothing may be told."""
         with self.lock:
             good = self.grants.raises(self.clock())
-        return self.last_word.say(self.administration.life, store.rev, store.mark, good, sleepless())
+        return self.last_word.say(self.administration.life, store.rev, store.mark, good, boot_clock())
 
     def _asks_list(self, node: str, now: float) -> bool:
         if now - self.servers_at < LIST_OLD:
@@ -258,9 +276,9 @@
 
         def begin(store: Store, now: float) -> list[Wanted]:
             held = store.get(GROUND, "ground")
-            ground = msgspec.json.decode(held.body, type=Ground) if held else Ground()
+            ground = msgspec.json.decode(held.body, type=DurableState) if held else DurableState()
             doubt = ground.doubt or self._suspicion(held is None, ground)
-            ground = Ground(
+            ground = DurableState(
                 max(ground.longest, self.grants.lease),
                 max(ground.closing, float(told.closing)),
                 ground.admissions,
@@ -272,13 +290,13 @@
                 self.grants.begin_with(slots)
                 # Killed on this machine and back on the file that it told by: what is held is in there.
                 self.grants.sure = not doubt and self.last_word.of(
-                    self.administration.life, store.mark, sleepless(), self.grants.unraised
+                    self.administration.life, store.mark, boot_clock(), self.grants.unraised
                 )
             wanted = [Wanted(GROUND, "ground", encode(ground), held.rev if held else 0)]
-            first = {ORIGIN: told.origin, SERVERS: told.servers, **told.limits}
+            first = {ORIGIN: told.origin, DEFAULT_SERVER: told.servers, **told.limits}
             for name, most in first.items():
                 if store.get(LIMIT, name) is None:
-                    wanted.append(Wanted(LIMIT, name, encode(Limit(most)), 0))
+                    wanted.append(Wanted(LIMIT, name, encode(ConnectionLimit(most)), 0))
             return wanted
 
         await keeper.apply_planned(begin, "drains")
@@ -300,7 +318,7 @@
     def _witness(self) -> str:
         return f"{self.administration.keeper.path}.drains"
 
-    def _suspicion(self, empty: bool, ground: Ground) -> str:
+    def _suspicion(self, empty: bool, ground: DurableState) -> str:
         """Why this store may know less than was told, by what stands beside it."""
         try:
             with open(self._witness(), encoding="utf-8") as file:
@@ -331,22 +349,22 @@
         os.replace(part, self._witness())
         self.grants.witnessed = admissions
 
-    def slots(self, store: Store) -> dict[str, tuple[int, Slot]]:
+    def slots(self, store: Store) -> dict[str, tuple[int, NodeRecord]]:
         """All nodes that may exist, with their revisions."""
         return {
-            item.ident: (item.rev, msgspec.json.decode(item.body, type=Slot))
+            item.ident: (item.rev, msgspec.json.decode(item.body, type=NodeRecord))
             for item in store.items(NODE, most=MOST_ITEMS)
         }
 
-    def limits(self, store: Store) -> Figures:
+    def limits(self, store: Store) -> ConnectionCounts:
         """All limits."""
         return {
-            item.ident: msgspec.json.decode(item.body, type=Limit).most
+            item.ident: msgspec.json.decode(item.body, type=ConnectionLimit).most
             for item in store.items(LIMIT, most=MOST_ITEMS)
         }
 
     async def _plan_grants(self) -> None:
-        changed: dict[str, Slot] = {}
+        changed: dict[str, NodeRecord] = {}
 
         def plan(store: Store, wall: float) -> list[Wanted]:
             held = self.slots(store)
@@ -401,7 +419,7 @@
             allowed += float(msgspec.json.decode(item.body).get("allowance", 0.0))
         return allowed * used / rate
 
-    def _say_modes(self, changed: dict[str, Slot]) -> None:
+    def _say_modes(self, changed: dict[str, NodeRecord]) -> None:
         for node, slot in changed.items():
             mode = "closed" if slot.closed else "granted" if slot.values else "at its floor"
             if self.moved.get(node) != mode:
@@ -418,21 +436,21 @@
 
     def standing(
         self, store: Store, ended: bool = True
-    ) -> tuple[dict[str, tuple[int, Roll]], dict[str, list[Step]], dict[str, int]]:
+    ) -> tuple[dict[str, tuple[int, RollingRestart]], dict[str, list[RestartStep]], dict[str, int]]:
         """Rolls that are kept with their revisions, their steps, and the revisions of those. Not `ended`:
         only those that are not over."""
         rolls = {}
         for item in store.items(ROLL, most=MOST_ITEMS):
-            roll = msgspec.json.decode(item.body, type=Roll)
-            if ended or Status(roll.status) not in ENDED:
+            roll = msgspec.json.decode(item.body, type=RollingRestart)
+            if ended or RestartStatus(roll.status) not in ENDED:
                 rolls[item.ident] = item.rev, roll
-        steps: dict[str, list[Step]] = {ident: [] for ident in rolls}
+        steps: dict[str, list[RestartStep]] = {ident: [] for ident in rolls}
         revisions: dict[str, int] = {}
         for ident in rolls:
             for item in store.items(STEP, after=f"{ident}/", most=MOST_NODES):
                 if not item.ident.startswith(f"{ident}/"):
                     break
-                steps[ident].append(msgspec.json.decode(item.body, type=Step))
+                steps[ident].append(msgspec.json.decode(item.body, type=RestartStep))
                 revisions[item.ident] = item.rev
         for ident, (_, roll) in rolls.items():
             steps[ident].sort(key=lambda step, sign=-1 if roll.back else 1: sign * step.place)
@@ -457,7 +475,7 @@
 
             def overlaps(count: int) -> bool:
                 floors = self.grants.floors
-                return all(free[name] >= count * figure(floors, name) for name in limits)
+                return all(free[name] >= count * count_for(floors, name) for name in limits)
 
             self.rolls.last_of_shard = self._last_of_shard(facts["servers"])
             due = self.rolls.plan([roll for _, roll in rolls.values()], steps, facts, now, wall, overlaps)
@@ -479,24 +497,24 @@
 
     @staticmethod
     def _orders(
-        rolls: dict[str, Roll], steps: dict[str, dict[str, Step]]
+        rolls: dict[str, RollingRestart], steps: dict[str, dict[str, RestartStep]]
     ) -> dict[str, tuple[str, str, bool]]:
         """Which run of which router is told to end, by which roll, and whether at once."""
         return {
-            step.node: (told_as(roll), step.run, step.hard)
+            step.node: (restart_token(roll), step.run, step.hard)
             for ident, roll in rolls.items()
             if roll.order.kind == "routers" and roll.status != "cancelled"
             for step in steps[ident].values()
-            if step.stage == Stage.TOLD.value
+            if step.stage == StepStage.TOLD.value
         }
 
     @staticmethod
     def write(
         store: Store,
-        rolls: dict[str, tuple[int, Roll]],
+        rolls: dict[str, tuple[int, RollingRestart]],
         revisions: dict[str, int],
-        changed: dict[str, Roll],
-        steps: dict[str, list[Step]],
+        changed: dict[str, RollingRestart],
+        steps: dict[str, list[RestartStep]],
         drain: list[str],
         restore: list[str],
     ) -> list[Wanted]:
@@ -518,18 +536,20 @@
                 wanted.append(Wanted(SERVER, uid, None, item.rev))
         return wanted
 
-    def facts(self, store: Store, now: float) -> dict[str, dict[str, Fact]]:
+    def facts(self, store: Store, now: float) -> dict[str, dict[str, NodeStatus]]:
         """What is known of each node now."""
         return {"routers": self._routers(store, now), "servers": self._servers(store, now)}
 
-    def _routers(self, store: Store, now: float) -> dict[str, Fact]:
-        found: dict[str, tuple[float, Fact]] = {}
+    def _routers(self, store: Store, now: float) -> dict[str, NodeStatus]:
+        found: dict[str, tuple[float, NodeStatus]] = {}
         for node, (_, slot) in self.slots(store).items():
             router = node.rpartition("@")[0]
             last = self.lasts.get(node)
             held = self.grants.charge(slot, ORIGIN)
             if last is None or last.run != slot.run:
-                fact = Fact(router, slot.run, slot.zone, False, self._region(slot.zone), connections=held)
+                fact = NodeStatus(
+                    router, slot.run, slot.zone, False, self._region(slot.zone), connections=held
+                )
                 at = float("-inf")
             else:
                 said, at = last.said, last.at
@@ -537,7 +557,7 @@
                 # heard that is known by its next word alone.
                 leaving = said.leaving or self.sent_out.get(node) == last.run
                 up = now - at < self.grants.lease and said.ready_for > 0.0 and bool(slot.values)
-                fact = Fact(
+                fact = NodeStatus(
                     router,
                     last.run,
                     said.zone,
@@ -557,7 +577,7 @@
                 found[router] = at, fact
         return {router: fact for router, (_, fact) in found.items()}
 
-    def _servers(self, store: Store, now: float) -> dict[str, Fact]:
+    def _servers(self, store: Store, now: float) -> dict[str, NodeStatus]:
         limits = self.limits(store)
         ordered = {item.ident: item.rev for item in store.items(SERVER, most=MOST_ITEMS)}
         up = [uid for uid, seen in self.servers.items() if self._listed(seen)]
@@ -566,7 +586,7 @@
         found = {}
         for uid, seen in self.servers.items():
             listed = self._listed(seen)
-            found[uid] = Fact(
+            found[uid] = NodeStatus(
                 uid,
                 f"{seen.said.started:.3f}",
                 seen.said.zone,
@@ -578,14 +598,14 @@
                 not seen.said.up or (uid in ordered and uid not in ours),
                 uid in ordered and self._empty(uid, ordered[uid], store, now),
                 attempts / len(up) if listed else 0.0,
-                float(figure(limits, uid)) if listed else 0.0,
+                float(count_for(limits, uid)) if listed else 0.0,
             )
         return found
 
     def _region(self, zone: str) -> str:
         return self.regions.get(zone, zone)
 
-    def _last_of_shard(self, servers: dict[str, Fact]) -> Callable[[str, frozenset[str]], bool]:
+    def _last_of_shard(self, servers: dict[str, NodeStatus]) -> Callable[[str, frozenset[str]], bool]:
         """Whether a server is the last that is up for some shard pinned with `only`, others being out."""
         placement = next((part for part in self.administration.parts if part.name == "placement"), None)
         rows = placement.desk.rows.values() if placement is not None else ()
@@ -611,7 +631,7 @@
 
         return last
 
-    def _listed(self, seen: Seen) -> bool:
+    def _listed(self, seen: KnownServer) -> bool:
         return seen.at >= self.servers_at
 
     def _ours(self, store: Store) -> set[str]:
@@ -635,8 +655,8 @@
         return DrainsApi(self).routes()
 
 
-def keeping(told: KeepFile) -> Callable[[Administration], KeeperDrains]:
+def control_plane_part(told: KeepFile) -> Callable[[Administration], DrainsController]:
     """What makes the keeper's part, by its file."""
     named = getattr(told.placement, "regions", {})
     regions = {zone: name for name, zones in named.items() for zone in zones}
-    return lambda administration: KeeperDrains(administration, told.drains, regions=regions)
+    return lambda administration: DrainsController(administration, told.drains, regions=regions)
--- a/gaugehinge/drains/lastword.py
+++ b/gaugehinge/drains/high_water_mark.py
@@ -28,12 +28,12 @@
 EACH = 0.5  # seconds after which it is written again with nothing new to say
 
 
-def sleepless() -> float:
+def boot_clock() -> float:
     """Seconds of a clock that nobody sets and that goes on while the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Word(msgspec.Struct, frozen=True):
+class HighWaterMark(msgspec.Struct, frozen=True):
     """Up to where was told."""
 
     life: str  # of the store
@@ -53,17 +53,17 @@
     return any(words[1] == str(folder) and words[2] in KINDS for words in mounted)
 
 
-class LastWord:
+class HighWaterMarkFile:
     """The file of one store's keeper."""
 
     def __init__(self, path: Path | None) -> None:
         """None: there is no place for it."""
         self.path = path
-        self.said: tuple[str, int, bool] | None = None
-        self.said_at = 0.0
+        self.written: tuple[str, int, bool] | None = None
+        self.written_at = 0.0
 
     @classmethod
-    def beside(cls, store: Path, folder: Path = MEMORY) -> LastWord:
+    def beside(cls, store: Path, folder: Path = MEMORY) -> HighWaterMarkFile:
         """That of a store's path, in memory; none where there is no memory to be had."""
         if not in_memory(folder):
             return cls(None)
@@ -79,7 +79,7 @@
             told, _, body = self.path.read_bytes().rstrip(b" ").partition(b"\n")
             if not body or told.decode("ascii", "replace") != xxh3_128_hexdigest(body):
                 return False
-            word = msgspec.json.decode(body, type=Word)
+            word = msgspec.json.decode(body, type=HighWaterMark)
         except (OSError, msgspec.MsgspecError):
             return False
         if not (word.good and word.life == life and 0.0 <= now - word.at < within):
@@ -89,9 +89,9 @@
     def say(self, life: str, revision: int, mark: Callable[[int], str], good: bool, now: float) -> bool:
         """From now on is told by this revision. False: that stands nowhere, and an older word does: nothing
         may be told."""
-        if self.path is None or (self.said == (life, revision, good) and now - self.said_at < EACH):
+        if self.path is None or (self.written == (life, revision, good) and now - self.written_at < EACH):
             return True
-        body = msgspec.json.encode(Word(life, revision, mark(revision), good, now))
+        body = msgspec.json.encode(HighWaterMark(life, revision, mark(revision), good, now))
         data = (xxh3_128_hexdigest(body).encode() + b"\n" + body).ljust(LENGTH)
         try:
             number = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_NOFOLLOW, 0o600)
@@ -102,7 +102,7 @@
                 os.close(number)
         except OSError as bad:
             return self._give_up(bad)
-        self.said, self.said_at = (life, revision, good), now
+        self.written, self.written_at = (life, revision, good), now
         return True
 
     def forget(self) -> None:
--- a/gaugehinge/drains/grants.py
+++ b/gaugehinge/drains/leases.py
@@ -10,7 +10,7 @@
   closed its connections: those count for the longest closing time from when the successor was first heard.
 - All that a keeper may act by is in its store before it is told. One that starts anew raises nothing until
   the longest lease and closing time are over, whatever its store says; what nodes say they hold counts. It
-  need not wait where it is proved that its store is the one that was told by last (`lastword.py`).
+  need not wait where it is proved that its store is the one that was told by last (`high_water_mark.py`).
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 from ..tenancy.lease import DRIFT, SLACK, Given, Held
 
-ORIGIN, SERVERS = "origin", "servers"  # the one store, and each cache server that no limit names
+ORIGIN, DEFAULT_SERVER = "origin", "servers"  # the one store, and each cache server that no limit names
 HEADROOM = 1.25  # of the measured need that a grant is to cover
 CALM = 10.0  # seconds between two rearrangements that nobody is in need of
 STEP = 0.25  # of a value: a smaller change is not worth a number
 NEED, OVER = 1.0, 2.0  # how pressing a rearrangement is
 
-Figures = dict[str, int]  # connections by store: `origin`, `servers`, or a server's name in the list
+ConnectionCounts = dict[str, int]  # connections by store: `origin`, `servers`, or a server's name in the list
 
 
-class Slot(msgspec.Struct, frozen=True):
+class NodeRecord(msgspec.Struct, frozen=True):
     """A node that may exist, as the store has it. `node` is its name and the mark of its files: on other
     files it is another node. It leaves by an operator's word alone."""
 
@@ -41,17 +41,17 @@
     run_number: int = 0  # of its starts on its files; a lock on them lets one run at a time
     number: int = 0  # of the grant; rises with each change, never falls
     mark: str = ""  # of the keeper's run that made this grant: a store that goes back uses numbers again
-    values: Figures = {}  # told under `number`
-    ceilings: Figures = {}  # what this run may have open at most, by any number that it may follow
-    remains: Figures = {}  # what runs before it may still have open
-    floors: Figures = {}  # what it falls to where the keeper is not heard
+    values: ConnectionCounts = {}  # told under `number`
+    ceilings: ConnectionCounts = {}  # what this run may have open at most, by any number that it may follow
+    remains: ConnectionCounts = {}  # what runs before it may still have open
+    floors: ConnectionCounts = {}  # what it falls to where the keeper is not heard
     closed: bool = False  # this run said that all is closed and that it opens nothing more
     admission: int = 0  # the how manieth it was
     zone: str = ""  # that it said last
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
+class NodeReport:
     """A node's report. What is said of `servers` is the most at any one that no limit names."""
 
     node: str
@@ -60,28 +60,28 @@
     turn: int  # rises with each report of a run
     number: int  # of the grant that it follows; 0: none
     mark: str
-    holds: Figures  # the values that it follows; empty once its lease is over
-    counted: Figures  # open, those under way and those still closing among them
-    need: Figures  # most in use and waited for of late
-    floors: Figures  # by its files
+    holds: ConnectionCounts  # the values that it follows; empty once its lease is over
+    counted: ConnectionCounts  # open, those under way and those still closing among them
+    need: ConnectionCounts  # most in use and waited for of late
+    floors: ConnectionCounts  # by its files
     admitted: str = ""  # the store that admitted it, by its files
     closed: bool = False
     zone: str = ""
 
 
 @dataclass(slots=True, frozen=True)
-class Grant:
+class ConnectionLease:
     """What a node is told. Its lease counts from when it asked."""
 
     number: int
     mark: str
-    values: Figures
-    floors: Figures
+    values: ConnectionCounts
+    floors: ConnectionCounts
     lease: float  # seconds
     clear: bool = False  # nothing is open of runs before this one: its floor need not wait for them
 
 
-class Ground(msgspec.Struct, frozen=True):
+class DurableState(msgspec.Struct, frozen=True):
     """What a keeper has to know of the runs before it, as the store has it."""
 
     longest: float = 0.0  # seconds of the longest lease that may be out
@@ -90,18 +90,20 @@
     doubt: str = ""  # why nodes may exist that this store does not know of; nobody new is admitted
 
 
-def figure(figures: Mapping[str, int], store: str) -> int:
+def count_for(figures: Mapping[str, int], store: str) -> int:
     """A server that has no figure of its own has that of all servers."""
     found = figures.get(store)
     if found is None:
-        return figures.get(SERVERS, 0) if store != ORIGIN else 0
+        return figures.get(DEFAULT_SERVER, 0) if store != ORIGIN else 0
     return found
 
 
-def fits(limits: Mapping[str, int], floors: Mapping[str, int], most_nodes: int) -> tuple[str, int] | None:
+def undersized_limit(
+    limits: Mapping[str, int], floors: Mapping[str, int], most_nodes: int
+) -> tuple[str, int] | None:
     """None where the floors of all nodes fit every limit; else the store that is too small, and its least."""
     for store, most in limits.items():
-        least = most_nodes * figure(floors, store)
+        least = most_nodes * count_for(floors, store)
         if least > most:
             return store, least
     return None
@@ -111,20 +113,20 @@
 
 
 @dataclass(slots=True, eq=False)
-class Holding:
+class LeaseHolder:
     """What one run of a router may have open now. All times by its own monotonic clock, read at each use."""
 
-    floors: Figures
+    floors: ConnectionCounts
     floor_from: float  # before this a run ahead of it may have connections open still
     admitted: str = ""
     number: int = 0
     mark: str = ""
-    values: Figures = field(default_factory=dict)
+    values: ConnectionCounts = field(default_factory=dict)
     held: Held = field(default_factory=Held)
     closed: bool = False  # it opens nothing more
     since: float = float("-inf")  # answers to questions from before are too late
 
-    def holds(self, now: float) -> Figures:
+    def holds(self, now: float) -> ConnectionCounts:
         """For a report that goes now: the values that it follows. Once it has said that it follows none, what
         was asked before does not bring them back."""
         if self.held.good(now):
@@ -132,7 +134,7 @@
         self.since = now
         return {}
 
-    def hear(self, grant: Grant, asked_at: float) -> bool:
+    def hear(self, grant: ConnectionLease, asked_at: float) -> bool:
         """An answer came; whether it is followed. One of a lower number is late, or its store went back."""
         if grant.number < self.number or self.closed or asked_at < self.since:
             return False
@@ -150,27 +152,27 @@
         if self.closed:
             return 0
         if self.held.good(now):
-            return figure(self.values, store)
-        return figure(self.floors, store) if self.admitted and now >= self.floor_from else 0
+            return count_for(self.values, store)
+        return count_for(self.floors, store) if self.admitted and now >= self.floor_from else 0
 
 
 # -- the keeper's side
 
 
 @dataclass(slots=True, eq=False)
-class Grants:
+class LeaseManager:
     """One run of a keeper. What it remembers beside the store: last words and leases, one a node."""
 
     began: float  # by its monotonic clock, as every `now` here
     lease: float  # seconds
     closing: float  # seconds within which a store closes what a silent node left open
     most_nodes: int
-    floors: Figures
+    floors: ConnectionCounts
     reserve: float  # part of each limit that need alone does not get
     mark: str  # of this run
     life: str  # of the store
-    ground: Ground
-    words: dict[str, Word] = field(default_factory=dict)
+    ground: DurableState
+    words: dict[str, NodeReport] = field(default_factory=dict)
     heard: dict[str, float] = field(default_factory=dict)
     given: dict[str, Given] = field(default_factory=dict)
     gone_by: dict[str, float] = field(default_factory=dict)  # when `remains` of a node are closed
@@ -179,7 +181,9 @@
     fresh: set[str] = field(default_factory=set)  # heard since the last plan
     arranged: float = float("-inf")
     witnessed: int = 0  # admissions that are on record beside the store, too
-    wanted: Figures = field(default_factory=dict)  # floors that the file states and that do not fit yet
+    wanted: ConnectionCounts = field(
+        default_factory=dict
+    )  # floors that the file states and that do not fit yet
     sure: bool = False  # the store has all that the run before this one told, which raised by right itself
 
     @property
@@ -199,16 +203,16 @@
         whatever age, raises nothing."""
         return (self.lease + self.closing) * (1.0 - DRIFT)
 
-    def begin_with(self, slots: Iterable[Slot]) -> None:
+    def begin_with(self, slots: Iterable[NodeRecord]) -> None:
         """Nodes have floors of before: higher ones are told once they fit beside all that is held, or a node
         that is cut off would fall to more than it was charged."""
         self.wanted = dict(self.floors)
         self.floors = {
-            store: min([floor, *(figure(slot.floors, store) for slot in slots)])
+            store: min([floor, *(count_for(slot.floors, store) for slot in slots)])
             for store, floor in self.wanted.items()
         }
 
-    def _raise_floors(self, table: Mapping[str, Slot], limits: Mapping[str, int]) -> None:
+    def _raise_floors(self, table: Mapping[str, NodeRecord], limits: Mapping[str, int]) -> None:
         before, self.floors = self.floors, self.wanted
         raised = [
             msgspec.structs.replace(slot, floors=_most(slot.floors, self.wanted)) for slot in table.values()
@@ -220,7 +224,7 @@
         """Whether what is free by the store may be given: what it charges is all that nodes may hold."""
         return self.sure or now >= self.settled_at
 
-    def hear(self, word: Word, now: float) -> bool:
+    def hear(self, word: NodeReport, now: float) -> bool:
         """A report; False for one that is late: of a run before the last, or said before another was."""
         known = self.words.get(word.node)
         if known is not None:
@@ -271,20 +275,20 @@
 
     # -- what each may have open at worst
 
-    def charge(self, slot: Slot, store: str) -> int:
+    def charge(self, slot: NodeRecord, store: str) -> int:
         """Connections that a node may have open at worst, its runs before among them."""
-        held = figure(slot.ceilings, store) + figure(slot.remains, store)
-        return max(figure(slot.floors, store), held)
+        held = count_for(slot.ceilings, store) + count_for(slot.remains, store)
+        return max(count_for(slot.floors, store), held)
 
-    def spent(self, slots: Iterable[Slot], store: str) -> int:
+    def spent(self, slots: Iterable[NodeRecord], store: str) -> int:
         """The same over all nodes that may exist, known or not."""
         total, count = 0, 0
         for slot in slots:
             total += self.charge(slot, store)
             count += 1
-        return total + max(self.most_nodes - count, 0) * figure(self.floors, store)
+        return total + max(self.most_nodes - count, 0) * count_for(self.floors, store)
 
-    def reached(self, slots: Iterable[Slot], store: str, most: int, now: float) -> bool:
+    def reached(self, slots: Iterable[NodeRecord], store: str, most: int, now: float) -> bool:
         """Whether a limit is certainly kept; one that was lowered is not at once."""
         return self.raises(now) and self.spent(slots, store) <= most
 
@@ -292,12 +296,12 @@
 
     def plan(
         self,
-        slots: Mapping[str, Slot],
+        slots: Mapping[str, NodeRecord],
         limits: Mapping[str, int],
         now: float,
         leaving: frozenset[str] = frozenset(),
         worst: Mapping[str, float] | None = None,
-    ) -> dict[str, Slot]:
+    ) -> dict[str, NodeRecord]:
         """Slots to be changed, all in one transaction. `leaving`: nodes told to end, which get nothing more;
         `worst`: connections that tenants would use in all by their allowances."""
         table = dict(slots)
@@ -316,12 +320,12 @@
             self._arrange(table, limits, now, leaving, worst or {})
         return {node: slot for node, slot in table.items() if slots.get(node) != slot}
 
-    def _renumber(self, slot: Slot, values: Figures, ceilings: Figures) -> Slot:
+    def _renumber(self, slot: NodeRecord, values: ConnectionCounts, ceilings: ConnectionCounts) -> NodeRecord:
         return msgspec.structs.replace(
             slot, number=slot.number + 1, mark=self.mark, values=values, ceilings=ceilings
         )
 
-    def _learn(self, table: dict[str, Slot], node: str, word: Word, now: float) -> None:
+    def _learn(self, table: dict[str, NodeRecord], node: str, word: NodeReport, now: float) -> None:
         """What a node's last word changes."""
         slot = table.get(node)
         if slot is None:
@@ -350,7 +354,7 @@
         if word.closed and not slot.closed:
             slot = msgspec.structs.replace(self._renumber(slot, {}, {}), closed=True)
         counted = {s: n for s, n in word.counted.items() if n > 0}
-        if was_closed and any(n > figure(slot.ceilings, s) for s, n in counted.items()):
+        if was_closed and any(n > count_for(slot.ceilings, s) for s, n in counted.items()):
             self.liars.add(node)
         if (word.number, word.mark) == (slot.number, slot.mark) or slot.closed:
             ceilings = _most(slot.values, counted)
@@ -360,13 +364,13 @@
             slot = msgspec.structs.replace(slot, ceilings=ceilings)
         table[node] = slot
 
-    def _floors(self, slot: Slot, word: Word) -> Figures:
+    def _floors(self, slot: NodeRecord, word: NodeReport) -> ConnectionCounts:
         """What it may fall to: by the store, until its own word says that its files have less."""
         if slot.run == word.run and word.admitted == self.life:
             return _most(word.floors, self.floors)  # these are told with every grant
         return _most(slot.floors, word.floors)
 
-    def _admit(self, table: dict[str, Slot], word: Word, now: float) -> Slot | None:
+    def _admit(self, table: dict[str, NodeRecord], word: NodeReport, now: float) -> NodeRecord | None:
         if word.admitted:
             # It falls to its floor whatever is said here: this store lost it, or it was taken for gone.
             if not self.ground.doubt:
@@ -385,7 +389,7 @@
         if word.admitted:
             remains = floors  # of runs before it that this store does not know of either
             self.gone_by[word.node] = now + self.closed_after
-        return Slot(
+        return NodeRecord(
             word.node,
             word.run,
             word.run_number,
@@ -400,7 +404,7 @@
             word.zone,
         )
 
-    def _succeed(self, slot: Slot, word: Word, now: float) -> Slot:
+    def _succeed(self, slot: NodeRecord, word: NodeReport, now: float) -> NodeRecord:
         """A later run on the same files: the one before it has ended, its connections may have not.
 
         A run uses its floor unasked only once those of the run before are closed, so what they may have open
@@ -425,7 +429,7 @@
 
     def _arrange(
         self,
-        table: dict[str, Slot],
+        table: dict[str, NodeRecord],
         limits: Mapping[str, int],
         now: float,
         leaving: frozenset[str],
@@ -439,7 +443,7 @@
         ]
         if not live:
             return
-        goals: dict[str, Figures] = {node: {} for node in live}
+        goals: dict[str, ConnectionCounts] = {node: {} for node in live}
         press = 0.0
         for store, most in limits.items():
             press = max(press, self._goals(goals, table, live, store, most, leaving, worst.get(store, 0.0)))
@@ -450,23 +454,23 @@
             if not self._steady(slot):
                 continue  # one change at a time: the next is made once this one is known to be followed
             values = {
-                store: min(goal, figure(slot.values, store))
-                if self._worth_lowering(figure(slot.values, store), goal, press, calm)
-                else figure(slot.values, store)
+                store: min(goal, count_for(slot.values, store))
+                if self._worth_lowering(count_for(slot.values, store), goal, press, calm)
+                else count_for(slot.values, store)
                 for store, goal in goals[node].items()
             }
-            if any(values[store] < figure(slot.values, store) for store in values):
+            if any(values[store] < count_for(slot.values, store) for store in values):
                 table[node] = self._renumber(slot, values, _most(slot.ceilings, values))
                 moved = True
         moved |= self._raise(table, goals, live, limits, leaving, calm)
         if moved and not calm:
             self.arranged = now
 
-    def _same_run(self, slot: Slot) -> bool:
+    def _same_run(self, slot: NodeRecord) -> bool:
         word = self.words.get(slot.node)
         return word is not None and word.run == slot.run
 
-    def _steady(self, slot: Slot) -> bool:
+    def _steady(self, slot: NodeRecord) -> bool:
         word = self.words[slot.node]
         return not slot.values or (word.number, word.mark) == (slot.number, slot.mark)
 
@@ -477,8 +481,8 @@
 
     def _goals(
         self,
-        goals: dict[str, Figures],
-        table: dict[str, Slot],
+        goals: dict[str, ConnectionCounts],
+        table: dict[str, NodeRecord],
         live: list[str],
         store: str,
         most: int,
@@ -489,13 +493,13 @@
         waits for what others have, OVER where all have more than there is."""
         words = self.words
         away = sum(self.charge(slot, store) for node, slot in table.items() if node not in goals)
-        remains = sum(figure(table[node].remains, store) for node in live)
-        unknown = max(self.most_nodes - len(table), 0) * figure(self.floors, store)
+        remains = sum(count_for(table[node].remains, store) for node in live)
+        unknown = max(self.most_nodes - len(table), 0) * count_for(self.floors, store)
         room = most - ceil(self.reserve * most) - away - remains - unknown
-        floors = {node: figure(table[node].floors, store) for node in live}
-        needs = {node: figure(words[node].need, store) for node in live}
+        floors = {node: count_for(table[node].floors, store) for node in live}
+        needs = {node: count_for(words[node].need, store) for node in live}
         total = sum(needs.values())
-        wants: Figures = {}
+        wants: ConnectionCounts = {}
         for node in live:
             want = needs[node]
             if node not in leaving:
@@ -513,7 +517,7 @@
             for node in live:
                 over = wants[node] - floors[node]
                 goals[node][store] = floors[node] + (max(above, 0) * over // asked if asked else 0)
-        values = {node: figure(table[node].values, store) for node in live}
+        values = {node: count_for(table[node].values, store) for node in live}
         starved = any(needs[node] > values[node] and goals[node][store] > values[node] for node in live)
         if sum(values.values()) > max(room, sum(floors.values())):
             return OVER
@@ -521,8 +525,8 @@
 
     def _raise(
         self,
-        table: dict[str, Slot],
-        goals: dict[str, Figures],
+        table: dict[str, NodeRecord],
+        goals: dict[str, ConnectionCounts],
         live: list[str],
         limits: Mapping[str, int],
         leaving: frozenset[str],
@@ -532,22 +536,22 @@
         moved = False
 
         def lack(node: str) -> int:
-            return max(figure(self.words[node].need, s) - figure(table[node].values, s) for s in limits)
+            return max(count_for(self.words[node].need, s) - count_for(table[node].values, s) for s in limits)
 
         for node in sorted(live, key=lambda node: (-lack(node), node)):
             slot = table[node]
             if not self._steady(slot) or (node in leaving and slot.values):
                 continue
-            values: Figures = {}
+            values: ConnectionCounts = {}
             for store, goal in goals[node].items():
-                value, floor = figure(slot.values, store), figure(slot.floors, store)
+                value, floor = count_for(slot.values, store), count_for(slot.floors, store)
                 # The reserve is for those that return: up to their floor they may have it.
                 top = self._room(slot, store, free[store], ceil(self.reserve * limits[store]))
                 top = max(top, min(floor, self._room(slot, store, free[store], 0)))
-                starved = figure(self.words[node].need, store) > value or value < floor
+                starved = count_for(self.words[node].need, store) > value or value < floor
                 worth = goal > value if starved else not calm and goal - value >= max(1, ceil(STEP * value))
                 values[store] = max(value, min(goal, top)) if worth else value
-            if values == {store: figure(slot.values, store) for store in values} and slot.values:
+            if values == {store: count_for(slot.values, store) for store in values} and slot.values:
                 continue
             after = self._renumber(slot, values, _most(slot.ceilings, values))
             for store in limits:
@@ -556,13 +560,13 @@
             moved = True
         return moved
 
-    def _room(self, slot: Slot, store: str, free: int, kept: int) -> int:
+    def _room(self, slot: NodeRecord, store: str, free: int, kept: int) -> int:
         """The highest value that what is free lets it have, with some of that kept."""
-        return self.charge(slot, store) - figure(slot.remains, store) + max(free - kept, 0)
+        return self.charge(slot, store) - count_for(slot.remains, store) + max(free - kept, 0)
 
     # -- what is told
 
-    def tell(self, slot: Slot, word: Word, now: float) -> Grant | None:
+    def tell(self, slot: NodeRecord, word: NodeReport, now: float) -> ConnectionLease | None:
         """The grant for an answer that goes now, its lease noted. To be called where no plan can come between
         the read of the slot and this. None: nothing is told, and what the node holds runs out."""
         if slot.run != word.run or slot.admission > self.witnessed or slot.closed or not slot.values:
@@ -570,22 +574,22 @@
         if slot.number < word.number or (slot.number == word.number and slot.mark != word.mark):
             return None  # the next plan takes its number over
         self.given[slot.node] = Given(now, self.lease, slot.number)
-        return Grant(
+        return ConnectionLease(
             slot.number,
             slot.mark,
             slot.values,
-            {store: min(floor, figure(slot.floors, store)) for store, floor in self.floors.items()},
+            {store: min(floor, count_for(slot.floors, store)) for store, floor in self.floors.items()},
             self.lease,
             not slot.remains,
         )
 
 
-def _most(*each: Mapping[str, int]) -> Figures:
+def _most(*each: Mapping[str, int]) -> ConnectionCounts:
     """The larger of each figure; a server with none of its own counts by that of all servers."""
     stores = {store for figures in each for store in figures}
-    return {store: max(figure(figures, store) for figures in each) for store in sorted(stores)}
+    return {store: max(count_for(figures, store) for figures in each) for store in sorted(stores)}
 
 
-def _sum(one: Mapping[str, int], other: Mapping[str, int]) -> Figures:
+def _sum(one: Mapping[str, int], other: Mapping[str, int]) -> ConnectionCounts:
     stores = {*one, *other}
-    return {store: figure(one, store) + figure(other, store) for store in sorted(stores)}
+    return {store: count_for(one, store) + count_for(other, store) for store in sorted(stores)}
--- a/gaugehinge/drains/forms.py
+++ b/gaugehinge/drains/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-from .grants import Grant, Word
+from .leases import ConnectionLease, NodeReport
 
 NAME = "drains"  # as in Report.parts and Feed.parts
 MOST_STORES = 128  # of one report: the origin, all servers, and servers that are named
@@ -17,7 +17,7 @@
 Counts = Annotated[dict[Text, Annotated[int, Meta(ge=0, le=10**7)]], Meta(max_length=MOST_STORES)]
 
 
-class ServerSaid(msgspec.Struct, frozen=True, array_like=True):
+class ServerReport(msgspec.Struct, frozen=True, array_like=True):
     """A server as discovery told it to a router."""
 
     uid: Text
@@ -27,7 +27,7 @@
     started: float
 
 
-class Said(msgspec.Struct, frozen=True):
+class RouterReport(msgspec.Struct, frozen=True):
     """A router's part of its report. Of another build it may have fields more: a fleet is rolled by it."""
 
     node: Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,100}@[0-9a-f]{8,32}$")]
@@ -54,12 +54,12 @@
     rate: Annotated[float, Meta(ge=0)] = 0.0  # operations a second of late
     out: Annotated[dict[Text, int], Meta(max_length=MOST_SERVERS)] = {}  # connections to draining servers
     legs: Annotated[int, Meta(ge=0)] = 0  # connections in use to cache servers
-    servers: Annotated[list[ServerSaid], Meta(max_length=MOST_SERVERS)] = []  # where it was asked for them
+    servers: Annotated[list[ServerReport], Meta(max_length=MOST_SERVERS)] = []  # where it was asked for them
     rolled: Text = ""  # what told a run on these files to end last
 
-    def word(self, run: str) -> Word:
+    def word(self, run: str) -> NodeReport:
         """What of it grants go by."""
-        return Word(
+        return NodeReport(
             self.node,
             run,
             self.run_number,
@@ -76,7 +76,7 @@
         )
 
 
-class Told(msgspec.Struct, frozen=True):
+class ControlPlaneReply(msgspec.Struct, frozen=True):
     """The keeper's part of an answer."""
 
     life: str  # of the store
@@ -93,8 +93,10 @@
     servers: bool = False  # say the list
     refused: str = ""  # why it is not admitted
 
-    def grant(self) -> Grant | None:
+    def grant(self) -> ConnectionLease | None:
         """None where none is told."""
         if not self.number:
             return None
-        return Grant(self.number, self.mark, dict(self.values), dict(self.floors), self.lease, self.clear)
+        return ConnectionLease(
+            self.number, self.mark, dict(self.values), dict(self.floors), self.lease, self.clear
+        )
--- a/gaugehinge/drains/files.py
+++ b/gaugehinge/drains/node_file.py
@@ -17,11 +17,11 @@
 from xxhash import xxh3_128_hexdigest
 
 
-class Taken(OSError):
+class NodeFileLockedError(OSError):
     """Another process stands on this file."""
 
 
-class Kept(msgspec.Struct, frozen=True):
+class NodeState(msgspec.Struct, frozen=True):
     """What is in it."""
 
     ident: str
@@ -36,8 +36,8 @@
     """The file of one run."""
 
     def __init__(self, path: str) -> None:
-        """Take it, and count this run. Raises Taken. A file that cannot be used makes this another node,
-        which has nothing until a keeper admits it."""
+        """Take it, and count this run. Raises NodeFileLockedError. A file that cannot be used makes this
+        another node, which has nothing until a keeper admits it."""
         self.path = Path(path)
         self.writes = True
         self._lock = -1
@@ -47,32 +47,32 @@
                 fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError:
                 os.close(self._lock)
-                raise Taken(f"{path}: another process stands on it") from None
+                raise NodeFileLockedError(f"{path}: another process stands on it") from None
             before = self._read()
             self.kept = msgspec.structs.replace(before, run_number=before.run_number + 1)
             self._write(self.kept)
-        except Taken:
+        except NodeFileLockedError:
             raise
         except OSError as bad:
             logger.warning("drains: {} cannot be used, this is a new node: {}", path, bad)
-            self.kept, self.writes = Kept(secrets.token_hex(8), 1), False
+            self.kept, self.writes = NodeState(secrets.token_hex(8), 1), False
 
-    def _read(self) -> Kept:
+    def _read(self) -> NodeState:
         try:
             told, _, body = self.path.read_bytes().partition(b"\n")
         except FileNotFoundError:
-            return Kept(secrets.token_hex(8))
+            return NodeState(secrets.token_hex(8))
         try:
             if told.decode("ascii", "replace") != xxh3_128_hexdigest(body):
                 raise ValueError("not whole")
-            return msgspec.json.decode(body, type=Kept)
+            return msgspec.json.decode(body, type=NodeState)
         except (ValueError, msgspec.MsgspecError) as bad:
             aside = self.path.with_name(f"{self.path.name}.bad")
             self.path.replace(aside)
             logger.warning("drains: {} set aside as {}, this is a new node: {}", self.path, aside.name, bad)
-            return Kept(secrets.token_hex(8))
+            return NodeState(secrets.token_hex(8))
 
-    def _write(self, kept: Kept) -> None:
+    def _write(self, kept: NodeState) -> None:
         body = msgspec.json.encode(kept)
         part = self.path.with_name(self.path.name + ".part")
         number = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
@@ -86,7 +86,7 @@
             os.fsync(folder)
         os.close(folder)
 
-    def save(self, kept: Kept) -> bool:
+    def save(self, kept: NodeState) -> bool:
         """Whether it stands there now."""
         if not self.writes:
             return False
--- a/gaugehinge/drains/rolls.py
+++ b/gaugehinge/drains/restarts.py
@@ -26,7 +26,7 @@
 LEAST_OPERATIONS = 50  # in a span; fewer say nothing
 
 
-class Stage(Enum):
+class StepStage(Enum):
     """Where a node stands in a roll."""
 
     WAITING = "waiting"
@@ -38,11 +38,11 @@
     SKIPPED = "skipped"
 
 
-OUT = (Stage.TOLD, Stage.EMPTY, Stage.GONE, Stage.WARMING)
-OVER = (Stage.DONE, Stage.SKIPPED)
+OUT = (StepStage.TOLD, StepStage.EMPTY, StepStage.GONE, StepStage.WARMING)
+OVER = (StepStage.DONE, StepStage.SKIPPED)
 
 
-class Status(Enum):
+class RestartStatus(Enum):
     """How a roll goes."""
 
     QUEUED = "queued"
@@ -53,14 +53,14 @@
     DONE = "done"
 
 
-ENDED = (Status.CANCELLED, Status.DONE)
+ENDED = (RestartStatus.CANCELLED, RestartStatus.DONE)
 
 Names = Annotated[list[Annotated[str, Meta(min_length=1, max_length=200)]], Meta(max_length=MOST_NODES)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
 Time = Annotated[float, Meta(ge=0, le=7 * 86400)]
 
 
-class Who(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class NodeSelector(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Which nodes an order is for: all that fit every list that is not empty."""
 
     all: bool = False  # needed where no list says anything
@@ -70,10 +70,10 @@
     labels: Names = []
 
 
-class RollOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RestartOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A roll as it is asked for. Times in seconds."""
 
-    who: Who
+    who: NodeSelector
     kind: Literal["routers", "servers"] = "routers"
     most_out: Annotated[int, Meta(ge=1, le=MOST_NODES, description="nodes out at once, for any reason")] = 1
     most_out_zone: Annotated[Count, Meta(description="the same in one zone; 0: as `most_out`")] = 0
@@ -101,25 +101,25 @@
     build: Annotated[str, Meta(max_length=200, description="that nodes come back with; empty: any")] = ""
 
 
-class Step(msgspec.Struct, frozen=True):
+class RestartStep(msgspec.Struct, frozen=True):
     """One node of a roll, as the store has it."""
 
     node: str
     place: int = 0  # in the order's turn
-    stage: str = Stage.WAITING.value
+    stage: str = StepStage.WAITING.value
     run: str = ""  # that was told
     hard: bool = False  # and told to end at once
     ordered: bool = False  # the order to drain is this roll's
     why: str = ""
 
 
-class Roll(msgspec.Struct, frozen=True):
+class RollingRestart(msgspec.Struct, frozen=True):
     """A roll, as the store has it."""
 
     ident: str
     number: int  # in the order of the queue
-    order: RollOrder
-    status: str = Status.QUEUED.value
+    order: RestartOrder
+    status: str = RestartStatus.QUEUED.value
     back: bool = False  # it takes back what it did
     why: str = ""
     who: str = ""  # asked for it
@@ -127,7 +127,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Fact:
+class NodeStatus:
     """A node as it is known now. Loads and capacities are in one unit for all of a kind."""
 
     name: str
@@ -147,11 +147,11 @@
 
 
 @dataclass(slots=True)
-class Due:
+class RestartPlan:
     """What is to be written, all in one transaction."""
 
-    steps: dict[str, list[Step]] = field(default_factory=dict)  # by roll
-    rolls: dict[str, Roll] = field(default_factory=dict)
+    steps: dict[str, list[RestartStep]] = field(default_factory=dict)  # by roll
+    rolls: dict[str, RollingRestart] = field(default_factory=dict)
     drain: list[str] = field(default_factory=list)  # orders to servers that are made
     restore: list[str] = field(default_factory=list)  # and taken back
     log: list[str] = field(default_factory=list)
@@ -160,12 +160,12 @@
         return bool(self.steps or self.rolls)
 
 
-def told_as(roll: Roll) -> str:
+def restart_token(roll: RollingRestart) -> str:
     """Under which name a roll tells nodes to end: taken back, it is another one."""
     return f"{roll.ident}.back" if roll.back else roll.ident
 
 
-class Refused(Exception):
+class InvalidOrderError(Exception):
     """An order that cannot be done; `field` names what of it."""
 
     def __init__(self, why: str, field: str) -> None:
@@ -173,17 +173,20 @@
         self.field = field
 
 
-def chosen(order: RollOrder, facts: Iterable[Fact]) -> list[str]:
-    """The nodes that an order names, in the order in which they are gone through. Raises Refused."""
+def select_nodes(order: RestartOrder, facts: Iterable[NodeStatus]) -> list[str]:
+    """The nodes that an order names, in the order in which they are gone through.
+
+    Raises InvalidOrderError.
+    """
     who = order.who
     if not (who.all or who.names or who.zones or who.builds or who.labels):
-        raise Refused("say which nodes, or `all`", "who")
+        raise InvalidOrderError("say which nodes, or `all`", "who")
     if order.ends and order.ends <= order.starts:
-        raise Refused("ends before it starts", "ends")
+        raise InvalidOrderError("ends before it starts", "ends")
     known = {fact.name: fact for fact in facts}
     for name in who.names:
         if name not in known:
-            raise Refused(f"no node {name} is known", "who.names")
+            raise InvalidOrderError(f"no node {name} is known", "who.names")
     found = [
         fact
         for fact in known.values()
@@ -193,14 +196,14 @@
         and (not who.labels or fact.labels & set(who.labels))
     ]
     if not found:
-        raise Refused("no node is meant", "who")
+        raise InvalidOrderError("no node is meant", "who")
     if len(found) > MOST_NODES:
-        raise Refused(f"over {MOST_NODES} nodes", "who")
+        raise InvalidOrderError(f"over {MOST_NODES} nodes", "who")
     return [fact.name for fact in sorted(found, key=lambda fact: (fact.zone, fact.name))]
 
 
 @dataclass(slots=True)
-class Burn:
+class BurnRate:
     """Operations settled and lost over the last spans; looks of the last minute, one a second."""
 
     looks: deque[tuple[float, int, int]] = field(default_factory=deque)
@@ -226,35 +229,40 @@
 
 
 @dataclass(slots=True)
-class Rolls:
+class RestartPlanner:
     """One run of a keeper. Beside the store it remembers since when it sees each step as it is: deadlines
     begin anew with a keeper, and end no earlier for a clock that was set."""
 
     last_of_shard: Callable[[str, frozenset[str]], bool] = lambda name, out: False
     since: dict[tuple[str, str], tuple[str, float]] = field(default_factory=dict)  # emptied with its roll
     before: dict[str, float] = field(default_factory=dict)  # share lost before each roll began; the same
-    burn: Burn = field(default_factory=Burn)
+    burn: BurnRate = field(default_factory=BurnRate)
 
     def plan(
         self,
-        rolls: Iterable[Roll],
-        steps: Mapping[str, list[Step]],
-        facts: Mapping[str, Mapping[str, Fact]],
+        rolls: Iterable[RollingRestart],
+        steps: Mapping[str, list[RestartStep]],
+        facts: Mapping[str, Mapping[str, NodeStatus]],
         now: float,
         wall: float,
         overlaps: Callable[[int], bool] = lambda count: True,
-    ) -> Due:
+    ) -> RestartPlan:
         """What is due. `facts` by kind and name; `now` monotonic, `wall` Unix; `overlaps`: whether so many
         routers may be told now, with their successors' floors beside what they have open still."""
-        due = Due()
-        standing = sorted((r for r in rolls if Status(r.status) not in ENDED), key=lambda roll: roll.number)
+        due = RestartPlan()
+        standing = sorted(
+            (r for r in rolls if RestartStatus(r.status) not in ENDED), key=lambda roll: roll.number
+        )
         told = sum(
-            Stage(step.stage) in OUT
+            StepStage(step.stage) in OUT
             for roll in standing
             if roll.order.kind == "routers"
             for step in steps.get(roll.ident, ())
         )
-        head = next((r for r in standing if r.status in (Status.QUEUED.value, Status.RUNNING.value)), None)
+        head = next(
+            (r for r in standing if r.status in (RestartStatus.QUEUED.value, RestartStatus.RUNNING.value)),
+            None,
+        )
         for roll in standing:
             known = facts[roll.order.kind]
             after = {
@@ -263,13 +271,13 @@
             }
             if roll is head:
                 roll = self._head(roll, after, known, now, wall, due)
-                if roll.status == Status.RUNNING.value:
+                if roll.status == RestartStatus.RUNNING.value:
                     others = [
                         step
                         for other in standing
                         if other is not head and other.order.kind == roll.order.kind
                         for step in steps.get(other.ident, ())
-                        if Stage(step.stage) in OUT
+                        if StepStage(step.stage) in OUT
                     ]
                     told = self._tell(roll, after, known, now, wall, due, told, overlaps, others)
             self._close(roll, steps.get(roll.ident, []), after, due)
@@ -282,80 +290,94 @@
 
     # -- a node that is out
 
-    def _advance(self, roll: Roll, step: Step, fact: Fact | None, now: float, due: Due) -> Step:
-        stage = Stage(step.stage)
+    def _advance(
+        self, roll: RollingRestart, step: RestartStep, fact: NodeStatus | None, now: float, due: RestartPlan
+    ) -> RestartStep:
+        stage = StepStage(step.stage)
         key = roll.ident, step.node
         seen = self.since.get(key)
-        if seen is None or (seen[0] == Stage.WAITING.value) is not (stage is Stage.WAITING):
+        if seen is None or (seen[0] == StepStage.WAITING.value) is not (stage is StepStage.WAITING):
             seen = self.since[key] = step.stage, now
         if stage not in OUT:
             return step
         after = self._moved(roll, step, stage, fact)
-        if after.stage == Stage.WARMING.value and after.ordered:
+        if after.stage == StepStage.WARMING.value and after.ordered:
             due.restore.append(step.node)
             after = msgspec.structs.replace(after, ordered=False)
-        if after.stage != step.stage or Stage(after.stage) is Stage.DONE:
+        if after.stage != step.stage or StepStage(after.stage) is StepStage.DONE:
             return after
         if now - seen[1] < roll.order.deadline:
             return after
         return self._hung(roll, after, now - seen[1], now, due)
 
-    def _moved(self, roll: Roll, step: Step, stage: Stage, fact: Fact | None) -> Step:
+    def _moved(
+        self, roll: RollingRestart, step: RestartStep, stage: StepStage, fact: NodeStatus | None
+    ) -> RestartStep:
         returned = fact is not None and fact.up and fact.run != step.run and self._meant(roll, fact)
         if returned:
-            if stage is Stage.WARMING and fact.ready_for >= roll.order.warm_up:
-                return msgspec.structs.replace(step, stage=Stage.DONE.value)
-            return msgspec.structs.replace(step, stage=Stage.WARMING.value)
-        if stage is Stage.WARMING or (stage is not Stage.GONE and (fact is None or not fact.up)):
-            return msgspec.structs.replace(step, stage=Stage.GONE.value)
-        if stage is Stage.TOLD and roll.order.kind == "servers" and fact is not None and fact.empty:
-            return msgspec.structs.replace(step, stage=Stage.EMPTY.value)
+            if stage is StepStage.WARMING and fact.ready_for >= roll.order.warm_up:
+                return msgspec.structs.replace(step, stage=StepStage.DONE.value)
+            return msgspec.structs.replace(step, stage=StepStage.WARMING.value)
+        if stage is StepStage.WARMING or (stage is not StepStage.GONE and (fact is None or not fact.up)):
+            return msgspec.structs.replace(step, stage=StepStage.GONE.value)
+        if stage is StepStage.TOLD and roll.order.kind == "servers" and fact is not None and fact.empty:
+            return msgspec.structs.replace(step, stage=StepStage.EMPTY.value)
         return step
 
     @staticmethod
-    def _meant(roll: Roll, fact: Fact) -> bool:
+    def _meant(roll: RollingRestart, fact: NodeStatus) -> bool:
         if not roll.order.build:
             return True
         return (fact.build == roll.order.build) is not roll.back
 
-    def _hung(self, roll: Roll, step: Step, span: float, now: float, due: Due) -> Step:
+    def _hung(
+        self, roll: RollingRestart, step: RestartStep, span: float, now: float, due: RestartPlan
+    ) -> RestartStep:
         told = f"{step.node} is {step.stage} for {span:.0f} s"
         hangs = roll.order.hangs
-        if hangs == "end" and not step.hard and step.stage == Stage.TOLD.value:
+        if hangs == "end" and not step.hard and step.stage == StepStage.TOLD.value:
             due.log.append(f"roll {roll.ident}: {told}: told to end at once")
             self.since[roll.ident, step.node] = step.stage, now
             return msgspec.structs.replace(step, hard=True, why=told)
         if hangs == "skip":
             due.log.append(f"roll {roll.ident}: {told}: skipped")
             return self._skip(step, told, due)
-        if roll.status in (Status.RUNNING.value, Status.QUEUED.value):
+        if roll.status in (RestartStatus.RUNNING.value, RestartStatus.QUEUED.value):
             self._stop(roll, told, due)
         return step
 
     @staticmethod
-    def _skip(step: Step, why: str, due: Due) -> Step:
+    def _skip(step: RestartStep, why: str, due: RestartPlan) -> RestartStep:
         if step.ordered:
             due.restore.append(step.node)
-        return msgspec.structs.replace(step, stage=Stage.SKIPPED.value, ordered=False, why=why)
+        return msgspec.structs.replace(step, stage=StepStage.SKIPPED.value, ordered=False, why=why)
 
-    def _stop(self, roll: Roll, why: str, due: Due) -> Roll:
+    def _stop(self, roll: RollingRestart, why: str, due: RestartPlan) -> RollingRestart:
         due.log.append(f"roll {roll.ident} stops: {why}")
-        due.rolls[roll.ident] = after = msgspec.structs.replace(roll, status=Status.STOPPED.value, why=why)
+        due.rolls[roll.ident] = after = msgspec.structs.replace(
+            roll, status=RestartStatus.STOPPED.value, why=why
+        )
         return after
 
     # -- the first of the queue
 
     def _head(
-        self, roll: Roll, after: dict[str, Step], known: Mapping[str, Fact], now: float, wall: float, due: Due
-    ) -> Roll:
+        self,
+        roll: RollingRestart,
+        after: dict[str, RestartStep],
+        known: Mapping[str, NodeStatus],
+        now: float,
+        wall: float,
+        due: RestartPlan,
+    ) -> RollingRestart:
         if roll.ident in due.rolls:
             return due.rolls[roll.ident]
-        if roll.status == Status.QUEUED.value:
+        if roll.status == RestartStatus.QUEUED.value:
             if wall < roll.order.starts:
                 return roll
             self.before[roll.ident] = self.burn.share(now, 2 * LAST_SPAN)
             due.log.append(f"roll {roll.ident} begins: {len(after)} {roll.order.kind}")
-            roll = due.rolls[roll.ident] = msgspec.structs.replace(roll, status=Status.RUNNING.value)
+            roll = due.rolls[roll.ident] = msgspec.structs.replace(roll, status=RestartStatus.RUNNING.value)
         before = self.before.setdefault(roll.ident, 0.0)
         burn = self.burn.rate(now, roll.order.objective, before)
         if burn > roll.order.most_burn:
@@ -363,7 +385,7 @@
         for node, step in after.items():
             # Of one that is not there nobody knows when it comes back; it is not waited for without end.
             fact = known.get(node)
-            if Stage(step.stage) is Stage.WAITING and (fact is None or not fact.up):
+            if StepStage(step.stage) is StepStage.WAITING and (fact is None or not fact.up):
                 missing = self.since.setdefault((roll.ident, f"{node} missing"), ("", now))[1]
                 if now - missing >= max(roll.order.deadline, 1.0):
                     after[node] = self._skip(step, "not there", due)
@@ -373,15 +395,15 @@
 
     def _tell(
         self,
-        roll: Roll,
-        after: dict[str, Step],
-        known: Mapping[str, Fact],
+        roll: RollingRestart,
+        after: dict[str, RestartStep],
+        known: Mapping[str, NodeStatus],
         now: float,
         wall: float,
-        due: Due,
+        due: RestartPlan,
         told: int,
         overlaps: Callable[[int], bool],
-        others: list[Step],
+        others: list[RestartStep],
     ) -> int:
         order = roll.order
         if wall < order.starts or (order.ends and wall >= order.ends):
@@ -392,7 +414,9 @@
             if not fact.up or fact.drains or fact.ready_for < order.warm_up
         }
         out |= {
-            node: known[node] for node, step in after.items() if Stage(step.stage) in OUT and node in known
+            node: known[node]
+            for node, step in after.items()
+            if StepStage(step.stage) in OUT and node in known
         }
         out |= {
             # Told by a roll that was paused or stopped since, it may not have heard that yet and seem up like
@@ -403,10 +427,10 @@
         }
         for node, step in after.items():
             fact = known.get(node)
-            if Stage(step.stage) is not Stage.WAITING or fact is None or node in out:
+            if StepStage(step.stage) is not StepStage.WAITING or fact is None or node in out:
                 continue
-            if fact.rolled == told_as(roll):  # the store went back to before that
-                after[node] = msgspec.structs.replace(step, stage=Stage.DONE.value, why="told before")
+            if fact.rolled == restart_token(roll):  # the store went back to before that
+                after[node] = msgspec.structs.replace(step, stage=StepStage.DONE.value, why="told before")
                 continue
             if len(out) >= order.most_out:
                 break
@@ -415,17 +439,23 @@
             if order.kind == "routers" and not overlaps(told + 1):
                 break
             after[node] = msgspec.structs.replace(
-                step, stage=Stage.TOLD.value, run=fact.run, ordered=order.kind == "servers", why=""
+                step, stage=StepStage.TOLD.value, run=fact.run, ordered=order.kind == "servers", why=""
             )
             if order.kind == "servers":
                 due.drain.append(node)
             else:
                 told += 1
-            self.since[roll.ident, node] = Stage.TOLD.value, now
+            self.since[roll.ident, node] = StepStage.TOLD.value, now
             out[node] = fact
         return told
 
-    def _may(self, order: RollOrder, fact: Fact, out: Mapping[str, Fact], known: Mapping[str, Fact]) -> bool:
+    def _may(
+        self,
+        order: RestartOrder,
+        fact: NodeStatus,
+        out: Mapping[str, NodeStatus],
+        known: Mapping[str, NodeStatus],
+    ) -> bool:
         """Whether this one may be taken out beside those that are."""
         if any(other.zone != fact.zone for other in out.values()):
             return False  # never two zones
@@ -446,73 +476,79 @@
 
     # -- what is written
 
-    def _close(self, roll: Roll, steps: list[Step], after: dict[str, Step], due: Due) -> None:
+    def _close(
+        self, roll: RollingRestart, steps: list[RestartStep], after: dict[str, RestartStep], due: RestartPlan
+    ) -> None:
         changed = [after[step.node] for step in steps if after[step.node] != step]
         for step in changed:
-            if step.stage in (Stage.TOLD.value, Stage.DONE.value):
+            if step.stage in (StepStage.TOLD.value, StepStage.DONE.value):
                 due.log.append(f"roll {roll.ident}: {step.node} {step.stage}")
         if changed:
             due.steps[roll.ident] = changed
-        ended = all(Stage(step.stage) in OVER for step in after.values())
-        if ended and roll.status == Status.RUNNING.value:
-            skipped = sum(step.stage == Stage.SKIPPED.value for step in after.values())
+        ended = all(StepStage(step.stage) in OVER for step in after.values())
+        if ended and roll.status == RestartStatus.RUNNING.value:
+            skipped = sum(step.stage == StepStage.SKIPPED.value for step in after.values())
             due.log.append(f"roll {roll.ident} done: {len(after) - skipped} nodes, {skipped} skipped")
-            due.rolls[roll.ident] = msgspec.structs.replace(roll, status=Status.DONE.value)
+            due.rolls[roll.ident] = msgspec.structs.replace(roll, status=RestartStatus.DONE.value)
 
 
 # -- what operators tell
 
 
-def pause(roll: Roll) -> Roll:
-    """Tell nobody more. Raises Refused."""
-    if Status(roll.status) in ENDED:
-        raise Refused(f"the roll is {roll.status}", "status")
-    return msgspec.structs.replace(roll, status=Status.PAUSED.value, why="")
+def pause(roll: RollingRestart) -> RollingRestart:
+    """Tell nobody more. Raises InvalidOrderError."""
+    if RestartStatus(roll.status) in ENDED:
+        raise InvalidOrderError(f"the roll is {roll.status}", "status")
+    return msgspec.structs.replace(roll, status=RestartStatus.PAUSED.value, why="")
 
 
-def resume(roll: Roll) -> Roll:
-    """Go on, from the queue. Raises Refused."""
-    if Status(roll.status) in ENDED:
-        raise Refused(f"the roll is {roll.status}", "status")
-    if Status(roll.status) in (Status.QUEUED, Status.RUNNING):
+def resume(roll: RollingRestart) -> RollingRestart:
+    """Go on, from the queue. Raises InvalidOrderError."""
+    if RestartStatus(roll.status) in ENDED:
+        raise InvalidOrderError(f"the roll is {roll.status}", "status")
+    if RestartStatus(roll.status) in (RestartStatus.QUEUED, RestartStatus.RUNNING):
         return roll
-    return msgspec.structs.replace(roll, status=Status.QUEUED.value, why="")
+    return msgspec.structs.replace(roll, status=RestartStatus.QUEUED.value, why="")
 
 
-def cancel(roll: Roll, steps: list[Step]) -> tuple[Roll, list[Step], list[str]]:
+def cancel(
+    roll: RollingRestart, steps: list[RestartStep]
+) -> tuple[RollingRestart, list[RestartStep], list[str]]:
     """End it: who is out comes back by itself; orders to servers that have not begun anew are taken back.
-    Returns the roll, the steps that change and the servers whose orders go. Raises Refused."""
-    if roll.status == Status.DONE.value:
-        raise Refused("the roll is done", "status")
+    Returns the roll, the steps that change and the servers whose orders go. Raises InvalidOrderError."""
+    if roll.status == RestartStatus.DONE.value:
+        raise InvalidOrderError("the roll is done", "status")
     changed, restore = [], []
     for step in steps:
-        if Stage(step.stage) in OVER:
+        if StepStage(step.stage) in OVER:
             continue
         if step.ordered:
             restore.append(step.node)
         changed.append(
-            msgspec.structs.replace(step, stage=Stage.SKIPPED.value, ordered=False, why="cancelled")
+            msgspec.structs.replace(step, stage=StepStage.SKIPPED.value, ordered=False, why="cancelled")
         )
-    return msgspec.structs.replace(roll, status=Status.CANCELLED.value), changed, restore
+    return msgspec.structs.replace(roll, status=RestartStatus.CANCELLED.value), changed, restore
 
 
-def go_back(roll: Roll, steps: list[Step]) -> tuple[Roll, list[Step], list[str]]:
+def roll_back(
+    roll: RollingRestart, steps: list[RestartStep]
+) -> tuple[RollingRestart, list[RestartStep], list[str]]:
     """Take back what was done: nodes that were done are rolled again, and those that wait are left as they
-    are. Returns as `cancel` does. Raises Refused."""
+    are. Returns as `cancel` does. Raises InvalidOrderError."""
     if roll.back:
         return roll, [], []
-    if roll.status == Status.CANCELLED.value:
-        raise Refused("the roll is cancelled", "status")
+    if roll.status == RestartStatus.CANCELLED.value:
+        raise InvalidOrderError("the roll is cancelled", "status")
     changed, restore = [], []
     for step in steps:
-        stage = Stage(step.stage)
-        if stage is Stage.DONE:
-            changed.append(msgspec.structs.replace(step, stage=Stage.WAITING.value, run="", hard=False))
-        elif stage is Stage.WAITING or (step.ordered and stage is Stage.TOLD):
+        stage = StepStage(step.stage)
+        if stage is StepStage.DONE:
+            changed.append(msgspec.structs.replace(step, stage=StepStage.WAITING.value, run="", hard=False))
+        elif stage is StepStage.WAITING or (step.ordered and stage is StepStage.TOLD):
             if step.ordered:
                 restore.append(step.node)
             changed.append(
-                msgspec.structs.replace(step, stage=Stage.SKIPPED.value, ordered=False, why="not begun")
+                msgspec.structs.replace(step, stage=StepStage.SKIPPED.value, ordered=False, why="not begun")
             )
-    status = Status.QUEUED.value
+    status = RestartStatus.QUEUED.value
     return msgspec.structs.replace(roll, status=status, back=True, why=""), changed, restore
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -27,10 +27,10 @@
 from ..tenancy.feed import Feed
 from ..tenancy.lease import DRIFT, SLACK
 from ..terms import Outcome, Presence
-from .files import NodeFile
-from .forms import MOST_SERVERS, NAME, Said, ServerSaid, Told
-from .grants import ORIGIN, SERVERS, Figures, Holding
-from .lastword import sleepless
+from .high_water_mark import boot_clock
+from .leases import DEFAULT_SERVER, ORIGIN, ConnectionCounts, LeaseHolder
+from .messages import MOST_SERVERS, NAME, ControlPlaneReply, RouterReport, ServerReport
+from .node_file import NodeFile
 
 TICK = 0.1  # seconds between two looks at what is open
 SPAN = 5.0  # seconds of a measure: need is the most of the last one or two of them
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Store:
+class UpstreamConnections:
     """Connections to one server. It leaves with its last connection, once the server has left the list."""
 
     open: int = 0  # connecting, idle and busy
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class RouterDrains:
+class DrainsAgent:
     """`hosted.follower.Part` and `net.pool.Warden`."""
 
     service: Service
@@ -71,10 +71,10 @@
     build: str = ""
     labels: tuple[str, ...] = ()
     end: Callable[[], None] = lambda: signal.raise_signal(signal.SIGTERM)
-    clock: Callable[[], float] = sleepless
+    clock: Callable[[], float] = boot_clock
     name: str = NAME
-    holding: Holding = field(init=False)
-    stores: dict[str, Store] = field(default_factory=dict)  # by the list's names; `origin`
+    holding: LeaseHolder = field(init=False)
+    stores: dict[str, UpstreamConnections] = field(default_factory=dict)  # by the list's names; `origin`
     names: dict[str, str] = field(default_factory=dict)  # of stores, by the list's; emptied with them
     closing: float = FIRST_CLOSING
     turn: int = 0
@@ -100,7 +100,7 @@
         kept = self.files.kept
         self.closing = kept.closing or FIRST_CLOSING
         from_ = now + self.closing * (1.0 + DRIFT) + SLACK
-        self.holding = Holding(dict(kept.floors), from_, kept.admitted)
+        self.holding = LeaseHolder(dict(kept.floors), from_, kept.admitted)
         self.span_at, self.span_cpu = now, time.process_time()
         self.service.pool.warden = self
         self.service.dispatch.noted = self._noted
@@ -118,11 +118,11 @@
             self.names[endpoint.uid] = name
         return name
 
-    def _store(self, endpoint: Endpoint) -> Store:
+    def _store(self, endpoint: Endpoint) -> UpstreamConnections:
         name = self.store_name(endpoint)
         found = self.stores.get(name)
         if found is None:
-            found = self.stores[name] = Store()
+            found = self.stores[name] = UpstreamConnections()
         return found
 
     # -- net.pool.Warden
@@ -162,7 +162,9 @@
             half = connection.raw.dup()
         self.nursery.start_soon(self._see_out, half, store, connection.endpoint)
 
-    async def _see_out(self, half: socket.socket | None, store: Store, endpoint: Endpoint) -> None:
+    async def _see_out(
+        self, half: socket.socket | None, store: UpstreamConnections, endpoint: Endpoint
+    ) -> None:
         """Until the server has closed it; the router's own end is the nursery's."""
         try:
             if half is None or not await self._closes(half):
@@ -206,7 +208,7 @@
         store.peak = max(store.peak, store.open - len(endpoint.idle) + len(store.waiting))
         return True
 
-    def _waited_out(self, store: Store, pending: PendingAttempt) -> None:
+    def _waited_out(self, store: UpstreamConnections, pending: PendingAttempt) -> None:
         if pending in store.waiting:
             store.waiting.remove(pending)
             self.service.pool._end_soon(pending, Outcome.NEVER_SENT)
@@ -317,7 +319,7 @@
         self.turn += 1
         now = self.asked = self.clock()
         kept, holding = self.files.kept, self.holding
-        named = {*holding.values, *holding.floors} - {ORIGIN, SERVERS}
+        named = {*holding.values, *holding.floors} - {ORIGIN, DEFAULT_SERVER}
         counted = self._figures(named, lambda store: store.counted)
         need = self._figures(named, lambda store: max(store.peak, store.before))
         floors = {
@@ -326,7 +328,7 @@
         }
         phase = self.service.lifecycle.phase
         drained = self.follower.overlay.drained
-        said = Said(
+        said = RouterReport(
             f"{self.service.configuration.name}@{kept.ident}",
             kept.run_number,
             self.turn,
@@ -356,10 +358,10 @@
         )
         return msgspec.json.encode(said)
 
-    def _figures(self, named: set[str], of: Callable[[Store], int]) -> Figures:
-        found = {ORIGIN: 0, SERVERS: 0} | dict.fromkeys(named, 0)
+    def _figures(self, named: set[str], of: Callable[[UpstreamConnections], int]) -> ConnectionCounts:
+        found = {ORIGIN: 0, DEFAULT_SERVER: 0} | dict.fromkeys(named, 0)
         for name, store in self.stores.items():
-            key = name if name in found else SERVERS
+            key = name if name in found else DEFAULT_SERVER
             found[key] = max(found[key], of(store))
         return found
 
@@ -370,10 +372,10 @@
     def _attempts(self) -> int:
         return sum(not pending.attempt.server.origin for pending in self.service.pool.pending.values())
 
-    def _listed(self) -> list[ServerSaid]:
+    def _listed(self) -> list[ServerReport]:
         origin = self.service.dispatch.router.origin
         return [
-            ServerSaid(
+            ServerReport(
                 target.uid,
                 target.listing.zone,
                 target.listing.kind,
@@ -389,7 +391,7 @@
         if raw is None:
             return
         try:
-            told = msgspec.json.decode(raw, type=Told)
+            told = msgspec.json.decode(raw, type=ControlPlaneReply)
         except msgspec.MsgspecError as bad:
             raise BadFeed(f"drains: {bad}") from None
         if told.again >= self.files.kept.run_number:
@@ -450,7 +452,7 @@
     def ready(self) -> bool:
         """Whether connections may be opened, by a grant or at the floor. For `recovery`."""
         now = self.clock()
-        return any(self.holding.most(store, now) for store in (ORIGIN, SERVERS))
+        return any(self.holding.most(store, now) for store in (ORIGIN, DEFAULT_SERVER))
 
     # -- the end
 
--- a/gaugehinge/rehearsal/drainsmodel.py
+++ b/gaugehinge/rehearsal/drainsmodel.py
@@ -13,8 +13,24 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from ..drains.grants import ORIGIN, SERVERS, Grant, Grants, Ground, Holding, Slot, Word
-from ..drains.rolls import Fact, Roll, RollOrder, Rolls, Step, Who
+from ..drains.leases import (
+    DEFAULT_SERVER,
+    ORIGIN,
+    ConnectionLease,
+    DurableState,
+    LeaseHolder,
+    LeaseManager,
+    NodeRecord,
+    NodeReport,
+)
+from ..drains.restarts import (
+    NodeSelector,
+    NodeStatus,
+    RestartOrder,
+    RestartPlanner,
+    RestartStep,
+    RollingRestart,
+)
 from ..tenancy.lease import DRIFT, SLACK, Held
 
 LEASE, CLOSING = 1.0, 3.0
@@ -29,7 +45,7 @@
     floors: dict = field(default_factory=dict)
     run_number: int = 1
     turn: int = 0
-    holding: Holding | None = None
+    holding: LeaseHolder | None = None
     open: int = 0  # by this run
     paused: bool = False
     want: int = 0
@@ -52,15 +68,15 @@
 class World:
     """Three nodes, one keeper, one store. Everything that a state is made of can be copied and compared."""
 
-    grants_kind: type = Grants
+    grants_kind: type = LeaseManager
 
     def __init__(self, limit: int = 5, floor: int = 1, nodes: int = 3, spare: int = 0) -> None:
         self.now, self.limit, self.floor = 0.0, limit, floor
         self.most_nodes = nodes + spare  # nodes that lost their files are others from then on
         self.allowed = limit  # a limit that was lowered is kept from when the keeper says that it is reached
         self.runs = 0
-        self.slots: dict[str, Slot] = {}
-        self.ground = Ground()
+        self.slots: dict[str, NodeRecord] = {}
+        self.ground = DurableState()
         self.backup: tuple | None = None
         self.nodes = [Node(f"n{i}") for i in range(nodes)]
         for node in self.nodes:
@@ -96,7 +112,7 @@
     def boot(self, node: Node) -> None:
         now = node.clock(self.now)
         from_ = now + CLOSING * (1 + DRIFT) + SLACK
-        node.holding = Holding(dict(node.floors), from_, node.admitted)
+        node.holding = LeaseHolder(dict(node.floors), from_, node.admitted)
         node.open, node.paused, node.turn = 0, False, 0
 
     # -- moves
@@ -151,11 +167,11 @@
         if self.keeper.reached(self.slots.values(), ORIGIN, self.limit, self.now):
             self.allowed = self.limit
 
-    def word(self, node: Node) -> Word:
+    def word(self, node: Node) -> NodeReport:
         node.turn += 1
         held = node.holding
         holds = held.holds(node.clock(self.now))
-        return Word(
+        return NodeReport(
             node.name,
             f"{node.name}.{node.run_number}",
             node.run_number,
@@ -170,7 +186,7 @@
             held.closed,
         )
 
-    def answer(self, word: Word) -> Grant | None:
+    def answer(self, word: NodeReport) -> ConnectionLease | None:
         if not self.keeper.hear(word, self.now):
             return None
         self._plan()
@@ -178,7 +194,7 @@
         self.told = max(self.chain), self.keeper.raises(self.now), self.now
         return self.keeper.tell(slot, word, self.now) if slot is not None else None
 
-    def take(self, node: Node, grant: Grant | None, asked_at: float) -> None:
+    def take(self, node: Node, grant: ConnectionLease | None, asked_at: float) -> None:
         if grant is None or node.paused:
             return
         if node.holding.hear(grant, asked_at):
@@ -434,34 +450,34 @@
     return moves[::-1]
 
 
-class KillIsProof(Grants):
+class KillIsProof(LeaseManager):
     """A fault: a successor's start counts as the end of all that its predecessor had open."""
 
-    def _succeed(self, slot: Slot, word: Word, now: float) -> Slot:
+    def _succeed(self, slot: NodeRecord, word: NodeReport, now: float) -> NodeRecord:
         after = super()._succeed(slot, word, now)
         return type(after)(**{f: getattr(after, f) for f in after.__struct_fields__} | {"remains": {}})
 
 
-class LeaseWithoutClosing(Grants):
+class LeaseWithoutClosing(LeaseManager):
     """A fault: what a silent node had open counts as closed when its lease is over."""
 
     closed_after = 0.0
 
 
-class RaisesAtOnce(Grants):
+class RaisesAtOnce(LeaseManager):
     """A fault: one that starts anew takes what its store says for all there is."""
 
     settled_at = -100.0
 
 
-class ConfirmsByRun(Grants):
+class ConfirmsByRun(LeaseManager):
     """A fault: any word of the run counts as one that follows the last number."""
 
     def _learn(self, table, node, word, now):
         super()._learn(table, node, word, now)
         slot = table.get(node)
         if slot is not None and slot.run == word.run:
-            table[node] = Slot(
+            table[node] = NodeRecord(
                 **{f: getattr(slot, f) for f in slot.__struct_fields__}
                 | {"ceilings": {s: max(v, word.counted.get(s, 0)) for s, v in slot.values.items()}}
             )
@@ -491,11 +507,11 @@
 class FromArrival(World):
     """A fault: a node counts its lease from when the answer came."""
 
-    def take(self, node: Node, grant: Grant | None, asked_at: float) -> None:
+    def take(self, node: Node, grant: ConnectionLease | None, asked_at: float) -> None:
         super().take(node, grant, node.clock(self.now))
 
 
-def kind(grants: type[Grants]) -> type[World]:
+def kind(grants: type[LeaseManager]) -> type[World]:
     """A world whose keeper decides by these."""
     return type(grants.__name__, (World,), {"grants_kind": grants})
 
@@ -561,10 +577,12 @@
     and whether it was done. With `faults` nodes are killed, keepers end and begin anew, reports are lost."""
     draw = random.Random(f"{seed} roll")
     peers = [Peer(f"r{i}", f"z{i % zones}") for i in range(count)]
-    order = RollOrder(Who(all=True), most_out=most_out, warm_up=3.0, deadline=60.0, hangs="skip")
-    roll = Roll("roll-1", 1, order)
-    steps = [Step(peer.name, i) for i, peer in enumerate(sorted(peers, key=lambda p: (p.zone, p.name)))]
-    rolls = Rolls()
+    order = RestartOrder(NodeSelector(all=True), most_out=most_out, warm_up=3.0, deadline=60.0, hangs="skip")
+    roll = RollingRestart("roll-1", 1, order)
+    steps = [
+        RestartStep(peer.name, i) for i, peer in enumerate(sorted(peers, key=lambda p: (p.zone, p.name)))
+    ]
+    rolls = RestartPlanner()
     now = 0.0
     seen: dict[str, tuple[int, float]] = {}  # what the keeper knows: run, up since when; -1: it is away
     while now < longest:
@@ -577,9 +595,9 @@
             if not (faults and draw.random() < 0.1):
                 seen[peer.name] = peer.run, -1.0 if peer.back_at else peer.up_since
         if faults and draw.random() < 0.02:
-            rolls = Rolls()
+            rolls = RestartPlanner()
         facts = {
-            peer.name: Fact(
+            peer.name: NodeStatus(
                 peer.name,
                 str(seen[peer.name][0]),
                 peer.zone,
@@ -623,19 +641,19 @@
     """Grants of so many routers whose need moves by one now and then: middle and longest time of a plan
     in ms, and slots written a second once all have something."""
     draw = random.Random(1)
-    floors = {ORIGIN: 2, SERVERS: 1}
-    keeper = Grants(-1e9, 15.0, 15.0, count + count // 4, floors, 0.1, "k", "life", Ground())
-    limits = {ORIGIN: 10 * count, SERVERS: 6 * count}
-    slots: dict[str, Slot] = {}
+    floors = {ORIGIN: 2, DEFAULT_SERVER: 1}
+    keeper = LeaseManager(-1e9, 15.0, 15.0, count + count // 4, floors, 0.1, "k", "life", DurableState())
+    limits = {ORIGIN: 10 * count, DEFAULT_SERVER: 6 * count}
+    slots: dict[str, NodeRecord] = {}
     need, spent, written = [4] * count, [], 0
     for now in range(1, seconds):
         need = [min(max(each + draw.choice((-1, 0, 0, 0, 0, 0, 0, 1)), 1), 9) for each in need]
         for i in range(count):
             name = f"r{i}"
-            slot = slots.get(name, Slot(name))
+            slot = slots.get(name, NodeRecord(name))
             values = dict(slot.values)
             keeper.hear(
-                Word(
+                NodeReport(
                     name,
                     name,
                     1,
@@ -644,7 +662,7 @@
                     slot.mark if values else "",
                     values,
                     {ORIGIN: min(3, values.get(ORIGIN, 0))},
-                    {ORIGIN: need[i], SERVERS: 2},
+                    {ORIGIN: need[i], DEFAULT_SERVER: 2},
                     floors if values else {},
                     "life" if name in slots else "",
                 ),
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -20,25 +20,32 @@
 from gaugehinge.admin.keep import KeepDrains
 from gaugehinge.admin.service import Administration
 from gaugehinge.cli.main import main as command_line
-from gaugehinge.drains.files import NodeFile, Taken
-from gaugehinge.drains.forms import NAME, Said, ServerSaid, Told
-from gaugehinge.drains.grants import ORIGIN, SERVERS, Grants, Ground, Slot, Word
-from gaugehinge.drains.keeper import KeeperDrains
-from gaugehinge.drains.lastword import LastWord, in_memory
-from gaugehinge.drains.rolls import (
-    Burn,
-    Fact,
-    Refused,
-    Roll,
-    RollOrder,
-    Rolls,
-    Step,
-    Who,
+from gaugehinge.drains.controller import DrainsController
+from gaugehinge.drains.high_water_mark import HighWaterMarkFile, in_memory
+from gaugehinge.drains.leases import (
+    DEFAULT_SERVER,
+    ORIGIN,
+    DurableState,
+    LeaseManager,
+    NodeRecord,
+    NodeReport,
+)
+from gaugehinge.drains.messages import NAME, ControlPlaneReply, RouterReport, ServerReport
+from gaugehinge.drains.node_file import NodeFile, NodeFileLockedError
+from gaugehinge.drains.restarts import (
+    BurnRate,
+    InvalidOrderError,
+    NodeSelector,
+    NodeStatus,
+    RestartOrder,
+    RestartPlanner,
+    RestartStep,
+    RollingRestart,
     cancel,
-    chosen,
-    go_back,
+    roll_back,
+    select_nodes,
 )
-from gaugehinge.drains.router import RouterDrains
+from gaugehinge.drains.router import DrainsAgent
 from gaugehinge.forms.units import Seconds
 from gaugehinge.net.deadlines import Clock, Deadlines
 from gaugehinge.net.list_update import ListUpdate, Target
@@ -53,15 +60,15 @@
 from gaugehinge.tenancy.feed import Report
 from gaugehinge.terms import Attempt, Listing, Outcome, Presence
 
-LIMITS = {ORIGIN: 12, SERVERS: 8}
-FLOORS = {ORIGIN: 1, SERVERS: 1}
+LIMITS = {ORIGIN: 12, DEFAULT_SERVER: 8}
+FLOORS = {ORIGIN: 1, DEFAULT_SERVER: 1}
 SEEDS, JOBS = range(1, 6), 5
 
 
 @pytest.fixture(autouse=True)
 def no_last_word(tmp_path):
     yield
-    LastWord.beside(tmp_path / "store.db").forget()
+    HighWaterMarkFile.beside(tmp_path / "store.db").forget()
 
 
 class Desk:
@@ -69,7 +76,9 @@
 
     def __init__(self, most_nodes=4, reserve=0.0, began=-100.0, mark="k1"):
         self.slots, self.now, self.turn = {}, 0.0, 0
-        self.grants = Grants(began, 10.0, 5.0, most_nodes, FLOORS, reserve, mark, "life", Ground())
+        self.grants = LeaseManager(
+            began, 10.0, 5.0, most_nodes, FLOORS, reserve, mark, "life", DurableState()
+        )
         self.limits = dict(LIMITS)
 
     def plan(self, **more):
@@ -80,7 +89,7 @@
     def say(self, name, need=1, counted=0, run=1, **more):
         """A report that follows the last grant, and the answer."""
         self.turn += 1
-        slot = self.slots.get(name, Slot(name))
+        slot = self.slots.get(name, NodeRecord(name))
         mine = slot.run == f"{name}.{run}" and bool(slot.values)
         values = {
             "number": slot.number if mine else 0,
@@ -88,7 +97,7 @@
             "holds": slot.values if mine else {},
             "admitted": "life" if name in self.slots else "",
         } | more
-        word = Word(
+        word = NodeReport(
             name,
             f"{name}.{run}",
             run,
@@ -96,8 +105,8 @@
             values["number"],
             values["mark"],
             values["holds"],
-            {ORIGIN: counted, SERVERS: counted},
-            {ORIGIN: need, SERVERS: 1},
+            {ORIGIN: counted, DEFAULT_SERVER: counted},
+            {ORIGIN: need, DEFAULT_SERVER: 1},
             FLOORS if values["admitted"] else {},
             values["admitted"],
             values.get("closed", False),
@@ -228,7 +237,9 @@
     assert desk.slots["a"].values[ORIGIN] == 11
 
     def anew():
-        made = Grants(-1e9, 10.0, 5.0, 2, {ORIGIN: 3, SERVERS: 1}, 0.0, "k2", "life", desk.grants.ground)
+        made = LeaseManager(
+            -1e9, 10.0, 5.0, 2, {ORIGIN: 3, DEFAULT_SERVER: 1}, 0.0, "k2", "life", desk.grants.ground
+        )
         made.witnessed = 2
         made.begin_with(desk.slots.values())
         desk.grants = made
@@ -262,7 +273,7 @@
 
 def fleet(count=6, zones="ab", **more):
     return {
-        f"r{i}": Fact(
+        f"r{i}": NodeStatus(
             f"r{i}", "1", zones[i % len(zones)], True, ready_for=99.0, load=0.2, capacity=0.8, **more
         )
         for i in range(count)
@@ -271,10 +282,12 @@
 
 def rolling(facts, rolls=None, now=100.0, steps=None, roll=None, **order):
     """One plan; the roll, its steps and what is due."""
-    told = RollOrder(Who(all=True), **{"most_out": 2, **order})
-    roll = roll or Roll("roll-1", 1, told)
-    steps = steps or [Step(name, i) for i, name in enumerate(chosen(told, facts.values()))]
-    due = (rolls or Rolls()).plan([roll], {roll.ident: steps}, {"routers": facts, "servers": facts}, now, now)
+    told = RestartOrder(NodeSelector(all=True), **{"most_out": 2, **order})
+    roll = roll or RollingRestart("roll-1", 1, told)
+    steps = steps or [RestartStep(name, i) for i, name in enumerate(select_nodes(told, facts.values()))]
+    due = (rolls or RestartPlanner()).plan(
+        [roll], {roll.ident: steps}, {"routers": facts, "servers": facts}, now, now
+    )
     changed = {step.node: step for step in due.steps.get(roll.ident, [])}
     return due.rolls.get(roll.ident, roll), [changed.get(step.node, step) for step in steps], due
 
@@ -288,26 +301,27 @@
     assert told(rolling(fleet(), most_out_zone=1)[1]) == ["r0"]
     assert told(rolling(fleet(connections=5), most_out_connections=9)[1]) == ["r0"]
     facts = fleet()
-    facts["r1"] = Fact("r1", "1", "b", False)
+    facts["r1"] = NodeStatus("r1", "1", "b", False)
     assert told(rolling(facts)[1]) == ["r3"], "one of zone b is lost: only that zone goes on"
-    facts["r2"] = Fact("r2", "1", "a", True, ready_for=99.0, drains=True)
+    facts["r2"] = NodeStatus("r2", "1", "a", True, ready_for=99.0, drains=True)
     assert told(rolling(facts, most_out=9)[1]) == [], "two zones have nodes out: nobody is told"
 
 
 def test_capacity_windows_shards_and_overlaps_hold_a_roll_back():
     facts = {
-        name: Fact(name, "1", "a", True, ready_for=9.0, load=0.5, capacity=0.8) for name in ("x", "y", "z")
+        name: NodeStatus(name, "1", "a", True, ready_for=9.0, load=0.5, capacity=0.8)
+        for name in ("x", "y", "z")
     }
     assert told(rolling(facts, headroom=0.0)[1]) == ["x"] and told(rolling(facts, headroom=0.2)[1]) == []
     assert (
         told(rolling(fleet(), starts=200.0)[1]) == []
         and told(rolling(fleet(), ends=50.0, starts=0.0)[1]) == []
     )
-    last = Rolls(last_of_shard=lambda name, out: name == "r0")
+    last = RestartPlanner(last_of_shard=lambda name, out: name == "r0")
     assert told(rolling(fleet(), last)[1]) == ["r2", "r4"]
-    due = Rolls().plan(
-        [Roll("roll-1", 1, RollOrder(Who(all=True), most_out=3))],
-        {"roll-1": [Step(n) for n in fleet()]},
+    due = RestartPlanner().plan(
+        [RollingRestart("roll-1", 1, RestartOrder(NodeSelector(all=True), most_out=3))],
+        {"roll-1": [RestartStep(n) for n in fleet()]},
         {"routers": fleet(), "servers": {}},
         1.0,
         1.0,
@@ -321,7 +335,7 @@
     [("skip", "skipped", "running"), ("stop", "told", "stopped"), ("end", "told", "running")],
 )
 def test_one_that_hangs(hangs, stage, status):
-    rolls, facts = Rolls(), fleet()
+    rolls, facts = RestartPlanner(), fleet()
     roll, steps, _ = rolling(facts, rolls, hangs=hangs, most_out=1, deadline=10.0)
     roll, steps, _ = rolling(facts, rolls, 109.0, steps, roll)
     assert told(steps) == ["r0"] and roll.status == "running"
@@ -333,7 +347,7 @@
 
 
 def test_a_roll_stops_by_itself_where_service_is_lost_and_goes_back_when_told():
-    rolls, facts = Rolls(), fleet()
+    rolls, facts = RestartPlanner(), fleet()
     for second in range(60):
         rolls.burn.add(40.0 + second, 99, 1)
     roll, steps, _ = rolling(facts, rolls, most_out=1, most_burn=5.0)
@@ -343,54 +357,56 @@
     roll, steps, due = rolling(facts, rolls, 141.0, steps, roll)
     assert roll.status == "stopped" and "service lost" in roll.why and due.log
     done = [*(msgspec.structs.replace(s, stage="done") for s in steps[:2]), *steps[2:]]
-    back, changed, _ = go_back(roll, done)
+    back, changed, _ = roll_back(roll, done)
     assert back.back and [s.node for s in changed if s.stage == "waiting"] == ["r0", "r2"]
-    assert Burn().share(0.0, 5.0) == 0.0
-    ended, changed, restore = cancel(roll, [Step("s", ordered=True, stage="told")])
+    assert BurnRate().share(0.0, 5.0) == 0.0
+    ended, changed, restore = cancel(roll, [RestartStep("s", ordered=True, stage="told")])
     assert ended.status == "cancelled" and restore == ["s"] and changed[0].stage == "skipped"
-    with pytest.raises(Refused, match="no node"):
-        chosen(RollOrder(Who(names=["nobody"])), facts.values())
+    with pytest.raises(InvalidOrderError, match="no node"):
+        select_nodes(RestartOrder(NodeSelector(names=["nobody"])), facts.values())
 
 
 def test_a_server_is_drained_started_anew_and_given_back_and_the_next_waits_for_it():
-    rolls, facts = Rolls(), fleet(4)
+    rolls, facts = RestartPlanner(), fleet(4)
     roll, steps, due = rolling(facts, rolls, kind="servers", most_out=1, warm_up=5.0)
     assert due.drain == ["r0"] and steps[0].ordered
-    facts["r0"] = Fact("r0", "1", "a", True, ready_for=99.0, empty=True, capacity=0.8)
+    facts["r0"] = NodeStatus("r0", "1", "a", True, ready_for=99.0, empty=True, capacity=0.8)
     roll, steps, _ = rolling(facts, rolls, 101.0, steps, roll)
     assert steps[0].stage == "empty"
-    facts["r0"] = Fact("r0", "2", "a", True, ready_for=1.0, capacity=0.8)
+    facts["r0"] = NodeStatus("r0", "2", "a", True, ready_for=1.0, capacity=0.8)
     roll, steps, due = rolling(facts, rolls, 102.0, steps, roll)
     assert steps[0].stage == "warming" and due.restore == ["r0"] and len(told(steps)) == 0
-    facts["r0"] = Fact("r0", "2", "a", True, ready_for=6.0, capacity=0.8)
+    facts["r0"] = NodeStatus("r0", "2", "a", True, ready_for=6.0, capacity=0.8)
     roll, steps, _ = rolling(facts, rolls, 107.0, steps, roll)
     assert steps[0].stage == "done" and told(steps) == ["r2"]
     # A keeper that starts anew tells nobody twice.
-    assert told(rolling(facts, Rolls(), 108.0, steps, roll)[1]) == ["r2"]
+    assert told(rolling(facts, RestartPlanner(), 108.0, steps, roll)[1]) == ["r2"]
 
 
 def test_three_rolls_stand_in_a_queue_and_who_is_out_by_a_paused_one_counts_for_the_next():
-    order = RollOrder(Who(all=True), most_out=2, warm_up=1.0)
-    rolls = [Roll(f"roll-{i}", i, order) for i in (1, 2, 3)]
-    steps = {roll.ident: [Step(name, i) for i, name in enumerate(fleet())] for roll in rolls}
-    steps["roll-1"][0] = Step("r0", 0, "told", "1")
+    order = RestartOrder(NodeSelector(all=True), most_out=2, warm_up=1.0)
+    rolls = [RollingRestart(f"roll-{i}", i, order) for i in (1, 2, 3)]
+    steps = {roll.ident: [RestartStep(name, i) for i, name in enumerate(fleet())] for roll in rolls}
+    steps["roll-1"][0] = RestartStep("r0", 0, "told", "1")
     rolls[0] = msgspec.structs.replace(rolls[0], status="paused")
     facts = fleet()
-    facts["r0"] = Fact("r0", "1", "a", True, ready_for=99.0, load=0.2, capacity=0.8, drains=True)
-    due = Rolls().plan(rolls, steps, {"routers": facts, "servers": {}}, 1.0, 1.0)
+    facts["r0"] = NodeStatus("r0", "1", "a", True, ready_for=99.0, load=0.2, capacity=0.8, drains=True)
+    due = RestartPlanner().plan(rolls, steps, {"routers": facts, "servers": {}}, 1.0, 1.0)
     assert {ident: told(each) for ident, each in due.steps.items()} == {"roll-2": ["r2"]}
     assert due.rolls["roll-2"].status == "running" and "roll-3" not in due.rolls
 
 
 def test_one_told_by_a_roll_that_was_paused_counts_for_the_next_before_it_has_heard_of_it():
-    order = RollOrder(Who(all=True), most_out=1, warm_up=1.0)
-    rolls = [Roll("roll-1", 1, order, status="paused"), Roll("roll-2", 2, order)]
-    steps = {roll.ident: [Step(name, i) for i, name in enumerate(fleet())] for roll in rolls}
-    steps["roll-1"][0] = Step("r0", 0, "told", "1")
-    due = Rolls().plan(rolls, steps, {"routers": fleet(), "servers": {}}, 1.0, 1.0)
+    order = RestartOrder(NodeSelector(all=True), most_out=1, warm_up=1.0)
+    rolls = [RollingRestart("roll-1", 1, order, status="paused"), RollingRestart("roll-2", 2, order)]
+    steps = {roll.ident: [RestartStep(name, i) for i, name in enumerate(fleet())] for roll in rolls}
+    steps["roll-1"][0] = RestartStep("r0", 0, "told", "1")
+    due = RestartPlanner().plan(rolls, steps, {"routers": fleet(), "servers": {}}, 1.0, 1.0)
     assert not due.steps, "r0 is on its way out"
-    steps["roll-1"][0] = Step("r0", 0, "told", "0")  # the run after it is up, of another build than was meant
-    due = Rolls().plan(rolls, steps, {"routers": fleet(), "servers": {}}, 1.0, 1.0)
+    steps["roll-1"][0] = RestartStep(
+        "r0", 0, "told", "0"
+    )  # the run after it is up, of another build than was meant
+    due = RestartPlanner().plan(rolls, steps, {"routers": fleet(), "servers": {}}, 1.0, 1.0)
     assert told(due.steps["roll-2"]) == ["r0"]
 
 
@@ -409,7 +425,7 @@
 def test_one_process_a_file_and_what_is_not_whole_is_set_aside(tmp_path, caplog):
     path = str(tmp_path / "node")
     first = NodeFile(path)
-    with pytest.raises(Taken):
+    with pytest.raises(NodeFileLockedError):
         NodeFile(path)
     assert first.save(msgspec.structs.replace(first.kept, admitted="life", floors=FLOORS, closing=3.0))
     first.close()
@@ -478,7 +494,7 @@
         )
         follower = SimpleNamespace(overlay=SimpleNamespace(drained=frozenset(), told=[]), wait=5.0)
         time = SimpleNamespace(now=1000.0)
-        part = RouterDrains(
+        part = DrainsAgent(
             service, follower, NodeFile(str(tmp_path / "node")), nursery, clock=lambda: time.now
         )
         part.closing = 30.0
@@ -499,7 +515,16 @@
     """An answer of the keeper to a question that goes now."""
     part.report()
     raw = msgspec.json.encode(
-        Told("life", number, "k", {ORIGIN: 1, SERVERS: servers}, {ORIGIN: 1, SERVERS: 1}, lease, True, 30.0)
+        ControlPlaneReply(
+            "life",
+            number,
+            "k",
+            {ORIGIN: 1, DEFAULT_SERVER: servers},
+            {ORIGIN: 1, DEFAULT_SERVER: 1},
+            lease,
+            True,
+            30.0,
+        )
     )
     part.hear(SimpleNamespace(parts={NAME: msgspec.Raw(raw)}), 0.0)
 
@@ -526,8 +551,8 @@
             attempts = [all_.send() for _ in range(12)]
             await until(lambda: len(all_.ended) == len(attempts))
             assert {outcome for _, outcome in all_.ended} == {Outcome.SETTLED} and all_.peers.most == 2
-            said = msgspec.json.decode(all_.part.report(), type=Said)
-            assert said.counted[SERVERS] == 2 and said.need[SERVERS] >= 10 and said.number == 1
+            said = msgspec.json.decode(all_.part.report(), type=RouterReport)
+            assert said.counted[DEFAULT_SERVER] == 2 and said.need[DEFAULT_SERVER] >= 10 and said.number == 1
             all_.peers.answers = trio.Event()
             for _ in range(3):
                 all_.send(time_out=0.2)
@@ -548,7 +573,11 @@
             endpoint = next(iter(all_.pool.endpoints.values()))
             assert len(endpoint.idle) == 1 and not all_.part.may_open(endpoint)
             await trio.sleep(0.05)
-            assert msgspec.json.decode(all_.part.report(), type=Said).counted[SERVERS] == 3 == all_.peers.open
+            assert (
+                msgspec.json.decode(all_.part.report(), type=RouterReport).counted[DEFAULT_SERVER]
+                == 3
+                == all_.peers.open
+            )
             tell(all_.part, all_.time, 1, 9)
             assert all_.part.holding.number == 2, "an answer of an older number is not followed"
 
@@ -600,7 +629,7 @@
                 **figures,
             },
         )
-        part = KeeperDrains(admin, told)
+        part = DrainsController(admin, told)
         admin.parts = [part]
         transport = httpx.ASGITransport(app=Api(admin).app())
         async with trio.open_nursery() as nursery:
@@ -617,11 +646,11 @@
 
 async def report(all_, name, turn, zone="a", **said):
     """A router's call and the keeper's part of the answer."""
-    body = Said(f"{name}@0123456789abcdef", 1, turn, zone=zone, ready_for=60.0, **said)
+    body = RouterReport(f"{name}@0123456789abcdef", 1, turn, zone=zone, ready_for=60.0, **said)
     told = await all_.admin.feed(
         Report(name, f"{name}.1", parts={NAME: msgspec.Raw(msgspec.json.encode(body))})
     )
-    return msgspec.json.decode(told.parts[NAME], type=Told)
+    return msgspec.json.decode(told.parts[NAME], type=ControlPlaneReply)
 
 
 async def follow(all_, name, zone="a", **said):
@@ -656,7 +685,7 @@
 
     async def scene():
         monkeypatch.setattr(StoreKeeper, "apply_planned", full)
-        monkeypatch.setattr("gaugehinge.drains.keeper.TICK", 0.01)
+        monkeypatch.setattr("gaugehinge.drains.controller.TICK", 0.01)
         async with desk_of(tmp_path) as all_:
             assert len(failed) == 2
             assert (await all_.desk.get("/v1/limits/origin")).json()["most"] == 20
@@ -761,7 +790,7 @@
         async with desk_of(tmp_path) as all_:
             assert (await follow(all_, "r-3")).number
             assert (await all_.desk.get("/v1/grants")).json()["settled_in"] == 0
-        LastWord.beside(store).forget()  # the machine was started anew
+        HighWaterMarkFile.beside(store).forget()  # the machine was started anew
         async with desk_of(tmp_path) as all_:
             assert not all_.part.grants.sure and "just started" in (await refusal(all_, "r-4"))
         for name in ("store.db-wal", "store.db-shm"):
@@ -787,8 +816,8 @@
     mounts = tmp_path / "mounts"
     mounts.write_text(f"tmpfs {tmp_path} tmpfs rw 0 0\n/dev/sda / ext4 rw 0 0\n")
     assert in_memory(tmp_path, mounts) and not in_memory(tmp_path / "x", mounts)
-    assert LastWord.beside(tmp_path / "s.db", tmp_path / "x").path is None
-    word, marks = LastWord(tmp_path / "word"), {7: "aa", 8: "bb"}.get
+    assert HighWaterMarkFile.beside(tmp_path / "s.db", tmp_path / "x").path is None
+    word, marks = HighWaterMarkFile(tmp_path / "word"), {7: "aa", 8: "bb"}.get
     assert not word.of("life", marks, 10.0, 3.0), "there is none"
     assert word.say("life", 7, marks, True, 10.0)
     assert word.of("life", marks, 12.9, 3.0) and not word.of("life", marks, 13.0, 3.0)
@@ -826,7 +855,7 @@
                 with pytest.raises(Exception, match="missing|not this|regex") as bad:
                     await all_.admin.feed(Report("r", "1", parts={NAME: msgspec.Raw(body)}))
                 assert bad.value.status == 422 and bad.value.field.startswith("parts.drains")
-            servers = [ServerSaid("s-1", "a", "std", True, 1.0), ServerSaid("s-2", "a", "std", True, 1.0)]
+            servers = [ServerReport("s-1", "a", "std", True, 1.0), ServerReport("s-2", "a", "std", True, 1.0)]
             await report(all_, "r", 1, servers=servers)
             made = await all_.desk.post("/v1/rolls", json={"who": {"all": True}, "kind": "servers"})
             assert made.json()["nodes"] == 2
--- a/tests/test_drains_model.py
+++ b/tests/test_drains_model.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
-from gaugehinge.drains.grants import ORIGIN
+from gaugehinge.drains.leases import ORIGIN
 from gaugehinge.rehearsal.drainsmodel import (
     BelievesAnyStore,
     BelievesForEver,
