--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -14,7 +14,7 @@
 from ..admin.app import MOST_KEY, answer, if_match, read
 from ..admin.service import Caller, Wrong
 from ..store.store import Store, Wanted, encode
-from .leases import ConnectionCounts, count_for, undersized_limit
+from .connection_counts import ConnectionCounts, count_for, undersized_limit
 from .restarts import (
     ENDED,
     MOST_ROLLS,
@@ -165,9 +165,9 @@
                     LimitView(
                         item.ident,
                         most,
-                        grants.spent(slots, item.ident),
-                        max(grants.most_nodes * count_for(grants.floors, item.ident), 1),
-                        grants.reached(slots, item.ident, most, now),
+                        grants.total_worst_case(slots, item.ident),
+                        max(grants.max_nodes * count_for(grants.floors, item.ident), 1),
+                        grants.limit_enforced(slots, item.ident, most, now),
                         item.rev,
                     )
                 )
@@ -203,9 +203,9 @@
         if not 0 < len(name) <= MOST_NAME:
             raise Wrong(422, "invalid", f"1 to {MOST_NAME} characters", "store")
         grants = self.part.grants
-        small = undersized_limit({name: told.most}, grants.floors, grants.most_nodes)
+        small = undersized_limit({name: told.most}, grants.floors, grants.max_nodes)
         if small is not None:
-            why = f"{told.most} is under {small[1]}, the floors of {grants.most_nodes} nodes"
+            why = f"{told.most} is under {small.least}, the floors of {grants.max_nodes} nodes"
             raise Wrong(422, "invalid", why, "most")
 
         def plan(store: Store, now: float) -> list[Wanted]:
@@ -235,36 +235,40 @@
             limits = part.limits(store)
             nodes = []
             for node, (_, slot) in sorted(part.slots(store).items()):
-                word, heard = grants.words.get(node), grants.heard.get(node)
+                word, heard = grants.reports.get(node), grants.last_heard.get(node)
                 last = part.lasts.get(node)
                 stage = "granted"
                 if slot.closed:
                     stage = "closed"
-                elif grants.over(node, now):
+                elif grants.has_expired(node, now):
                     stage = "lost"
-                elif not grants.live(node, now):
+                elif not grants.is_live(node, now):
                     stage = "silent"
                 elif last is not None and last.said.leaving:
                     stage = "leaving"
-                held: ConnectionCounts = {store: grants.charge(slot, store) for store in limits}
+                held: ConnectionCounts = {store: slot.worst_case(store) for store in limits}
                 nodes.append(
                     NodeView(
                         node,
                         slot.run,
                         slot.number,
-                        slot.values,
+                        slot.granted,
                         held,
-                        word.counted if word else {},
-                        word.need if word else {},
+                        word.open_connections if word else {},
+                        word.demand if word else {},
                         round(now - heard, 3) if heard is not None else -1.0,
                         stage,
                     )
                 )
-            settled = max(grants.settled_at - now, 0.0)
-            if grants.raises(now) and not grants.ground.doubt:
+            settled = max(grants.former_leases_end - now, 0.0)
+            if grants.may_raise(now) and not grants.state.suspension_reason:
                 settled = 0.0
             return LeasePage(
-                nodes, grants.most_nodes, dict(grants.refused), grants.ground.doubt, round(settled, 3)
+                nodes,
+                grants.max_nodes,
+                dict(grants.rejected),
+                grants.state.suspension_reason,
+                round(settled, 3),
             )
 
     async def gone(self, request: Request, caller: Caller) -> Response:
@@ -278,14 +282,14 @@
             if item is None:
                 raise Wrong(404, "not found", f"no node {node}")
             with part.lock:
-                if not part.grants.over(node, part.clock()):
+                if not part.grants.has_expired(node, part.clock()):
                     why = "it was heard of too lately: its connections may be open"
                     raise Wrong(409, "conflict", why, "node")
             return [Wanted(NODE, node, None, item.rev)]
 
         await self.administration._change(plan, caller.name)
         with part.lock:
-            part.grants.drop(node)
+            part.grants.forget_node(node)
             part.lasts.pop(node, None)
         part.news.set()
         return answer(ChangeResult(f"{node} is no more: its floor is free"))
@@ -298,12 +302,12 @@
         def plan(store: Store, now: float) -> list[Wanted]:
             with part.lock:
                 grants = part.grants
-                if part.clock() < grants.settled_at:
+                if part.clock() < grants.former_leases_end:
                     why = "this keeper has just started: nodes may come that it does not know"
                     raise Wrong(409, "conflict", why)
-                grants.ground = msgspec.structs.replace(grants.ground, doubt="")
+                grants.state = msgspec.structs.replace(grants.state, suspension_reason="")
                 item = store.get("drains-ground", "ground")
-                body = encode(grants.ground)
+                body = encode(grants.state)
                 return (
                     []
                     if item and item.body == body
--- a/gaugehinge/drains/controller.py
+++ b/gaugehinge/drains/controller.py
@@ -24,16 +24,10 @@
 from ..store.store import Conflict, Full, Store, Wanted, encode
 from ..tenancy.feed import Report
 from .api import DrainsApi
+from .connection_counts import DEFAULT_SERVER, ORIGIN, ConnectionCounts, count_for
 from .high_water_mark import HighWaterMarkFile, boot_clock
-from .leases import (
-    DEFAULT_SERVER,
-    ORIGIN,
-    ConnectionCounts,
-    DurableState,
-    LeaseManager,
-    NodeRecord,
-    count_for,
-)
+from .lease_manager import LeaseManager
+from .lease_types import DurableState, NodeRecord
 from .messages import NAME, ControlPlaneReply, RouterReport, ServerReport
 from .restarts import (
     ENDED,
@@ -151,21 +145,21 @@
         if said.node.rpartition("@")[0] != report.router:
             raise Wrong(422, "invalid", "not this router's", f"parts.{NAME}.node")
         with self.lock:
-            known = self.grants.words.get(said.node)
-            if not self.grants.hear(said.word(report.run), now):
+            known = self.grants.reports.get(said.node)
+            if not self.grants.on_report(said.word(report.run), now):
                 return
             self.sent_out.pop(said.node, None)
             self.lasts[said.node] = LatestReport(said, report.router, report.run, report.since, now)
             self._count(said, report.run)
             if said.servers:
                 self._list(said.servers, now)
-            values = count_for(known.holds, ORIGIN) if known is not None else 0
+            values = count_for(known.granted, ORIGIN) if known is not None else 0
             if (
                 known is None
                 or known.run != report.run
                 or known.number != said.number
                 or said.closed
-                or said.counted.get(ORIGIN, 0) < known.counted.get(ORIGIN, 0)
+                or said.counted.get(ORIGIN, 0) < known.open_connections.get(ORIGIN, 0)
                 or count_for(said.need, ORIGIN) > values
             ):
                 self.news.set()
@@ -203,33 +197,33 @@
         slot = msgspec.json.decode(item.body, type=NodeRecord) if item is not None else None
         with self.lock:
             now = self.clock()
-            word = self.grants.words.get(said.node)
+            word = self.grants.reports.get(said.node)
             if slot is not None and slot.run != report.run and said.run_number <= slot.run_number:
                 return msgspec.json.encode(ControlPlaneReply(life, again=slot.run_number))
             if word is None or word.run != report.run:
                 return msgspec.json.encode(ControlPlaneReply(life))
-            grant = self.grants.tell(slot, word, now) if slot is not None else None
+            grant = self.grants.issue(slot, word, now) if slot is not None else None
             roll, run, hard = self.orders.get(report.router, ("", "", False))
             leave = roll if run == report.run else ""
             if leave:
                 self.sent_out[said.node] = report.run
             told = ControlPlaneReply(
                 life,
-                closing=self.grants.closing,
+                closing=self.grants.close_timeout,
                 leave=leave,
                 hard=hard and bool(leave),
                 servers=self._asks_list(said.node, now),
-                refused=self.grants.refused.get(said.node, ""),
+                refused=self.grants.rejected.get(said.node, ""),
             )
         if grant is not None:
             told = msgspec.structs.replace(
                 told,
                 number=grant.number,
-                mark=grant.mark,
-                values=grant.values,
+                mark=grant.issuer,
+                values=grant.granted,
                 floors=grant.floors,
-                lease=grant.lease,
-                clear=grant.clear,
+                lease=grant.duration,
+                clear=grant.predecessors_closed,
             )
         return msgspec.json.encode(told)
 
@@ -237,13 +231,15 @@
         """On the store's thread, before anything is told by it: up to where it is told by. False: that could
         not be said, and nothing may be told."""
         with self.lock:
-            good = self.grants.raises(self.clock())
+            good = self.grants.may_raise(self.clock())
         return self.last_word.say(self.administration.life, store.rev, store.mark, good, boot_clock())
 
     def _asks_list(self, node: str, now: float) -> bool:
         if now - self.servers_at < LIST_OLD:
             return False
-        heard = sorted(each for each, last in self.lasts.items() if now - last.at < self.grants.lease)
+        heard = sorted(
+            each for each, last in self.lasts.items() if now - last.at < self.grants.lease_duration
+        )
         return node in heard[:WITNESSES]
 
     # -- by itself
@@ -277,20 +273,20 @@
         def begin(store: Store, now: float) -> list[Wanted]:
             held = store.get(GROUND, "ground")
             ground = msgspec.json.decode(held.body, type=DurableState) if held else DurableState()
-            doubt = ground.doubt or self._suspicion(held is None, ground)
+            doubt = ground.suspension_reason or self._suspicion(held is None, ground)
             ground = DurableState(
-                max(ground.longest, self.grants.lease),
-                max(ground.closing, float(told.closing)),
+                max(ground.longest_lease, self.grants.lease_duration),
+                max(ground.longest_close_timeout, float(told.closing)),
                 ground.admissions,
                 doubt,
             )
             slots = [slot for _, slot in self.slots(store).values()]
             with self.lock:
-                self.grants.ground = ground
-                self.grants.begin_with(slots)
+                self.grants.state = ground
+                self.grants.adopt_floors(slots)
                 # Killed on this machine and back on the file that it told by: what is held is in there.
-                self.grants.sure = not doubt and self.last_word.of(
-                    self.administration.life, store.mark, boot_clock(), self.grants.unraised
+                self.grants.store_is_current = not doubt and self.last_word.of(
+                    self.administration.life, store.mark, boot_clock(), self.grants.startup_hold
                 )
             wanted = [Wanted(GROUND, "ground", encode(ground), held.rev if held else 0)]
             first = {ORIGIN: told.origin, DEFAULT_SERVER: told.servers, **told.limits}
@@ -301,17 +297,17 @@
 
         await keeper.apply_planned(begin, "drains")
         await keeper.call(self._attest)
-        ground = self.grants.ground
-        if self.grants.floors != self.grants.wanted:
-            told = self.grants.floors, self.grants.wanted
+        ground = self.grants.state
+        if self.grants.floors != self.grants.configured_floors:
+            told = self.grants.floors, self.grants.configured_floors
             logger.warning("drains: floors stay at {} until {} fit: lower the limits for a while", *told)
-        if ground.doubt:
-            logger.warning("drains: nobody new is admitted: {}", ground.doubt)
+        if ground.suspension_reason:
+            logger.warning("drains: nobody new is admitted: {}", ground.suspension_reason)
         with self.lock:
-            first_start = ground.admissions == 0 and not ground.doubt
+            first_start = ground.admissions == 0 and not ground.suspension_reason
             if first_start:
-                self.grants.began = float("-inf")  # nobody was ever told anything
-            elif self.grants.sure:
+                self.grants.started_at = float("-inf")  # nobody was ever told anything
+            elif self.grants.store_is_current:
                 logger.info("drains: this store has all that was told by it: grants go on at once")
         self.ready = True
 
@@ -338,8 +334,8 @@
 
     def _attest(self) -> None:
         """On the store's thread: say beside the store how many were admitted, before they are told."""
-        admissions = self.grants.ground.admissions
-        if admissions == self.grants.witnessed and admissions:
+        admissions = self.grants.state.admissions
+        if admissions == self.grants.recorded_admissions and admissions:
             return
         part = self._witness() + ".part"
         with open(part, "w", encoding="utf-8") as file:
@@ -347,7 +343,7 @@
             file.flush()
             os.fsync(file.fileno())
         os.replace(part, self._witness())
-        self.grants.witnessed = admissions
+        self.grants.recorded_admissions = admissions
 
     def slots(self, store: Store) -> dict[str, tuple[int, NodeRecord]]:
         """All nodes that may exist, with their revisions."""
@@ -380,7 +376,7 @@
                 )
                 slots = {node: slot for node, (_, slot) in held.items()}
                 changed.update(self.grants.plan(slots, limits, now, leaving, {ORIGIN: self.worst}))
-                ground = self.grants.ground
+                ground = self.grants.state
                 self._keep_within()
             wanted = [
                 Wanted(NODE, node, encode(slot), held[node][0] if node in held else 0)
@@ -393,7 +389,7 @@
 
         keeper = self.administration.keeper
         await keeper.apply_planned(plan, "drains")
-        if self.grants.ground.admissions != self.grants.witnessed:
+        if self.grants.state.admissions != self.grants.recorded_admissions:
             try:
                 await keeper.call(self._attest)
             except OSError as bad:
@@ -402,7 +398,7 @@
 
     def _keep_within(self) -> None:
         """Nodes that grants forgot are forgotten here."""
-        for node in [node for node in self.counts if node not in self.grants.words]:
+        for node in [node for node in self.counts if node not in self.grants.reports]:
             self.counts.pop(node)
             self.lasts.pop(node, None)
             self.sent_out.pop(node, None)
@@ -421,14 +417,14 @@
 
     def _say_modes(self, changed: dict[str, NodeRecord]) -> None:
         for node, slot in changed.items():
-            mode = "closed" if slot.closed else "granted" if slot.values else "at its floor"
+            mode = "closed" if slot.closed else "granted" if slot.granted else "at its floor"
             if self.moved.get(node) != mode:
                 self.moved[node] = mode
-                logger.info("node {} {}: number {}, {}", node, mode, slot.number, slot.values or slot.floors)
-        for node in self.grants.liars - set(self.moved.get("liars", "").split()):
+                logger.info("node {} {}: number {}, {}", node, mode, slot.number, slot.granted or slot.floors)
+        for node in self.grants.misreporting - set(self.moved.get("liars", "").split()):
             logger.warning("node {} said that all was closed, and it is not", node)
-        self.moved["liars"] = " ".join(sorted(self.grants.liars))
-        for node in [node for node in self.moved if node not in self.grants.words and node not in changed]:
+        self.moved["liars"] = " ".join(sorted(self.grants.misreporting))
+        for node in [node for node in self.moved if node not in self.grants.reports and node not in changed]:
             if node != "liars":
                 del self.moved[node]
 
@@ -471,7 +467,9 @@
                 facts = self.facts(store, now)
                 slots = [slot for _, slot in self.slots(store).values()]
                 limits = self.limits(store)
-                free = {name: most - self.grants.spent(slots, name) for name, most in limits.items()}
+                free = {
+                    name: most - self.grants.total_worst_case(slots, name) for name, most in limits.items()
+                }
 
             def overlaps(count: int) -> bool:
                 floors = self.grants.floors
@@ -545,7 +543,7 @@
         for node, (_, slot) in self.slots(store).items():
             router = node.rpartition("@")[0]
             last = self.lasts.get(node)
-            held = self.grants.charge(slot, ORIGIN)
+            held = slot.worst_case(ORIGIN)
             if last is None or last.run != slot.run:
                 fact = NodeStatus(
                     router, slot.run, slot.zone, False, self._region(slot.zone), connections=held
@@ -556,7 +554,7 @@
                 # Once told it ends, though its roll is cancelled or goes on without it meanwhile; whether it
                 # heard that is known by its next word alone.
                 leaving = said.leaving or self.sent_out.get(node) == last.run
-                up = now - at < self.grants.lease and said.ready_for > 0.0 and bool(slot.values)
+                up = now - at < self.grants.lease_duration and said.ready_for > 0.0 and bool(slot.granted)
                 fact = NodeStatus(
                     router,
                     last.run,
@@ -581,7 +579,9 @@
         limits = self.limits(store)
         ordered = {item.ident: item.rev for item in store.items(SERVER, most=MOST_ITEMS)}
         up = [uid for uid, seen in self.servers.items() if self._listed(seen)]
-        attempts = sum(last.said.legs for last in self.lasts.values() if now - last.at < self.grants.lease)
+        attempts = sum(
+            last.said.legs for last in self.lasts.values() if now - last.at < self.grants.lease_duration
+        )
         ours = self._ours(store)
         found = {}
         for uid, seen in self.servers.items():
@@ -643,8 +643,8 @@
         """Whether no router has anything out to a server and none will: all that may act follow the order."""
         for node, (_, slot) in self.slots(store).items():
             last = self.lasts.get(node)
-            if last is None or last.run != slot.run or not self.grants.live(node, now):
-                if not self.grants.over(node, now):
+            if last is None or last.run != slot.run or not self.grants.is_live(node, now):
+                if not self.grants.has_expired(node, now):
                     return False
             elif not last.said.closed and (last.since < revision or last.said.out.get(uid, 1) > 0):
                 return False
--- /dev/null
+++ b/gaugehinge/drains/lease_table.py
@@ -0,0 +1,165 @@
+"""What one run of the control plane knows of all nodes: their reports, their leases and their worst case.
+
+No I/O and no clock of its own: `now` is always the caller's monotonic clock, in seconds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
+
+import msgspec
+
+from ..tenancy.lease import DRIFT, SLACK, Given
+from .connection_counts import ConnectionCounts, count_for, maximum
+from .lease_types import DurableState, NodeRecord, NodeReport
+
+REPORTS_PER_NODE = 4  # reports are kept of at most this many times the nodes that may be admitted
+
+
+@dataclass(slots=True, eq=False)
+class LeaseTable:
+    """Reports and issued leases by node, beside the records in the store."""
+
+    started_at: float
+    lease_duration: float  # seconds
+    close_timeout: float  # seconds within which an upstream closes what a silent node left open
+    max_nodes: int
+    floors: ConnectionCounts
+    reserve: float  # part of each limit that demand alone does not get
+    issuer: str  # identity of this control plane run
+    incarnation: str  # of the store
+    state: DurableState
+    reports: dict[str, NodeReport] = field(default_factory=dict)  # the last one of each node
+    last_heard: dict[str, float] = field(default_factory=dict)
+    issued: dict[str, Given] = field(default_factory=dict)
+    lingering_until: dict[str, float] = field(default_factory=dict)  # connections of earlier runs are closed
+    misreporting: set[str] = field(default_factory=set)  # nodes with connections after reporting none
+    rejected: dict[str, str] = field(default_factory=dict)  # nodes not admitted, and why
+    unprocessed: set[str] = field(default_factory=set)  # nodes that reported since the last plan
+    last_rebalance: float = float("-inf")
+    recorded_admissions: int = 0  # admissions that are recorded beside the store, too
+    configured_floors: ConnectionCounts = field(default_factory=dict)  # effective once they fit
+    store_is_current: bool = False  # proved: the store has all that the run before this one issued
+
+    # -- bounds in time
+
+    @property
+    def close_timeout_bound(self) -> float:
+        """Seconds of this clock that cover the longest close timeout by any clock."""
+        return max(self.close_timeout, self.state.longest_close_timeout) * (1.0 + DRIFT) + SLACK
+
+    @property
+    def former_leases_end(self) -> float:
+        """From then on no node that this run has not heard holds anything by a lease of an earlier run."""
+        longest = max(self.lease_duration, self.state.longest_lease)
+        return self.started_at + longest * (1.0 + DRIFT) + SLACK + self.close_timeout_bound
+
+    @property
+    def startup_hold(self) -> float:
+        """Seconds, by any clock, in which a control plane on a copy of this store raises nothing."""
+        return (self.lease_duration + self.close_timeout) * (1.0 - DRIFT)
+
+    def may_raise(self, now: float) -> bool:
+        """Whether the worst case by the store is all that nodes may hold, so that the rest can be given."""
+        return self.store_is_current or now >= self.former_leases_end
+
+    # -- floors
+
+    def adopt_floors(self, records: Iterable[NodeRecord]) -> None:
+        """Start with the floors that known nodes already have.
+
+        Higher ones of the settings wait until they fit: a node that is cut off would else fall back to more
+        than it was counted for.
+        """
+        self.configured_floors = dict(self.floors)
+        self.floors = {
+            upstream: min([floor, *(count_for(record.floors, upstream) for record in records)])
+            for upstream, floor in self.configured_floors.items()
+        }
+
+    def _raise_floors(self, records: Mapping[str, NodeRecord], limits: Mapping[str, int]) -> None:
+        """Make the configured floors effective if all worst cases stay within the limits with them."""
+        before, self.floors = self.floors, self.configured_floors
+        raised = [
+            msgspec.structs.replace(record, floors=maximum(record.floors, self.floors))
+            for record in records.values()
+        ]
+        if any(self.total_worst_case(raised, upstream) > limit for upstream, limit in limits.items()):
+            self.floors = before
+
+    # -- reports
+
+    def on_report(self, report: NodeReport, now: float) -> bool:
+        """Take a report; False for one that is out of date or for which there is no room."""
+        known = self.reports.get(report.node)
+        if known is not None and not _follows(known, report):
+            return False
+        if known is None and not self._has_room(now):
+            return False
+        if known is None or known.run != report.run:
+            self.issued.pop(report.node, None)  # of its last run, whose end `_succeed` accounts for
+        self.reports[report.node], self.last_heard[report.node] = report, now
+        self.unprocessed.add(report.node)
+        return True
+
+    def _has_room(self, now: float) -> bool:
+        capacity = REPORTS_PER_NODE * self.max_nodes
+        if len(self.reports) >= capacity:
+            self._forget_silent_rejected(now)
+        return len(self.reports) < capacity
+
+    def _forget_silent_rejected(self, now: float) -> None:
+        silent = [n for n in self.rejected if now - self.last_heard.get(n, now) > self.lease_duration]
+        for node in silent:
+            self._discard_report(node)
+            del self.rejected[node]
+
+    def _discard_report(self, node: str) -> None:
+        self.reports.pop(node, None)
+        self.last_heard.pop(node, None)
+        self.issued.pop(node, None)
+        self.unprocessed.discard(node)
+
+    def forget_node(self, node: str) -> None:
+        """Drop all that is known of a node that an operator declared gone."""
+        self._discard_report(node)
+        self.lingering_until.pop(node, None)
+        self.rejected.pop(node, None)
+        self.misreporting.discard(node)
+
+    # -- liveness
+
+    def is_live(self, node: str, now: float) -> bool:
+        """Whether the node reported within the last lease duration."""
+        return now - self.last_heard.get(node, float("-inf")) < self.lease_duration
+
+    def has_expired(self, node: str, now: float) -> bool:
+        """Whether the node certainly has no more open than its floors."""
+        if self.is_live(node, now):
+            return False
+        given = self.issued.get(node)
+        if given is None:
+            return now >= self.former_leases_end
+        return given.over(now - self.close_timeout_bound)
+
+    # -- worst case
+
+    def total_worst_case(self, records: Iterable[NodeRecord], upstream: str) -> int:
+        """Connections of all nodes that may exist, those that are not admitted yet at their floors."""
+        held, count = 0, 0
+        for record in records:
+            held += record.worst_case(upstream)
+            count += 1
+        return held + max(self.max_nodes - count, 0) * count_for(self.floors, upstream)
+
+    def limit_enforced(self, records: Iterable[NodeRecord], upstream: str, limit: int, now: float) -> bool:
+        """Whether a limit is certainly kept; one that was lowered is not at once."""
+        return self.may_raise(now) and self.total_worst_case(records, upstream) <= limit
+
+
+def _follows(known: NodeReport, report: NodeReport) -> bool:
+    """Whether a report was sent after the known one: by a later run, or later by the same run."""
+    if known.run != report.run:
+        return report.run_number > known.run_number
+    return report.sequence > known.sequence
--- a/gaugehinge/drains/messages.py
+++ b/gaugehinge/drains/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-from .leases import ConnectionLease, NodeReport
+from .lease_types import ConnectionLease, NodeReport
 
 NAME = "drains"  # as in Report.parts and Feed.parts
 MOST_STORES = 128  # of one report: the origin, all servers, and servers that are named
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -27,8 +27,9 @@
 from ..tenancy.feed import Feed
 from ..tenancy.lease import DRIFT, SLACK
 from ..terms import Outcome, Presence
+from .connection_counts import DEFAULT_SERVER, ORIGIN, ConnectionCounts
 from .high_water_mark import boot_clock
-from .leases import DEFAULT_SERVER, ORIGIN, ConnectionCounts, LeaseHolder
+from .lease_holder import LeaseHolder
 from .messages import MOST_SERVERS, NAME, ControlPlaneReply, RouterReport, ServerReport
 from .node_file import NodeFile
 
@@ -129,14 +130,14 @@
 
     def may_open(self, endpoint: Endpoint) -> bool:
         """Closing connections count: the server may hold them still."""
-        return self._store(endpoint).counted < self.holding.most(self.store_name(endpoint), self.clock())
+        return self._store(endpoint).counted < self.holding.allowed(self.store_name(endpoint), self.clock())
 
     def may_use(self, connection: Connection) -> bool:
         """A connection over what may be open now carries nothing more: else it would outlive its closing
         time."""
         store = self._store(connection.endpoint)
         store.peak = max(store.peak, store.open - len(connection.endpoint.idle) + len(store.waiting))
-        return store.open <= self.holding.most(self.store_name(connection.endpoint), self.clock())
+        return store.open <= self.holding.allowed(self.store_name(connection.endpoint), self.clock())
 
     def opened(self, connection: Connection) -> None:
         store = self._store(connection.endpoint)
@@ -145,7 +146,7 @@
 
     def rested(self, connection: Connection) -> None:
         store = self._store(connection.endpoint)
-        if store.open > self.holding.most(self.store_name(connection.endpoint), self.clock()):
+        if store.open > self.holding.allowed(self.store_name(connection.endpoint), self.clock()):
             connection.endpoint.idle.remove(connection)
             self.service.pool._close(connection)
         elif store.waiting:
@@ -244,7 +245,7 @@
         now, pool = self.clock(), self.service.pool
         endpoints = {self.store_name(endpoint): endpoint for endpoint in pool.endpoints.values()}
         for name, store in list(self.stores.items()):
-            most = self.holding.most(name, now)
+            most = self.holding.allowed(name, now)
             endpoint = endpoints.get(name)
             while endpoint is not None and endpoint.idle and store.open > most:
                 pool._close(endpoint.idle.pop(0))
@@ -282,10 +283,10 @@
             now = self.clock()
             if self.service.lifecycle.phase is Phase.READY and not self.ready_since:
                 self.ready_since = now
-            good = self.holding.held.good(now)
+            good = self.holding.validity.good(now)
             if good is not self.was_good:
                 self.was_good = good
-                state = f"granted {self.holding.values}" if good else f"at its floor {self.holding.floors}"
+                state = f"granted {self.holding.granted}" if good else f"at its floor {self.holding.floors}"
                 logger.info("connections {}: number {}", state, self.holding.number)
             self.shed()
             self._close_drained()
@@ -319,7 +320,7 @@
         self.turn += 1
         now = self.asked = self.clock()
         kept, holding = self.files.kept, self.holding
-        named = {*holding.values, *holding.floors} - {ORIGIN, DEFAULT_SERVER}
+        named = {*holding.granted, *holding.floors} - {ORIGIN, DEFAULT_SERVER}
         counted = self._figures(named, lambda store: store.counted)
         need = self._figures(named, lambda store: max(store.peak, store.before))
         floors = {
@@ -333,8 +334,8 @@
             kept.run_number,
             self.turn,
             holding.number,
-            holding.mark,
-            holding.holds(now),
+            holding.issuer,
+            holding.granted_for_report(now),
             counted,
             need,
             floors if kept.admitted else {},
@@ -410,12 +411,12 @@
                 logger.warning("connections: not admitted by the keeper: {}", told.refused)
         self.asks_list = told.servers
         grant = told.grant()
-        if grant is not None and self.holding.hear(grant, self.asked):
-            self.holding.floors, self.holding.admitted = dict(grant.floors), told.life
+        if grant is not None and self.holding.accept(grant, self.asked):
+            self.holding.floors, self.holding.admitted_by = dict(grant.floors), told.life
             kept = self.files.kept
             if (kept.admitted, kept.floors, kept.closing) != (told.life, grant.floors, self.closing):
                 self._save(admitted=told.life, floors=dict(grant.floors), closing=self.closing)
-            self.follower.wait = min(self.follower.wait, LEASE_PART * grant.lease)
+            self.follower.wait = min(self.follower.wait, LEASE_PART * grant.duration)
             self.shed()
         if told.leave and not self.left:
             self.left = told.leave
@@ -452,7 +453,7 @@
     def ready(self) -> bool:
         """Whether connections may be opened, by a grant or at the floor. For `recovery`."""
         now = self.clock()
-        return any(self.holding.most(store, now) for store in (ORIGIN, DEFAULT_SERVER))
+        return any(self.holding.allowed(store, now) for store in (ORIGIN, DEFAULT_SERVER))
 
     # -- the end
 
--- a/gaugehinge/rehearsal/drainsmodel.py
+++ b/gaugehinge/rehearsal/drainsmodel.py
@@ -13,16 +13,10 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from ..drains.leases import (
-    DEFAULT_SERVER,
-    ORIGIN,
-    ConnectionLease,
-    DurableState,
-    LeaseHolder,
-    LeaseManager,
-    NodeRecord,
-    NodeReport,
-)
+from ..drains.connection_counts import DEFAULT_SERVER, ORIGIN
+from ..drains.lease_holder import LeaseHolder
+from ..drains.lease_manager import LeaseManager
+from ..drains.lease_types import ConnectionLease, DurableState, NodeRecord, NodeReport
 from ..drains.restarts import (
     NodeSelector,
     NodeStatus,
@@ -101,13 +95,13 @@
             "life",
             self.ground,
         )
-        self.keeper.witnessed = self.ground.admissions
-        self.keeper.sure = sure
+        self.keeper.recorded_admissions = self.ground.admissions
+        self.keeper.store_is_current = sure
 
     def believed(self) -> bool:
         """Whether a keeper that starts now on this machine takes its store for the one told by last."""
         commit, right, at = self.told
-        return right and commit in self.chain and self.now - at < self.keeper.unraised
+        return right and commit in self.chain and self.now - at < self.keeper.startup_hold
 
     def boot(self, node: Node) -> None:
         now = node.clock(self.now)
@@ -124,7 +118,7 @@
                 found.append(("wake", i))
                 continue
             found += [("ask", i), ("crash", i), ("pause", i)]
-            if node.open < node.holding.most(ORIGIN, node.clock(self.now)):
+            if node.open < node.holding.allowed(ORIGIN, node.clock(self.now)):
                 found.append(("open", i))
             if not self.late:
                 found += [("ask_late", i), ("answer_late", i)]
@@ -153,31 +147,31 @@
         """A node that runs closes at once what is over; one that stands still closes nothing."""
         if node.paused:
             return
-        node.open = min(node.open, node.holding.most(ORIGIN, node.clock(self.now)))
+        node.open = min(node.open, node.holding.allowed(ORIGIN, node.clock(self.now)))
         node.used_at = self.now
 
     def _plan(self) -> None:
         changed = self.keeper.plan(self.slots, {ORIGIN: self.limit}, self.now)
-        if changed or self.ground != self.keeper.ground:
+        if changed or self.ground != self.keeper.state:
             self.commits += 1
             self.chain |= {self.commits}
         self.slots = {**self.slots, **changed}
-        self.ground = self.keeper.ground
-        self.keeper.witnessed = self.ground.admissions
-        if self.keeper.reached(self.slots.values(), ORIGIN, self.limit, self.now):
+        self.ground = self.keeper.state
+        self.keeper.recorded_admissions = self.ground.admissions
+        if self.keeper.limit_enforced(self.slots.values(), ORIGIN, self.limit, self.now):
             self.allowed = self.limit
 
     def word(self, node: Node) -> NodeReport:
         node.turn += 1
         held = node.holding
-        holds = held.holds(node.clock(self.now))
+        holds = held.granted_for_report(node.clock(self.now))
         return NodeReport(
             node.name,
             f"{node.name}.{node.run_number}",
             node.run_number,
             node.turn,
             held.number,
-            held.mark,
+            held.issuer,
             holds,
             {ORIGIN: node.open},
             {ORIGIN: node.want or node.open + 1},
@@ -187,19 +181,19 @@
         )
 
     def answer(self, word: NodeReport) -> ConnectionLease | None:
-        if not self.keeper.hear(word, self.now):
+        if not self.keeper.on_report(word, self.now):
             return None
         self._plan()
         slot = self.slots.get(word.node)
-        self.told = max(self.chain), self.keeper.raises(self.now), self.now
-        return self.keeper.tell(slot, word, self.now) if slot is not None else None
+        self.told = max(self.chain), self.keeper.may_raise(self.now), self.now
+        return self.keeper.issue(slot, word, self.now) if slot is not None else None
 
     def take(self, node: Node, grant: ConnectionLease | None, asked_at: float) -> None:
         if grant is None or node.paused:
             return
-        if node.holding.hear(grant, asked_at):
+        if node.holding.accept(grant, asked_at):
             node.admitted, node.floors = "life", dict(grant.floors)
-            node.holding.admitted, node.holding.floors = "life", dict(grant.floors)
+            node.holding.admitted_by, node.holding.floors = "life", dict(grant.floors)
             self._shed(node)
 
     def _ask(self, i: int) -> None:
@@ -230,7 +224,7 @@
 
     def _open(self, i: int) -> None:
         node = self.nodes[i]
-        node.open = node.holding.most(ORIGIN, node.clock(self.now))
+        node.open = node.holding.allowed(ORIGIN, node.clock(self.now))
 
     def _crash(self, i: int) -> None:
         node = self.nodes[i]
@@ -324,10 +318,18 @@
         for node in self.nodes:
             copied = twin(node)
             copied.holding = twin(node.holding)
-            copied.holding.held = Held(node.holding.held.until)
+            copied.holding.validity = Held(node.holding.validity.until)
             other.nodes.append(copied)
         keeper = other.keeper = twin(self.keeper)
-        for name in ("words", "heard", "given", "gone_by", "liars", "refused", "fresh"):
+        for name in (
+            "reports",
+            "last_heard",
+            "issued",
+            "lingering_until",
+            "misreporting",
+            "rejected",
+            "unprocessed",
+        ):
             setattr(keeper, name, getattr(keeper, name).copy())
         return other
 
@@ -344,10 +346,10 @@
                 n.open,
                 n.paused,
                 n.holding.number - self._base(n),
-                n.holding.mark == self._mark(n),
-                tuple(n.holding.values.items()),
-                ago(n.holding.held.until),
-                ago(max(n.holding.floor_from, -99.0)),
+                n.holding.issuer == self._mark(n),
+                tuple(n.holding.granted.items()),
+                ago(n.holding.validity.until),
+                ago(max(n.holding.floors_usable_at, -99.0)),
                 tuple((c, ago(t)) for c, t in n.left),
                 ago(n.used_at) if n.paused else 0.0,
             )
@@ -357,9 +359,9 @@
             (
                 s.node,
                 s.run == f"{s.node}.{self._node(s.node).run_number}",
-                tuple(s.values.items()),
+                tuple(s.granted.items()),
                 tuple(s.ceilings.items()),
-                tuple(s.remains.items()),
+                tuple(s.lingering.items()),
             )
             for s in self.slots.values()
         )
@@ -368,24 +370,32 @@
                 w.node,
                 w.run_number - self._node(w.node).run_number,
                 w.number - self.slots[w.node].number if w.node in self.slots else w.number,
-                tuple(w.counted.items()),
-                tuple(w.need.items()),
-                ago(keeper.heard[w.node]),
+                tuple(w.open_connections.items()),
+                tuple(w.demand.items()),
+                ago(keeper.last_heard[w.node]),
             )
-            for w in keeper.words.values()
+            for w in keeper.reports.values()
+        )
+        given = tuple((node, ago(each.at)) for node, each in keeper.issued.items())
+        gone = tuple(
+            (node, ago(at)) for node, at in keeper.lingering_until.items() if self.slots[node].lingering
         )
-        given = tuple((node, ago(each.at)) for node, each in keeper.given.items())
-        gone = tuple((node, ago(at)) for node, at in keeper.gone_by.items() if self.slots[node].remains)
         late = tuple(
             (kind, i, ago(at), what.number if kind == "word" else what[1].number - self._base(self.nodes[i]))
             for kind, i, what, at in self.late
         )
         backup = self.backup and (self.backup[0] == self.slots, len(self.backup[0]))
         commit, right, at = self.told
-        told = keeper.sure, right, commit in self.chain, ago(at), backup and commit in self.backup[2]
+        told = (
+            keeper.store_is_current,
+            right,
+            commit in self.chain,
+            ago(at),
+            backup and commit in self.backup[2],
+        )
         if self.home is not None:
             told += (self.home[0] == self.slots, self.home[3][1], ago(self.home[3][2]))
-        return nodes, slots, words, given, gone, late, ago(keeper.began), backup, told
+        return nodes, slots, words, given, gone, late, ago(keeper.started_at), backup, told
 
     def _node(self, name: str) -> Node:
         return self.nodes[int(name[1:])]
@@ -394,7 +404,7 @@
         return self.slots[node.name].number if node.name in self.slots else 0
 
     def _mark(self, node: Node) -> str:
-        return self.slots[node.name].mark if node.name in self.slots else ""
+        return self.slots[node.name].issuer if node.name in self.slots else ""
 
 
 def begun(kind: type[World], moves: tuple = (("open", 0),)) -> World:
@@ -455,31 +465,35 @@
 
     def _succeed(self, slot: NodeRecord, word: NodeReport, now: float) -> NodeRecord:
         after = super()._succeed(slot, word, now)
-        return type(after)(**{f: getattr(after, f) for f in after.__struct_fields__} | {"remains": {}})
+        return type(after)(**{f: getattr(after, f) for f in after.__struct_fields__} | {"lingering": {}})
 
 
 class LeaseWithoutClosing(LeaseManager):
     """A fault: what a silent node had open counts as closed when its lease is over."""
 
-    closed_after = 0.0
+    close_timeout_bound = 0.0
 
 
 class RaisesAtOnce(LeaseManager):
     """A fault: one that starts anew takes what its store says for all there is."""
 
-    settled_at = -100.0
+    former_leases_end = -100.0
 
 
 class ConfirmsByRun(LeaseManager):
     """A fault: any word of the run counts as one that follows the last number."""
 
-    def _learn(self, table, node, word, now):
-        super()._learn(table, node, word, now)
-        slot = table.get(node)
-        if slot is not None and slot.run == word.run:
-            table[node] = NodeRecord(
+    def _apply_report(self, records, node, report, now):
+        super()._apply_report(records, node, report, now)
+        slot = records.get(node)
+        if slot is not None and slot.run == report.run:
+            records[node] = NodeRecord(
                 **{f: getattr(slot, f) for f in slot.__struct_fields__}
-                | {"ceilings": {s: max(v, word.counted.get(s, 0)) for s, v in slot.values.items()}}
+                | {
+                    "ceilings": {
+                        s: max(v, report.open_connections.get(s, 0)) for s, v in slot.granted.items()
+                    }
+                }
             )
 
 
@@ -651,15 +665,15 @@
         for i in range(count):
             name = f"r{i}"
             slot = slots.get(name, NodeRecord(name))
-            values = dict(slot.values)
-            keeper.hear(
+            values = dict(slot.granted)
+            keeper.on_report(
                 NodeReport(
                     name,
                     name,
                     1,
                     now,
                     slot.number if values else 0,
-                    slot.mark if values else "",
+                    slot.issuer if values else "",
                     values,
                     {ORIGIN: min(3, values.get(ORIGIN, 0))},
                     {ORIGIN: need[i], DEFAULT_SERVER: 2},
@@ -673,9 +687,9 @@
         spent.append((time.perf_counter() - began) * 1000)
         written += len(changed) if now > 6 else 0
         slots |= changed
-        keeper.witnessed = keeper.ground.admissions
+        keeper.recorded_admissions = keeper.state.admissions
         for name, slot in slots.items():
-            keeper.tell(slot, keeper.words[name], float(now))
+            keeper.issue(slot, keeper.reports[name], float(now))
     return sorted(spent)[len(spent) // 2], max(spent), written / (seconds - 7)
 
 
--- a/gaugehinge/rehearsal/faultydrains.py
+++ b/gaugehinge/rehearsal/faultydrains.py
@@ -9,14 +9,16 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from ..drains.leases import LeaseHolder, LeaseManager, count_for
+from ..drains.connection_counts import count_for
+from ..drains.lease_holder import LeaseHolder
+from ..drains.lease_manager import LeaseManager
 from ..drains.restarts import RestartPlan, RestartPlanner, RestartStep, RollingRestart
 from ..drains.router import DrainsAgent
 
 
 def trusts() -> None:
     """A router that holds its grant for ever: what a lease is for is gone."""
-    LeaseHolder.most = lambda self, store, now: count_for(self.values or self.floors, store)
+    LeaseHolder.allowed = lambda self, upstream, now: count_for(self.granted or self.floors, upstream)
 
 
 def lingers() -> None:
@@ -33,7 +35,7 @@
 
 def hasty() -> None:
     """A keeper that says of a lowered limit at once that it is reached."""
-    LeaseManager.reached = lambda self, slots, store, most, now: True
+    LeaseManager.limit_enforced = lambda self, records, upstream, limit, now: True
 
 
 def patient() -> None:
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -20,16 +20,11 @@
 from gaugehinge.admin.keep import KeepDrains
 from gaugehinge.admin.service import Administration
 from gaugehinge.cli.main import main as command_line
+from gaugehinge.drains.connection_counts import DEFAULT_SERVER, ORIGIN
 from gaugehinge.drains.controller import DrainsController
 from gaugehinge.drains.high_water_mark import HighWaterMarkFile, in_memory
-from gaugehinge.drains.leases import (
-    DEFAULT_SERVER,
-    ORIGIN,
-    DurableState,
-    LeaseManager,
-    NodeRecord,
-    NodeReport,
-)
+from gaugehinge.drains.lease_manager import LeaseManager
+from gaugehinge.drains.lease_types import DurableState, NodeRecord, NodeReport
 from gaugehinge.drains.messages import NAME, ControlPlaneReply, RouterReport, ServerReport
 from gaugehinge.drains.node_file import NodeFile, NodeFileLockedError
 from gaugehinge.drains.restarts import (
@@ -83,18 +78,18 @@
 
     def plan(self, **more):
         self.slots |= self.grants.plan(self.slots, self.limits, self.now, **more)
-        self.grants.witnessed = self.grants.ground.admissions
+        self.grants.recorded_admissions = self.grants.state.admissions
         return self
 
     def say(self, name, need=1, counted=0, run=1, **more):
         """A report that follows the last grant, and the answer."""
         self.turn += 1
         slot = self.slots.get(name, NodeRecord(name))
-        mine = slot.run == f"{name}.{run}" and bool(slot.values)
+        mine = slot.run == f"{name}.{run}" and bool(slot.granted)
         values = {
             "number": slot.number if mine else 0,
-            "mark": slot.mark if mine else "",
-            "holds": slot.values if mine else {},
+            "mark": slot.issuer if mine else "",
+            "holds": slot.granted if mine else {},
             "admitted": "life" if name in self.slots else "",
         } | more
         word = NodeReport(
@@ -111,45 +106,45 @@
             values["admitted"],
             values.get("closed", False),
         )
-        if not self.grants.hear(word, self.now):
+        if not self.grants.on_report(word, self.now):
             return None
         self.plan()
-        return self.grants.tell(self.slots[name], word, self.now) if name in self.slots else None
+        return self.grants.issue(self.slots[name], word, self.now) if name in self.slots else None
 
     def held(self):
-        return {name: self.grants.charge(slot, ORIGIN) for name, slot in self.slots.items()}
+        return {name: slot.worst_case(ORIGIN) for name, slot in self.slots.items()}
 
     def spent(self):
-        return self.grants.spent(self.slots.values(), ORIGIN)
+        return self.grants.total_worst_case(self.slots.values(), ORIGIN)
 
 
 def test_what_one_needs_is_taken_from_another_first_and_given_only_then():
     desk = Desk()
     desk.say("a", need=8)
     desk.say("b", need=1)
-    assert desk.say("a", need=8, counted=8).values[ORIGIN] >= 8 and desk.spent() <= 12
-    before = desk.slots["b"].values[ORIGIN]
+    assert desk.say("a", need=8, counted=8).granted[ORIGIN] >= 8 and desk.spent() <= 12
+    before = desk.slots["b"].granted[ORIGIN]
     desk.say("b", need=9, counted=1)
-    assert desk.slots["a"].values[ORIGIN] < 8, "asked to shrink"
-    assert desk.slots["b"].values[ORIGIN] == before and desk.held()["a"] >= 8, "which nobody has confirmed"
+    assert desk.slots["a"].granted[ORIGIN] < 8, "asked to shrink"
+    assert desk.slots["b"].granted[ORIGIN] == before and desk.held()["a"] >= 8, "which nobody has confirmed"
     desk.say("a", need=8, counted=7)
     assert desk.held()["a"] >= 7, "it said that it still has seven"
-    shrunk = desk.slots["a"].values[ORIGIN]
+    shrunk = desk.slots["a"].granted[ORIGIN]
     desk.say("a", need=8, counted=shrunk)
-    assert desk.say("b", need=9, counted=1).values[ORIGIN] > before and desk.spent() <= 12
+    assert desk.say("b", need=9, counted=1).granted[ORIGIN] > before and desk.spent() <= 12
 
 
 def test_a_silent_node_falls_to_its_floor_and_only_after_lease_drift_and_closing_is_the_rest_others():
     desk = Desk()
     grant = desk.say("a", need=8)
     desk.say("a", need=8, counted=8)
-    held = grant.values[ORIGIN]
+    held = grant.granted[ORIGIN]
     for desk.now in (5.0, 10.2, 15.0):
         desk.say("b", need=9, counted=1)
         assert desk.held()["a"] == held
     desk.now = 15.7
     desk.say("b", need=9, counted=1)
-    assert desk.held()["a"] == 1 and desk.say("b", need=9, counted=1).values[ORIGIN] > 4
+    assert desk.held()["a"] == 1 and desk.say("b", need=9, counted=1).granted[ORIGIN] > 4
     assert desk.spent() <= 12
 
 
@@ -158,12 +153,12 @@
     desk.say("a", need=9)
     old = desk.say("a", need=9, counted=9)
     desk.now = 1.0
-    assert desk.say("a", run=2).values[ORIGIN] < 3, "what its predecessor had may be open still"
-    assert desk.held()["a"] >= old.values[ORIGIN]
+    assert desk.say("a", run=2).granted[ORIGIN] < 3, "what its predecessor had may be open still"
+    assert desk.held()["a"] >= old.granted[ORIGIN]
     assert desk.say("a", run=1, counted=9) is None, "a late word of the former run is not heard"
     desk.now = 6.5
     desk.say("a", run=2, need=5)
-    assert desk.slots["a"].remains == {} and desk.slots["a"].number > old.number
+    assert desk.slots["a"].lingering == {} and desk.slots["a"].number > old.number
 
 
 def test_a_node_that_says_that_all_is_closed_frees_it_and_one_that_was_not_is_found_out():
@@ -171,19 +166,19 @@
     desk.say("a", need=9)
     desk.say("a", need=9, counted=9)
     desk.say("a", closed=True)
-    assert desk.held()["a"] == 1 and not desk.grants.liars
+    assert desk.held()["a"] == 1 and not desk.grants.misreporting
     desk.say("a", closed=True, counted=4, admitted="life")
-    assert desk.grants.liars == {"a"} and desk.held()["a"] == 4, "counted as held again"
+    assert desk.grants.misreporting == {"a"} and desk.held()["a"] == 4, "counted as held again"
 
 
 def test_no_more_nodes_than_may_exist_and_an_operator_says_which_are_no_more():
     desk = Desk(most_nodes=2)
     assert desk.say("a") and desk.say("b") and desk.say("c") is None
-    assert "2 nodes may exist" in desk.grants.refused["c"]
+    assert "2 nodes may exist" in desk.grants.rejected["c"]
     desk.now = 30.0
     desk.plan()
-    assert desk.grants.over("b", desk.now)
-    desk.grants.drop("b")
+    assert desk.grants.has_expired("b", desk.now)
+    desk.grants.forget_node("b")
     del desk.slots["b"]
     assert desk.say("c") is not None
 
@@ -197,14 +192,14 @@
         desk.say("a", need=1, counted=1)
         desk.say("b", need=9)
     held = desk.slots["a"]
-    assert held.number > older["a"].number and held.values[ORIGIN] < older["a"].values[ORIGIN]
+    assert held.number > older["a"].number and held.granted[ORIGIN] < older["a"].granted[ORIGIN]
     again = Desk(began=0.0, mark="k2")
     again.slots = dict(older)
-    word = {"number": held.number, "mark": held.mark, "holds": held.values, "admitted": "life"}
+    word = {"number": held.number, "mark": held.issuer, "holds": held.granted, "admitted": "life"}
     again.say("a", need=11, counted=1, **word)
-    assert again.held()["a"] == older["a"].values[ORIGIN], "the most of what either says"
-    assert again.slots["a"].number > held.number and again.slots["a"].values == held.values
-    assert "which this store does not know" in again.grants.ground.doubt
+    assert again.held()["a"] == older["a"].granted[ORIGIN], "the most of what either says"
+    assert again.slots["a"].number > held.number and again.slots["a"].granted == held.granted
+    assert "which this store does not know" in again.grants.state.suspension_reason
     again.say("b", need=5, admitted="life")
     assert "b" in again.slots, "it falls to its floor whatever is said"
     assert again.say("c", need=5) is None
@@ -222,11 +217,11 @@
     assert desk.spent() <= 9, "a quarter in reserve"
     desk.limits[ORIGIN] = 6
     desk.plan()
-    assert not desk.grants.reached(desk.slots.values(), ORIGIN, 6, desk.now)
+    assert not desk.grants.limit_enforced(desk.slots.values(), ORIGIN, 6, desk.now)
     for _ in range(2):
         for name in "ab":
             desk.say(name, need=9, counted=1)
-    assert desk.grants.reached(desk.slots.values(), ORIGIN, 6, desk.now)
+    assert desk.grants.limit_enforced(desk.slots.values(), ORIGIN, 6, desk.now)
 
 
 def test_higher_floors_of_the_file_are_told_once_they_fit_beside_what_is_held():
@@ -234,26 +229,26 @@
     for _ in range(4):
         desk.say("a", need=11)
         desk.say("b")
-    assert desk.slots["a"].values[ORIGIN] == 11
+    assert desk.slots["a"].granted[ORIGIN] == 11
 
     def anew():
         made = LeaseManager(
-            -1e9, 10.0, 5.0, 2, {ORIGIN: 3, DEFAULT_SERVER: 1}, 0.0, "k2", "life", desk.grants.ground
+            -1e9, 10.0, 5.0, 2, {ORIGIN: 3, DEFAULT_SERVER: 1}, 0.0, "k2", "life", desk.grants.state
         )
-        made.witnessed = 2
-        made.begin_with(desk.slots.values())
+        made.recorded_admissions = 2
+        made.adopt_floors(desk.slots.values())
         desk.grants = made
 
     anew()
     desk.say("b")
     assert desk.grants.floors[ORIGIN] == 1 and desk.slots["b"].floors[ORIGIN] == 1
-    assert desk.grants.spent(desk.slots.values(), ORIGIN) <= LIMITS[ORIGIN]
+    assert desk.grants.total_worst_case(desk.slots.values(), ORIGIN) <= LIMITS[ORIGIN]
     for _ in range(6):
         desk.now += 11.0
         desk.say("a", need=1)
         desk.say("b", need=1)
     assert desk.slots["b"].floors[ORIGIN] == 3 == desk.grants.floors[ORIGIN]
-    assert desk.grants.spent(desk.slots.values(), ORIGIN) <= LIMITS[ORIGIN]
+    assert desk.grants.total_worst_case(desk.slots.values(), ORIGIN) <= LIMITS[ORIGIN]
 
 
 def test_tenants_worst_case_counts_beside_what_is_measured():
@@ -264,8 +259,8 @@
     for _ in range(2):
         desk.say("a", need=2)
         desk.say("b", need=1)
-        desk.plan(worst={ORIGIN: 9.0})
-    assert desk.slots["a"].values[ORIGIN] > desk.slots["b"].values[ORIGIN]
+        desk.plan(tenant_demand={ORIGIN: 9.0})
+    assert desk.slots["a"].granted[ORIGIN] > desk.slots["b"].granted[ORIGIN]
 
 
 # -- rolls
@@ -766,12 +761,15 @@
             slots = {node: slot for node, (_, slot) in all_.part.slots(all_.admin.keeper.store).items()}
             assert slots["r-1@0123456789abcdef"].number >= before.number and len(slots) == 2
             assert (await all_.desk.get(f"/v1/rolls/{made.json()['id']}")).status_code == 200
-            assert not all_.part.grants.ground.doubt and all_.part.grants.settled_at > all_.part.clock()
+            assert (
+                not all_.part.grants.state.suspension_reason
+                and all_.part.grants.former_leases_end > all_.part.clock()
+            )
         for name in ("store.db", "store.db-wal", "store.db-shm"):
             (tmp_path / name).unlink(missing_ok=True)
         older.rename(tmp_path / "store.db")
         async with desk_of(tmp_path) as all_:
-            assert "2 nodes were admitted, this store knows of 1" in all_.part.grants.ground.doubt
+            assert "2 nodes were admitted, this store knows of 1" in all_.part.grants.state.suspension_reason
             assert (await report(all_, "r-3", 1)).refused or (await report(all_, "r-3", 2)).refused
             assert (await all_.desk.post("/v1/nodes/confirm")).status_code == 409, "not before it is settled"
 
@@ -792,13 +790,13 @@
             assert (await all_.desk.get("/v1/grants")).json()["settled_in"] == 0
         HighWaterMarkFile.beside(store).forget()  # the machine was started anew
         async with desk_of(tmp_path) as all_:
-            assert not all_.part.grants.sure and "just started" in (await refusal(all_, "r-4"))
+            assert not all_.part.grants.store_is_current and "just started" in (await refusal(all_, "r-4"))
         for name in ("store.db-wal", "store.db-shm"):
             (tmp_path / name).unlink(missing_ok=True)
         older.rename(store)  # put back with all that lies beside it
         (tmp_path / "store.db.drains").write_text(json.dumps({"life": all_.admin.life, "admissions": 1}))
         async with desk_of(tmp_path) as all_:
-            assert not all_.part.grants.ground.doubt and not all_.part.grants.sure
+            assert not all_.part.grants.state.suspension_reason and not all_.part.grants.store_is_current
 
     run(scene)
 
@@ -839,7 +837,7 @@
 def test_an_empty_store_that_is_not_said_to_be_a_first_start_admits_nobody(tmp_path):
     async def scene():
         async with desk_of(tmp_path, new_installation=False) as all_:
-            assert "empty store" in all_.part.grants.ground.doubt
+            assert "empty store" in all_.part.grants.state.suspension_reason
 
     run(scene)
 
--- a/tests/test_drains_model.py
+++ b/tests/test_drains_model.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
-from gaugehinge.drains.leases import ORIGIN
+from gaugehinge.drains.connection_counts import ORIGIN
 from gaugehinge.rehearsal.drainsmodel import (
     BelievesAnyStore,
     BelievesForEver,
@@ -75,7 +75,7 @@
 
 def test_a_keeper_that_was_killed_goes_on_at_once():
     world = begun(World, (("keeper",), *ask(1, 0, 0, 1, 1)))
-    assert not world.now and world.nodes[1].holding.values[ORIGIN] > 1
+    assert not world.now and world.nodes[1].holding.granted[ORIGIN] > 1
 
 
 def test_long_ways_with_clocks_at_odds_lowered_limits_lost_files_and_older_stores_stay_within():
@@ -117,8 +117,8 @@
         world = getattr(self, "world", None)
         if world is not None:
             assert world.counted() <= world.allowed
-            if world.keeper.settled_at <= world.now and not world.ground.doubt:
-                assert world.keeper.spent(world.slots.values(), ORIGIN) <= world.limit
+            if world.keeper.former_leases_end <= world.now and not world.ground.suspension_reason:
+                assert world.keeper.total_worst_case(world.slots.values(), ORIGIN) <= world.limit
 
 
 def test_ways_that_hypothesis_chooses_stay_within():
