--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -15,22 +15,10 @@
 from ..admin.service import Caller, Wrong
 from ..store.store import Store, Wanted, encode
 from .connection_counts import ConnectionCounts, count_for, undersized_limit
-from .restarts import (
-    ENDED,
-    MOST_ROLLS,
-    OUT,
-    InvalidOrderError,
-    RestartOrder,
-    RestartStatus,
-    RestartStep,
-    RollingRestart,
-    StepStage,
-    cancel,
-    pause,
-    resume,
-    roll_back,
-    select_nodes,
-)
+from .restart_actions import cancel, pause, resume, roll_back
+from .restart_order import InvalidOrderError, RestartOrder, select_nodes
+from .restart_records import RestartStep, RollingRestart
+from .restart_types import FINAL_STATUSES, MAX_RESTARTS, UNAVAILABLE_STAGES, StepStage
 
 if TYPE_CHECKING:
     from .controller import DrainsController
@@ -360,7 +348,7 @@
             rolls, steps, revisions = part.standing(store)
             number = max((roll.number for _, roll in rolls.values()), default=0) + 1
             ident = f"roll-{number:06d}-{self.administration.run_mark[:4]}"  # of a lost store's no name again
-            roll = RollingRestart(ident, number, order, who=caller.name, at=now)
+            roll = RollingRestart(ident, number, order, created_by=caller.name, created_at=now)
             made[:] = [roll.ident]
             wanted = [Wanted(ROLL, roll.ident, encode(roll), 0)]
             for place, name in enumerate(names):
@@ -400,11 +388,11 @@
 
     async def pause(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls/{id}/pause."""
-        return await self._tell(request, caller, lambda roll, steps: (pause(roll), [], []))
+        return await self._tell(request, caller, pause)
 
     async def resume(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls/{id}/resume."""
-        return await self._tell(request, caller, lambda roll, steps: (resume(roll), [], []))
+        return await self._tell(request, caller, resume)
 
     async def cancel(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls/{id}/cancel."""
@@ -450,13 +438,11 @@
 ) -> list[Wanted]:
     """Room for one more: the oldest that ended go. Raises Wrong where none has."""
     ended = sorted(
-        (roll.number, ident, rev)
-        for ident, (rev, roll) in rolls.items()
-        if RestartStatus(roll.status) in ENDED
+        (roll.number, ident, rev) for ident, (rev, roll) in rolls.items() if roll.status in FINAL_STATUSES
     )
-    over = len(rolls) + 1 - MOST_ROLLS
+    over = len(rolls) + 1 - MAX_RESTARTS
     if over > len(ended):
-        raise Wrong(409, "conflict", f"{MOST_ROLLS} rolls stand")
+        raise Wrong(409, "conflict", f"{MAX_RESTARTS} rolls stand")
     gone: list[Wanted] = []
     for _, ident, rev in ended[: max(over, 0)]:
         gone.append(Wanted(ROLL, ident, None, rev))
@@ -471,20 +457,20 @@
     roll: RollingRestart, steps: list[RestartStep], revision: int, whole: bool = False
 ) -> RestartView:
     """A roll as the API shows it."""
-    stages = [StepStage(step.stage) for step in steps]
+    stages = [step.stage for step in steps]
     return RestartView(
         roll.ident,
         roll.status,
         roll.order,
         len(steps),
         stages.count(StepStage.WAITING),
-        sum(stage in OUT for stage in stages),
+        sum(stage in UNAVAILABLE_STAGES for stage in stages),
         stages.count(StepStage.DONE),
         stages.count(StepStage.SKIPPED),
-        roll.back,
-        roll.why,
-        roll.who,
-        roll.at,
+        roll.reverting,
+        roll.reason,
+        roll.created_by,
+        roll.created_at,
         revision,
-        [StepView(step.node, step.stage, step.why) for step in steps] if whole else [],
+        [StepView(step.node, step.stage, step.reason) for step in steps] if whole else [],
     )
--- a/gaugehinge/drains/controller.py
+++ b/gaugehinge/drains/controller.py
@@ -29,17 +29,10 @@
 from .lease_manager import LeaseManager
 from .lease_types import DurableState, NodeRecord
 from .messages import NAME, ControlPlaneReply, RouterReport, ServerReport
-from .restarts import (
-    ENDED,
-    MOST_NODES,
-    NodeStatus,
-    RestartPlanner,
-    RestartStatus,
-    RestartStep,
-    RollingRestart,
-    StepStage,
-    restart_token,
-)
+from .restart_order import MAX_NODES
+from .restart_planner import RestartPlanner
+from .restart_records import RestartStep, RollingRestart
+from .restart_types import FINAL_STATUSES, NodeStatus, RestartStatus, StepStage
 
 LIMIT, NODE, GROUND, ROLL, STEP = (
     "drains-limit",
@@ -438,23 +431,23 @@
         rolls = {}
         for item in store.items(ROLL, most=MOST_ITEMS):
             roll = msgspec.json.decode(item.body, type=RollingRestart)
-            if ended or RestartStatus(roll.status) not in ENDED:
+            if ended or roll.status not in FINAL_STATUSES:
                 rolls[item.ident] = item.rev, roll
         steps: dict[str, list[RestartStep]] = {ident: [] for ident in rolls}
         revisions: dict[str, int] = {}
         for ident in rolls:
-            for item in store.items(STEP, after=f"{ident}/", most=MOST_NODES):
+            for item in store.items(STEP, after=f"{ident}/", most=MAX_NODES):
                 if not item.ident.startswith(f"{ident}/"):
                     break
                 steps[ident].append(msgspec.json.decode(item.body, type=RestartStep))
                 revisions[item.ident] = item.rev
         for ident, (_, roll) in rolls.items():
-            steps[ident].sort(key=lambda step, sign=-1 if roll.back else 1: sign * step.place)
+            steps[ident].sort(key=lambda step, sign=-1 if roll.reverting else 1: sign * step.position)
         return rolls, steps, revisions
 
     async def _plan_rolls(self) -> None:
         now = self.clock()
-        self.rolls.burn.add(now, self.settled, self.lost)
+        self.rolls.error_budget.record(now, self.settled, self.lost)
         self.settled = self.lost = 0
         log: list[str] = []
         told: dict[str, tuple[str, str, bool]] = {}
@@ -475,14 +468,16 @@
                 floors = self.grants.floors
                 return all(free[name] >= count * count_for(floors, name) for name in limits)
 
-            self.rolls.last_of_shard = self._last_of_shard(facts["servers"])
+            self.rolls.is_last_of_shard = self._last_of_shard(facts["servers"])
             due = self.rolls.plan([roll for _, roll in rolls.values()], steps, facts, now, wall, overlaps)
             log.extend(due.log)
-            wanted = self.write(store, rolls, revisions, due.rolls, due.steps, due.drain, due.restore)
+            wanted = self.write(
+                store, rolls, revisions, due.restarts, due.steps, due.servers_to_drain, due.servers_to_restore
+            )
             after = {ident: {step.node: step for step in each} for ident, each in steps.items()}
             for ident, changed in due.steps.items():
                 after[ident].update({step.node: step for step in changed})
-            now_so = {ident: due.rolls.get(ident, roll) for ident, (_, roll) in rolls.items()}
+            now_so = {ident: due.restarts.get(ident, roll) for ident, (_, roll) in rolls.items()}
             told.update(self._orders(now_so, after))
             # On this thread: an order that was taken back is told to nobody from here on.
             self.orders = {name: order for name, order in self.orders.items() if told.get(name) == order}
@@ -499,11 +494,11 @@
     ) -> dict[str, tuple[str, str, bool]]:
         """Which run of which router is told to end, by which roll, and whether at once."""
         return {
-            step.node: (restart_token(roll), step.run, step.hard)
+            step.node: (roll.token, step.run, step.immediate)
             for ident, roll in rolls.items()
-            if roll.order.kind == "routers" and roll.status != "cancelled"
+            if roll.order.kind == "routers" and roll.status != RestartStatus.CANCELLED
             for step in steps[ident].values()
-            if step.stage == StepStage.TOLD.value
+            if step.stage == StepStage.NOTIFIED
         }
 
     @staticmethod
@@ -622,7 +617,7 @@
             return any(
                 servers[name].zone in zones
                 and not any(
-                    fact.up and not fact.drains and fact.zone in zones and uid not in out
+                    fact.up and not fact.draining and fact.zone in zones and uid not in out
                     for uid, fact in servers.items()
                     if uid != name
                 )
@@ -637,7 +632,7 @@
     def _ours(self, store: Store) -> set[str]:
         """Servers whose orders are rolls' own."""
         _, steps, _ = self.standing(store, ended=False)
-        return {step.node for each in steps.values() for step in each if step.ordered}
+        return {step.node for each in steps.values() for step in each if step.drain_ordered}
 
     def _empty(self, uid: str, revision: int, store: Store, now: float) -> bool:
         """Whether no router has anything out to a server and none will: all that may act follow the order."""
--- /dev/null
+++ b/gaugehinge/drains/restart_actions.py
@@ -0,0 +1,81 @@
+"""What operators may do with a rolling restart: pause, resume, cancel and roll back."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+import msgspec
+
+from .restart_order import InvalidOrderError
+from .restart_records import RestartStep, RollingRestart
+from .restart_types import FINAL_STAGES, FINAL_STATUSES, RestartStatus, StepStage
+
+
+class RestartChange(NamedTuple):
+    """A restart as it becomes, its steps that change, and the servers whose drain orders are taken back."""
+
+    restart: RollingRestart
+    steps: list[RestartStep]
+    servers_to_restore: list[str]
+
+
+def pause(restart: RollingRestart, steps: list[RestartStep]) -> RestartChange:
+    """Notify no further node. Raises InvalidOrderError where the restart has ended."""
+    _require_unfinished(restart)
+    paused = msgspec.structs.replace(restart, status=RestartStatus.PAUSED, reason="")
+    return RestartChange(paused, [], [])
+
+
+def resume(restart: RollingRestart, steps: list[RestartStep]) -> RestartChange:
+    """Go on, from the queue. Raises InvalidOrderError where the restart has ended."""
+    _require_unfinished(restart)
+    if restart.status not in (RestartStatus.QUEUED, RestartStatus.RUNNING):
+        restart = msgspec.structs.replace(restart, status=RestartStatus.QUEUED, reason="")
+    return RestartChange(restart, [], [])
+
+
+def cancel(restart: RollingRestart, steps: list[RestartStep]) -> RestartChange:
+    """End it: nodes that are out come back by themselves, drain orders of this restart are taken back.
+
+    Raises InvalidOrderError where it is done.
+    """
+    if restart.status == RestartStatus.DONE:
+        raise InvalidOrderError("the roll is done", "status")
+    unfinished = [step for step in steps if step.stage not in FINAL_STAGES]
+    cancelled = msgspec.structs.replace(restart, status=RestartStatus.CANCELLED)
+    return _skipping(cancelled, unfinished, "cancelled")
+
+
+def roll_back(restart: RollingRestart, steps: list[RestartStep]) -> RestartChange:
+    """Restart the nodes that are done once more, and leave those that wait as they are.
+
+    Raises InvalidOrderError where the restart is cancelled.
+    """
+    if restart.reverting:
+        return RestartChange(restart, [], [])
+    if restart.status == RestartStatus.CANCELLED:
+        raise InvalidOrderError("the roll is cancelled", "status")
+    reverting = msgspec.structs.replace(restart, status=RestartStatus.QUEUED, reverting=True, reason="")
+    changed, restore = [], []
+    for step in steps:
+        if step.stage == StepStage.DONE:
+            changed.append(msgspec.structs.replace(step, stage=StepStage.WAITING, run="", immediate=False))
+        elif step.stage == StepStage.WAITING or (step.drain_ordered and step.stage == StepStage.NOTIFIED):
+            if step.drain_ordered:
+                restore.append(step.node)
+            changed.append(_skipped(step, "not begun"))
+    return RestartChange(reverting, changed, restore)
+
+
+def _require_unfinished(restart: RollingRestart) -> None:
+    if restart.status in FINAL_STATUSES:
+        raise InvalidOrderError(f"the roll is {restart.status}", "status")
+
+
+def _skipping(restart: RollingRestart, steps: list[RestartStep], reason: str) -> RestartChange:
+    restore = [step.node for step in steps if step.drain_ordered]
+    return RestartChange(restart, [_skipped(step, reason) for step in steps], restore)
+
+
+def _skipped(step: RestartStep, reason: str) -> RestartStep:
+    return msgspec.structs.replace(step, stage=StepStage.SKIPPED, drain_ordered=False, reason=reason)
--- /dev/null
+++ b/gaugehinge/drains/restart_batch.py
@@ -0,0 +1,65 @@
+"""Which nodes may be unavailable together."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+
+from .restart_order import RestartOrder
+from .restart_records import RestartStep
+from .restart_types import UNAVAILABLE_STAGES, NodeStatus
+
+LastOfShard = Callable[[str, frozenset[str]], bool]  # a server's name, and the servers that are unavailable
+
+
+def unavailable_nodes(
+    order: RestartOrder,
+    nodes: Mapping[str, NodeStatus],
+    own_steps: Mapping[str, RestartStep],
+    other_steps: Iterable[RestartStep],
+) -> dict[str, NodeStatus]:
+    """All nodes that count as unavailable, for whatever reason."""
+    unavailable = {
+        node.name: node
+        for node in nodes.values()
+        if not node.up or node.draining or node.ready_for < order.warm_up
+    }
+    for name, step in own_steps.items():
+        if step.stage in UNAVAILABLE_STAGES and name in nodes:
+            unavailable[name] = nodes[name]
+    for step in other_steps:
+        # Notified by a restart that was paused or stopped since, it may not have heard that yet and seem up.
+        # Another run of it shows by itself whether it is up, whatever that restart waits for.
+        node = nodes.get(step.node)
+        if node is not None and node.run == step.run:
+            unavailable[step.node] = node
+    return unavailable
+
+
+def may_be_unavailable(
+    order: RestartOrder,
+    node: NodeStatus,
+    unavailable: Mapping[str, NodeStatus],
+    nodes: Mapping[str, NodeStatus],
+    is_last_of_shard: LastOfShard,
+) -> bool:
+    """Whether a node may be taken out beside those that are unavailable already."""
+    if any(other.zone != node.zone for other in unavailable.values()):
+        return False  # never two zones
+    if not _within_limits(order, node, unavailable):
+        return False
+    left = [other for other in nodes.values() if other.name not in unavailable and other is not node]
+    load = sum(other.load for other in nodes.values()) * (1.0 + order.headroom)
+    if not left or load > sum(other.capacity for other in left):
+        return False
+    return not is_last_of_shard(node.name, frozenset(unavailable) | {node.name})
+
+
+def _within_limits(order: RestartOrder, node: NodeStatus, unavailable: Mapping[str, NodeStatus]) -> bool:
+    in_zone = sum(other.zone == node.zone for other in unavailable.values()) + 1
+    if order.max_unavailable_in_zone and in_zone > order.max_unavailable_in_zone:
+        return False
+    in_region = sum(other.region == node.region for other in unavailable.values()) + 1
+    if order.max_unavailable_in_region and in_region > order.max_unavailable_in_region:
+        return False
+    held = sum(other.connections for other in unavailable.values()) + node.connections
+    return not order.max_unavailable_connections or held <= order.max_unavailable_connections
--- /dev/null
+++ b/gaugehinge/drains/restart_planner.py
@@ -0,0 +1,309 @@
+"""Planner of rolling restarts: takes nodes out and back in turn. No I/O, no clock, no chance.
+
+`plan` looks at all restarts, at what is known of each node now and at what is unavailable for whatever
+reason, and says which steps are due. Each is one conditional change in the store before a node is notified,
+so that a control plane that starts anew goes on from there. A step is meant for one run of a node: the run
+after it is no longer meant, however often the notification is repeated.
+
+A router is told to shut down; its supervisor starts the next one. A server is ordered to drain; once no
+router uses it, it shows as drained and waits for its supervisor. The restart goes on when the successor is
+warm.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+import msgspec
+
+from .error_budget import LONG_WINDOW, ErrorBudget
+from .restart_batch import LastOfShard, may_be_unavailable, unavailable_nodes
+from .restart_order import NodeKind
+from .restart_records import RestartPlan, RestartStep, RollingRestart
+from .restart_types import (
+    FINAL_STAGES,
+    FINAL_STATUSES,
+    UNAVAILABLE_STAGES,
+    NodeStatus,
+    RestartStatus,
+    StepStage,
+)
+
+MIN_MISSING_TIME = 1.0  # seconds for which a node is waited for that is not there
+
+
+class Observation(NamedTuple):
+    """The stage that a step was seen in, and since when."""
+
+    stage: StepStage
+    since: float
+
+
+@dataclass(slots=True)
+class RestartPlanner:
+    """One run of the control plane.
+
+    Beside the store it remembers since when it has seen each step in its stage: deadlines begin anew with a
+    run, and end no earlier for a clock that was set.
+    """
+
+    is_last_of_shard: LastOfShard = lambda name, unavailable: False
+    observed: dict[tuple[str, str], Observation] = field(default_factory=dict)  # by restart and node
+    missing_since: dict[tuple[str, str], float] = field(default_factory=dict)  # the same
+    baselines: dict[str, float] = field(default_factory=dict)  # error ratio before each restart began
+    error_budget: ErrorBudget = field(default_factory=ErrorBudget)
+
+    def plan(
+        self,
+        restarts: Iterable[RollingRestart],
+        steps: Mapping[str, list[RestartStep]],
+        nodes_by_kind: Mapping[NodeKind, Mapping[str, NodeStatus]],
+        now: float,
+        wall: float,
+        has_room_for: Callable[[int], bool] = lambda count: True,
+    ) -> RestartPlan:
+        """What is due at `now` (monotonic) and `wall` (Unix time).
+
+        `has_room_for`: whether so many routers may be notified now, with their successors' floors beside what
+        they still have open.
+        """
+        plan = RestartPlan()
+        unfinished = [restart for restart in restarts if restart.status not in FINAL_STATUSES]
+        unfinished.sort(key=lambda restart: restart.number)
+        active = (RestartStatus.QUEUED, RestartStatus.RUNNING)
+        head = next((restart for restart in unfinished if restart.status in active), None)
+        for restart in unfinished:
+            nodes = nodes_by_kind[restart.order.kind]
+            own_steps = steps.get(restart.ident, [])
+            after = {
+                step.node: self._advance(restart, step, nodes.get(step.node), now, plan) for step in own_steps
+            }
+            if restart is head:
+                restart = self._run_head(restart, after, nodes, now, wall, plan)
+                if restart.status == RestartStatus.RUNNING and restart.order.is_open(wall):
+                    others = _unavailable_by_others(restart, unfinished, steps)
+                    batch = _Batch(
+                        restart, after, nodes, unavailable_nodes(restart.order, nodes, after, others)
+                    )
+                    notified = _notified_routers(unfinished, steps)
+                    self._notify(batch, now, plan, notified, has_room_for)
+            self._record(restart, own_steps, after, plan)
+        self._forget({restart.ident for restart in unfinished})
+        return plan
+
+    def _forget(self, unfinished: set[str]) -> None:
+        self.observed = {key: seen for key, seen in self.observed.items() if key[0] in unfinished}
+        self.missing_since = {key: at for key, at in self.missing_since.items() if key[0] in unfinished}
+        self.baselines = {ident: ratio for ident, ratio in self.baselines.items() if ident in unfinished}
+
+    # -- a node that is unavailable
+
+    def _advance(
+        self,
+        restart: RollingRestart,
+        step: RestartStep,
+        node: NodeStatus | None,
+        now: float,
+        plan: RestartPlan,
+    ) -> RestartStep:
+        key = restart.ident, step.node
+        seen = self.observed.get(key)
+        waiting = step.stage == StepStage.WAITING
+        if seen is None or (seen.stage == StepStage.WAITING) is not waiting:
+            seen = self.observed[key] = Observation(step.stage, now)
+        if step.stage not in UNAVAILABLE_STAGES:
+            return step
+        after = _with_observed_stage(restart, step, node)
+        if after.stage == StepStage.WARMING_UP and after.drain_ordered:
+            plan.servers_to_restore.append(step.node)
+            after = msgspec.structs.replace(after, drain_ordered=False)
+        moved = after.stage != step.stage or after.stage == StepStage.DONE
+        span = now - seen.since
+        if moved or span < restart.order.deadline:
+            return after
+        return self._on_deadline(restart, after, span, now, plan)
+
+    def _on_deadline(
+        self, restart: RollingRestart, step: RestartStep, span: float, now: float, plan: RestartPlan
+    ) -> RestartStep:
+        reason = f"{step.node} is {step.stage} for {span:.0f} s"
+        on_timeout = restart.order.on_timeout
+        if on_timeout == "end" and not step.immediate and step.stage == StepStage.NOTIFIED:
+            plan.log.append(f"roll {restart.ident}: {reason}: told to end at once")
+            self.observed[restart.ident, step.node] = Observation(step.stage, now)
+            return msgspec.structs.replace(step, immediate=True, reason=reason)
+        if on_timeout == "skip":
+            plan.log.append(f"roll {restart.ident}: {reason}: skipped")
+            return _skip(step, reason, plan)
+        if restart.status in (RestartStatus.RUNNING, RestartStatus.QUEUED):
+            _stop(restart, reason, plan)
+        return step
+
+    # -- the first of the queue
+
+    def _run_head(
+        self,
+        restart: RollingRestart,
+        after: dict[str, RestartStep],
+        nodes: Mapping[str, NodeStatus],
+        now: float,
+        wall: float,
+        plan: RestartPlan,
+    ) -> RollingRestart:
+        """Begin it, or stop it where too much service is lost."""
+        if restart.ident in plan.restarts:
+            return plan.restarts[restart.ident]
+        if restart.status == RestartStatus.QUEUED:
+            if wall < restart.order.not_before:
+                return restart
+            self.baselines[restart.ident] = self.error_budget.error_ratio(now, 2 * LONG_WINDOW)
+            plan.log.append(f"roll {restart.ident} begins: {len(after)} {restart.order.kind}")
+            restart = msgspec.structs.replace(restart, status=RestartStatus.RUNNING)
+            plan.restarts[restart.ident] = restart
+        baseline = self.baselines.setdefault(restart.ident, 0.0)
+        burn_rate = self.error_budget.burn_rate(now, restart.order.objective, baseline)
+        if burn_rate > restart.order.max_burn_rate:
+            reason = f"service lost at {burn_rate:.1f} times what the objective leaves"
+            return _stop(restart, reason, plan)
+        self._skip_missing(restart, after, nodes, now, plan)
+        return restart
+
+    def _skip_missing(
+        self,
+        restart: RollingRestart,
+        after: dict[str, RestartStep],
+        nodes: Mapping[str, NodeStatus],
+        now: float,
+        plan: RestartPlan,
+    ) -> None:
+        """Nobody knows when a node that is not there comes back; it is not waited for without end."""
+        longest = max(restart.order.deadline, MIN_MISSING_TIME)
+        for name, step in after.items():
+            node, key = nodes.get(name), (restart.ident, name)
+            if step.stage != StepStage.WAITING or (node is not None and node.up):
+                self.missing_since.pop(key, None)
+            elif now - self.missing_since.setdefault(key, now) >= longest:
+                after[name] = _skip(step, "not there", plan)
+
+    def _notify(
+        self,
+        batch: _Batch,
+        now: float,
+        plan: RestartPlan,
+        notified_routers: int,
+        has_room_for: Callable[[int], bool],
+    ) -> None:
+        """Take out as many waiting nodes as may be unavailable together."""
+        restart, order = batch.restart, batch.restart.order
+        for name, step in batch.steps.items():
+            node = batch.nodes.get(name)
+            if step.stage != StepStage.WAITING or node is None or name in batch.unavailable:
+                continue
+            if node.restart_token == restart.token:  # the store is older than that notification
+                batch.steps[name] = msgspec.structs.replace(step, stage=StepStage.DONE, reason="told before")
+                continue
+            if len(batch.unavailable) >= order.max_unavailable:
+                break
+            if not may_be_unavailable(order, node, batch.unavailable, batch.nodes, self.is_last_of_shard):
+                continue
+            if order.kind == "routers":
+                notified_routers += 1
+                if not has_room_for(notified_routers):
+                    break
+            else:
+                plan.servers_to_drain.append(name)
+            batch.take_out(step, node)
+            self.observed[restart.ident, name] = Observation(StepStage.NOTIFIED, now)
+
+    # -- what is written
+
+    @staticmethod
+    def _record(
+        restart: RollingRestart, steps: list[RestartStep], after: dict[str, RestartStep], plan: RestartPlan
+    ) -> None:
+        changed = [after[step.node] for step in steps if after[step.node] != step]
+        for step in changed:
+            if step.stage in (StepStage.NOTIFIED, StepStage.DONE):
+                plan.log.append(f"roll {restart.ident}: {step.node} {step.stage}")
+        if changed:
+            plan.steps[restart.ident] = changed
+        ended = all(step.stage in FINAL_STAGES for step in after.values())
+        if ended and restart.status == RestartStatus.RUNNING:
+            skipped = sum(step.stage == StepStage.SKIPPED for step in after.values())
+            plan.log.append(f"roll {restart.ident} done: {len(after) - skipped} nodes, {skipped} skipped")
+            plan.restarts[restart.ident] = msgspec.structs.replace(restart, status=RestartStatus.DONE)
+
+
+@dataclass(slots=True, frozen=True)
+class _Batch:
+    """The nodes of one restart among which the next ones are taken out."""
+
+    restart: RollingRestart
+    steps: dict[str, RestartStep]  # changed in place
+    nodes: Mapping[str, NodeStatus]
+    unavailable: dict[str, NodeStatus]  # grows
+
+    def take_out(self, step: RestartStep, node: NodeStatus) -> None:
+        is_server = self.restart.order.kind == "servers"
+        self.steps[step.node] = msgspec.structs.replace(
+            step, stage=StepStage.NOTIFIED, run=node.run, drain_ordered=is_server, reason=""
+        )
+        self.unavailable[step.node] = node
+
+
+def _notified_routers(restarts: Iterable[RollingRestart], steps: Mapping[str, list[RestartStep]]) -> int:
+    return sum(
+        step.stage in UNAVAILABLE_STAGES
+        for restart in restarts
+        if restart.order.kind == "routers"
+        for step in steps.get(restart.ident, ())
+    )
+
+
+def _unavailable_by_others(
+    restart: RollingRestart, restarts: Iterable[RollingRestart], steps: Mapping[str, list[RestartStep]]
+) -> list[RestartStep]:
+    """Steps of other restarts of the same kind whose nodes are out."""
+    return [
+        step
+        for other in restarts
+        if other.ident != restart.ident and other.order.kind == restart.order.kind
+        for step in steps.get(other.ident, ())
+        if step.stage in UNAVAILABLE_STAGES
+    ]
+
+
+def _with_observed_stage(restart: RollingRestart, step: RestartStep, node: NodeStatus | None) -> RestartStep:
+    """A step of a node that is out, at the stage that the node's status shows."""
+    stage = step.stage
+    if node is not None and node.up and node.run != step.run and _is_intended_build(restart, node):
+        warm = step.stage == StepStage.WARMING_UP and node.ready_for >= restart.order.warm_up
+        stage = StepStage.DONE if warm else StepStage.WARMING_UP
+    elif step.stage == StepStage.WARMING_UP or (
+        step.stage != StepStage.DOWN and (node is None or not node.up)
+    ):
+        stage = StepStage.DOWN
+    elif step.stage == StepStage.NOTIFIED and restart.order.kind == "servers" and node and node.drained:
+        stage = StepStage.DRAINED
+    return msgspec.structs.replace(step, stage=stage)
+
+
+def _is_intended_build(restart: RollingRestart, node: NodeStatus) -> bool:
+    if not restart.order.build:
+        return True
+    return (node.build == restart.order.build) is not restart.reverting
+
+
+def _skip(step: RestartStep, reason: str, plan: RestartPlan) -> RestartStep:
+    if step.drain_ordered:
+        plan.servers_to_restore.append(step.node)
+    return msgspec.structs.replace(step, stage=StepStage.SKIPPED, drain_ordered=False, reason=reason)
+
+
+def _stop(restart: RollingRestart, reason: str, plan: RestartPlan) -> RollingRestart:
+    plan.log.append(f"roll {restart.ident} stops: {reason}")
+    stopped = msgspec.structs.replace(restart, status=RestartStatus.STOPPED, reason=reason)
+    plan.restarts[restart.ident] = stopped
+    return stopped
--- a/gaugehinge/rehearsal/drainsmodel.py
+++ b/gaugehinge/rehearsal/drainsmodel.py
@@ -17,14 +17,10 @@
 from ..drains.lease_holder import LeaseHolder
 from ..drains.lease_manager import LeaseManager
 from ..drains.lease_types import ConnectionLease, DurableState, NodeRecord, NodeReport
-from ..drains.restarts import (
-    NodeSelector,
-    NodeStatus,
-    RestartOrder,
-    RestartPlanner,
-    RestartStep,
-    RollingRestart,
-)
+from ..drains.restart_order import NodeSelector, RestartOrder
+from ..drains.restart_planner import RestartPlanner
+from ..drains.restart_records import RestartStep, RollingRestart
+from ..drains.restart_types import NodeStatus
 from ..tenancy.lease import DRIFT, SLACK, Held
 
 LEASE, CLOSING = 1.0, 3.0
@@ -591,7 +587,9 @@
     and whether it was done. With `faults` nodes are killed, keepers end and begin anew, reports are lost."""
     draw = random.Random(f"{seed} roll")
     peers = [Peer(f"r{i}", f"z{i % zones}") for i in range(count)]
-    order = RestartOrder(NodeSelector(all=True), most_out=most_out, warm_up=3.0, deadline=60.0, hangs="skip")
+    order = RestartOrder(
+        NodeSelector(all=True), max_unavailable=most_out, warm_up=3.0, deadline=60.0, on_timeout="skip"
+    )
     roll = RollingRestart("roll-1", 1, order)
     steps = [
         RestartStep(peer.name, i) for i, peer in enumerate(sorted(peers, key=lambda p: (p.zone, p.name)))
@@ -628,7 +626,7 @@
             continue  # the store took nothing: it is planned again
         changed = {step.node: step for step in due.steps.get(roll.ident, [])}
         steps = [changed.get(step.node, step) for step in steps]
-        roll = due.rolls.get(roll.ident, roll)
+        roll = due.restarts.get(roll.ident, roll)
         by_name = {peer.name: peer for peer in peers}
         before = {peer.zone for peer in peers if peer.back_at}
         for step in changed.values():
--- a/gaugehinge/rehearsal/faultydrains.py
+++ b/gaugehinge/rehearsal/faultydrains.py
@@ -12,7 +12,8 @@
 from ..drains.connection_counts import count_for
 from ..drains.lease_holder import LeaseHolder
 from ..drains.lease_manager import LeaseManager
-from ..drains.restarts import RestartPlan, RestartPlanner, RestartStep, RollingRestart
+from ..drains.restart_planner import RestartPlanner
+from ..drains.restart_records import RestartPlan, RestartStep, RollingRestart
 from ..drains.router import DrainsAgent
 
 
@@ -40,7 +41,7 @@
 
 def patient() -> None:
     """A keeper that waits for ever for a node that hangs."""
-    RestartPlanner._hung = lambda self, roll, step, span, now, due: step
+    RestartPlanner._on_deadline = lambda self, restart, step, span, now, plan: step
 
 
 def apart() -> None:
@@ -57,12 +58,12 @@
         due = RestartPlan()
         for roll in rolls:
             view = VIEWS.setdefault(roll.ident, RestartPlanner())
-            view.burn = self.burn
+            view.error_budget = self.error_budget
             mine = right(view, [roll], {roll.ident: steps.get(roll.ident, [])}, facts, *more)
-            due.rolls |= mine.rolls
+            due.restarts |= mine.restarts
             due.steps |= mine.steps
-            due.drain += mine.drain
-            due.restore += mine.restore
+            due.servers_to_drain += mine.servers_to_drain
+            due.servers_to_restore += mine.servers_to_restore
             due.log += mine.log
         return due
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -22,24 +22,17 @@
 from gaugehinge.cli.main import main as command_line
 from gaugehinge.drains.connection_counts import DEFAULT_SERVER, ORIGIN
 from gaugehinge.drains.controller import DrainsController
+from gaugehinge.drains.error_budget import ErrorBudget
 from gaugehinge.drains.high_water_mark import HighWaterMarkFile, in_memory
 from gaugehinge.drains.lease_manager import LeaseManager
 from gaugehinge.drains.lease_types import DurableState, NodeRecord, NodeReport
 from gaugehinge.drains.messages import NAME, ControlPlaneReply, RouterReport, ServerReport
 from gaugehinge.drains.node_file import NodeFile, NodeFileLockedError
-from gaugehinge.drains.restarts import (
-    BurnRate,
-    InvalidOrderError,
-    NodeSelector,
-    NodeStatus,
-    RestartOrder,
-    RestartPlanner,
-    RestartStep,
-    RollingRestart,
-    cancel,
-    roll_back,
-    select_nodes,
-)
+from gaugehinge.drains.restart_actions import cancel, roll_back
+from gaugehinge.drains.restart_order import InvalidOrderError, NodeSelector, RestartOrder, select_nodes
+from gaugehinge.drains.restart_planner import RestartPlanner
+from gaugehinge.drains.restart_records import RestartStep, RollingRestart
+from gaugehinge.drains.restart_types import NodeStatus
 from gaugehinge.drains.router import DrainsAgent
 from gaugehinge.forms.units import Seconds
 from gaugehinge.net.deadlines import Clock, Deadlines
@@ -277,14 +270,14 @@
 
 def rolling(facts, rolls=None, now=100.0, steps=None, roll=None, **order):
     """One plan; the roll, its steps and what is due."""
-    told = RestartOrder(NodeSelector(all=True), **{"most_out": 2, **order})
+    told = RestartOrder(NodeSelector(all=True), **{"max_unavailable": 2, **order})
     roll = roll or RollingRestart("roll-1", 1, told)
     steps = steps or [RestartStep(name, i) for i, name in enumerate(select_nodes(told, facts.values()))]
     due = (rolls or RestartPlanner()).plan(
         [roll], {roll.ident: steps}, {"routers": facts, "servers": facts}, now, now
     )
     changed = {step.node: step for step in due.steps.get(roll.ident, [])}
-    return due.rolls.get(roll.ident, roll), [changed.get(step.node, step) for step in steps], due
+    return due.restarts.get(roll.ident, roll), [changed.get(step.node, step) for step in steps], due
 
 
 def told(steps):
@@ -293,13 +286,13 @@
 
 def test_a_batch_is_of_one_zone_within_what_may_be_out_and_counts_who_is_out_anyway():
     assert told(rolling(fleet())[1]) == ["r0", "r2"]
-    assert told(rolling(fleet(), most_out_zone=1)[1]) == ["r0"]
-    assert told(rolling(fleet(connections=5), most_out_connections=9)[1]) == ["r0"]
+    assert told(rolling(fleet(), max_unavailable_in_zone=1)[1]) == ["r0"]
+    assert told(rolling(fleet(connections=5), max_unavailable_connections=9)[1]) == ["r0"]
     facts = fleet()
     facts["r1"] = NodeStatus("r1", "1", "b", False)
     assert told(rolling(facts)[1]) == ["r3"], "one of zone b is lost: only that zone goes on"
-    facts["r2"] = NodeStatus("r2", "1", "a", True, ready_for=99.0, drains=True)
-    assert told(rolling(facts, most_out=9)[1]) == [], "two zones have nodes out: nobody is told"
+    facts["r2"] = NodeStatus("r2", "1", "a", True, ready_for=99.0, draining=True)
+    assert told(rolling(facts, max_unavailable=9)[1]) == [], "two zones have nodes out: nobody is told"
 
 
 def test_capacity_windows_shards_and_overlaps_hold_a_roll_back():
@@ -309,13 +302,13 @@
     }
     assert told(rolling(facts, headroom=0.0)[1]) == ["x"] and told(rolling(facts, headroom=0.2)[1]) == []
     assert (
-        told(rolling(fleet(), starts=200.0)[1]) == []
-        and told(rolling(fleet(), ends=50.0, starts=0.0)[1]) == []
+        told(rolling(fleet(), not_before=200.0)[1]) == []
+        and told(rolling(fleet(), not_after=50.0, not_before=0.0)[1]) == []
     )
-    last = RestartPlanner(last_of_shard=lambda name, out: name == "r0")
+    last = RestartPlanner(is_last_of_shard=lambda name, out: name == "r0")
     assert told(rolling(fleet(), last)[1]) == ["r2", "r4"]
     due = RestartPlanner().plan(
-        [RollingRestart("roll-1", 1, RestartOrder(NodeSelector(all=True), most_out=3))],
+        [RollingRestart("roll-1", 1, RestartOrder(NodeSelector(all=True), max_unavailable=3))],
         {"roll-1": [RestartStep(n) for n in fleet()]},
         {"routers": fleet(), "servers": {}},
         1.0,
@@ -331,11 +324,11 @@
 )
 def test_one_that_hangs(hangs, stage, status):
     rolls, facts = RestartPlanner(), fleet()
-    roll, steps, _ = rolling(facts, rolls, hangs=hangs, most_out=1, deadline=10.0)
+    roll, steps, _ = rolling(facts, rolls, on_timeout=hangs, max_unavailable=1, deadline=10.0)
     roll, steps, _ = rolling(facts, rolls, 109.0, steps, roll)
     assert told(steps) == ["r0"] and roll.status == "running"
     roll, steps, _ = rolling(facts, rolls, 111.0, steps, roll)
-    assert (steps[0].stage, roll.status) == (stage, status) and steps[0].hard is (hangs == "end")
+    assert (steps[0].stage, roll.status) == (stage, status) and steps[0].immediate is (hangs == "end")
     if hangs == "end":
         roll, steps, _ = rolling(facts, rolls, 122.0, steps, roll)
         assert roll.status == "stopped", "told at once, and it stands still"
@@ -344,18 +337,18 @@
 def test_a_roll_stops_by_itself_where_service_is_lost_and_goes_back_when_told():
     rolls, facts = RestartPlanner(), fleet()
     for second in range(60):
-        rolls.burn.add(40.0 + second, 99, 1)
-    roll, steps, _ = rolling(facts, rolls, most_out=1, most_burn=5.0)
+        rolls.error_budget.record(40.0 + second, 99, 1)
+    roll, steps, _ = rolling(facts, rolls, max_unavailable=1, max_burn_rate=5.0)
     assert roll.status == "running", "what was lost before it began is not its doing"
     for second in range(40):
-        rolls.burn.add(101.0 + second, 80, 20)
+        rolls.error_budget.record(101.0 + second, 80, 20)
     roll, steps, due = rolling(facts, rolls, 141.0, steps, roll)
-    assert roll.status == "stopped" and "service lost" in roll.why and due.log
+    assert roll.status == "stopped" and "service lost" in roll.reason and due.log
     done = [*(msgspec.structs.replace(s, stage="done") for s in steps[:2]), *steps[2:]]
     back, changed, _ = roll_back(roll, done)
-    assert back.back and [s.node for s in changed if s.stage == "waiting"] == ["r0", "r2"]
-    assert BurnRate().share(0.0, 5.0) == 0.0
-    ended, changed, restore = cancel(roll, [RestartStep("s", ordered=True, stage="told")])
+    assert back.reverting and [s.node for s in changed if s.stage == "waiting"] == ["r0", "r2"]
+    assert ErrorBudget().error_ratio(0.0, 5.0) == 0.0
+    ended, changed, restore = cancel(roll, [RestartStep("s", drain_ordered=True, stage="told")])
     assert ended.status == "cancelled" and restore == ["s"] and changed[0].stage == "skipped"
     with pytest.raises(InvalidOrderError, match="no node"):
         select_nodes(RestartOrder(NodeSelector(names=["nobody"])), facts.values())
@@ -363,14 +356,14 @@
 
 def test_a_server_is_drained_started_anew_and_given_back_and_the_next_waits_for_it():
     rolls, facts = RestartPlanner(), fleet(4)
-    roll, steps, due = rolling(facts, rolls, kind="servers", most_out=1, warm_up=5.0)
-    assert due.drain == ["r0"] and steps[0].ordered
-    facts["r0"] = NodeStatus("r0", "1", "a", True, ready_for=99.0, empty=True, capacity=0.8)
+    roll, steps, due = rolling(facts, rolls, kind="servers", max_unavailable=1, warm_up=5.0)
+    assert due.servers_to_drain == ["r0"] and steps[0].drain_ordered
+    facts["r0"] = NodeStatus("r0", "1", "a", True, ready_for=99.0, drained=True, capacity=0.8)
     roll, steps, _ = rolling(facts, rolls, 101.0, steps, roll)
     assert steps[0].stage == "empty"
     facts["r0"] = NodeStatus("r0", "2", "a", True, ready_for=1.0, capacity=0.8)
     roll, steps, due = rolling(facts, rolls, 102.0, steps, roll)
-    assert steps[0].stage == "warming" and due.restore == ["r0"] and len(told(steps)) == 0
+    assert steps[0].stage == "warming" and due.servers_to_restore == ["r0"] and len(told(steps)) == 0
     facts["r0"] = NodeStatus("r0", "2", "a", True, ready_for=6.0, capacity=0.8)
     roll, steps, _ = rolling(facts, rolls, 107.0, steps, roll)
     assert steps[0].stage == "done" and told(steps) == ["r2"]
@@ -379,20 +372,20 @@
 
 
 def test_three_rolls_stand_in_a_queue_and_who_is_out_by_a_paused_one_counts_for_the_next():
-    order = RestartOrder(NodeSelector(all=True), most_out=2, warm_up=1.0)
+    order = RestartOrder(NodeSelector(all=True), max_unavailable=2, warm_up=1.0)
     rolls = [RollingRestart(f"roll-{i}", i, order) for i in (1, 2, 3)]
     steps = {roll.ident: [RestartStep(name, i) for i, name in enumerate(fleet())] for roll in rolls}
     steps["roll-1"][0] = RestartStep("r0", 0, "told", "1")
     rolls[0] = msgspec.structs.replace(rolls[0], status="paused")
     facts = fleet()
-    facts["r0"] = NodeStatus("r0", "1", "a", True, ready_for=99.0, load=0.2, capacity=0.8, drains=True)
+    facts["r0"] = NodeStatus("r0", "1", "a", True, ready_for=99.0, load=0.2, capacity=0.8, draining=True)
     due = RestartPlanner().plan(rolls, steps, {"routers": facts, "servers": {}}, 1.0, 1.0)
     assert {ident: told(each) for ident, each in due.steps.items()} == {"roll-2": ["r2"]}
-    assert due.rolls["roll-2"].status == "running" and "roll-3" not in due.rolls
+    assert due.restarts["roll-2"].status == "running" and "roll-3" not in due.restarts
 
 
 def test_one_told_by_a_roll_that_was_paused_counts_for_the_next_before_it_has_heard_of_it():
-    order = RestartOrder(NodeSelector(all=True), most_out=1, warm_up=1.0)
+    order = RestartOrder(NodeSelector(all=True), max_unavailable=1, warm_up=1.0)
     rolls = [RollingRestart("roll-1", 1, order, status="paused"), RollingRestart("roll-2", 2, order)]
     steps = {roll.ident: [RestartStep(name, i) for i, name in enumerate(fleet())] for roll in rolls}
     steps["roll-1"][0] = RestartStep("r0", 0, "told", "1")
@@ -406,10 +399,10 @@
 
 
 def test_a_node_that_says_that_this_roll_told_it_before_is_not_told_by_a_store_that_went_back():
-    facts = fleet(rolled="roll-1")
+    facts = fleet(restart_token="roll-1")
     roll, steps, _ = rolling(facts)
     assert {step.stage for step in steps} == {"done"} and roll.status == "done"
-    again = msgspec.structs.replace(roll, back=True, status="queued")
+    again = msgspec.structs.replace(roll, reverting=True, status="queued")
     waiting = [msgspec.structs.replace(step, stage="waiting") for step in steps]
     assert told(rolling(facts, steps=waiting, roll=again)[1]) == ["r0", "r2"], "taken back it is another one"
 
@@ -736,7 +729,7 @@
 
             def leaving():
                 facts = all_.part.facts(all_.admin.keeper.store, all_.part.clock())["routers"]
-                return [name for name, fact in facts.items() if fact.drains]
+                return [name for name, fact in facts.items() if fact.draining]
 
             assert leaving() == ["r-1"], "it was told, whatever became of the roll"
             await until(lambda: not all_.part.orders)
