--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -232,7 +232,7 @@
                     stage = "lost"
                 elif not grants.is_live(node, now):
                     stage = "silent"
-                elif last is not None and last.said.leaving:
+                elif last is not None and last.said.draining:
                     stage = "leaving"
                 held: ConnectionCounts = {store: slot.worst_case(store) for store in limits}
                 nodes.append(
--- a/gaugehinge/drains/controller.py
+++ b/gaugehinge/drains/controller.py
@@ -24,8 +24,9 @@
 from ..store.store import Conflict, Full, Store, Wanted, encode
 from ..tenancy.feed import Report
 from .api import DrainsApi
+from .clock import boot_clock
 from .connection_counts import DEFAULT_SERVER, ORIGIN, ConnectionCounts, count_for
-from .high_water_mark import HighWaterMarkFile, boot_clock
+from .high_water_mark import HighWaterMarkFile
 from .lease_manager import LeaseManager
 from .lease_types import DurableState, NodeRecord
 from .messages import NAME, ControlPlaneReply, RouterReport, ServerReport
@@ -139,7 +140,7 @@
             raise Wrong(422, "invalid", "not this router's", f"parts.{NAME}.node")
         with self.lock:
             known = self.grants.reports.get(said.node)
-            if not self.grants.on_report(said.word(report.run), now):
+            if not self.grants.on_report(said.node_report(report.run), now):
                 return
             self.sent_out.pop(said.node, None)
             self.lasts[said.node] = LatestReport(said, report.router, report.run, report.since, now)
@@ -152,22 +153,22 @@
                 or known.run != report.run
                 or known.number != said.number
                 or said.closed
-                or said.counted.get(ORIGIN, 0) < known.open_connections.get(ORIGIN, 0)
-                or count_for(said.need, ORIGIN) > values
+                or said.open_connections.get(ORIGIN, 0) < known.open_connections.get(ORIGIN, 0)
+                or count_for(said.demand, ORIGIN) > values
             ):
                 self.news.set()
 
     def _count(self, said: RouterReport, run: str) -> None:
         before = self.counts.get(said.node)
         if before is not None and before[0] == run:
-            self.settled += max(said.settled - before[1], 0)
+            self.settled += max(said.succeeded - before[1], 0)
             self.lost += max(said.lost - before[2], 0)
-        self.counts[said.node] = run, said.settled, said.lost
+        self.counts[said.node] = run, said.succeeded, said.lost
 
     def _list(self, servers: list[ServerReport], now: float) -> None:
         for each in servers:
             seen = self.servers.get(each.uid)
-            if seen is None or seen.said.started != each.started:
+            if seen is None or seen.said.started_at != each.started_at:
                 self.servers[each.uid] = KnownServer(each, now, now)
             else:
                 seen.said, seen.at = each, now
@@ -192,7 +193,7 @@
             now = self.clock()
             word = self.grants.reports.get(said.node)
             if slot is not None and slot.run != report.run and said.run_number <= slot.run_number:
-                return msgspec.json.encode(ControlPlaneReply(life, again=slot.run_number))
+                return msgspec.json.encode(ControlPlaneReply(life, run_number_above=slot.run_number))
             if word is None or word.run != report.run:
                 return msgspec.json.encode(ControlPlaneReply(life))
             grant = self.grants.issue(slot, word, now) if slot is not None else None
@@ -202,21 +203,21 @@
                 self.sent_out[said.node] = report.run
             told = ControlPlaneReply(
                 life,
-                closing=self.grants.close_timeout,
-                leave=leave,
-                hard=hard and bool(leave),
-                servers=self._asks_list(said.node, now),
-                refused=self.grants.rejected.get(said.node, ""),
+                close_timeout=self.grants.close_timeout,
+                restart_token=leave,
+                immediate=hard and bool(leave),
+                wants_servers=self._asks_list(said.node, now),
+                rejection=self.grants.rejected.get(said.node, ""),
             )
         if grant is not None:
             told = msgspec.structs.replace(
                 told,
                 number=grant.number,
-                mark=grant.issuer,
-                values=grant.granted,
+                issuer=grant.issuer,
+                granted=grant.granted,
                 floors=grant.floors,
-                lease=grant.duration,
-                clear=grant.predecessors_closed,
+                lease_duration=grant.duration,
+                predecessors_closed=grant.predecessors_closed,
             )
         return msgspec.json.encode(told)
 
@@ -225,7 +226,7 @@
         not be said, and nothing may be told."""
         with self.lock:
             good = self.grants.may_raise(self.clock())
-        return self.last_word.say(self.administration.life, store.rev, store.mark, good, boot_clock())
+        return self.last_word.advance(self.administration.life, store.rev, store.mark, good, boot_clock())
 
     def _asks_list(self, node: str, now: float) -> bool:
         if now - self.servers_at < LIST_OLD:
@@ -278,7 +279,7 @@
                 self.grants.state = ground
                 self.grants.adopt_floors(slots)
                 # Killed on this machine and back on the file that it told by: what is held is in there.
-                self.grants.store_is_current = not doubt and self.last_word.of(
+                self.grants.store_is_current = not doubt and self.last_word.covers(
                     self.administration.life, store.mark, boot_clock(), self.grants.startup_hold
                 )
             wanted = [Wanted(GROUND, "ground", encode(ground), held.rev if held else 0)]
@@ -365,7 +366,7 @@
                 leaving = frozenset(
                     node
                     for node, last in self.lasts.items()
-                    if last.said.leaving or self.orders.get(last.router, ("", "", False))[1] == last.run
+                    if last.said.draining or self.orders.get(last.router, ("", "", False))[1] == last.run
                 )
                 slots = {node: slot for node, (_, slot) in held.items()}
                 changed.update(self.grants.plan(slots, limits, now, leaving, {ORIGIN: self.worst}))
@@ -399,8 +400,8 @@
     def _worst(self, store: Store) -> float:
         """Lines to the origin that tenants would have in use if each used its allowance."""
         with self.lock:
-            used = sum(last.said.used for last in self.lasts.values())
-            rate = sum(last.said.rate for last in self.lasts.values())
+            used = sum(last.said.origin_connections for last in self.lasts.values())
+            rate = sum(last.said.operation_rate for last in self.lasts.values())
         if rate <= 0.0:
             return 0.0
         allowed = 0.0
@@ -548,7 +549,7 @@
                 said, at = last.said, last.at
                 # Once told it ends, though its roll is cancelled or goes on without it meanwhile; whether it
                 # heard that is known by its next word alone.
-                leaving = said.leaving or self.sent_out.get(node) == last.run
+                leaving = said.draining or self.sent_out.get(node) == last.run
                 up = now - at < self.grants.lease_duration and said.ready_for > 0.0 and bool(slot.granted)
                 fact = NodeStatus(
                     router,
@@ -561,10 +562,10 @@
                     said.ready_for + now - at,
                     leaving,
                     said.closed,
-                    said.busy if up else 0.0,
+                    said.cpu_cores if up else 0.0,
                     self.told.most_busy if up else 0.0,
                     held,
-                    said.rolled,
+                    said.restart_token,
                 )
             if router not in found or found[router][0] < at:
                 found[router] = at, fact
@@ -575,7 +576,9 @@
         ordered = {item.ident: item.rev for item in store.items(SERVER, most=MOST_ITEMS)}
         up = [uid for uid, seen in self.servers.items() if self._listed(seen)]
         attempts = sum(
-            last.said.legs for last in self.lasts.values() if now - last.at < self.grants.lease_duration
+            last.said.cache_attempts
+            for last in self.lasts.values()
+            if now - last.at < self.grants.lease_duration
         )
         ours = self._ours(store)
         found = {}
@@ -583,7 +586,7 @@
             listed = self._listed(seen)
             found[uid] = NodeStatus(
                 uid,
-                f"{seen.said.started:.3f}",
+                f"{seen.said.started_at:.3f}",
                 seen.said.zone,
                 listed,
                 self._region(seen.said.zone),
@@ -641,7 +644,9 @@
             if last is None or last.run != slot.run or not self.grants.is_live(node, now):
                 if not self.grants.has_expired(node, now):
                     return False
-            elif not last.said.closed and (last.since < revision or last.said.out.get(uid, 1) > 0):
+            elif not last.said.closed and (
+                last.since < revision or last.said.draining_servers.get(uid, 1) > 0
+            ):
                 return False
         return True
 
--- a/gaugehinge/drains/high_water_mark.py
+++ b/gaugehinge/drains/high_water_mark.py
@@ -1,19 +1,18 @@
-"""What a keeper told by last, where no restore of a store reaches: in the machine's memory.
-
-A keeper that was killed and is back on its own store knows all that nodes may hold: each ceiling was in the
-store before it was told. It cannot tell that by the store alone, which may have been put back to an older
-one, with everything that lies beside it. So before anything is told the revision and its mark in the
-store's chain are written to a file in memory (`tmpfs`): it outlives the process, not the machine, and
-nobody keeps copies of it. A store that has this revision with this mark has all that was told, here: a
-keeper on another machine may have told by a copy since. That one raises nothing before lease and closing
-time are over; so the word is good for less than these. Where there is no such file, or no such memory, the
-keeper waits as it always did.
+"""The revision up to which leases were issued, kept in the machine's memory where no restore reaches it.
+
+A control plane that was killed and is back on its own store knows all that nodes may hold: each ceiling was
+in the store before the node was told. It cannot know by the store alone, which may have been restored to an
+older one together with everything that lies beside it. So before anything is issued, the store's revision and
+its digest are written to a file in memory (`tmpfs`): that outlives the process, not the machine, and is never
+copied. A store that has this revision with this digest has all that was issued on this machine. A control
+plane on another machine may have issued leases by a copy since; it raises nothing before lease and close
+timeout are over, so the mark counts for less than that. Where there is no such file, a start waits for these
+times.
 """
 
 from __future__ import annotations
 
 import os
-import time
 from collections.abc import Callable
 from pathlib import Path
 
@@ -21,103 +20,126 @@
 from loguru import logger
 from xxhash import xxh3_128_hexdigest
 
+from .checksum import seal, unseal
+
 MEMORY = Path("/dev/shm")  # of the machine, or of the container
 MOUNTS = Path("/proc/self/mounts")
-KINDS = ("tmpfs", "ramfs")
-LENGTH = 512  # bytes of the file, always: a write in place needs no room
-EACH = 0.5  # seconds after which it is written again with nothing new to say
-
+MEMORY_FILESYSTEMS = ("tmpfs", "ramfs")
+FILE_SIZE = 512  # bytes, always: a write in place needs no room
+REFRESH_INTERVAL = 0.5  # seconds after which an unchanged mark is written again
 
-def boot_clock() -> float:
-    """Seconds of a clock that nobody sets and that goes on while the machine sleeps."""
-    return time.clock_gettime(time.CLOCK_BOOTTIME)
+DigestOf = Callable[[int], str]  # of a revision in the store's chain; empty where it has no such revision
 
 
-class HighWaterMark(msgspec.Struct, frozen=True):
-    """Up to where was told."""
+class HighWaterMark(
+    msgspec.Struct,
+    frozen=True,
+    rename={"incarnation": "life", "digest": "mark", "may_raise": "good", "written_at": "at"},
+):
+    """Up to where leases were issued."""
 
-    life: str  # of the store
+    incarnation: str  # of the store
     revision: int
-    mark: str  # of that revision in the store's chain
-    good: bool  # whoever told it might raise grants, as it had waited or knew all itself
-    at: float  # by the machine's clock that goes on while it sleeps
+    digest: str  # of that revision
+    may_raise: bool  # the issuer might raise leases, as it had waited or had a current store itself
+    written_at: float  # seconds, `boot_clock`
+
+    def covers(self, incarnation: str, digest_of: DigestOf) -> bool:
+        """Whether a store has this revision, issued by a run that might raise leases."""
+        if not self.may_raise or self.incarnation != incarnation:
+            return False
+        return bool(self.digest) and digest_of(self.revision) == self.digest
 
 
 def in_memory(folder: Path, mounts: Path = MOUNTS) -> bool:
-    """Whether a folder is a mount of the machine's memory."""
+    """Whether a folder is the mount point of a filesystem in memory."""
     try:
         lines = mounts.read_text().splitlines()
     except OSError:
         return False
-    mounted = [words for line in lines if len(words := line.split()) > 2]
-    return any(words[1] == str(folder) and words[2] in KINDS for words in mounted)
+    mounted = [fields for line in lines if len(fields := line.split()) > 2]
+    return any(fields[1] == str(folder) and fields[2] in MEMORY_FILESYSTEMS for fields in mounted)
 
 
 class HighWaterMarkFile:
-    """The file of one store's keeper."""
+    """The file of one store's control plane."""
 
     def __init__(self, path: Path | None) -> None:
         """None: there is no place for it."""
         self.path = path
-        self.written: tuple[str, int, bool] | None = None
-        self.written_at = 0.0
+        self._last: HighWaterMark | None = None  # as written last
 
     @classmethod
     def beside(cls, store: Path, folder: Path = MEMORY) -> HighWaterMarkFile:
-        """That of a store's path, in memory; none where there is no memory to be had."""
+        """The file that belongs to a store's path; without a place where the folder is not in memory."""
         if not in_memory(folder):
             return cls(None)
         name = xxh3_128_hexdigest(str(store.resolve()).encode())
         return cls(folder / f"gaugehinge-drains-{os.geteuid()}-{name}")
 
-    def of(self, life: str, mark: Callable[[int], str], now: float, within: float) -> bool:
-        """Whether this store has all that was told, by one that knew all, less than `within` seconds ago.
-        `mark`: of a revision in its chain, empty where it has none."""
-        if self.path is None:
-            return False
-        try:
-            told, _, body = self.path.read_bytes().rstrip(b" ").partition(b"\n")
-            if not body or told.decode("ascii", "replace") != xxh3_128_hexdigest(body):
-                return False
-            word = msgspec.json.decode(body, type=HighWaterMark)
-        except (OSError, msgspec.MsgspecError):
-            return False
-        if not (word.good and word.life == life and 0.0 <= now - word.at < within):
+    def covers(self, incarnation: str, digest_of: DigestOf, now: float, max_age: float) -> bool:
+        """Whether a store has all that was issued, by a mark that is less than `max_age` seconds old."""
+        mark = self._read()
+        if mark is None or not 0.0 <= now - mark.written_at < max_age:
             return False
-        return bool(word.mark) and mark(word.revision) == word.mark
+        return mark.covers(incarnation, digest_of)
 
-    def say(self, life: str, revision: int, mark: Callable[[int], str], good: bool, now: float) -> bool:
-        """From now on is told by this revision. False: that stands nowhere, and an older word does: nothing
-        may be told."""
-        if self.path is None or (self.written == (life, revision, good) and now - self.written_at < EACH):
+    def _read(self) -> HighWaterMark | None:
+        if self.path is None:
+            return None
+        try:
+            body = unseal(self.path.read_bytes().rstrip(b" "))
+            return msgspec.json.decode(body, type=HighWaterMark)
+        except (OSError, ValueError, msgspec.MsgspecError):
+            return None
+
+    def advance(
+        self, incarnation: str, revision: int, digest_of: DigestOf, may_raise: bool, now: float
+    ) -> bool:
+        """Note that leases are issued by this revision from now on.
+
+        False: that could not be written and an older mark stands; nothing may be issued.
+        """
+        if self.path is None or self._is_recent(incarnation, revision, may_raise, now):
             return True
-        body = msgspec.json.encode(HighWaterMark(life, revision, mark(revision), good, now))
-        data = (xxh3_128_hexdigest(body).encode() + b"\n" + body).ljust(LENGTH)
+        mark = HighWaterMark(incarnation, revision, digest_of(revision), may_raise, now)
         try:
-            number = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_NOFOLLOW, 0o600)
-            try:
-                if os.pwrite(number, data, 0) != len(data):
-                    raise OSError("not all was written")
-            finally:
-                os.close(number)
-        except OSError as bad:
-            return self._give_up(bad)
-        self.written, self.written_at = (life, revision, good), now
+            _write_in_place(self.path, seal(msgspec.json.encode(mark)).ljust(FILE_SIZE))
+        except OSError as error:
+            return self._give_up(self.path, error)
+        self._last = mark
         return True
 
-    def forget(self) -> None:
-        """As the machine does that loses its power."""
+    def _is_recent(self, incarnation: str, revision: int, may_raise: bool, now: float) -> bool:
+        last = self._last
+        if last is None or now - last.written_at >= REFRESH_INTERVAL:
+            return False
+        return (last.incarnation, last.revision, last.may_raise) == (incarnation, revision, may_raise)
+
+    def delete(self) -> None:
+        """Remove the file, as a power loss would."""
         if self.path is not None:
             self.path.unlink(missing_ok=True)
 
-    def _give_up(self, bad: OSError) -> bool:
-        """An old word must not stand beside what is told now: a store put back to it would be believed."""
-        path, self.path = self.path, None
+    def _give_up(self, path: Path, error: OSError) -> bool:
+        """An old mark must not outlive what is issued now: a store restored to it would be trusted."""
+        self.path = None
         try:
             path.unlink(missing_ok=True)
-        except OSError as worse:
+        except OSError as unlink_error:
             self.path = path
-            logger.error("drains: nothing is told: an old word in {} cannot be taken away: {}", path, worse)
+            logger.error(
+                "drains: nothing is told: an old word in {} cannot be taken away: {}", path, unlink_error
+            )
             return False
-        logger.warning("drains: the next start will wait, {} cannot be written: {}", path, bad)
+        logger.warning("drains: the next start will wait, {} cannot be written: {}", path, error)
         return True
+
+
+def _write_in_place(path: Path, data: bytes) -> None:
+    descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_NOFOLLOW, 0o600)
+    try:
+        if os.pwrite(descriptor, data, 0) != len(data):
+            raise OSError("not all was written")
+    finally:
+        os.close(descriptor)
--- a/gaugehinge/drains/messages.py
+++ b/gaugehinge/drains/messages.py
@@ -1,4 +1,4 @@
-"""What routers and the keeper tell each other of drains, within the feed's parts. No I/O."""
+"""Messages between routers and the control plane, carried as a part of the feed. No I/O."""
 
 from __future__ import annotations
 
@@ -9,94 +9,135 @@
 
 from .lease_types import ConnectionLease, NodeReport
 
-NAME = "drains"  # as in Report.parts and Feed.parts
-MOST_STORES = 128  # of one report: the origin, all servers, and servers that are named
-MOST_SERVERS = 1024  # of one list
+NAME = "drains"  # of the part, as in Report.parts and Feed.parts
+MAX_UPSTREAMS = 128  # of one report: the origin, all servers, and servers that are named
+MAX_SERVERS = 1024  # of one list
 
 Text = Annotated[str, Meta(max_length=200)]
-Counts = Annotated[dict[Text, Annotated[int, Meta(ge=0, le=10**7)]], Meta(max_length=MOST_STORES)]
+Counts = Annotated[dict[Text, Annotated[int, Meta(ge=0, le=10**7)]], Meta(max_length=MAX_UPSTREAMS)]
 
 
 class ServerReport(msgspec.Struct, frozen=True, array_like=True):
-    """A server as discovery told it to a router."""
+    """A server as discovery listed it to a router."""
 
     uid: Text
     zone: Text
     kind: Text
-    up: bool  # by discovery's word alone
-    started: float
-
-
-class RouterReport(msgspec.Struct, frozen=True):
-    """A router's part of its report. Of another build it may have fields more: a fleet is rolled by it."""
+    up: bool  # by discovery alone
+    started_at: float
+
+
+class RouterReport(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "sequence": "turn",
+        "issuer": "mark",
+        "granted": "holds",
+        "open_connections": "counted",
+        "demand": "need",
+        "admitted_by": "admitted",
+        "draining": "leaving",
+        "in_flight": "in_hand",
+        "succeeded": "settled",
+        "cpu_cores": "busy",
+        "origin_connections": "used",
+        "operation_rate": "rate",
+        "draining_servers": "out",
+        "cache_attempts": "legs",
+        "restart_token": "rolled",
+    },
+):
+    """A router's part of its report. One of another build may have further fields."""
 
     node: Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,100}@[0-9a-f]{8,32}$")]
     run_number: Annotated[int, Meta(ge=1, le=1 << 53)]
-    turn: Annotated[int, Meta(ge=1, le=1 << 53)]
+    sequence: Annotated[int, Meta(ge=1, le=1 << 53)]
     number: Annotated[int, Meta(ge=0, le=1 << 53)] = 0
-    mark: Text = ""
-    holds: Counts = {}
-    counted: Counts = {}
-    need: Counts = {}
+    issuer: Text = ""
+    granted: Counts = {}
+    open_connections: Counts = {}
+    demand: Counts = {}
     floors: Counts = {}
-    admitted: Text = ""
+    admitted_by: Text = ""
     closed: bool = False
     zone: Text = ""
     build: Text = ""
     labels: Annotated[list[Text], Meta(max_length=64)] = []
     ready_for: Annotated[float, Meta(ge=0)] = 0.0  # seconds; 0: not ready
-    leaving: bool = False
-    in_hand: Annotated[int, Meta(ge=0)] = 0
-    settled: Annotated[int, Meta(ge=0)] = 0  # operations since its start
-    lost: Annotated[int, Meta(ge=0)] = 0  # bounced or forfeited
-    busy: Annotated[float, Meta(ge=0, le=1024)] = 0.0  # cores used of late
-    used: Annotated[float, Meta(ge=0)] = 0.0  # mean connections in use to the origin of late
-    rate: Annotated[float, Meta(ge=0)] = 0.0  # operations a second of late
-    out: Annotated[dict[Text, int], Meta(max_length=MOST_SERVERS)] = {}  # connections to draining servers
-    legs: Annotated[int, Meta(ge=0)] = 0  # connections in use to cache servers
-    servers: Annotated[list[ServerReport], Meta(max_length=MOST_SERVERS)] = []  # where it was asked for them
-    rolled: Text = ""  # what told a run on these files to end last
-
-    def word(self, run: str) -> NodeReport:
-        """What of it grants go by."""
+    draining: bool = False
+    in_flight: Annotated[int, Meta(ge=0)] = 0
+    succeeded: Annotated[int, Meta(ge=0)] = 0  # operations since its start
+    lost: Annotated[int, Meta(ge=0)] = 0  # operations that were rejected or failed since its start
+    cpu_cores: Annotated[float, Meta(ge=0, le=1024)] = 0.0  # recently used
+    origin_connections: Annotated[float, Meta(ge=0)] = 0.0  # recent mean of those in use
+    operation_rate: Annotated[float, Meta(ge=0)] = 0.0  # recent operations a second
+    draining_servers: Annotated[dict[Text, int], Meta(max_length=MAX_SERVERS)] = {}  # connections to each
+    cache_attempts: Annotated[int, Meta(ge=0)] = 0  # connections in use to cache servers
+    servers: Annotated[list[ServerReport], Meta(max_length=MAX_SERVERS)] = []  # where it was asked for them
+    restart_token: Text = ""  # of the rolling restart that ended a run of this node last
+
+    def node_report(self, run: str) -> NodeReport:
+        """The part of it that leases are decided by."""
         return NodeReport(
             self.node,
             run,
             self.run_number,
-            self.turn,
+            self.sequence,
             self.number,
-            self.mark,
-            dict(self.holds),
-            dict(self.counted),
-            dict(self.need),
+            self.issuer,
+            dict(self.granted),
+            dict(self.open_connections),
+            dict(self.demand),
             dict(self.floors),
-            self.admitted,
+            self.admitted_by,
             self.closed,
             self.zone,
         )
 
 
-class ControlPlaneReply(msgspec.Struct, frozen=True):
-    """The keeper's part of an answer."""
-
-    life: str  # of the store
-    number: int = 0  # of the grant; 0: none is told, and what the router holds runs out
-    mark: str = ""
-    values: dict[str, int] = {}
+class ControlPlaneReply(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "incarnation": "life",
+        "issuer": "mark",
+        "granted": "values",
+        "lease_duration": "lease",
+        "predecessors_closed": "clear",
+        "close_timeout": "closing",
+        "run_number_above": "again",
+        "restart_token": "leave",
+        "immediate": "hard",
+        "wants_servers": "servers",
+        "rejection": "refused",
+    },
+):
+    """The control plane's part of an answer."""
+
+    incarnation: str  # of the store
+    number: int = 0  # of the lease; 0: none is issued, and what the router holds runs out
+    issuer: str = ""
+    granted: dict[str, int] = {}
     floors: dict[str, int] = {}
-    lease: float = 0.0  # seconds, from when the router asked
-    clear: bool = False  # as in Grant
-    closing: float = 0.0  # seconds within which all over its floor has to be closed once its lease is over
-    again: int = 0  # its run number has to be over this: its files are older than its last run
-    leave: str = ""  # the roll that tells this run to end
-    hard: bool = False  # at once, with what is in hand
-    servers: bool = False  # say the list
-    refused: str = ""  # why it is not admitted
-
-    def grant(self) -> ConnectionLease | None:
-        """None where none is told."""
+    lease_duration: float = 0.0  # seconds, from when the router sent its report
+    predecessors_closed: bool = False  # as in ConnectionLease
+    close_timeout: float = 0.0  # seconds after an expired lease in which all above the floors is to be closed
+    run_number_above: int = 0  # the state file is older than the node's last run: exceed this run number
+    restart_token: str = ""  # of the rolling restart that tells this run to shut down
+    immediate: bool = False  # without waiting for what is in flight
+    wants_servers: bool = False  # the next report is to list the servers
+    rejection: str = ""  # why the node is not admitted
+
+    def lease(self) -> ConnectionLease | None:
+        """The lease that it carries; None where it carries none."""
         if not self.number:
             return None
         return ConnectionLease(
-            self.number, self.mark, dict(self.values), dict(self.floors), self.lease, self.clear
+            self.number,
+            self.issuer,
+            dict(self.granted),
+            dict(self.floors),
+            self.lease_duration,
+            self.predecessors_closed,
         )
--- a/gaugehinge/drains/node_file.py
+++ b/gaugehinge/drains/node_file.py
@@ -1,7 +1,7 @@
-"""A router's own file: by it a node is known over its runs, and one run at a time stands on it.
+"""A router's own state file: it identifies a node over its runs, and admits one run at a time.
 
-A lock beside it is held for the life of the process, also while that stands still: a later run on the same
-file proves that the one before has ended. Written whole or not at all, at the start or from a thread.
+A lock beside it is held for the life of the process, also while that is stopped: a later run on the same file
+proves that the one before has ended. The file is replaced whole or not at all, at the start or from a thread.
 """
 
 from __future__ import annotations
@@ -14,70 +14,80 @@
 
 import msgspec
 from loguru import logger
-from xxhash import xxh3_128_hexdigest
+
+from .checksum import seal, unseal
+
+IDENTITY_BYTES = 8
 
 
 class NodeFileLockedError(OSError):
-    """Another process stands on this file."""
+    """Another process holds this state file."""
 
 
-class NodeState(msgspec.Struct, frozen=True):
-    """What is in it."""
+class NodeState(
+    msgspec.Struct,
+    frozen=True,
+    rename={"admitted_by": "admitted", "restart_token": "rolled", "close_timeout": "closing"},
+):
+    """What the file has."""
 
     ident: str
     run_number: int = 0
-    admitted: str = ""  # the store whose keeper admitted this node; empty: none did
+    admitted_by: str = ""  # incarnation of the store that admitted this node; empty: none did
     floors: dict[str, int] = {}
-    rolled: str = ""  # what told a run to end last
-    closing: float = 0.0  # seconds within which stores close what an earlier run left, as the keeper told
+    restart_token: str = ""  # of the rolling restart that ended a run last
+    close_timeout: float = 0.0  # seconds within which upstreams close what an earlier run left; 0: unknown
 
 
 class NodeFile:
-    """The file of one run."""
+    """The state file, held by one run."""
 
     def __init__(self, path: str) -> None:
-        """Take it, and count this run. Raises NodeFileLockedError. A file that cannot be used makes this
-        another node, which has nothing until a keeper admits it."""
+        """Lock the file and count this run on it.
+
+        A file that cannot be used makes this another node, which has nothing until it is admitted. Raises
+        NodeFileLockedError.
+        """
         self.path = Path(path)
-        self.writes = True
+        self.writable = True
         self._lock = -1
         try:
-            self._lock = os.open(f"{path}.lock", os.O_RDWR | os.O_CREAT, 0o600)
-            try:
-                fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            except BlockingIOError:
-                os.close(self._lock)
-                raise NodeFileLockedError(f"{path}: another process stands on it") from None
+            self._take_lock()
             before = self._read()
-            self.kept = msgspec.structs.replace(before, run_number=before.run_number + 1)
-            self._write(self.kept)
+            self.state = msgspec.structs.replace(before, run_number=before.run_number + 1)
+            self._write(self.state)
         except NodeFileLockedError:
             raise
-        except OSError as bad:
-            logger.warning("drains: {} cannot be used, this is a new node: {}", path, bad)
-            self.kept, self.writes = NodeState(secrets.token_hex(8), 1), False
+        except OSError as error:
+            logger.warning("drains: {} cannot be used, this is a new node: {}", path, error)
+            self.state, self.writable = msgspec.structs.replace(_new_state(), run_number=1), False
+
+    def _take_lock(self) -> None:
+        self._lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT, 0o600)
+        try:
+            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except BlockingIOError:
+            self.close()
+            raise NodeFileLockedError(f"{self.path}: another process stands on it") from None
 
     def _read(self) -> NodeState:
         try:
-            told, _, body = self.path.read_bytes().partition(b"\n")
+            data = self.path.read_bytes()
         except FileNotFoundError:
-            return NodeState(secrets.token_hex(8))
+            return _new_state()
         try:
-            if told.decode("ascii", "replace") != xxh3_128_hexdigest(body):
-                raise ValueError("not whole")
-            return msgspec.json.decode(body, type=NodeState)
-        except (ValueError, msgspec.MsgspecError) as bad:
+            return msgspec.json.decode(unseal(data), type=NodeState)
+        except (ValueError, msgspec.MsgspecError) as error:
             aside = self.path.with_name(f"{self.path.name}.bad")
             self.path.replace(aside)
-            logger.warning("drains: {} set aside as {}, this is a new node: {}", self.path, aside.name, bad)
-            return NodeState(secrets.token_hex(8))
+            logger.warning("drains: {} set aside as {}, this is a new node: {}", self.path, aside.name, error)
+            return _new_state()
 
-    def _write(self, kept: NodeState) -> None:
-        body = msgspec.json.encode(kept)
+    def _write(self, state: NodeState) -> None:
         part = self.path.with_name(self.path.name + ".part")
-        number = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
-        with os.fdopen(number, "wb") as file:
-            file.write(xxh3_128_hexdigest(body).encode() + b"\n" + body)
+        descriptor = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        with os.fdopen(descriptor, "wb") as file:
+            file.write(seal(msgspec.json.encode(state)))
             file.flush()
             os.fsync(file.fileno())
         part.replace(self.path)
@@ -86,20 +96,24 @@
             os.fsync(folder)
         os.close(folder)
 
-    def save(self, kept: NodeState) -> bool:
-        """Whether it stands there now."""
-        if not self.writes:
+    def save(self, state: NodeState) -> bool:
+        """Replace the state; False where it could not be written. Blocks on the disk."""
+        if not self.writable:
             return False
         try:
-            self._write(kept)
-        except OSError as bad:
-            logger.warning("drains: {} not written: {}", self.path, bad)
+            self._write(state)
+        except OSError as error:
+            logger.warning("drains: {} not written: {}", self.path, error)
             return False
-        self.kept = kept
+        self.state = state
         return True
 
     def close(self) -> None:
-        """Let the next run have it."""
+        """Release the lock for the next run."""
         if self._lock >= 0:
             os.close(self._lock)
             self._lock = -1
+
+
+def _new_state() -> NodeState:
+    return NodeState(secrets.token_hex(IDENTITY_BYTES))
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -27,10 +27,10 @@
 from ..tenancy.feed import Feed
 from ..tenancy.lease import DRIFT, SLACK
 from ..terms import Outcome, Presence
+from .clock import boot_clock
 from .connection_counts import DEFAULT_SERVER, ORIGIN, ConnectionCounts
-from .high_water_mark import boot_clock
 from .lease_holder import LeaseHolder
-from .messages import MOST_SERVERS, NAME, ControlPlaneReply, RouterReport, ServerReport
+from .messages import MAX_SERVERS, NAME, ControlPlaneReply, RouterReport, ServerReport
 from .node_file import NodeFile
 
 TICK = 0.1  # seconds between two looks at what is open
@@ -98,10 +98,10 @@
 
     def __post_init__(self) -> None:
         now = self.clock()
-        kept = self.files.kept
-        self.closing = kept.closing or FIRST_CLOSING
+        kept = self.files.state
+        self.closing = kept.close_timeout or FIRST_CLOSING
         from_ = now + self.closing * (1.0 + DRIFT) + SLACK
-        self.holding = LeaseHolder(dict(kept.floors), from_, kept.admitted)
+        self.holding = LeaseHolder(dict(kept.floors), from_, kept.admitted_by)
         self.span_at, self.span_cpu = now, time.process_time()
         self.service.pool.warden = self
         self.service.dispatch.noted = self._noted
@@ -319,7 +319,7 @@
     def report(self) -> bytes | None:
         self.turn += 1
         now = self.asked = self.clock()
-        kept, holding = self.files.kept, self.holding
+        kept, holding = self.files.state, self.holding
         named = {*holding.granted, *holding.floors} - {ORIGIN, DEFAULT_SERVER}
         counted = self._figures(named, lambda store: store.counted)
         need = self._figures(named, lambda store: max(store.peak, store.before))
@@ -338,8 +338,8 @@
             holding.granted_for_report(now),
             counted,
             need,
-            floors if kept.admitted else {},
-            kept.admitted,
+            floors if kept.admitted_by else {},
+            kept.admitted_by,
             holding.closed,
             self.zone,
             self.build,
@@ -352,10 +352,10 @@
             self.busy,
             max(self.used, 0.0),
             self.rate,
-            {uid: self._out(uid) for uid in sorted(drained)[:MOST_SERVERS]},
+            {uid: self._out(uid) for uid in sorted(drained)[:MAX_SERVERS]},
             self._attempts(),
             self._listed() if self.asks_list else [],
-            kept.rolled,
+            kept.restart_token,
         )
         return msgspec.json.encode(said)
 
@@ -385,7 +385,7 @@
             )
             for target in self.follower.overlay.told
             if origin is None or target.listing.ident != origin.ident
-        ][:MOST_SERVERS]
+        ][:MAX_SERVERS]
 
     def hear(self, feed: Feed, asked_at: float) -> None:
         raw = feed.parts.get(NAME)
@@ -395,36 +395,44 @@
             told = msgspec.json.decode(raw, type=ControlPlaneReply)
         except msgspec.MsgspecError as bad:
             raise BadFeed(f"drains: {bad}") from None
-        if told.again >= self.files.kept.run_number:
+        if told.run_number_above >= self.files.state.run_number:
             # Two more, not one: of runs after the last known one nobody knows what they left open.
-            number = told.again + 2
-            logger.warning("drains: the file is of before run {}: this is run {}", told.again, number)
-            kept = msgspec.structs.replace(self.files.kept, run_number=number)
+            number = told.run_number_above + 2
+            logger.warning(
+                "drains: the file is of before run {}: this is run {}", told.run_number_above, number
+            )
+            kept = msgspec.structs.replace(self.files.state, run_number=number)
             if not self.files.save(kept):
-                self.files.kept = kept
+                self.files.state = kept
             return
-        if told.closing:
-            self.closing = told.closing
-        if told.refused != self.said_refused:
-            self.said_refused = told.refused
-            if told.refused:
-                logger.warning("connections: not admitted by the keeper: {}", told.refused)
-        self.asks_list = told.servers
-        grant = told.grant()
+        if told.close_timeout:
+            self.closing = told.close_timeout
+        if told.rejection != self.said_refused:
+            self.said_refused = told.rejection
+            if told.rejection:
+                logger.warning("connections: not admitted by the keeper: {}", told.rejection)
+        self.asks_list = told.wants_servers
+        grant = told.lease()
         if grant is not None and self.holding.accept(grant, self.asked):
-            self.holding.floors, self.holding.admitted_by = dict(grant.floors), told.life
-            kept = self.files.kept
-            if (kept.admitted, kept.floors, kept.closing) != (told.life, grant.floors, self.closing):
-                self._save(admitted=told.life, floors=dict(grant.floors), closing=self.closing)
+            self.holding.floors, self.holding.admitted_by = dict(grant.floors), told.incarnation
+            kept = self.files.state
+            if (kept.admitted_by, kept.floors, kept.close_timeout) != (
+                told.incarnation,
+                grant.floors,
+                self.closing,
+            ):
+                self._save(
+                    admitted_by=told.incarnation, floors=dict(grant.floors), close_timeout=self.closing
+                )
             self.follower.wait = min(self.follower.wait, LEASE_PART * grant.duration)
             self.shed()
-        if told.leave and not self.left:
-            self.left = told.leave
-            self._save(rolled=told.leave)
-            logger.info("told to end by {}: {} operations in hand", told.leave, self._in_hand())
+        if told.restart_token and not self.left:
+            self.left = told.restart_token
+            self._save(restart_token=told.restart_token)
+            logger.info("told to end by {}: {} operations in hand", told.restart_token, self._in_hand())
             self.end()
-        elif told.hard and self.left:
-            logger.warning("told to end at once by {}: {} in hand", told.leave, self._in_hand())
+        elif told.immediate and self.left:
+            logger.warning("told to end at once by {}: {} in hand", told.restart_token, self._in_hand())
             self.service.dispatch.fail_rest()
             self.nursery.cancel_scope.cancel()
 
@@ -441,7 +449,7 @@
     async def _saves(self) -> None:
         try:
             while self.unsaved:
-                kept = msgspec.structs.replace(self.files.kept, **self.unsaved)
+                kept = msgspec.structs.replace(self.files.state, **self.unsaved)
                 self.unsaved = {}
                 await trio.to_thread.run_sync(self.files.save, kept)
         finally:
@@ -476,4 +484,4 @@
                 await self.follower._call()
             except Exception as bad:  # the keeper finds out by the lease, later
                 logger.info("the keeper was not told that all is closed: {}", type(bad).__name__)
-        logger.info("connections closed: {} left, run {}", left, self.files.kept.run_number)
+        logger.info("connections closed: {} left, run {}", left, self.files.state.run_number)
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -56,7 +56,7 @@
 @pytest.fixture(autouse=True)
 def no_last_word(tmp_path):
     yield
-    HighWaterMarkFile.beside(tmp_path / "store.db").forget()
+    HighWaterMarkFile.beside(tmp_path / "store.db").delete()
 
 
 class Desk:
@@ -415,19 +415,29 @@
     first = NodeFile(path)
     with pytest.raises(NodeFileLockedError):
         NodeFile(path)
-    assert first.save(msgspec.structs.replace(first.kept, admitted="life", floors=FLOORS, closing=3.0))
+    assert first.save(
+        msgspec.structs.replace(first.state, admitted_by="life", floors=FLOORS, close_timeout=3.0)
+    )
     first.close()
     second = NodeFile(path)
-    assert (second.kept.ident, second.kept.run_number, second.kept.admitted) == (first.kept.ident, 2, "life")
+    assert (second.state.ident, second.state.run_number, second.state.admitted_by) == (
+        first.state.ident,
+        2,
+        "life",
+    )
     second.close()
     Path(path).write_bytes(Path(path).read_bytes()[:-5])
     third = NodeFile(path)
     assert (
-        third.kept.ident != first.kept.ident and not third.kept.admitted and (tmp_path / "node.bad").exists()
+        third.state.ident != first.state.ident
+        and not third.state.admitted_by
+        and (tmp_path / "node.bad").exists()
     )
     third.close()
     (tmp_path / "a file").write_text("")
-    assert not NodeFile(str(tmp_path / "a file" / "node")).save(third.kept), "a node of its own, kept nowhere"
+    assert not NodeFile(str(tmp_path / "a file" / "node")).save(third.state), (
+        "a node of its own, kept nowhere"
+    )
 
 
 class Peers:
@@ -540,7 +550,11 @@
             await until(lambda: len(all_.ended) == len(attempts))
             assert {outcome for _, outcome in all_.ended} == {Outcome.SETTLED} and all_.peers.most == 2
             said = msgspec.json.decode(all_.part.report(), type=RouterReport)
-            assert said.counted[DEFAULT_SERVER] == 2 and said.need[DEFAULT_SERVER] >= 10 and said.number == 1
+            assert (
+                said.open_connections[DEFAULT_SERVER] == 2
+                and said.demand[DEFAULT_SERVER] >= 10
+                and said.number == 1
+            )
             all_.peers.answers = trio.Event()
             for _ in range(3):
                 all_.send(time_out=0.2)
@@ -562,7 +576,7 @@
             assert len(endpoint.idle) == 1 and not all_.part.may_open(endpoint)
             await trio.sleep(0.05)
             assert (
-                msgspec.json.decode(all_.part.report(), type=RouterReport).counted[DEFAULT_SERVER]
+                msgspec.json.decode(all_.part.report(), type=RouterReport).open_connections[DEFAULT_SERVER]
                 == 3
                 == all_.peers.open
             )
@@ -652,9 +666,9 @@
                 turn + 1,
                 zone,
                 number=got.number,
-                mark=got.mark,
-                holds=got.values,
-                admitted=got.life,
+                issuer=got.issuer,
+                granted=got.granted,
+                admitted_by=got.incarnation,
                 floors=got.floors,
                 **said,
             )
@@ -696,7 +710,7 @@
             assert (await desk.put("/v1/limits/origin", json={"most": 12}, headers=good)).status_code == 200
             assert (await desk.put("/v1/limits/origin", json={"most": 13}, headers=good)).status_code == 412
             for name, zone in (("r-1", "a"), ("r-2", "b")):
-                assert (await follow(all_, name, zone)).values[ORIGIN] >= 1
+                assert (await follow(all_, name, zone)).granted[ORIGIN] >= 1
             nodes = (await desk.get("/v1/grants")).json()["nodes"]
             assert [node["stage"] for node in nodes] == ["granted", "granted"]
             for body, field in (
@@ -718,9 +732,9 @@
             with trio.fail_after(10):
                 while (await desk.get(f"/v1/rolls/{ident}")).json()["out"] == 0:
                     await trio.sleep(0.05)
-            assert (await report(all_, "r-1", 90)).leave == ident and not (
+            assert (await report(all_, "r-1", 90)).restart_token == ident and not (
                 await report(all_, "r-2", 90)
-            ).leave
+            ).restart_token
             paused = await desk.post(f"/v1/rolls/{ident}/pause")
             assert paused.json()["status"] == "paused"
             assert (await desk.post(f"/v1/rolls/{ident}/resume")).json()["status"] in ("queued", "running")
@@ -733,7 +747,9 @@
 
             assert leaving() == ["r-1"], "it was told, whatever became of the roll"
             await until(lambda: not all_.part.orders)
-            assert not (await report(all_, "r-1", 91)).leave and not leaving(), "it has not heard of it"
+            assert not (await report(all_, "r-1", 91)).restart_token and not leaving(), (
+                "it has not heard of it"
+            )
             assert (await desk.post("/v1/nodes/r-1@0123456789abcdef/gone")).status_code == 409
 
     run(scene)
@@ -763,7 +779,7 @@
         older.rename(tmp_path / "store.db")
         async with desk_of(tmp_path) as all_:
             assert "2 nodes were admitted, this store knows of 1" in all_.part.grants.state.suspension_reason
-            assert (await report(all_, "r-3", 1)).refused or (await report(all_, "r-3", 2)).refused
+            assert (await report(all_, "r-3", 1)).rejection or (await report(all_, "r-3", 2)).rejection
             assert (await all_.desk.post("/v1/nodes/confirm")).status_code == 409, "not before it is settled"
 
     run(scene)
@@ -781,7 +797,7 @@
         async with desk_of(tmp_path) as all_:
             assert (await follow(all_, "r-3")).number
             assert (await all_.desk.get("/v1/grants")).json()["settled_in"] == 0
-        HighWaterMarkFile.beside(store).forget()  # the machine was started anew
+        HighWaterMarkFile.beside(store).delete()  # the machine was started anew
         async with desk_of(tmp_path) as all_:
             assert not all_.part.grants.store_is_current and "just started" in (await refusal(all_, "r-4"))
         for name in ("store.db-wal", "store.db-shm"):
@@ -797,8 +813,8 @@
 async def refusal(all_, name):
     for turn in range(1, 50):
         got = await report(all_, name, turn)
-        if got.refused:
-            return got.refused
+        if got.rejection:
+            return got.rejection
         await trio.sleep(0.05)
     raise AssertionError("it was not refused")
 
@@ -809,22 +825,22 @@
     assert in_memory(tmp_path, mounts) and not in_memory(tmp_path / "x", mounts)
     assert HighWaterMarkFile.beside(tmp_path / "s.db", tmp_path / "x").path is None
     word, marks = HighWaterMarkFile(tmp_path / "word"), {7: "aa", 8: "bb"}.get
-    assert not word.of("life", marks, 10.0, 3.0), "there is none"
-    assert word.say("life", 7, marks, True, 10.0)
-    assert word.of("life", marks, 12.9, 3.0) and not word.of("life", marks, 13.0, 3.0)
-    assert not word.of("other", marks, 11.0, 3.0) and not word.of("life", {7: "cc"}.get, 11.0, 3.0)
-    assert not word.of("life", marks, 9.0, 3.0), "of a machine that was up for longer"
-    assert word.say("life", 8, marks, False, 11.0) and not word.of("life", marks, 11.0, 3.0)
-    assert word.say("life", 8, marks, True, 11.0)
+    assert not word.covers("life", marks, 10.0, 3.0), "there is none"
+    assert word.advance("life", 7, marks, True, 10.0)
+    assert word.covers("life", marks, 12.9, 3.0) and not word.covers("life", marks, 13.0, 3.0)
+    assert not word.covers("other", marks, 11.0, 3.0) and not word.covers("life", {7: "cc"}.get, 11.0, 3.0)
+    assert not word.covers("life", marks, 9.0, 3.0), "of a machine that was up for longer"
+    assert word.advance("life", 8, marks, False, 11.0) and not word.covers("life", marks, 11.0, 3.0)
+    assert word.advance("life", 8, marks, True, 11.0)
     whole = word.path.read_bytes()
     for torn in (whole[:40], whole.replace(b"bb", b"aa"), b""):
         word.path.write_bytes(torn)
-        assert not word.of("life", marks, 11.0, 3.0)
+        assert not word.covers("life", marks, 11.0, 3.0)
     word.path.unlink()
     word.path.mkdir()  # it can neither be written nor taken away
-    assert not word.say("life", 9, {9: "dd"}.get, True, 12.0)
+    assert not word.advance("life", 9, {9: "dd"}.get, True, 12.0)
     word.path.rmdir()
-    assert word.say("life", 9, {9: "dd"}.get, True, 12.0)
+    assert word.advance("life", 9, {9: "dd"}.get, True, 12.0)
 
 
 def test_an_empty_store_that_is_not_said_to_be_a_first_start_admits_nobody(tmp_path):
