--- a/gaugehinge/cli/keep_command.py
+++ b/gaugehinge/cli/keep_command.py
@@ -30,7 +30,7 @@
 
         parts.append(placing(told))
     if told.drains.on:
-        from ..drains.controller import control_plane_part
+        from ..drains.part import control_plane_part
 
         parts.append(control_plane_part(told))
     try:
--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -1,476 +1,55 @@
-"""Limits, grants and rolls over HTTP: rows for the table of `admin.app.Api`."""
+"""Limits, leases and rolling restarts over HTTP: rows for the table of `admin.app.Api`."""
 
 from __future__ import annotations
 
-import hashlib
-from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING, Annotated, Any
+from typing import Any
 
-import msgspec
-from msgspec import Meta
-from starlette.requests import Request
-from starlette.responses import Response
-
-from ..admin.app import MOST_KEY, answer, if_match, read
-from ..admin.service import Caller, Wrong
-from ..store.store import Store, Wanted, encode
-from .connection_counts import ConnectionCounts, count_for, undersized_limit
-from .restart_actions import cancel, pause, resume, roll_back
-from .restart_order import InvalidOrderError, RestartOrder, select_nodes
-from .restart_records import RestartStep, RollingRestart
-from .restart_types import FINAL_STATUSES, MAX_RESTARTS, UNAVAILABLE_STAGES, StepStage
-
-if TYPE_CHECKING:
-    from .controller import DrainsController
-
-LIMIT, NODE, ROLL, STEP = "drains-limit", "drains-node", "drains-roll", "drains-step"
-MOST_NAME = 200
-
-
-class LimitUpdate(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How many connections a store bears."""
-
-    most: Annotated[int, Meta(ge=1, le=10**6)]
-
-
-class LimitView(msgspec.Struct, frozen=True):
-    """A limit and what of it is held at worst."""
-
-    store: str  # `origin`, `servers` (each that is not named), or a server's name
-    most: int
-    held: int  # connections that nodes may have open at worst, those that are not known among them
-    least: int  # that it can be lowered to
-    reached: bool  # `held` is certainly within `most`
-    revision: int
-
-
-class LimitPage(msgspec.Struct, frozen=True):
-    """All limits."""
-
-    limits: list[LimitView]
-
-
-class NodeView(msgspec.Struct, frozen=True):
-    """A node that may exist, and its grant."""
-
-    node: str
-    run: str
-    number: int
-    values: dict[str, int]  # granted; empty: it is at its floor
-    held: dict[str, int]  # that it may have open at worst
-    counted: dict[str, int]  # open, as it said last
-    need: dict[str, int]
-    heard: float  # seconds ago; -1: not by this run of the keeper
-    stage: str  # `granted`, `silent`, `lost` (at its floor for certain), `closed`, `leaving`
-
-
-class LeasePage(msgspec.Struct, frozen=True):
-    """All grants."""
-
-    nodes: list[NodeView]
-    most_nodes: int
-    refused: dict[str, str]  # nodes that are not admitted, and why
-    doubt: str  # why nobody new is admitted; empty: no reason
-    settled_in: float  # seconds until grants may be raised after this keeper's start
-
-
-class StepView(msgspec.Struct, frozen=True):
-    """A node of a roll."""
-
-    node: str
-    stage: str
-    why: str = ""
-
-
-class RestartView(msgspec.Struct, frozen=True):
-    """A roll as it stands."""
-
-    id: str
-    status: str
-    order: RestartOrder
-    nodes: int
-    waiting: int
-    out: int
-    done: int
-    skipped: int
-    back: bool
-    why: str
-    by: str
-    at: float
-    revision: int
-    steps: list[StepView] = []  # of one roll alone
-
-
-class RestartPage(msgspec.Struct, frozen=True):
-    """Rolls, newest last."""
-
-    rolls: list[RestartView]
-
-
-class ChangeResult(msgspec.Struct, frozen=True):
-    """What was changed."""
-
-    detail: str
+from .api_types import ChangeResult, LeasePage, LimitPage, LimitUpdate, LimitView, RestartPage, RestartView
+from .controller import DrainsController
+from .leases_api import LeasesApi
+from .limits_api import LimitsApi
+from .restart_order import RestartOrder
+from .restarts_api import RestartsApi
 
 
 class DrainsApi:
-    """The calls."""
+    """All calls of this subsystem."""
 
-    def __init__(self, part: DrainsController) -> None:
-        self.part = part
-        self.administration = part.administration
+    def __init__(self, controller: DrainsController) -> None:
+        """Handlers for one controller."""
+        self.limits = LimitsApi(controller)
+        self.leases = LeasesApi(controller)
+        self.restarts = RestartsApi(controller)
 
     def routes(self) -> list[tuple[str, str, str, Any, Any, Any]]:
-        """method, path, what, form in, form out, handler."""
+        """Method, path, summary, request body, response body, handler."""
+        limits, leases, restarts = self.limits, self.leases, self.restarts
         return [
-            ("GET", "/v1/limits", "limits on connections", None, LimitPage, self.limits),
-            ("GET", "/v1/limits/{store}", "one limit", None, LimitView, self.limit),
-            ("PUT", "/v1/limits/{store}", "change a limit", LimitUpdate, LimitView, self.put_limit),
-            ("GET", "/v1/grants", "who may have how many open", None, LeasePage, self.grants),
-            ("POST", "/v1/nodes/{node}/gone", "a node that is no more", None, ChangeResult, self.gone),
-            ("POST", "/v1/nodes/confirm", "all nodes there are, are known", None, ChangeResult, self.confirm),
-            ("GET", "/v1/rolls", "rolls that stand or stood", None, RestartPage, self.rolls),
-            ("POST", "/v1/rolls", "roll nodes", RestartOrder, RestartView, self.new_roll),
-            ("GET", "/v1/rolls/{id}", "one roll", None, RestartView, self.roll),
-            ("POST", "/v1/rolls/{id}/pause", "tell nobody more", None, RestartView, self.pause),
-            ("POST", "/v1/rolls/{id}/resume", "go on", None, RestartView, self.resume),
-            ("POST", "/v1/rolls/{id}/cancel", "end it as it stands", None, RestartView, self.cancel),
-            ("POST", "/v1/rolls/{id}/back", "take back what was done", None, RestartView, self.back),
-        ]
-
-    # -- limits
-
-    def _limits(self, store: Store) -> list[LimitView]:
-        part = self.part
-        part.note(store)
-        with part.lock:
-            grants, now = part.grants, part.clock()
-            slots = [slot for _, slot in part.slots(store).values()]
-            found = []
-            for item in store.items(LIMIT, most=100_000):
-                most = msgspec.json.decode(item.body, type=LimitUpdate).most
-                found.append(
-                    LimitView(
-                        item.ident,
-                        most,
-                        grants.total_worst_case(slots, item.ident),
-                        max(grants.max_nodes * count_for(grants.floors, item.ident), 1),
-                        grants.limit_enforced(slots, item.ident, most, now),
-                        item.rev,
-                    )
-                )
-            return found
-
-    async def limits(self, request: Request, caller: Caller) -> Response:
-        """GET /v1/limits."""
-        caller.need("reader")
-        return answer(LimitPage(await self.administration.keeper.call(self._limits, self._store)))
-
-    @property
-    def _store(self) -> Store:
-        return self.administration.keeper.store
-
-    async def limit(self, request: Request, caller: Caller) -> Response:
-        """GET /v1/limits/{store}."""
-        caller.need("reader")
-        return await self._limit(request.path_params["store"])
-
-    async def _limit(self, name: str) -> Response:
-        found = await self.administration.keeper.call(self._limits, self._store)
-        shown = next((each for each in found if each.store == name), None)
-        if shown is None:
-            raise Wrong(404, "not found", f"no limit for {name}")
-        return answer(shown, etag=shown.revision)
-
-    async def put_limit(self, request: Request, caller: Caller) -> Response:
-        """PUT /v1/limits/{store}: for the revision that was read; 0 names a server for the first time."""
-        caller.need("operator")
-        name = request.path_params["store"]
-        told, _ = await read(request, LimitUpdate)
-        expect = if_match(request)
-        if not 0 < len(name) <= MOST_NAME:
-            raise Wrong(422, "invalid", f"1 to {MOST_NAME} characters", "store")
-        grants = self.part.grants
-        small = undersized_limit({name: told.most}, grants.floors, grants.max_nodes)
-        if small is not None:
-            why = f"{told.most} is under {small.least}, the floors of {grants.max_nodes} nodes"
-            raise Wrong(422, "invalid", why, "most")
-
-        def plan(store: Store, now: float) -> list[Wanted]:
-            held = store.get(LIMIT, name)
-            at = held.rev if held else 0
-            if at != expect:
-                raise Wrong(412, "precondition failed", f"it is at revision {at}", etag=at)
-            if held is None and len(store.items(LIMIT)) >= 64:
-                raise Wrong(409, "conflict", "64 limits are named", "store")
-            return [Wanted(LIMIT, name, encode(told), at)]
-
-        await self.administration._change(plan, caller.name)
-        self.part.news.set()
-        return await self._limit(name)
-
-    # -- grants and nodes
-
-    async def grants(self, request: Request, caller: Caller) -> Response:
-        """GET /v1/grants."""
-        caller.need("reader")
-        return answer(await self.administration.keeper.call(self._grants, self._store))
-
-    def _grants(self, store: Store) -> LeasePage:
-        part = self.part
-        with part.lock:
-            grants, now = part.grants, part.clock()
-            limits = part.limits(store)
-            nodes = []
-            for node, (_, slot) in sorted(part.slots(store).items()):
-                word, heard = grants.reports.get(node), grants.last_heard.get(node)
-                last = part.lasts.get(node)
-                stage = "granted"
-                if slot.closed:
-                    stage = "closed"
-                elif grants.has_expired(node, now):
-                    stage = "lost"
-                elif not grants.is_live(node, now):
-                    stage = "silent"
-                elif last is not None and last.said.draining:
-                    stage = "leaving"
-                held: ConnectionCounts = {store: slot.worst_case(store) for store in limits}
-                nodes.append(
-                    NodeView(
-                        node,
-                        slot.run,
-                        slot.number,
-                        slot.granted,
-                        held,
-                        word.open_connections if word else {},
-                        word.demand if word else {},
-                        round(now - heard, 3) if heard is not None else -1.0,
-                        stage,
-                    )
-                )
-            settled = max(grants.former_leases_end - now, 0.0)
-            if grants.may_raise(now) and not grants.state.suspension_reason:
-                settled = 0.0
-            return LeasePage(
-                nodes,
-                grants.max_nodes,
-                dict(grants.rejected),
-                grants.state.suspension_reason,
-                round(settled, 3),
-            )
-
-    async def gone(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/nodes/{node}/gone: its machine and its files are no more. It has to be lost already."""
-        caller.need("operator")
-        node = request.path_params["node"]
-        part = self.part
-
-        def plan(store: Store, now: float) -> list[Wanted]:
-            item = store.get(NODE, node)
-            if item is None:
-                raise Wrong(404, "not found", f"no node {node}")
-            with part.lock:
-                if not part.grants.has_expired(node, part.clock()):
-                    why = "it was heard of too lately: its connections may be open"
-                    raise Wrong(409, "conflict", why, "node")
-            return [Wanted(NODE, node, None, item.rev)]
-
-        await self.administration._change(plan, caller.name)
-        with part.lock:
-            part.grants.forget_node(node)
-            part.lasts.pop(node, None)
-        part.news.set()
-        return answer(ChangeResult(f"{node} is no more: its floor is free"))
-
-    async def confirm(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/nodes/confirm: every node that exists is known, so new ones may be admitted again."""
-        caller.need("operator")
-        part = self.part
-
-        def plan(store: Store, now: float) -> list[Wanted]:
-            with part.lock:
-                grants = part.grants
-                if part.clock() < grants.former_leases_end:
-                    why = "this keeper has just started: nodes may come that it does not know"
-                    raise Wrong(409, "conflict", why)
-                grants.state = msgspec.structs.replace(grants.state, suspension_reason="")
-                item = store.get("drains-ground", "ground")
-                body = encode(grants.state)
-                return (
-                    []
-                    if item and item.body == body
-                    else [Wanted("drains-ground", "ground", body, item.rev if item else 0)]
-                )
-
-        await self.administration._change(plan, caller.name)
-        part.news.set()
-        return answer(ChangeResult("new nodes are admitted"))
-
-    # -- rolls
-
-    async def rolls(self, request: Request, caller: Caller) -> Response:
-        """GET /v1/rolls."""
-        caller.need("reader")
-        rolls, steps, _ = await self.administration.keeper.call(self.part.standing, self._store)
-        rows = sorted(rolls.values(), key=lambda row: row[1].number)
-        return answer(RestartPage([view_of(roll, steps[roll.ident], rev) for rev, roll in rows]))
-
-    async def roll(self, request: Request, caller: Caller) -> Response:
-        """GET /v1/rolls/{id}."""
-        caller.need("reader")
-        return await self._roll(request.path_params["id"])
-
-    async def _roll(self, ident: str) -> Response:
-        found = await self.administration.keeper.call(self._one, self._store, ident)
-        return answer(found, etag=found.revision)
-
-    def _one(self, store: Store, ident: str) -> RestartView:
-        rolls, steps, _ = self.part.standing(store)
-        if ident not in rolls:
-            raise Wrong(404, "not found", f"no roll {ident}")
-        rev, roll = rolls[ident]
-        return view_of(roll, steps[ident], rev, True)
-
-    async def new_roll(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/rolls."""
-        caller.need("operator")
-        order, body = await read(request, RestartOrder)
-        part = self.part
-        made: list[str] = []
-
-        def plan(store: Store, now: float) -> list[Wanted]:
-            with part.lock:
-                facts = part.facts(store, part.clock())[order.kind]
-            try:
-                names = select_nodes(order, facts.values())
-            except InvalidOrderError as bad:
-                raise Wrong(422, "invalid", str(bad), bad.field) from None
-            rolls, steps, revisions = part.standing(store)
-            number = max((roll.number for _, roll in rolls.values()), default=0) + 1
-            ident = f"roll-{number:06d}-{self.administration.run_mark[:4]}"  # of a lost store's no name again
-            roll = RollingRestart(ident, number, order, created_by=caller.name, created_at=now)
-            made[:] = [roll.ident]
-            wanted = [Wanted(ROLL, roll.ident, encode(roll), 0)]
-            for place, name in enumerate(names):
-                wanted.append(Wanted(STEP, f"{roll.ident}/{name}", encode(RestartStep(name, place)), 0))
-            return wanted + _room(rolls, steps, revisions)
-
-        async def make(**key: Any) -> Response:
-            await self.administration._change(plan, caller.name, **key)
-            part.news.set()
-            found = await self.administration.keeper.call(self._one, self._store, made[0])
-            return answer(found, 201, found.revision, Location=f"/v1/rolls/{found.id}")
-
-        return await self._once(request, caller, body, make, made)
-
-    async def _once(
-        self,
-        request: Request,
-        caller: Caller,
-        body: bytes,
-        make: Callable[..., Awaitable[Response]],
-        made: list[str],
-    ) -> Response:
-        """A call with an idempotency key is made once; its repeat is shown what it made."""
-        key = request.headers.get("idempotency-key", "")
-        if len(key) > MOST_KEY:
-            raise Wrong(422, "invalid", f"over {MOST_KEY} characters", "Idempotency-Key")
-        if not key:
-            return await make()
-        print_ = hashlib.sha256(f"POST {request.url.path}\n".encode() + body).digest()
-        keeper = self.administration.keeper
-        held = await keeper.call(keeper.store.answered, caller.name, key)
-        if held is None:
-            return await make(key=key, request=print_, answer=lambda rows: made[0].encode())
-        if held[0] != print_:
-            raise Wrong(422, "invalid", "another call had this key", "Idempotency-Key")
-        return await self._roll(held[1].decode())
-
-    async def pause(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/rolls/{id}/pause."""
-        return await self._tell(request, caller, pause)
-
-    async def resume(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/rolls/{id}/resume."""
-        return await self._tell(request, caller, resume)
-
-    async def cancel(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/rolls/{id}/cancel."""
-        return await self._tell(request, caller, cancel)
-
-    async def back(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/rolls/{id}/back."""
-        return await self._tell(request, caller, roll_back)
-
-    async def _tell(
-        self,
-        request: Request,
-        caller: Caller,
-        alter: Callable[
-            [RollingRestart, list[RestartStep]], tuple[RollingRestart, list[RestartStep], list[str]]
-        ],
-    ) -> Response:
-        caller.need("operator")
-        ident = request.path_params["id"]
-        part = self.part
-
-        def plan(store: Store, now: float) -> list[Wanted]:
-            rolls, steps, revisions = part.standing(store)
-            if ident not in rolls:
-                raise Wrong(404, "not found", f"no roll {ident}")
-            before = rolls[ident][1]
-            try:
-                after, changed, restore = alter(before, steps[ident])
-            except InvalidOrderError as bad:
-                raise Wrong(409, "conflict", str(bad), bad.field) from None
-            altered = {ident: after} if after != before else {}
-            return part.write(store, rolls, revisions, altered, {ident: changed}, [], restore)
-
-        await self.administration._change(plan, caller.name)
-        part.news.set()
-        return await self._roll(ident)
-
-
-def _room(
-    rolls: dict[str, tuple[int, RollingRestart]],
-    steps: dict[str, list[RestartStep]],
-    revisions: dict[str, int],
-) -> list[Wanted]:
-    """Room for one more: the oldest that ended go. Raises Wrong where none has."""
-    ended = sorted(
-        (roll.number, ident, rev) for ident, (rev, roll) in rolls.items() if roll.status in FINAL_STATUSES
-    )
-    over = len(rolls) + 1 - MAX_RESTARTS
-    if over > len(ended):
-        raise Wrong(409, "conflict", f"{MAX_RESTARTS} rolls stand")
-    gone: list[Wanted] = []
-    for _, ident, rev in ended[: max(over, 0)]:
-        gone.append(Wanted(ROLL, ident, None, rev))
-        gone += [
-            Wanted(STEP, f"{ident}/{step.node}", None, revisions[f"{ident}/{step.node}"])
-            for step in steps[ident]
+            ("GET", "/v1/limits", "limits on connections", None, LimitPage, limits.list_limits),
+            ("GET", "/v1/limits/{store}", "one limit", None, LimitView, limits.get_limit),
+            ("PUT", "/v1/limits/{store}", "change a limit", LimitUpdate, LimitView, limits.put_limit),
+            ("GET", "/v1/grants", "who may have how many open", None, LeasePage, leases.list_leases),
+            (
+                "POST",
+                "/v1/nodes/{node}/gone",
+                "a node that is no more",
+                None,
+                ChangeResult,
+                leases.remove_node,
+            ),
+            (
+                "POST",
+                "/v1/nodes/confirm",
+                "all nodes there are, are known",
+                None,
+                ChangeResult,
+                leases.confirm,
+            ),
+            ("GET", "/v1/rolls", "rolls that stand or stood", None, RestartPage, restarts.list_restarts),
+            ("POST", "/v1/rolls", "roll nodes", RestartOrder, RestartView, restarts.create),
+            ("GET", "/v1/rolls/{id}", "one roll", None, RestartView, restarts.get_restart),
+            ("POST", "/v1/rolls/{id}/pause", "tell nobody more", None, RestartView, restarts.pause),
+            ("POST", "/v1/rolls/{id}/resume", "go on", None, RestartView, restarts.resume),
+            ("POST", "/v1/rolls/{id}/cancel", "end it as it stands", None, RestartView, restarts.cancel),
+            ("POST", "/v1/rolls/{id}/back", "take back what was done", None, RestartView, restarts.roll_back),
         ]
-    return gone
-
-
-def view_of(
-    roll: RollingRestart, steps: list[RestartStep], revision: int, whole: bool = False
-) -> RestartView:
-    """A roll as the API shows it."""
-    stages = [step.stage for step in steps]
-    return RestartView(
-        roll.ident,
-        roll.status,
-        roll.order,
-        len(steps),
-        stages.count(StepStage.WAITING),
-        sum(stage in UNAVAILABLE_STAGES for stage in stages),
-        stages.count(StepStage.DONE),
-        stages.count(StepStage.SKIPPED),
-        roll.reverting,
-        roll.reason,
-        roll.created_by,
-        roll.created_at,
-        revision,
-        [StepView(step.node, step.stage, step.reason) for step in steps] if whole else [],
-    )
--- a/gaugehinge/drains/build.py
+++ b/gaugehinge/drains/build.py
@@ -1,4 +1,4 @@
-"""The installation file's `drains` to a part of a router that follows. The keeper's is made in keeper.py."""
+"""The router's side of the subsystem, by the installation file."""
 
 from __future__ import annotations
 
@@ -13,16 +13,19 @@
 from .router import DrainsAgent
 
 
-def drains_extension(told: Installation) -> Callable[[Service, trio.Nursery, Follower], DrainsAgent]:
-    """What adds the part to a follower; this run is counted on its file now. Raises NodeFileLockedError."""
-    entry = told.drains
+def drains_extension(settings: Installation) -> Callable[[Service, trio.Nursery, Follower], DrainsAgent]:
+    """What adds the part to a router's follower; this run is counted on its state file now.
+
+    Raises NodeFileLockedError.
+    """
+    entry = settings.drains
     files = NodeFile(entry.file)
 
     def extend(service: Service, nursery: trio.Nursery, follower: Follower) -> DrainsAgent:
-        part = DrainsAgent(service, follower, files, nursery, told.tier.zone, entry.build, entry.labels)
-        follower.parts.append(part)
-        nursery.start_soon(part.run)
-        return part
+        agent = DrainsAgent(service, follower, files, nursery, settings.tier.zone, entry.build, entry.labels)
+        follower.parts.append(agent)
+        nursery.start_soon(agent.run)
+        return agent
 
     return extend
 
--- a/gaugehinge/drains/controller.py
+++ b/gaugehinge/drains/controller.py
@@ -1,662 +1,164 @@
-"""Drains at the keeper: grants and rolls planned on its store, told with the feed, asked for by the API.
-
-Grants are decided, written and told on the store's thread alone: no plan comes between the reading of a grant
-and the note that its lease runs.
-"""
+"""Connection leases and rolling restarts at the control plane: reports in, answers out, and the plan loop."""
 
 from __future__ import annotations
 
-import json
-import os
-import time
-from collections.abc import Callable
 from dataclasses import dataclass, field
-from threading import Lock
-from typing import Any
 
 import msgspec
 import trio
 from loguru import logger
 
-from ..admin.keep import KeepDrains, KeepFile
-from ..admin.service import SERVER, TENANT, Administration, Wrong
+from ..admin.service import Wrong
 from ..store.keeper import Overloaded
-from ..store.store import Conflict, Full, Store, Wanted, encode
+from ..store.store import Conflict, Full, Store
 from ..tenancy.feed import Report
-from .api import DrainsApi
-from .clock import boot_clock
-from .connection_counts import DEFAULT_SERVER, ORIGIN, ConnectionCounts, count_for
-from .high_water_mark import HighWaterMarkFile
-from .lease_manager import LeaseManager
-from .lease_types import DurableState, NodeRecord
-from .messages import NAME, ControlPlaneReply, RouterReport, ServerReport
-from .restart_order import MAX_NODES
-from .restart_planner import RestartPlanner
-from .restart_records import RestartStep, RollingRestart
-from .restart_types import FINAL_STATUSES, NodeStatus, RestartStatus, StepStage
-
-LIMIT, NODE, GROUND, ROLL, STEP = (
-    "drains-limit",
-    "drains-node",
-    "drains-ground",
-    "drains-roll",
-    "drains-step",
-)
-TICK = 1.0  # seconds between two plans with no news
-LEAST_GAP = 0.1  # and at least between two with
-MOST_ITEMS = 100_000  # of a kind that are read: more than there are
-LIST_OLD = 2.0  # seconds after which a router is asked for the list of servers again
-TENANTS_OLD = 10.0  # after which allowances are read again
-WITNESSES = 2  # routers asked for the list
-
-
-class ConnectionLimit(msgspec.Struct, frozen=True):
-    """A limit, as the store has it."""
-
-    most: int
-
-
-@dataclass(slots=True, frozen=True)
-class LatestReport:
-    """What one node said last."""
+from .connection_counts import ORIGIN, count_for
+from .lease_service import LeaseService
+from .lease_types import ConnectionLease, NodeRecord, NodeReport
+from .messages import NAME, ControlPlaneReply, RouterReport
+from .repository import NODE
+from .restart_service import RestartService
 
-    said: RouterReport
-    router: str
-    run: str
-    since: int  # the store's revision that it follows
-    at: float
-
-
-@dataclass(slots=True)
-class KnownServer:
-    """A server as routers said it last."""
-
-    said: ServerReport
-    since: float  # of this start of it, as this keeper saw it
-    at: float
-
-
-def step_ident(roll: str, node: str) -> str:
-    """Under which a step stands in the store."""
-    return f"{roll}/{node}"
+PLAN_INTERVAL = 1.0  # seconds between two plans where nothing is reported
+MIN_PLAN_INTERVAL = 0.1  # and at least between two
+START_RETRY_INTERVAL = 1.0  # seconds
 
 
 @dataclass(slots=True, eq=False)
 class DrainsController:
-    """`admin.service.Part`. Nodes leave its tables as they leave those of `Grants`; servers with the list."""
-
-    administration: Administration
-    told: KeepDrains
-    clock: Callable[[], float] = time.monotonic
-    name: str = NAME
-    grants: LeaseManager = field(init=False)
-    rolls: RestartPlanner = field(default_factory=RestartPlanner)
-    lasts: dict[str, LatestReport] = field(default_factory=dict)  # by node
-    servers: dict[str, KnownServer] = field(default_factory=dict)
-    servers_at: float = float("-inf")
-    counts: dict[str, tuple[str, int, int]] = field(default_factory=dict)  # run, settled and lost, by node
-    settled: int = 0  # since the last plan
-    lost: int = 0
-    ready: bool = False
-    news: trio.Event = field(default_factory=trio.Event)
-    lock: Lock = field(default_factory=Lock)  # words come on the event loop, plans on the store's thread
-    regions: dict[str, str] = field(default_factory=dict)  # by zone, where regions are named
-    worst: float = 0.0  # connections to the origin that tenants would use by their allowances
-    worst_at: float = float("-inf")
-    orders: dict[str, tuple[str, str, bool]] = field(default_factory=dict)  # by router: roll, run, at once
-    sent_out: dict[str, str] = field(default_factory=dict)  # runs told to end, by node, until they say more
-    moved: dict[str, str] = field(default_factory=dict)  # modes that the log told last
-    last_word: HighWaterMarkFile = field(init=False)
+    """One run of the control plane's part."""
 
-    def __post_init__(self) -> None:
-        told = self.told
-        floors = {ORIGIN: told.floor_origin, DEFAULT_SERVER: told.floor_servers}
-        desk = self.administration
-        self.grants = LeaseManager(
-            self.clock(),
-            desk.lease,
-            float(told.closing),
-            told.most_nodes,
-            floors,
-            told.reserve,
-            desk.run_mark,
-            desk.life,
-            DurableState(),
-        )
-        self.last_word = HighWaterMarkFile.beside(desk.keeper.path)
+    leases: LeaseService
+    restarts: RestartService
+    ready: bool = False  # it has started: leases may be issued
+    wake: trio.Event = field(default_factory=trio.Event)  # plan before the interval is over
 
-    # -- what routers say
+    # -- reports
 
-    def hear(self, report: Report, now: float) -> None:
-        """`admin.service.Part`. Raises Wrong where its part makes no sense."""
+    def on_report(self, report: Report, now: float) -> None:
+        """Take a router's report. Raises Wrong where its part is malformed or of another router."""
         raw = report.parts.get(NAME)
         if raw is None:
             return
-        try:
-            said = msgspec.json.decode(raw, type=RouterReport)
-        except msgspec.MsgspecError as bad:
-            raise Wrong(422, "invalid", str(bad), f"parts.{NAME}") from None
-        if said.node.rpartition("@")[0] != report.router:
-            raise Wrong(422, "invalid", "not this router's", f"parts.{NAME}.node")
-        with self.lock:
-            known = self.grants.reports.get(said.node)
-            if not self.grants.on_report(said.node_report(report.run), now):
+        router_report = _decode(raw, report.router)
+        leases = self.leases
+        with leases.lock:
+            known = leases.manager.reports.get(router_report.node)
+            if not leases.manager.on_report(router_report.node_report(report.run), now):
                 return
-            self.sent_out.pop(said.node, None)
-            self.lasts[said.node] = LatestReport(said, report.router, report.run, report.since, now)
-            self._count(said, report.run)
-            if said.servers:
-                self._list(said.servers, now)
-            values = count_for(known.granted, ORIGIN) if known is not None else 0
-            if (
-                known is None
-                or known.run != report.run
-                or known.number != said.number
-                or said.closed
-                or said.open_connections.get(ORIGIN, 0) < known.open_connections.get(ORIGIN, 0)
-                or count_for(said.demand, ORIGIN) > values
-            ):
-                self.news.set()
+            leases.fleet.record(router_report, report, now)
+            if _is_urgent(known, router_report, report.run):
+                self.request_plan()
 
-    def _count(self, said: RouterReport, run: str) -> None:
-        before = self.counts.get(said.node)
-        if before is not None and before[0] == run:
-            self.settled += max(said.succeeded - before[1], 0)
-            self.lost += max(said.lost - before[2], 0)
-        self.counts[said.node] = run, said.succeeded, said.lost
+    def request_plan(self) -> None:
+        """Plan without waiting for the interval. On the event loop."""
+        self.wake.set()
 
-    def _list(self, servers: list[ServerReport], now: float) -> None:
-        for each in servers:
-            seen = self.servers.get(each.uid)
-            if seen is None or seen.said.started_at != each.started_at:
-                self.servers[each.uid] = KnownServer(each, now, now)
-            else:
-                seen.said, seen.at = each, now
-        self.servers_at = now
-        for uid in [uid for uid, seen in self.servers.items() if now - seen.at > 60.0]:
-            del self.servers[uid]  # gone from the list for good, as far as routers say
+    # -- answers
 
-    # -- what they are told
-
-    def feed(self, store: Store, report: Report) -> bytes | None:
-        """`admin.service.Part`."""
+    def reply(self, store: Store, report: Report) -> bytes | None:
+        """On the store's thread: the part of the answer to a report, in JSON; None: nothing may be issued."""
         raw = report.parts.get(NAME)
         if raw is None or not self.ready:
             return None
-        said = msgspec.json.decode(raw, type=RouterReport)
-        life = self.administration.life
-        if not self.note(store):
+        router_report = msgspec.json.decode(raw, type=RouterReport)
+        if not self.leases.advance_mark(store):
             return None
-        item = store.get(NODE, said.node)
-        slot = msgspec.json.decode(item.body, type=NodeRecord) if item is not None else None
-        with self.lock:
-            now = self.clock()
-            word = self.grants.reports.get(said.node)
-            if slot is not None and slot.run != report.run and said.run_number <= slot.run_number:
-                return msgspec.json.encode(ControlPlaneReply(life, run_number_above=slot.run_number))
-            if word is None or word.run != report.run:
-                return msgspec.json.encode(ControlPlaneReply(life))
-            grant = self.grants.issue(slot, word, now) if slot is not None else None
-            roll, run, hard = self.orders.get(report.router, ("", "", False))
-            leave = roll if run == report.run else ""
-            if leave:
-                self.sent_out[said.node] = report.run
-            told = ControlPlaneReply(
-                life,
-                close_timeout=self.grants.close_timeout,
-                restart_token=leave,
-                immediate=hard and bool(leave),
-                wants_servers=self._asks_list(said.node, now),
-                rejection=self.grants.rejected.get(said.node, ""),
-            )
-        if grant is not None:
-            told = msgspec.structs.replace(
-                told,
-                number=grant.number,
-                issuer=grant.issuer,
-                granted=grant.granted,
-                floors=grant.floors,
-                lease_duration=grant.duration,
-                predecessors_closed=grant.predecessors_closed,
-            )
-        return msgspec.json.encode(told)
-
-    def note(self, store: Store) -> bool:
-        """On the store's thread, before anything is told by it: up to where it is told by. False: that could
-        not be said, and nothing may be told."""
-        with self.lock:
-            good = self.grants.may_raise(self.clock())
-        return self.last_word.advance(self.administration.life, store.rev, store.mark, good, boot_clock())
-
-    def _asks_list(self, node: str, now: float) -> bool:
-        if now - self.servers_at < LIST_OLD:
-            return False
-        heard = sorted(
-            each for each, last in self.lasts.items() if now - last.at < self.grants.lease_duration
+        item = store.get(NODE, router_report.node)
+        record = msgspec.json.decode(item.body, type=NodeRecord) if item is not None else None
+        return msgspec.json.encode(self._reply(record, router_report, report))
+
+    def _reply(
+        self, record: NodeRecord | None, router_report: RouterReport, report: Report
+    ) -> ControlPlaneReply:
+        incarnation, manager = self.leases.administration.life, self.leases.manager
+        with self.leases.lock:
+            now = self.leases.clock()
+            known = manager.reports.get(router_report.node)
+            if record is not None and _is_outdated(record, router_report, report.run):
+                return ControlPlaneReply(incarnation, run_number_above=record.run_number)
+            if known is None or known.run != report.run:
+                return ControlPlaneReply(incarnation)
+            lease = manager.issue(record, known, now) if record is not None else None
+            reply = self._with_orders(router_report, report, now)
+        return reply if lease is None else _with_lease(reply, lease)
+
+    def _with_orders(self, router_report: RouterReport, report: Report, now: float) -> ControlPlaneReply:
+        """An answer without a lease: what the router is told to do."""
+        fleet, manager = self.leases.fleet, self.leases.manager
+        order = fleet.shutdown_orders.get(report.router)
+        if order is not None and order.run != report.run:
+            order = None
+        if order is not None:
+            fleet.notified_runs[router_report.node] = report.run
+        return ControlPlaneReply(
+            self.leases.administration.life,
+            close_timeout=manager.close_timeout,
+            restart_token=order.restart_token if order is not None else "",
+            immediate=order is not None and order.immediate,
+            wants_servers=fleet.needs_servers_from(router_report.node, now),
+            rejection=manager.rejected.get(router_report.node, ""),
         )
-        return node in heard[:WITNESSES]
 
-    # -- by itself
+    # -- the plan loop
 
     async def run(self) -> None:
         """Plan until cancelled."""
-        while not self.ready:
-            try:
-                await self._begin()
-            except (Conflict, Full, Overloaded, OSError) as bad:
-                # Started on a full disk: its end would take the leases of all routers with it, and with
-                # them service.
-                logger.warning("drains not begun: {}", bad)
-                await trio.sleep(TICK)
+        await self._start()
         while True:
-            with trio.move_on_after(TICK):
-                await self.news.wait()
-            self.news = trio.Event()
+            with trio.move_on_after(PLAN_INTERVAL):
+                await self.wake.wait()
+            self.wake = trio.Event()
             try:
-                await self._plan_grants()
-                await self._plan_rolls()
-            except (Conflict, Full, Overloaded) as bad:
-                logger.warning("drains not planned: {}", bad)
-            await trio.sleep(LEAST_GAP)
-
-    async def _begin(self) -> None:
-        """What the store has of runs before this one, and limits of the file where it has none."""
-        keeper = self.administration.keeper
-        told = self.told
-
-        def begin(store: Store, now: float) -> list[Wanted]:
-            held = store.get(GROUND, "ground")
-            ground = msgspec.json.decode(held.body, type=DurableState) if held else DurableState()
-            doubt = ground.suspension_reason or self._suspicion(held is None, ground)
-            ground = DurableState(
-                max(ground.longest_lease, self.grants.lease_duration),
-                max(ground.longest_close_timeout, float(told.closing)),
-                ground.admissions,
-                doubt,
-            )
-            slots = [slot for _, slot in self.slots(store).values()]
-            with self.lock:
-                self.grants.state = ground
-                self.grants.adopt_floors(slots)
-                # Killed on this machine and back on the file that it told by: what is held is in there.
-                self.grants.store_is_current = not doubt and self.last_word.covers(
-                    self.administration.life, store.mark, boot_clock(), self.grants.startup_hold
-                )
-            wanted = [Wanted(GROUND, "ground", encode(ground), held.rev if held else 0)]
-            first = {ORIGIN: told.origin, DEFAULT_SERVER: told.servers, **told.limits}
-            for name, most in first.items():
-                if store.get(LIMIT, name) is None:
-                    wanted.append(Wanted(LIMIT, name, encode(ConnectionLimit(most)), 0))
-            return wanted
-
-        await keeper.apply_planned(begin, "drains")
-        await keeper.call(self._attest)
-        ground = self.grants.state
-        if self.grants.floors != self.grants.configured_floors:
-            told = self.grants.floors, self.grants.configured_floors
-            logger.warning("drains: floors stay at {} until {} fit: lower the limits for a while", *told)
-        if ground.suspension_reason:
-            logger.warning("drains: nobody new is admitted: {}", ground.suspension_reason)
-        with self.lock:
-            first_start = ground.admissions == 0 and not ground.suspension_reason
-            if first_start:
-                self.grants.started_at = float("-inf")  # nobody was ever told anything
-            elif self.grants.store_is_current:
-                logger.info("drains: this store has all that was told by it: grants go on at once")
-        self.ready = True
-
-    def _witness(self) -> str:
-        return f"{self.administration.keeper.path}.drains"
-
-    def _suspicion(self, empty: bool, ground: DurableState) -> str:
-        """Why this store may know less than was told, by what stands beside it."""
-        try:
-            with open(self._witness(), encoding="utf-8") as file:
-                beside = json.load(file)
-            life, admissions = str(beside["life"]), int(beside["admissions"])
-        except FileNotFoundError:
-            if empty:
-                return "" if self.told.new_installation else "an empty store, not said to be a first start"
-            return "no witness beside the store" if ground.admissions else ""
-        except (OSError, ValueError, KeyError, TypeError) as bad:
-            return f"the witness beside the store cannot be read: {type(bad).__name__}"
-        if life != self.administration.life:
-            return "another store stood here"
-        if admissions > ground.admissions:
-            return f"{admissions} nodes were admitted, this store knows of {ground.admissions}"
-        return ""
-
-    def _attest(self) -> None:
-        """On the store's thread: say beside the store how many were admitted, before they are told."""
-        admissions = self.grants.state.admissions
-        if admissions == self.grants.recorded_admissions and admissions:
-            return
-        part = self._witness() + ".part"
-        with open(part, "w", encoding="utf-8") as file:
-            json.dump({"life": self.administration.life, "admissions": admissions}, file)
-            file.flush()
-            os.fsync(file.fileno())
-        os.replace(part, self._witness())
-        self.grants.recorded_admissions = admissions
+                await self.leases.plan()
+                await self.restarts.plan()
+            except (Conflict, Full, Overloaded) as error:
+                logger.warning("drains not planned: {}", error)
+            await trio.sleep(MIN_PLAN_INTERVAL)
 
-    def slots(self, store: Store) -> dict[str, tuple[int, NodeRecord]]:
-        """All nodes that may exist, with their revisions."""
-        return {
-            item.ident: (item.rev, msgspec.json.decode(item.body, type=NodeRecord))
-            for item in store.items(NODE, most=MOST_ITEMS)
-        }
-
-    def limits(self, store: Store) -> ConnectionCounts:
-        """All limits."""
-        return {
-            item.ident: msgspec.json.decode(item.body, type=ConnectionLimit).most
-            for item in store.items(LIMIT, most=MOST_ITEMS)
-        }
-
-    async def _plan_grants(self) -> None:
-        changed: dict[str, NodeRecord] = {}
-
-        def plan(store: Store, wall: float) -> list[Wanted]:
-            held = self.slots(store)
-            limits = self.limits(store)
-            now = self.clock()
-            if now - self.worst_at > TENANTS_OLD:
-                self.worst, self.worst_at = self._worst(store), now
-            with self.lock:
-                leaving = frozenset(
-                    node
-                    for node, last in self.lasts.items()
-                    if last.said.draining or self.orders.get(last.router, ("", "", False))[1] == last.run
-                )
-                slots = {node: slot for node, (_, slot) in held.items()}
-                changed.update(self.grants.plan(slots, limits, now, leaving, {ORIGIN: self.worst}))
-                ground = self.grants.state
-                self._keep_within()
-            wanted = [
-                Wanted(NODE, node, encode(slot), held[node][0] if node in held else 0)
-                for node, slot in changed.items()
-            ]
-            item = store.get(GROUND, "ground")
-            if item is None or item.body != encode(ground):
-                wanted.append(Wanted(GROUND, "ground", encode(ground), item.rev if item else 0))
-            return wanted
-
-        keeper = self.administration.keeper
-        await keeper.apply_planned(plan, "drains")
-        if self.grants.state.admissions != self.grants.recorded_admissions:
+    async def _start(self) -> None:
+        while not self.ready:
             try:
-                await keeper.call(self._attest)
-            except OSError as bad:
-                logger.error("drains: no witness written, new nodes wait: {}", bad)
-        self._say_modes(changed)
-
-    def _keep_within(self) -> None:
-        """Nodes that grants forgot are forgotten here."""
-        for node in [node for node in self.counts if node not in self.grants.reports]:
-            self.counts.pop(node)
-            self.lasts.pop(node, None)
-            self.sent_out.pop(node, None)
-
-    def _worst(self, store: Store) -> float:
-        """Lines to the origin that tenants would have in use if each used its allowance."""
-        with self.lock:
-            used = sum(last.said.origin_connections for last in self.lasts.values())
-            rate = sum(last.said.operation_rate for last in self.lasts.values())
-        if rate <= 0.0:
-            return 0.0
-        allowed = 0.0
-        for item in store.items(TENANT, most=MOST_ITEMS):
-            allowed += float(msgspec.json.decode(item.body).get("allowance", 0.0))
-        return allowed * used / rate
-
-    def _say_modes(self, changed: dict[str, NodeRecord]) -> None:
-        for node, slot in changed.items():
-            mode = "closed" if slot.closed else "granted" if slot.granted else "at its floor"
-            if self.moved.get(node) != mode:
-                self.moved[node] = mode
-                logger.info("node {} {}: number {}, {}", node, mode, slot.number, slot.granted or slot.floors)
-        for node in self.grants.misreporting - set(self.moved.get("liars", "").split()):
-            logger.warning("node {} said that all was closed, and it is not", node)
-        self.moved["liars"] = " ".join(sorted(self.grants.misreporting))
-        for node in [node for node in self.moved if node not in self.grants.reports and node not in changed]:
-            if node != "liars":
-                del self.moved[node]
-
-    # -- rolls
-
-    def standing(
-        self, store: Store, ended: bool = True
-    ) -> tuple[dict[str, tuple[int, RollingRestart]], dict[str, list[RestartStep]], dict[str, int]]:
-        """Rolls that are kept with their revisions, their steps, and the revisions of those. Not `ended`:
-        only those that are not over."""
-        rolls = {}
-        for item in store.items(ROLL, most=MOST_ITEMS):
-            roll = msgspec.json.decode(item.body, type=RollingRestart)
-            if ended or roll.status not in FINAL_STATUSES:
-                rolls[item.ident] = item.rev, roll
-        steps: dict[str, list[RestartStep]] = {ident: [] for ident in rolls}
-        revisions: dict[str, int] = {}
-        for ident in rolls:
-            for item in store.items(STEP, after=f"{ident}/", most=MAX_NODES):
-                if not item.ident.startswith(f"{ident}/"):
-                    break
-                steps[ident].append(msgspec.json.decode(item.body, type=RestartStep))
-                revisions[item.ident] = item.rev
-        for ident, (_, roll) in rolls.items():
-            steps[ident].sort(key=lambda step, sign=-1 if roll.reverting else 1: sign * step.position)
-        return rolls, steps, revisions
-
-    async def _plan_rolls(self) -> None:
-        now = self.clock()
-        self.rolls.error_budget.record(now, self.settled, self.lost)
-        self.settled = self.lost = 0
-        log: list[str] = []
-        told: dict[str, tuple[str, str, bool]] = {}
-
-        def plan(store: Store, wall: float) -> list[Wanted]:
-            rolls, steps, revisions = self.standing(store, ended=False)
-            if not rolls:
-                return []
-            with self.lock:
-                facts = self.facts(store, now)
-                slots = [slot for _, slot in self.slots(store).values()]
-                limits = self.limits(store)
-                free = {
-                    name: most - self.grants.total_worst_case(slots, name) for name, most in limits.items()
-                }
-
-            def overlaps(count: int) -> bool:
-                floors = self.grants.floors
-                return all(free[name] >= count * count_for(floors, name) for name in limits)
-
-            self.rolls.is_last_of_shard = self._last_of_shard(facts["servers"])
-            due = self.rolls.plan([roll for _, roll in rolls.values()], steps, facts, now, wall, overlaps)
-            log.extend(due.log)
-            wanted = self.write(
-                store, rolls, revisions, due.restarts, due.steps, due.servers_to_drain, due.servers_to_restore
-            )
-            after = {ident: {step.node: step for step in each} for ident, each in steps.items()}
-            for ident, changed in due.steps.items():
-                after[ident].update({step.node: step for step in changed})
-            now_so = {ident: due.restarts.get(ident, roll) for ident, (_, roll) in rolls.items()}
-            told.update(self._orders(now_so, after))
-            # On this thread: an order that was taken back is told to nobody from here on.
-            self.orders = {name: order for name, order in self.orders.items() if told.get(name) == order}
-            return wanted
-
-        await self.administration.keeper.apply_planned(plan, "drains")
-        self.orders = told  # only now that it is in the store
-        for text in log:
-            logger.info(text)
-
-    @staticmethod
-    def _orders(
-        rolls: dict[str, RollingRestart], steps: dict[str, dict[str, RestartStep]]
-    ) -> dict[str, tuple[str, str, bool]]:
-        """Which run of which router is told to end, by which roll, and whether at once."""
-        return {
-            step.node: (roll.token, step.run, step.immediate)
-            for ident, roll in rolls.items()
-            if roll.order.kind == "routers" and roll.status != RestartStatus.CANCELLED
-            for step in steps[ident].values()
-            if step.stage == StepStage.NOTIFIED
-        }
-
-    @staticmethod
-    def write(
-        store: Store,
-        rolls: dict[str, tuple[int, RollingRestart]],
-        revisions: dict[str, int],
-        changed: dict[str, RollingRestart],
-        steps: dict[str, list[RestartStep]],
-        drain: list[str],
-        restore: list[str],
-    ) -> list[Wanted]:
-        """Rows for what is due, each for the revision that it was decided by."""
-        wanted = [
-            Wanted(ROLL, ident, encode(roll), rolls[ident][0] if ident in rolls else 0)
-            for ident, roll in changed.items()
-        ]
-        for ident, each in steps.items():
-            for step in each:
-                name = step_ident(ident, step.node)
-                wanted.append(Wanted(STEP, name, encode(step), revisions.get(name, 0)))
-        for uid in drain:
-            if store.get(SERVER, uid) is None:
-                wanted.append(Wanted(SERVER, uid, encode("drain"), 0))
-        for uid in restore:
-            item = store.get(SERVER, uid)
-            if item is not None:
-                wanted.append(Wanted(SERVER, uid, None, item.rev))
-        return wanted
-
-    def facts(self, store: Store, now: float) -> dict[str, dict[str, NodeStatus]]:
-        """What is known of each node now."""
-        return {"routers": self._routers(store, now), "servers": self._servers(store, now)}
-
-    def _routers(self, store: Store, now: float) -> dict[str, NodeStatus]:
-        found: dict[str, tuple[float, NodeStatus]] = {}
-        for node, (_, slot) in self.slots(store).items():
-            router = node.rpartition("@")[0]
-            last = self.lasts.get(node)
-            held = slot.worst_case(ORIGIN)
-            if last is None or last.run != slot.run:
-                fact = NodeStatus(
-                    router, slot.run, slot.zone, False, self._region(slot.zone), connections=held
-                )
-                at = float("-inf")
-            else:
-                said, at = last.said, last.at
-                # Once told it ends, though its roll is cancelled or goes on without it meanwhile; whether it
-                # heard that is known by its next word alone.
-                leaving = said.draining or self.sent_out.get(node) == last.run
-                up = now - at < self.grants.lease_duration and said.ready_for > 0.0 and bool(slot.granted)
-                fact = NodeStatus(
-                    router,
-                    last.run,
-                    said.zone,
-                    up,
-                    self._region(said.zone),
-                    said.build,
-                    frozenset(said.labels),
-                    said.ready_for + now - at,
-                    leaving,
-                    said.closed,
-                    said.cpu_cores if up else 0.0,
-                    self.told.most_busy if up else 0.0,
-                    held,
-                    said.restart_token,
-                )
-            if router not in found or found[router][0] < at:
-                found[router] = at, fact
-        return {router: fact for router, (_, fact) in found.items()}
-
-    def _servers(self, store: Store, now: float) -> dict[str, NodeStatus]:
-        limits = self.limits(store)
-        ordered = {item.ident: item.rev for item in store.items(SERVER, most=MOST_ITEMS)}
-        up = [uid for uid, seen in self.servers.items() if self._listed(seen)]
-        attempts = sum(
-            last.said.cache_attempts
-            for last in self.lasts.values()
-            if now - last.at < self.grants.lease_duration
-        )
-        ours = self._ours(store)
-        found = {}
-        for uid, seen in self.servers.items():
-            listed = self._listed(seen)
-            found[uid] = NodeStatus(
-                uid,
-                f"{seen.said.started_at:.3f}",
-                seen.said.zone,
-                listed,
-                self._region(seen.said.zone),
-                seen.said.kind,
-                frozenset(),
-                now - seen.since,
-                not seen.said.up or (uid in ordered and uid not in ours),
-                uid in ordered and self._empty(uid, ordered[uid], store, now),
-                attempts / len(up) if listed else 0.0,
-                float(count_for(limits, uid)) if listed else 0.0,
-            )
-        return found
-
-    def _region(self, zone: str) -> str:
-        return self.regions.get(zone, zone)
-
-    def _last_of_shard(self, servers: dict[str, NodeStatus]) -> Callable[[str, frozenset[str]], bool]:
-        """Whether a server is the last that is up for some shard pinned with `only`, others being out."""
-        placement = next((part for part in self.administration.parts if part.name == "placement"), None)
-        rows = placement.desk.rows.values() if placement is not None else ()
-        pinned = {
-            frozenset(zone for region in terms.zones for zone in region)
-            for row, _ in rows
-            for terms in (row.now, row.then)
-            if terms and terms.only
-        }
-
-        def last(name: str, out: frozenset[str]) -> bool:
-            if name not in servers:
-                return False  # a router
-            return any(
-                servers[name].zone in zones
-                and not any(
-                    fact.up and not fact.draining and fact.zone in zones and uid not in out
-                    for uid, fact in servers.items()
-                    if uid != name
-                )
-                for zones in pinned
-            )
+                await self.leases.start()
+                self.ready = True
+            except (Conflict, Full, Overloaded, OSError) as error:
+                # Started on a full disk: ending here would take the leases of all routers with it, and with
+                # them service.
+                logger.warning("drains not begun: {}", error)
+                await trio.sleep(START_RETRY_INTERVAL)
 
-        return last
 
-    def _listed(self, seen: KnownServer) -> bool:
-        return seen.at >= self.servers_at
+def _decode(raw: msgspec.Raw | bytes, router: str) -> RouterReport:
+    try:
+        report = msgspec.json.decode(raw, type=RouterReport)
+    except msgspec.MsgspecError as error:
+        raise Wrong(422, "invalid", str(error), f"parts.{NAME}") from None
+    if report.node.rpartition("@")[0] != router:
+        raise Wrong(422, "invalid", "not this router's", f"parts.{NAME}.node")
+    return report
 
-    def _ours(self, store: Store) -> set[str]:
-        """Servers whose orders are rolls' own."""
-        _, steps, _ = self.standing(store, ended=False)
-        return {step.node for each in steps.values() for step in each if step.drain_ordered}
 
-    def _empty(self, uid: str, revision: int, store: Store, now: float) -> bool:
-        """Whether no router has anything out to a server and none will: all that may act follow the order."""
-        for node, (_, slot) in self.slots(store).items():
-            last = self.lasts.get(node)
-            if last is None or last.run != slot.run or not self.grants.is_live(node, now):
-                if not self.grants.has_expired(node, now):
-                    return False
-            elif not last.said.closed and (
-                last.since < revision or last.said.draining_servers.get(uid, 1) > 0
-            ):
-                return False
+def _is_urgent(known: NodeReport | None, report: RouterReport, run: str) -> bool:
+    """Whether a report changes so much that the next plan is not to wait for its interval."""
+    if known is None or known.run != run or known.number != report.number or report.closed:
+        return True
+    if report.open_connections.get(ORIGIN, 0) < known.open_connections.get(ORIGIN, 0):
         return True
+    return count_for(report.demand, ORIGIN) > count_for(known.granted, ORIGIN)
+
 
-    def routes(self) -> list[tuple[str, str, str, Any, Any, Any]]:
-        """`admin.service.Part`."""
-        return DrainsApi(self).routes()
+def _is_outdated(record: NodeRecord, report: RouterReport, run: str) -> bool:
+    """Whether a report comes of a state file that is older than the node's last known run."""
+    return record.run != run and report.run_number <= record.run_number
 
 
-def control_plane_part(told: KeepFile) -> Callable[[Administration], DrainsController]:
-    """What makes the keeper's part, by its file."""
-    named = getattr(told.placement, "regions", {})
-    regions = {zone: name for name, zones in named.items() for zone in zones}
-    return lambda administration: DrainsController(administration, told.drains, regions=regions)
+def _with_lease(reply: ControlPlaneReply, lease: ConnectionLease) -> ControlPlaneReply:
+    return msgspec.structs.replace(
+        reply,
+        number=lease.number,
+        issuer=lease.issuer,
+        granted=lease.granted,
+        floors=lease.floors,
+        lease_duration=lease.duration,
+        predecessors_closed=lease.predecessors_closed,
+    )
--- /dev/null
+++ b/gaugehinge/drains/fleet_view.py
@@ -0,0 +1,277 @@
+"""What the control plane knows of routers and servers by the routers' reports."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from ..admin.service import SERVER
+from ..store.store import Store
+from ..tenancy.feed import Report
+from .connection_counts import ORIGIN, ConnectionCounts, count_for
+from .lease_table import LeaseTable
+from .lease_types import NodeRecord
+from .messages import RouterReport, ServerReport
+from .operation_counter import OperationCounter
+from .repository import MAX_ITEMS, Stored, load_limits, load_nodes, load_restarts
+from .restart_batch import LastOfShard
+from .restart_order import NodeKind
+from .restart_types import NodeStatus
+
+SERVER_LIST_MAX_AGE = 2.0  # seconds after which routers are asked for the list of servers again
+SERVER_LIST_SOURCES = 2  # routers that are asked for it
+SERVER_FORGET_TIME = 60.0  # seconds after which a server is forgotten that no list has
+
+
+@dataclass(slots=True, frozen=True)
+class LatestReport:
+    """The last report of a node."""
+
+    report: RouterReport
+    router: str
+    run: str
+    followed_revision: int  # of the store
+    received_at: float
+
+
+@dataclass(slots=True)
+class KnownServer:
+    """A server as routers listed it last."""
+
+    report: ServerReport
+    start_seen_at: float  # when this control plane saw this start of it
+    listed_at: float
+
+
+class ShutdownOrder(NamedTuple):
+    """A run of a router is to shut down."""
+
+    restart_token: str
+    run: str
+    immediate: bool
+
+
+class OriginUsage(NamedTuple):
+    """Connections to the origin in use, and operations a second, of all routers."""
+
+    connections: float
+    operation_rate: float
+
+
+@dataclass(slots=True, eq=False)
+class FleetView:
+    """Reports of routers, and the servers that they list. Nodes leave it as they leave the lease table."""
+
+    leases: LeaseTable
+    regions: dict[str, str]  # by zone, where regions are named
+    router_capacity: float  # part of a core
+    reports: dict[str, LatestReport] = field(default_factory=dict)  # by node
+    servers: dict[str, KnownServer] = field(default_factory=dict)
+    servers_listed_at: float = float("-inf")
+    shutdown_orders: dict[str, ShutdownOrder] = field(default_factory=dict)  # by router, as in the store
+    operations: OperationCounter = field(default_factory=OperationCounter)
+    notified_runs: dict[str, str] = field(default_factory=dict)  # by node, until it reports again
+
+    # -- reports
+
+    def record(self, report: RouterReport, envelope: Report, now: float) -> None:
+        """Take the report of a node."""
+        self.notified_runs.pop(report.node, None)
+        self.reports[report.node] = LatestReport(report, envelope.router, envelope.run, envelope.since, now)
+        self.operations.record(report, envelope.run)
+        if report.servers:
+            self._record_servers(report.servers, now)
+
+    def _record_servers(self, servers: list[ServerReport], now: float) -> None:
+        for server in servers:
+            known = self.servers.get(server.uid)
+            if known is None or known.report.started_at != server.started_at:
+                self.servers[server.uid] = KnownServer(server, now, now)
+            else:
+                known.report, known.listed_at = server, now
+        self.servers_listed_at = now
+        gone = [uid for uid, known in self.servers.items() if now - known.listed_at > SERVER_FORGET_TIME]
+        for uid in gone:
+            del self.servers[uid]
+
+    def forget_node(self, node: str) -> None:
+        """Drop the report of a node."""
+        self.reports.pop(node, None)
+
+    def forget_unknown(self) -> None:
+        """Drop the nodes that the lease table has dropped."""
+        for table in (self.reports, self.notified_runs):
+            for node in [node for node in table if node not in self.leases.reports]:
+                del table[node]
+        self.operations.retain(self.leases.reports)
+
+    def needs_servers_from(self, node: str, now: float) -> bool:
+        """Whether the next report of this node is to list the servers."""
+        if now - self.servers_listed_at < SERVER_LIST_MAX_AGE:
+            return False
+        heard = sorted(name for name, latest in self.reports.items() if self._is_recent(latest, now))
+        return node in heard[:SERVER_LIST_SOURCES]
+
+    def _is_recent(self, latest: LatestReport, now: float) -> bool:
+        return now - latest.received_at < self.leases.lease_duration
+
+    def draining_nodes(self) -> frozenset[str]:
+        """Nodes that shut down, or are told to."""
+        return frozenset(
+            node
+            for node, latest in self.reports.items()
+            if latest.report.draining or self._is_ordered_down(latest)
+        )
+
+    def _is_ordered_down(self, latest: LatestReport) -> bool:
+        order = self.shutdown_orders.get(latest.router)
+        return order is not None and order.run == latest.run
+
+    def origin_usage(self) -> OriginUsage:
+        """What all routers reported of the origin."""
+        return OriginUsage(
+            sum(latest.report.origin_connections for latest in self.reports.values()),
+            sum(latest.report.operation_rate for latest in self.reports.values()),
+        )
+
+    # -- status of each node
+
+    def statuses(self, store: Store, now: float) -> dict[NodeKind, dict[str, NodeStatus]]:
+        """What is known of each node now. On the store's thread."""
+        nodes = load_nodes(store)
+        return {"routers": self._routers(nodes, now), "servers": self._servers(store, nodes, now)}
+
+    def _routers(self, nodes: dict[str, Stored[NodeRecord]], now: float) -> dict[str, NodeStatus]:
+        """By router; of several nodes of one name the one that was heard last."""
+        found: dict[str, NodeStatus] = {}
+        heard: dict[str, float] = {}
+        for node, stored in nodes.items():
+            router = node.rpartition("@")[0]
+            latest = self.reports.get(node)
+            if latest is None or latest.run != stored.record.run:
+                status, at = self._silent_router(router, stored.record), float("-inf")
+            else:
+                status, at = self._heard_router(router, stored.record, latest, now), latest.received_at
+            if router not in found or heard[router] < at:
+                found[router], heard[router] = status, at
+        return found
+
+    def _silent_router(self, router: str, record: NodeRecord) -> NodeStatus:
+        return NodeStatus(
+            router,
+            record.run,
+            record.zone,
+            up=False,
+            region=self._region(record.zone),
+            connections=record.worst_case(ORIGIN),
+        )
+
+    def _heard_router(self, router: str, record: NodeRecord, latest: LatestReport, now: float) -> NodeStatus:
+        report = latest.report
+        up = self._is_recent(latest, now) and report.ready_for > 0.0 and bool(record.granted)
+        # Once told it shuts down, though its restart is cancelled or goes on without it meanwhile; whether it
+        # received that is known by its next report alone.
+        draining = report.draining or self.notified_runs.get(record.node) == latest.run
+        return NodeStatus(
+            router,
+            latest.run,
+            report.zone,
+            up=up,
+            region=self._region(report.zone),
+            build=report.build,
+            labels=frozenset(report.labels),
+            ready_for=report.ready_for + now - latest.received_at,
+            draining=draining,
+            drained=report.closed,
+            load=report.cpu_cores if up else 0.0,
+            capacity=self.router_capacity if up else 0.0,
+            connections=record.worst_case(ORIGIN),
+            restart_token=report.restart_token,
+        )
+
+    def _servers(
+        self, store: Store, nodes: dict[str, Stored[NodeRecord]], now: float
+    ) -> dict[str, NodeStatus]:
+        limits = load_limits(store)
+        drain_orders = {item.ident: item.rev for item in store.items(SERVER, most=MAX_ITEMS)}
+        drained_by_restarts = _drained_by_restarts(store)
+        load = self._load_of_each_server(now)
+        found = {}
+        for uid, known in self.servers.items():
+            ordered = uid in drain_orders
+            listed = self._is_listed(known)
+            found[uid] = NodeStatus(
+                uid,
+                f"{known.report.started_at:.3f}",
+                known.report.zone,
+                up=listed,
+                region=self._region(known.report.zone),
+                build=known.report.kind,
+                ready_for=now - known.start_seen_at,
+                draining=not known.report.up or (ordered and uid not in drained_by_restarts),
+                drained=ordered and self._is_drained(uid, drain_orders[uid], nodes, now),
+                load=load if listed else 0.0,
+                capacity=_server_capacity(limits, uid) if listed else 0.0,
+            )
+        return found
+
+    def _load_of_each_server(self, now: float) -> float:
+        listed = sum(self._is_listed(known) for known in self.servers.values())
+        attempts = sum(
+            latest.report.cache_attempts for latest in self.reports.values() if self._is_recent(latest, now)
+        )
+        return attempts / listed if listed else 0.0
+
+    def _is_listed(self, known: KnownServer) -> bool:
+        return known.listed_at >= self.servers_listed_at
+
+    def _is_drained(
+        self, uid: str, order_revision: int, nodes: dict[str, Stored[NodeRecord]], now: float
+    ) -> bool:
+        """Whether no router uses a server and none will: all that may act follow the drain order."""
+        return all(
+            self._has_left(uid, order_revision, node, stored.record, now) for node, stored in nodes.items()
+        )
+
+    def _has_left(self, uid: str, order_revision: int, node: str, record: NodeRecord, now: float) -> bool:
+        latest = self.reports.get(node)
+        if latest is None or latest.run != record.run or not self.leases.is_live(node, now):
+            return self.leases.has_expired(node, now)
+        if latest.report.closed:
+            return True
+        follows = latest.followed_revision >= order_revision
+        return follows and latest.report.draining_servers.get(uid, 1) <= 0
+
+    def _region(self, zone: str) -> str:
+        return self.regions.get(zone, zone)
+
+
+def _drained_by_restarts(store: Store) -> set[str]:
+    """Servers whose drain orders are those of rolling restarts."""
+    table = load_restarts(store, include_ended=False)
+    return {step.node for steps in table.steps.values() for step in steps if step.drain_ordered}
+
+
+def _server_capacity(limits: ConnectionCounts, uid: str) -> float:
+    return float(count_for(limits, uid))
+
+
+def last_of_shard(pinned_zones: Iterable[frozenset[str]], servers: dict[str, NodeStatus]) -> LastOfShard:
+    """A test whether a server is the last one up for a shard pinned to zones, others being unavailable."""
+    pinned = set(pinned_zones)
+
+    def serves(uid: str, zones: frozenset[str], unavailable: frozenset[str]) -> bool:
+        status = servers[uid]
+        return status.up and not status.draining and status.zone in zones and uid not in unavailable
+
+    def is_last(name: str, unavailable: frozenset[str]) -> bool:
+        if name not in servers:
+            return False  # a router
+        return any(
+            servers[name].zone in zones
+            and not any(serves(uid, zones, unavailable) for uid in servers if uid != name)
+            for zones in pinned
+        )
+
+    return is_last
--- /dev/null
+++ b/gaugehinge/drains/lease_service.py
@@ -0,0 +1,190 @@
+"""Connection leases on the control plane's store: planned, written, and issued with each answer.
+
+Leases are planned, written and issued on the store's thread alone: no plan comes between the read of a record
+and the note that its lease runs.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from threading import Lock
+
+import msgspec
+from loguru import logger
+
+from ..admin.keep import KeepDrains
+from ..admin.service import TENANT, Administration
+from ..store.store import Store, Wanted, encode
+from .admission_record import AdmissionRecord
+from .clock import boot_clock
+from .connection_counts import DEFAULT_SERVER, ORIGIN, ConnectionCounts
+from .fleet_view import FleetView
+from .high_water_mark import HighWaterMarkFile
+from .lease_log import LeaseLog
+from .lease_manager import LeaseManager
+from .lease_types import DurableState, NodeRecord
+from .repository import (
+    LIMIT,
+    MAX_ITEMS,
+    STATE,
+    STATE_IDENT,
+    LimitRecord,
+    Stored,
+    load_limits,
+    load_nodes,
+    load_state,
+    node_changes,
+    state_changes,
+)
+
+AUTHOR = "drains"  # of changes in the store that no operator asked for
+TENANTS_MAX_AGE = 10.0  # seconds after which the tenants' rate limits are read again
+
+
+@dataclass(slots=True, eq=False)
+class LeaseService:
+    """The lease manager of one control plane run with its store and files."""
+
+    administration: Administration
+    settings: KeepDrains
+    clock: Callable[[], float]
+    manager: LeaseManager
+    fleet: FleetView
+    admission_record: AdmissionRecord
+    mark_file: HighWaterMarkFile
+    lock: Lock = field(default_factory=Lock)  # reports come on the event loop, plans on the store's thread
+    log: LeaseLog = field(default_factory=LeaseLog)
+    tenant_demand: float = 0.0  # connections to the origin that tenants would use by their rate limits
+    tenant_demand_at: float = float("-inf")
+
+    # -- the start
+
+    async def start(self) -> None:
+        """Take over what earlier runs left in the store, and the limits of the settings where it has none.
+
+        Raises Conflict, Full, Overloaded or OSError where the store or its disk does not take it now.
+        """
+        keeper = self.administration.keeper
+        await keeper.apply_planned(self._plan_start, AUTHOR)
+        await keeper.call(self._record_admissions)
+        self._log_start()
+        manager = self.manager
+        with self.lock:
+            if manager.state.admissions == 0 and not manager.state.suspension_reason:
+                manager.started_at = float("-inf")  # no lease was ever issued
+            elif manager.store_is_current:
+                logger.info("drains: this store has all that was told by it: grants go on at once")
+
+    def _plan_start(self, store: Store, wall: float) -> list[Wanted]:
+        held = load_state(store)
+        state = self._initial_state(held)
+        records = [stored.record for stored in load_nodes(store).values()]
+        with self.lock:
+            self.manager.state = state
+            self.manager.adopt_floors(records)
+            # Killed on this machine and back on the store that it issued by: all that is held is in there.
+            self.manager.store_is_current = not state.suspension_reason and self.mark_file.covers(
+                self.administration.life, store.mark, boot_clock(), self.manager.startup_hold
+            )
+        revision = held.revision if held is not None else 0
+        return [Wanted(STATE, STATE_IDENT, encode(state), revision), *self._missing_limits(store)]
+
+    def _initial_state(self, held: Stored[DurableState] | None) -> DurableState:
+        before = held.record if held is not None else DurableState()
+        suspicion = before.suspension_reason or self.admission_record.suspicion(
+            self.administration.life,
+            before,
+            store_is_empty=held is None,
+            new_installation=self.settings.new_installation,
+        )
+        return DurableState(
+            max(before.longest_lease, self.manager.lease_duration),
+            max(before.longest_close_timeout, float(self.settings.closing)),
+            before.admissions,
+            suspicion,
+        )
+
+    def _missing_limits(self, store: Store) -> list[Wanted]:
+        configured = {
+            ORIGIN: self.settings.origin,
+            DEFAULT_SERVER: self.settings.servers,
+            **self.settings.limits,
+        }
+        return [
+            Wanted(LIMIT, upstream, encode(LimitRecord(limit)), 0)
+            for upstream, limit in configured.items()
+            if store.get(LIMIT, upstream) is None
+        ]
+
+    def _log_start(self) -> None:
+        manager = self.manager
+        if manager.floors != manager.configured_floors:
+            logger.warning(
+                "drains: floors stay at {} until {} fit: lower the limits for a while",
+                manager.floors,
+                manager.configured_floors,
+            )
+        if manager.state.suspension_reason:
+            logger.warning("drains: nobody new is admitted: {}", manager.state.suspension_reason)
+
+    def _record_admissions(self) -> None:
+        """On the store's thread: record how many nodes were admitted, before they are told."""
+        admissions = self.manager.state.admissions
+        if admissions == self.manager.recorded_admissions and admissions:
+            return
+        self.admission_record.write(self.administration.life, admissions)
+        self.manager.recorded_admissions = admissions
+
+    # -- plans
+
+    async def plan(self) -> None:
+        """Plan and write what reports, time and demand change. Raises Conflict, Full or Overloaded."""
+        changed: dict[str, NodeRecord] = {}
+
+        def plan(store: Store, wall: float) -> list[Wanted]:
+            held, limits, now = load_nodes(store), load_limits(store), self.clock()
+            changed.update(self._planned(store, held, limits, now))
+            return [*node_changes(held, changed), *state_changes(store, self.manager.state)]
+
+        keeper = self.administration.keeper
+        await keeper.apply_planned(plan, AUTHOR)
+        if self.manager.state.admissions != self.manager.recorded_admissions:
+            try:
+                await keeper.call(self._record_admissions)
+            except OSError as error:
+                logger.error("drains: no witness written, new nodes wait: {}", error)
+        self.log.log_changes(changed, self.manager)
+
+    def _planned(
+        self, store: Store, held: dict[str, Stored[NodeRecord]], limits: ConnectionCounts, now: float
+    ) -> dict[str, NodeRecord]:
+        if now - self.tenant_demand_at > TENANTS_MAX_AGE:
+            self.tenant_demand, self.tenant_demand_at = self._tenant_demand(store), now
+        records = {node: stored.record for node, stored in held.items()}
+        with self.lock:
+            draining = self.fleet.draining_nodes()
+            changed = self.manager.plan(records, limits, now, draining, {ORIGIN: self.tenant_demand})
+            self.fleet.forget_unknown()
+        return changed
+
+    def _tenant_demand(self, store: Store) -> float:
+        """Connections to the origin that tenants would use if each used its rate limit."""
+        with self.lock:
+            usage = self.fleet.origin_usage()
+        if usage.operation_rate <= 0.0:
+            return 0.0
+        allowed = 0.0
+        for item in store.items(TENANT, most=MAX_ITEMS):
+            allowed += float(msgspec.json.decode(item.body).get("allowance", 0.0))
+        return allowed * usage.connections / usage.operation_rate
+
+    # -- answers
+
+    def advance_mark(self, store: Store) -> bool:
+        """On the store's thread, before anything is issued by it. False: nothing may be issued."""
+        with self.lock:
+            may_raise = self.manager.may_raise(self.clock())
+        return self.mark_file.advance(
+            self.administration.life, store.rev, store.mark, may_raise, boot_clock()
+        )
--- /dev/null
+++ b/gaugehinge/drains/leases_api.py
@@ -0,0 +1,120 @@
+"""API calls on connection leases and the nodes that hold them."""
+
+from __future__ import annotations
+
+import msgspec
+from starlette.requests import Request
+from starlette.responses import Response
+
+from ..admin.app import answer
+from ..admin.service import Caller, Wrong
+from ..store.store import Store, Wanted
+from .api_types import ChangeResult, LeasePage, NodeStage, NodeView
+from .connection_counts import ConnectionCounts
+from .controller import DrainsController
+from .lease_types import NodeRecord
+from .repository import NODE, load_limits, load_nodes, state_changes
+
+
+class LeasesApi:
+    """Handlers of `/v1/grants` and `/v1/nodes`."""
+
+    def __init__(self, controller: DrainsController) -> None:
+        """The controller whose leases are shown."""
+        self.controller = controller
+        self.leases = controller.leases
+        self.administration = controller.leases.administration
+
+    async def list_leases(self, request: Request, caller: Caller) -> Response:
+        """GET /v1/grants."""
+        caller.need("reader")
+        keeper = self.administration.keeper
+        return answer(await keeper.call(self._page, keeper.store))
+
+    async def remove_node(self, request: Request, caller: Caller) -> Response:
+        """POST /v1/nodes/{node}/gone: its machine and its files are gone. It has to be lost already."""
+        caller.need("operator")
+        node = request.path_params["node"]
+        leases = self.leases
+
+        def plan(store: Store, now: float) -> list[Wanted]:
+            item = store.get(NODE, node)
+            if item is None:
+                raise Wrong(404, "not found", f"no node {node}")
+            with leases.lock:
+                if not leases.manager.has_expired(node, leases.clock()):
+                    detail = "it was heard of too lately: its connections may be open"
+                    raise Wrong(409, "conflict", detail, "node")
+            return [Wanted(NODE, node, None, item.rev)]
+
+        await self.administration._change(plan, caller.name)
+        with leases.lock:
+            leases.manager.forget_node(node)
+            leases.fleet.forget_node(node)
+        self.controller.request_plan()
+        return answer(ChangeResult(f"{node} is no more: its floor is free"))
+
+    async def confirm(self, request: Request, caller: Caller) -> Response:
+        """POST /v1/nodes/confirm: every node that exists is known, so new ones may be admitted again."""
+        caller.need("operator")
+        leases = self.leases
+
+        def plan(store: Store, now: float) -> list[Wanted]:
+            with leases.lock:
+                manager = leases.manager
+                if leases.clock() < manager.former_leases_end:
+                    detail = "this keeper has just started: nodes may come that it does not know"
+                    raise Wrong(409, "conflict", detail)
+                manager.state = msgspec.structs.replace(manager.state, suspension_reason="")
+                return state_changes(store, manager.state)
+
+        await self.administration._change(plan, caller.name)
+        self.controller.request_plan()
+        return answer(ChangeResult("new nodes are admitted"))
+
+    def _page(self, store: Store) -> LeasePage:
+        leases = self.leases
+        with leases.lock:
+            manager, now = leases.manager, leases.clock()
+            limits = load_limits(store)
+            nodes = [
+                self._node(node, stored.record, limits, now)
+                for node, stored in sorted(load_nodes(store).items())
+            ]
+            raises_in = max(manager.former_leases_end - now, 0.0)
+            if manager.may_raise(now) and not manager.state.suspension_reason:
+                raises_in = 0.0
+            return LeasePage(
+                nodes,
+                manager.max_nodes,
+                dict(manager.rejected),
+                manager.state.suspension_reason,
+                round(raises_in, 3),
+            )
+
+    def _node(self, node: str, record: NodeRecord, limits: ConnectionCounts, now: float) -> NodeView:
+        manager = self.leases.manager
+        report, heard_at = manager.reports.get(node), manager.last_heard.get(node)
+        return NodeView(
+            node,
+            record.run,
+            record.number,
+            record.granted,
+            worst_case={upstream: record.worst_case(upstream) for upstream in limits},
+            open_connections=report.open_connections if report else {},
+            demand=report.demand if report else {},
+            heard_ago=round(now - heard_at, 3) if heard_at is not None else -1.0,
+            stage=self._stage(node, record, now),
+        )
+
+    def _stage(self, node: str, record: NodeRecord, now: float) -> NodeStage:
+        manager, latest = self.leases.manager, self.leases.fleet.reports.get(node)
+        if record.closed:
+            return NodeStage.CLOSED
+        if manager.has_expired(node, now):
+            return NodeStage.LOST
+        if not manager.is_live(node, now):
+            return NodeStage.SILENT
+        if latest is not None and latest.report.draining:
+            return NodeStage.DRAINING
+        return NodeStage.GRANTED
--- /dev/null
+++ b/gaugehinge/drains/limits_api.py
@@ -0,0 +1,95 @@
+"""API calls on the limits of upstreams."""
+
+from __future__ import annotations
+
+from starlette.requests import Request
+from starlette.responses import Response
+
+from ..admin.app import answer, if_match, read
+from ..admin.service import Caller, Wrong
+from ..store.store import Store, Wanted, encode
+from .api_types import LimitPage, LimitUpdate, LimitView
+from .connection_counts import count_for, undersized_limit
+from .controller import DrainsController
+from .repository import LIMIT, load_limit_records, load_nodes
+
+MAX_UPSTREAM_NAME = 200  # characters
+MAX_LIMITS = 64
+
+
+class LimitsApi:
+    """Handlers of `/v1/limits`."""
+
+    def __init__(self, controller: DrainsController) -> None:
+        """The controller whose limits are shown and changed."""
+        self.controller = controller
+        self.administration = controller.leases.administration
+
+    async def list_limits(self, request: Request, caller: Caller) -> Response:
+        """GET /v1/limits."""
+        caller.need("reader")
+        return answer(LimitPage(await self._views()))
+
+    async def get_limit(self, request: Request, caller: Caller) -> Response:
+        """GET /v1/limits/{store}."""
+        caller.need("reader")
+        return await self._one(request.path_params["store"])
+
+    async def put_limit(self, request: Request, caller: Caller) -> Response:
+        """PUT /v1/limits/{store}: at the revision that was read; 0 names a server for the first time."""
+        caller.need("operator")
+        upstream = request.path_params["store"]
+        update, _ = await read(request, LimitUpdate)
+        expected = if_match(request)
+        self._check(upstream, update)
+
+        def plan(store: Store, now: float) -> list[Wanted]:
+            held = store.get(LIMIT, upstream)
+            revision = held.rev if held else 0
+            if revision != expected:
+                raise Wrong(412, "precondition failed", f"it is at revision {revision}", etag=revision)
+            if held is None and len(store.items(LIMIT)) >= MAX_LIMITS:
+                raise Wrong(409, "conflict", f"{MAX_LIMITS} limits are named", "store")
+            return [Wanted(LIMIT, upstream, encode(update), revision)]
+
+        await self.administration._change(plan, caller.name)
+        self.controller.request_plan()
+        return await self._one(upstream)
+
+    def _check(self, upstream: str, update: LimitUpdate) -> None:
+        """Raises Wrong where the name is too long or the floors of all nodes do not fit."""
+        if not 0 < len(upstream) <= MAX_UPSTREAM_NAME:
+            raise Wrong(422, "invalid", f"1 to {MAX_UPSTREAM_NAME} characters", "store")
+        manager = self.controller.leases.manager
+        undersized = undersized_limit({upstream: update.limit}, manager.floors, manager.max_nodes)
+        if undersized is not None:
+            detail = f"{update.limit} is under {undersized.least}, the floors of {manager.max_nodes} nodes"
+            raise Wrong(422, "invalid", detail, "most")
+
+    async def _one(self, upstream: str) -> Response:
+        view = next((each for each in await self._views() if each.upstream == upstream), None)
+        if view is None:
+            raise Wrong(404, "not found", f"no limit for {upstream}")
+        return answer(view, etag=view.revision)
+
+    async def _views(self) -> list[LimitView]:
+        keeper = self.administration.keeper
+        return await keeper.call(self._read_views, keeper.store)
+
+    def _read_views(self, store: Store) -> list[LimitView]:
+        leases = self.controller.leases
+        leases.advance_mark(store)
+        with leases.lock:
+            manager, now = leases.manager, leases.clock()
+            records = [stored.record for stored in load_nodes(store).values()]
+            return [
+                LimitView(
+                    upstream,
+                    stored.record.limit,
+                    held=manager.total_worst_case(records, upstream),
+                    least=max(manager.max_nodes * count_for(manager.floors, upstream), 1),
+                    enforced=manager.limit_enforced(records, upstream, stored.record.limit, now),
+                    revision=stored.revision,
+                )
+                for upstream, stored in load_limit_records(store).items()
+            ]
--- /dev/null
+++ b/gaugehinge/drains/repository.py
@@ -0,0 +1,163 @@
+"""Rows of connection leases and rolling restarts in the control plane's store."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Generic, TypeVar
+
+import msgspec
+
+from ..admin.service import SERVER
+from ..store.store import Store, Wanted, encode
+from .connection_counts import ConnectionCounts
+from .lease_types import DurableState, NodeRecord
+from .restart_order import MAX_NODES
+from .restart_records import RestartPlan, RestartStep, RollingRestart
+from .restart_types import FINAL_STATUSES
+
+# Kinds of items, and the one identity of the single item of its kind.
+LIMIT = "drains-limit"
+NODE = "drains-node"
+STATE = "drains-ground"
+RESTART = "drains-roll"
+STEP = "drains-step"
+STATE_IDENT = "ground"
+
+MAX_ITEMS = 100_000  # of a kind that are read: more than there are
+
+RecordT = TypeVar("RecordT")
+
+
+class LimitRecord(msgspec.Struct, frozen=True, rename={"limit": "most"}):
+    """How many connections an upstream takes, as the store has it."""
+
+    limit: int
+
+
+@dataclass(slots=True, frozen=True)
+class Stored(Generic[RecordT]):
+    """A record, and the revision that it was read at."""
+
+    record: RecordT
+    revision: int
+
+
+@dataclass(slots=True)
+class RestartTable:
+    """Rolling restarts with their steps, each list in the order in which nodes are restarted."""
+
+    restarts: dict[str, Stored[RollingRestart]] = field(default_factory=dict)
+    steps: dict[str, list[RestartStep]] = field(default_factory=dict)
+    step_revisions: dict[str, int] = field(default_factory=dict)  # by `step_ident`
+
+    def changes(self, store: Store, plan: RestartPlan) -> list[Wanted]:
+        """Rows for a plan, each conditional on the revision that it was decided by."""
+        rows = [
+            Wanted(RESTART, ident, encode(restart), self._revision(ident))
+            for ident, restart in plan.restarts.items()
+        ]
+        for ident, steps in plan.steps.items():
+            for step in steps:
+                name = step_ident(ident, step.node)
+                rows.append(Wanted(STEP, name, encode(step), self.step_revisions.get(name, 0)))
+        for uid in plan.servers_to_drain:
+            if store.get(SERVER, uid) is None:
+                rows.append(Wanted(SERVER, uid, encode("drain"), 0))
+        for uid in plan.servers_to_restore:
+            item = store.get(SERVER, uid)
+            if item is not None:
+                rows.append(Wanted(SERVER, uid, None, item.rev))
+        return rows
+
+    def _revision(self, ident: str) -> int:
+        return self.restarts[ident].revision if ident in self.restarts else 0
+
+    def removal(self, ident: str) -> list[Wanted]:
+        """Rows that remove a restart and its steps."""
+        names = [step_ident(ident, step.node) for step in self.steps[ident]]
+        steps = [Wanted(STEP, name, None, self.step_revisions[name]) for name in names]
+        return [Wanted(RESTART, ident, None, self._revision(ident)), *steps]
+
+    def apply(self, plan: RestartPlan) -> None:
+        """Bring the records to what they are once a plan is written; their revisions stay."""
+        for ident, restart in plan.restarts.items():
+            self.restarts[ident] = Stored(restart, self._revision(ident))
+        for ident, changed in plan.steps.items():
+            by_node = {step.node: step for step in changed}
+            self.steps[ident] = [by_node.get(step.node, step) for step in self.steps[ident]]
+
+
+def step_ident(restart: str, node: str) -> str:
+    """The identity of a step in the store."""
+    return f"{restart}/{node}"
+
+
+def load_nodes(store: Store) -> dict[str, Stored[NodeRecord]]:
+    """All nodes that may exist."""
+    return {
+        item.ident: Stored(msgspec.json.decode(item.body, type=NodeRecord), item.rev)
+        for item in store.items(NODE, most=MAX_ITEMS)
+    }
+
+
+def node_changes(held: dict[str, Stored[NodeRecord]], changed: dict[str, NodeRecord]) -> list[Wanted]:
+    """Rows for records that a plan changed."""
+    return [
+        Wanted(NODE, node, encode(record), held[node].revision if node in held else 0)
+        for node, record in changed.items()
+    ]
+
+
+def load_limits(store: Store) -> ConnectionCounts:
+    """The limit of each upstream that has one of its own."""
+    return {ident: stored.record.limit for ident, stored in load_limit_records(store).items()}
+
+
+def load_limit_records(store: Store) -> dict[str, Stored[LimitRecord]]:
+    """The same with revisions."""
+    return {
+        item.ident: Stored(msgspec.json.decode(item.body, type=LimitRecord), item.rev)
+        for item in store.items(LIMIT, most=MAX_ITEMS)
+    }
+
+
+def load_state(store: Store) -> Stored[DurableState] | None:
+    """What earlier runs left; None at the very first start."""
+    item = store.get(STATE, STATE_IDENT)
+    if item is None:
+        return None
+    return Stored(msgspec.json.decode(item.body, type=DurableState), item.rev)
+
+
+def state_changes(store: Store, state: DurableState) -> list[Wanted]:
+    """The row for a state; none where the store has it."""
+    item = store.get(STATE, STATE_IDENT)
+    body = encode(state)
+    if item is not None and item.body == body:
+        return []
+    return [Wanted(STATE, STATE_IDENT, body, item.rev if item is not None else 0)]
+
+
+def load_restarts(store: Store, include_ended: bool = True) -> RestartTable:
+    """Rolling restarts that are kept; without `include_ended` only those that are not over."""
+    table = RestartTable()
+    for item in store.items(RESTART, most=MAX_ITEMS):
+        restart = msgspec.json.decode(item.body, type=RollingRestart)
+        if include_ended or restart.status not in FINAL_STATUSES:
+            table.restarts[item.ident] = Stored(restart, item.rev)
+    for ident, stored in table.restarts.items():
+        table.steps[ident] = _load_steps(store, table, stored.record)
+    return table
+
+
+def _load_steps(store: Store, table: RestartTable, restart: RollingRestart) -> list[RestartStep]:
+    prefix = step_ident(restart.ident, "")
+    steps = []
+    for item in store.items(STEP, after=prefix, most=MAX_NODES):
+        if not item.ident.startswith(prefix):
+            break
+        steps.append(msgspec.json.decode(item.body, type=RestartStep))
+        table.step_revisions[item.ident] = item.rev
+    sign = -1 if restart.reverting else 1
+    steps.sort(key=lambda step: sign * step.position)
+    return steps
--- /dev/null
+++ b/gaugehinge/drains/restart_service.py
@@ -0,0 +1,101 @@
+"""Rolling restarts on the control plane's store: planned, written, and carried out by shutdown orders."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+from typing import Any
+
+from loguru import logger
+
+from ..admin.service import Administration
+from ..store.store import Store, Wanted
+from .connection_counts import count_for
+from .fleet_view import ShutdownOrder, last_of_shard
+from .lease_service import AUTHOR, LeaseService
+from .repository import RestartTable, load_limits, load_nodes, load_restarts
+from .restart_planner import RestartPlanner
+from .restart_records import RestartPlan
+from .restart_types import RestartStatus, StepStage
+
+HasRoomFor = Callable[[int], bool]
+
+
+@dataclass(slots=True, eq=False)
+class RestartService:
+    """The restart planner of one control plane run with its store."""
+
+    leases: LeaseService
+    planner: RestartPlanner = field(default_factory=RestartPlanner)
+
+    async def plan(self) -> None:
+        """Plan and write the steps that are due. Raises Conflict, Full or Overloaded."""
+        now = self.leases.clock()
+        self.planner.error_budget.record(now, *self.leases.fleet.operations.take())
+        log: list[str] = []
+        orders: dict[str, ShutdownOrder] = {}
+        fleet = self.leases.fleet
+
+        def plan(store: Store, wall: float) -> list[Wanted]:
+            table = load_restarts(store, include_ended=False)
+            if not table.restarts:
+                return []
+            due = self._planned(store, table, now, wall)
+            changes = table.changes(store, due)
+            table.apply(due)
+            log.extend(due.log)
+            orders.update(_shutdown_orders(table))
+            # On this thread: an order that was taken back is told to nobody from here on.
+            standing = fleet.shutdown_orders.items()
+            fleet.shutdown_orders = {name: order for name, order in standing if orders.get(name) == order}
+            return changes
+
+        await self.leases.administration.keeper.apply_planned(plan, AUTHOR)
+        fleet.shutdown_orders = orders  # only now that it is in the store
+        for line in log:
+            logger.info(line)
+
+    def _planned(self, store: Store, table: RestartTable, now: float, wall: float) -> RestartPlan:
+        with self.leases.lock:
+            statuses = self.leases.fleet.statuses(store, now)
+            has_room_for = self._room_for_successors(store)
+        self.planner.is_last_of_shard = last_of_shard(
+            pinned_zones(self.leases.administration), statuses["servers"]
+        )
+        restarts = [stored.record for stored in table.restarts.values()]
+        return self.planner.plan(restarts, table.steps, statuses, now, wall, has_room_for)
+
+    def _room_for_successors(self, store: Store) -> HasRoomFor:
+        """Whether the floors of so many routers fit beside all that may be open."""
+        manager = self.leases.manager
+        records = [stored.record for stored in load_nodes(store).values()]
+        limits = load_limits(store)
+        free = {name: limit - manager.total_worst_case(records, name) for name, limit in limits.items()}
+
+        def has_room_for(count: int) -> bool:
+            return all(free[name] >= count * count_for(manager.floors, name) for name in limits)
+
+        return has_room_for
+
+
+def pinned_zones(administration: Administration) -> Iterable[frozenset[str]]:
+    """The zones of each shard that may be served nowhere else, as placement has them."""
+    placement: Any = next((part for part in administration.parts if part.name == "placement"), None)
+    rows = placement.desk.rows.values() if placement is not None else ()
+    return {
+        frozenset(zone for region in terms.zones for zone in region)
+        for row, _ in rows
+        for terms in (row.now, row.then)
+        if terms and terms.only
+    }
+
+
+def _shutdown_orders(table: RestartTable) -> dict[str, ShutdownOrder]:
+    """Which run of which router is told to shut down."""
+    return {
+        step.node: ShutdownOrder(stored.record.token, step.run, step.immediate)
+        for ident, stored in table.restarts.items()
+        if stored.record.order.kind == "routers" and stored.record.status != RestartStatus.CANCELLED
+        for step in table.steps[ident]
+        if step.stage == StepStage.NOTIFIED
+    }
--- /dev/null
+++ b/gaugehinge/drains/restarts_api.py
@@ -0,0 +1,208 @@
+"""API calls on rolling restarts."""
+
+from __future__ import annotations
+
+import hashlib
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+from typing import Any
+
+from starlette.requests import Request
+from starlette.responses import Response
+
+from ..admin.app import MOST_KEY, answer, read
+from ..admin.service import Caller, Wrong
+from ..store.store import Store, Wanted, encode
+from .api_types import RestartPage, RestartView, StepView
+from .controller import DrainsController
+from .repository import RESTART, STEP, RestartTable, load_restarts, step_ident
+from .restart_actions import RestartChange, cancel, pause, resume, roll_back
+from .restart_order import InvalidOrderError, RestartOrder, select_nodes
+from .restart_records import RestartPlan, RestartStep, RollingRestart
+from .restart_types import FINAL_STATUSES, MAX_RESTARTS, UNAVAILABLE_STAGES, StepStage
+
+Action = Callable[[RollingRestart, list[RestartStep]], RestartChange]
+RUN_MARK_LENGTH = 4  # of the control plane run's mark in a restart's identity
+
+
+@dataclass(slots=True)
+class _Created:
+    """The restart that a call creates, once its change is planned."""
+
+    ident: str = ""
+
+
+class RestartsApi:
+    """Handlers of `/v1/rolls`."""
+
+    def __init__(self, controller: DrainsController) -> None:
+        """The controller whose restarts are shown and changed."""
+        self.controller = controller
+        self.administration = controller.leases.administration
+
+    # -- reads
+
+    async def list_restarts(self, request: Request, caller: Caller) -> Response:
+        """GET /v1/rolls."""
+        caller.need("reader")
+        keeper = self.administration.keeper
+        table = await keeper.call(load_restarts, keeper.store)
+        idents = sorted(table.restarts, key=lambda ident: table.restarts[ident].record.number)
+        return answer(RestartPage([_view(table, ident) for ident in idents]))
+
+    async def get_restart(self, request: Request, caller: Caller) -> Response:
+        """GET /v1/rolls/{id}."""
+        caller.need("reader")
+        return await self._one(request.path_params["id"])
+
+    async def _one(self, ident: str) -> Response:
+        view = await self._read_one(ident)
+        return answer(view, etag=view.revision)
+
+    async def _read_one(self, ident: str) -> RestartView:
+        keeper = self.administration.keeper
+        return _view(_known(await keeper.call(load_restarts, keeper.store), ident), ident, with_steps=True)
+
+    # -- creation
+
+    async def create(self, request: Request, caller: Caller) -> Response:
+        """POST /v1/rolls."""
+        caller.need("operator")
+        order, body = await read(request, RestartOrder)
+        created = _Created()
+
+        def plan(store: Store, now: float) -> list[Wanted]:
+            return self._plan_creation(store, order, caller, now, created)
+
+        async def make(**key: Any) -> Response:
+            await self.administration._change(plan, caller.name, **key)
+            self.controller.request_plan()
+            view = await self._read_one(created.ident)
+            return answer(view, 201, view.revision, Location=f"/v1/rolls/{view.id}")
+
+        return await self._create_once(request, caller, body, make, created)
+
+    def _plan_creation(
+        self, store: Store, order: RestartOrder, caller: Caller, now: float, created: _Created
+    ) -> list[Wanted]:
+        leases = self.controller.leases
+        with leases.lock:
+            nodes = leases.fleet.statuses(store, leases.clock())[order.kind]
+        try:
+            names = select_nodes(order, nodes.values())
+        except InvalidOrderError as error:
+            raise Wrong(422, "invalid", str(error), error.field) from None
+        table = load_restarts(store)
+        number = max((stored.record.number for stored in table.restarts.values()), default=0) + 1
+        # With the run's mark no identity of a lost store is used again.
+        created.ident = f"roll-{number:06d}-{self.administration.run_mark[:RUN_MARK_LENGTH]}"
+        restart = RollingRestart(created.ident, number, order, created_by=caller.name, created_at=now)
+        steps = [
+            Wanted(STEP, step_ident(created.ident, name), encode(RestartStep(name, position)), 0)
+            for position, name in enumerate(names)
+        ]
+        return [Wanted(RESTART, created.ident, encode(restart), 0), *steps, *_evictions(table)]
+
+    async def _create_once(
+        self,
+        request: Request,
+        caller: Caller,
+        body: bytes,
+        make: Callable[..., Awaitable[Response]],
+        created: _Created,
+    ) -> Response:
+        """Carry out a call with an idempotency key once; a repeated call is shown what the first one made."""
+        key = request.headers.get("idempotency-key", "")
+        if len(key) > MOST_KEY:
+            raise Wrong(422, "invalid", f"over {MOST_KEY} characters", "Idempotency-Key")
+        if not key:
+            return await make()
+        digest = hashlib.sha256(f"POST {request.url.path}\n".encode() + body).digest()
+        keeper = self.administration.keeper
+        held = await keeper.call(keeper.store.answered, caller.name, key)
+        if held is None:
+            return await make(key=key, request=digest, answer=lambda rows: created.ident.encode())
+        if held[0] != digest:
+            raise Wrong(422, "invalid", "another call had this key", "Idempotency-Key")
+        return await self._one(held[1].decode())
+
+    # -- actions
+
+    async def pause(self, request: Request, caller: Caller) -> Response:
+        """POST /v1/rolls/{id}/pause."""
+        return await self._act(request, caller, pause)
+
+    async def resume(self, request: Request, caller: Caller) -> Response:
+        """POST /v1/rolls/{id}/resume."""
+        return await self._act(request, caller, resume)
+
+    async def cancel(self, request: Request, caller: Caller) -> Response:
+        """POST /v1/rolls/{id}/cancel."""
+        return await self._act(request, caller, cancel)
+
+    async def roll_back(self, request: Request, caller: Caller) -> Response:
+        """POST /v1/rolls/{id}/back."""
+        return await self._act(request, caller, roll_back)
+
+    async def _act(self, request: Request, caller: Caller, action: Action) -> Response:
+        caller.need("operator")
+        ident = request.path_params["id"]
+
+        def plan(store: Store, now: float) -> list[Wanted]:
+            table = _known(load_restarts(store), ident)
+            before = table.restarts[ident].record
+            try:
+                change = action(before, table.steps[ident])
+            except InvalidOrderError as error:
+                raise Wrong(409, "conflict", str(error), error.field) from None
+            restarts = {ident: change.restart} if change.restart != before else {}
+            changes = RestartPlan({ident: change.steps}, restarts, [], change.servers_to_restore)
+            return table.changes(store, changes)
+
+        await self.administration._change(plan, caller.name)
+        self.controller.request_plan()
+        return await self._one(ident)
+
+
+def _known(table: RestartTable, ident: str) -> RestartTable:
+    """The table, which has this restart. Raises Wrong where it has not."""
+    if ident not in table.restarts:
+        raise Wrong(404, "not found", f"no roll {ident}")
+    return table
+
+
+def _evictions(table: RestartTable) -> list[Wanted]:
+    """Rows that make room for one more restart: the oldest that ended are removed.
+
+    Raises Wrong where too few have ended.
+    """
+    ended = sorted(
+        (stored.record.number, ident)
+        for ident, stored in table.restarts.items()
+        if stored.record.status in FINAL_STATUSES
+    )
+    excess = max(len(table.restarts) + 1 - MAX_RESTARTS, 0)
+    if excess > len(ended):
+        raise Wrong(409, "conflict", f"{MAX_RESTARTS} rolls stand")
+    return [row for _, ident in ended[:excess] for row in table.removal(ident)]
+
+
+def _view(table: RestartTable, ident: str, with_steps: bool = False) -> RestartView:
+    restart, steps = table.restarts[ident].record, table.steps[ident]
+    stages = [step.stage for step in steps]
+    return RestartView(
+        restart.ident,
+        restart.status,
+        restart.order,
+        nodes=len(steps),
+        waiting=stages.count(StepStage.WAITING),
+        unavailable=sum(stage in UNAVAILABLE_STAGES for stage in stages),
+        done=stages.count(StepStage.DONE),
+        skipped=stages.count(StepStage.SKIPPED),
+        reverting=restart.reverting,
+        reason=restart.reason,
+        created_by=restart.created_by,
+        created_at=restart.created_at,
+        revision=table.restarts[ident].revision,
+        steps=[StepView(step.node, step.stage, step.reason) for step in steps] if with_steps else [],
+    )
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -21,17 +21,20 @@
 from gaugehinge.admin.service import Administration
 from gaugehinge.cli.main import main as command_line
 from gaugehinge.drains.connection_counts import DEFAULT_SERVER, ORIGIN
-from gaugehinge.drains.controller import DrainsController
 from gaugehinge.drains.error_budget import ErrorBudget
+from gaugehinge.drains.fleet_view import last_of_shard
 from gaugehinge.drains.high_water_mark import HighWaterMarkFile, in_memory
 from gaugehinge.drains.lease_manager import LeaseManager
 from gaugehinge.drains.lease_types import DurableState, NodeRecord, NodeReport
 from gaugehinge.drains.messages import NAME, ControlPlaneReply, RouterReport, ServerReport
 from gaugehinge.drains.node_file import NodeFile, NodeFileLockedError
+from gaugehinge.drains.part import create_part
+from gaugehinge.drains.repository import load_nodes
 from gaugehinge.drains.restart_actions import cancel, roll_back
 from gaugehinge.drains.restart_order import InvalidOrderError, NodeSelector, RestartOrder, select_nodes
 from gaugehinge.drains.restart_planner import RestartPlanner
 from gaugehinge.drains.restart_records import RestartStep, RollingRestart
+from gaugehinge.drains.restart_service import pinned_zones
 from gaugehinge.drains.restart_types import NodeStatus
 from gaugehinge.drains.router import DrainsAgent
 from gaugehinge.forms.units import Seconds
@@ -631,16 +634,16 @@
                 **figures,
             },
         )
-        part = DrainsController(admin, told)
+        part = create_part(admin, told)
         admin.parts = [part]
         transport = httpx.ASGITransport(app=Api(admin).app())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(part.run)
-            await until(lambda: part.ready)
+            await until(lambda: part.controller.ready)
             async with httpx.AsyncClient(
                 transport=transport, base_url="http://k", headers={"Authorization": f"Bearer {root}"}
             ) as desk:
-                yield SimpleNamespace(admin=admin, part=part, desk=desk)
+                yield SimpleNamespace(admin=admin, controller=part.controller, desk=desk)
             nursery.cancel_scope.cancel()
     finally:
         keeper.close()
@@ -687,7 +690,7 @@
 
     async def scene():
         monkeypatch.setattr(StoreKeeper, "apply_planned", full)
-        monkeypatch.setattr("gaugehinge.drains.controller.TICK", 0.01)
+        monkeypatch.setattr("gaugehinge.drains.controller.START_RETRY_INTERVAL", 0.01)
         async with desk_of(tmp_path) as all_:
             assert len(failed) == 2
             assert (await all_.desk.get("/v1/limits/origin")).json()["most"] == 20
@@ -742,11 +745,13 @@
             assert (await desk.post(f"/v1/rolls/{ident}/resume")).status_code == 409
 
             def leaving():
-                facts = all_.part.facts(all_.admin.keeper.store, all_.part.clock())["routers"]
+                facts = all_.controller.leases.fleet.statuses(
+                    all_.admin.keeper.store, all_.controller.leases.clock()
+                )["routers"]
                 return [name for name, fact in facts.items() if fact.draining]
 
             assert leaving() == ["r-1"], "it was told, whatever became of the roll"
-            await until(lambda: not all_.part.orders)
+            await until(lambda: not all_.controller.leases.fleet.shutdown_orders)
             assert not (await report(all_, "r-1", 91)).restart_token and not leaving(), (
                 "it has not heard of it"
             )
@@ -767,18 +772,21 @@
             all_.admin.keeper.store.backup(older)
             await follow(all_, "r-2")
         async with desk_of(tmp_path) as all_:
-            slots = {node: slot for node, (_, slot) in all_.part.slots(all_.admin.keeper.store).items()}
-            assert slots["r-1@0123456789abcdef"].number >= before.number and len(slots) == 2
+            records = {node: stored.record for node, stored in load_nodes(all_.admin.keeper.store).items()}
+            assert records["r-1@0123456789abcdef"].number >= before.number and len(records) == 2
             assert (await all_.desk.get(f"/v1/rolls/{made.json()['id']}")).status_code == 200
             assert (
-                not all_.part.grants.state.suspension_reason
-                and all_.part.grants.former_leases_end > all_.part.clock()
+                not all_.controller.leases.manager.state.suspension_reason
+                and all_.controller.leases.manager.former_leases_end > all_.controller.leases.clock()
             )
         for name in ("store.db", "store.db-wal", "store.db-shm"):
             (tmp_path / name).unlink(missing_ok=True)
         older.rename(tmp_path / "store.db")
         async with desk_of(tmp_path) as all_:
-            assert "2 nodes were admitted, this store knows of 1" in all_.part.grants.state.suspension_reason
+            assert (
+                "2 nodes were admitted, this store knows of 1"
+                in all_.controller.leases.manager.state.suspension_reason
+            )
             assert (await report(all_, "r-3", 1)).rejection or (await report(all_, "r-3", 2)).rejection
             assert (await all_.desk.post("/v1/nodes/confirm")).status_code == 409, "not before it is settled"
 
@@ -799,13 +807,18 @@
             assert (await all_.desk.get("/v1/grants")).json()["settled_in"] == 0
         HighWaterMarkFile.beside(store).delete()  # the machine was started anew
         async with desk_of(tmp_path) as all_:
-            assert not all_.part.grants.store_is_current and "just started" in (await refusal(all_, "r-4"))
+            assert not all_.controller.leases.manager.store_is_current and "just started" in (
+                await refusal(all_, "r-4")
+            )
         for name in ("store.db-wal", "store.db-shm"):
             (tmp_path / name).unlink(missing_ok=True)
         older.rename(store)  # put back with all that lies beside it
         (tmp_path / "store.db.drains").write_text(json.dumps({"life": all_.admin.life, "admissions": 1}))
         async with desk_of(tmp_path) as all_:
-            assert not all_.part.grants.state.suspension_reason and not all_.part.grants.store_is_current
+            assert (
+                not all_.controller.leases.manager.state.suspension_reason
+                and not all_.controller.leases.manager.store_is_current
+            )
 
     run(scene)
 
@@ -846,7 +859,7 @@
 def test_an_empty_store_that_is_not_said_to_be_a_first_start_admits_nobody(tmp_path):
     async def scene():
         async with desk_of(tmp_path, new_installation=False) as all_:
-            assert "empty store" in all_.part.grants.state.suspension_reason
+            assert "empty store" in all_.controller.leases.manager.state.suspension_reason
 
     run(scene)
 
@@ -869,8 +882,8 @@
             # One of the two is the last of a shard's zones once the other is out, whoever took it out.
             rows = {"x": (SimpleNamespace(now=Terms(True, ("r",), (("a",),)), then=None), 1)}
             all_.admin.parts.append(SimpleNamespace(name="placement", desk=SimpleNamespace(rows=rows)))
-            facts = all_.part.facts(all_.admin.keeper.store, 1e9)["servers"]
-            last = all_.part._last_of_shard(facts)
+            facts = all_.controller.leases.fleet.statuses(all_.admin.keeper.store, 1e9)["servers"]
+            last = last_of_shard(pinned_zones(all_.admin), facts)
             assert last("s-1", frozenset({"s-1", "s-2"})) and not last("s-1", frozenset({"s-1"}))
             all_.admin.parts.pop()
 
