--- a/gaugehinge/drains/build.py
+++ b/gaugehinge/drains/build.py
@@ -19,10 +19,12 @@
     Raises NodeFileLockedError.
     """
     entry = settings.drains
-    files = NodeFile(entry.file)
+    node_file = NodeFile(entry.file)
 
     def extend(service: Service, nursery: trio.Nursery, follower: Follower) -> DrainsAgent:
-        agent = DrainsAgent(service, follower, files, nursery, settings.tier.zone, entry.build, entry.labels)
+        agent = DrainsAgent(
+            service, nursery, follower, node_file, settings.tier.zone, entry.build, entry.labels
+        )
         follower.parts.append(agent)
         nursery.start_soon(agent.run)
         return agent
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -1,17 +1,9 @@
-"""Drains at a router: connections are opened and used within its grant, closed connections counted until the
-server has closed them, and an order to end is carried out as SIGTERM would be.
-
-Clock: the one that goes on while the machine sleeps, read at each opening and each use of a connection.
-"""
+"""The router's part: it reports its connections, follows its lease and shuts down when it is told to."""
 
 from __future__ import annotations
 
 import signal
-import socket
-import time
-from collections import deque
 from collections.abc import Callable
-from contextlib import suppress
 from dataclasses import dataclass, field
 from typing import Any
 
@@ -22,358 +14,154 @@
 from ..hosted.follower import Follower
 from ..hosted.roster import BadFeed
 from ..net.phase import Phase
-from ..net.pool import REST_TIME, Connection, Endpoint, PendingAttempt
-from ..net.service import Service
 from ..tenancy.feed import Feed
 from ..tenancy.lease import DRIFT, SLACK
-from ..terms import Outcome, Presence
-from .clock import boot_clock
+from ..terms import Presence
+from .connection_budget import ConnectionBudget
 from .connection_counts import DEFAULT_SERVER, ORIGIN, ConnectionCounts
 from .lease_holder import LeaseHolder
+from .lease_types import ConnectionLease
+from .load_meter import LoadMeter
 from .messages import MAX_SERVERS, NAME, ControlPlaneReply, RouterReport, ServerReport
 from .node_file import NodeFile
+from .node_state_writer import NodeStateWriter
 
-TICK = 0.1  # seconds between two looks at what is open
-SPAN = 5.0  # seconds of a measure: need is the most of the last one or two of them
-FIRST_CLOSING = 15.0  # seconds, until a keeper says how long stores take to close what a silent node left
-MOST_WAITING = 256  # attempts that wait for a connection to one server
-WAIT_PART = 0.5  # of an attempt's time to wait for a connection; then another server is tried, or none
-LEASE_PART = 0.25  # of a lease that a call may stand open
-FAREWELL = 1.0  # seconds for closing all and saying so
-RESET_TIME = 1.0  # seconds for which a connection counts that was reset, or that never came up
-FORCED = 0.5  # of the closing time after a lease: what is still busy over the floor is cut off
-
-
-@dataclass(slots=True)
-class UpstreamConnections:
-    """Connections to one server. It leaves with its last connection, once the server has left the list."""
-
-    open: int = 0  # connecting, idle and busy
-    closing: int = 0
-    waiting: deque[PendingAttempt] = field(default_factory=deque)
-    peak: int = 0  # in use and waited for, the most in this span
-    before: int = 0  # and in the last one
-    over_since: float = 0.0  # connections are over what may be; 0: they are not
-
-    @property
-    def counted(self) -> int:
-        return self.open + self.closing
+CHECK_INTERVAL = 0.1  # seconds between two looks at what is open
+FIRST_CLOSE_TIMEOUT = 15.0  # seconds, until the control plane tells the close timeout
+POLL_FRACTION = 0.25  # of a lease that a call may stand open
+FAREWELL_TIME = 1.0  # seconds for closing all connections, and as many for reporting that
+FAREWELL_CHECK_INTERVAL = 0.01  # seconds
+LOST_PREFIXES = (b"-BUSY", b"-ERR failed")  # of answers that count as lost
+RUN_NUMBER_STEP = 2  # two more, not one: of runs after the last known one nobody knows what they left open
 
 
 @dataclass(slots=True, eq=False)
-class DrainsAgent:
+class DrainsAgent(ConnectionBudget):
     """`hosted.follower.Part` and `net.pool.Warden`."""
 
-    service: Service
     follower: Follower
-    files: NodeFile
-    nursery: trio.Nursery
+    node_file: NodeFile
     zone: str = ""
     build: str = ""
     labels: tuple[str, ...] = ()
-    end: Callable[[], None] = lambda: signal.raise_signal(signal.SIGTERM)
-    clock: Callable[[], float] = boot_clock
+    shut_down: Callable[[], None] = lambda: signal.raise_signal(signal.SIGTERM)
     name: str = NAME
-    holding: LeaseHolder = field(init=False)
-    stores: dict[str, UpstreamConnections] = field(default_factory=dict)  # by the list's names; `origin`
-    names: dict[str, str] = field(default_factory=dict)  # of stores, by the list's; emptied with them
-    closing: float = FIRST_CLOSING
-    turn: int = 0
-    asked: float = 0.0
-    ready_since: float = 0.0
-    settled: int = 0
+    state_writer: NodeStateWriter = field(init=False)
+    load: LoadMeter = field(init=False)
+    sequence: int = 0  # of reports
+    reported_at: float = 0.0
+    ready_since: float = 0.0  # 0: it was not ready yet
+    succeeded: int = 0  # operations
     lost: int = 0
-    left: str = ""  # the roll that told this run to end
-    said_refused: str = ""
-    asks_list: bool = False
-    was_good: bool = False
-    span_at: float = 0.0
-    span_ops: int = 0
-    span_cpu: float = 0.0
-    rate: float = 0.0
-    busy: float = 0.0
-    used: float = 0.0
-    saving: bool = False
-    unsaved: dict[str, Any] = field(default_factory=dict)  # of its file
+    restart_token: str = ""  # of the rolling restart that told this run to shut down
+    rejection: str = ""  # as logged last
+    wants_servers: bool = False
+    lease_was_valid: bool = False
 
     def __post_init__(self) -> None:
+        """Attach to the service, at the floors that the state file has."""
         now = self.clock()
-        kept = self.files.state
-        self.closing = kept.close_timeout or FIRST_CLOSING
-        from_ = now + self.closing * (1.0 + DRIFT) + SLACK
-        self.holding = LeaseHolder(dict(kept.floors), from_, kept.admitted_by)
-        self.span_at, self.span_cpu = now, time.process_time()
+        state = self.node_file.state
+        self.close_timeout = state.close_timeout or FIRST_CLOSE_TIMEOUT
+        floors_usable_at = now + self.close_timeout * (1.0 + DRIFT) + SLACK
+        self.lease = LeaseHolder(dict(state.floors), floors_usable_at, state.admitted_by)
+        self.state_writer = NodeStateWriter(self.node_file, self.nursery)
+        self.load = LoadMeter(now)
         self.service.pool.warden = self
         self.service.dispatch.noted = self._noted
         self.service.farewells.append(self.farewell)
 
-    # -- which store
-
-    def store_name(self, endpoint: Endpoint) -> str:
-        """The same for as long as a connection to it counts: the origin leaves the list before its
-        connections do."""
-        name = self.names.get(endpoint.uid)
-        if name is None:
-            origin = self.service.dispatch.router.origin
-            name = ORIGIN if origin is not None and origin.ident == endpoint.ident else endpoint.uid
-            self.names[endpoint.uid] = name
-        return name
-
-    def _store(self, endpoint: Endpoint) -> UpstreamConnections:
-        name = self.store_name(endpoint)
-        found = self.stores.get(name)
-        if found is None:
-            found = self.stores[name] = UpstreamConnections()
-        return found
-
-    # -- net.pool.Warden
-
-    def may_open(self, endpoint: Endpoint) -> bool:
-        """Closing connections count: the server may hold them still."""
-        return self._store(endpoint).counted < self.holding.allowed(self.store_name(endpoint), self.clock())
-
-    def may_use(self, connection: Connection) -> bool:
-        """A connection over what may be open now carries nothing more: else it would outlive its closing
-        time."""
-        store = self._store(connection.endpoint)
-        store.peak = max(store.peak, store.open - len(connection.endpoint.idle) + len(store.waiting))
-        return store.open <= self.holding.allowed(self.store_name(connection.endpoint), self.clock())
-
-    def opened(self, connection: Connection) -> None:
-        store = self._store(connection.endpoint)
-        store.open += 1
-        store.peak = max(store.peak, store.open - len(connection.endpoint.idle) + len(store.waiting))
-
-    def rested(self, connection: Connection) -> None:
-        store = self._store(connection.endpoint)
-        if store.open > self.holding.allowed(self.store_name(connection.endpoint), self.clock()):
-            connection.endpoint.idle.remove(connection)
-            self.service.pool._close(connection)
-        elif store.waiting:
-            pool = self.service.pool
-            pool.deadlines.at(pool.clock() + 1.1 * REST_TIME, self._serve, connection.endpoint)
-
-    def closed(self, connection: Connection) -> None:
-        """Say that no more comes, and count the connection until the server has closed it, too."""
-        store = self._store(connection.endpoint)
-        store.open -= 1
-        store.closing += 1
-        half = None
-        with suppress(OSError):  # it never came up, or was reset
-            half = connection.raw.dup()
-        self.nursery.start_soon(self._see_out, half, store, connection.endpoint)
-
-    async def _see_out(
-        self, half: socket.socket | None, store: UpstreamConnections, endpoint: Endpoint
-    ) -> None:
-        """Until the server has closed it; the router's own end is the nursery's."""
-        try:
-            if half is None or not await self._closes(half):
-                await trio.sleep(RESET_TIME)
-        finally:
-            if half is not None:
-                half.close()
-            store.closing -= 1
-        self._serve(endpoint)
-
-    async def _closes(self, half: socket.socket) -> bool:
-        """Whether the server closed it, or the time is over in which it certainly has; False: it was reset,
-        and the server's process may not know yet."""
-        try:
-            half.setblocking(False)
-            half.shutdown(socket.SHUT_WR)
-            with trio.move_on_after(self.closing):
-                while True:
-                    await trio.lowlevel.wait_readable(half)
-                    if not half.recv(65536):
-                        break
-        except OSError:
-            return False
-        return True
-
-    # -- attempts that wait for a connection
-
-    def wait(self, endpoint: Endpoint, pending: PendingAttempt) -> bool:
-        store = self._store(endpoint)
-        if len(store.waiting) >= MOST_WAITING or self.holding.closed:
-            return False
-        pool = self.service.pool
-        pool.deadlines.drop(pending.time_out)
-        now = pool.clock()
-        pending.time_out = pool.deadlines.at(
-            now + WAIT_PART * max(pending.due - now, 0.0), self._waited_out, store, pending
-        )
-        store.waiting.append(pending)
-        if endpoint.idle:  # one that has not had its rest
-            pool.deadlines.at(now + 1.1 * REST_TIME, self._serve, endpoint)
-        store.peak = max(store.peak, store.open - len(endpoint.idle) + len(store.waiting))
-        return True
-
-    def _waited_out(self, store: UpstreamConnections, pending: PendingAttempt) -> None:
-        if pending in store.waiting:
-            store.waiting.remove(pending)
-            self.service.pool._end_soon(pending, Outcome.NEVER_SENT)
-
-    def _serve(self, endpoint: Endpoint) -> None:
-        """Connections that are free, and openings that are, to the attempts that wait longest."""
-        store, pool = self._store(endpoint), self.service.pool
-        while store.waiting:
-            pending = store.waiting[0]
-            if pool.pending.get(pending.attempt) is not pending or pending.attempt.operation.over:
-                store.waiting.popleft()
-                continue
-            if pool.endpoints.get(endpoint.ident) is not endpoint:
-                store.waiting.popleft()
-                pool._end_soon(pending, Outcome.NEVER_SENT)
-                continue
-            connection = pool._warm(endpoint)
-            if connection is None and not (self.may_open(endpoint) and pool._make_room()):
-                return
-            store.waiting.popleft()
-            pool.deadlines.drop(pending.time_out)
-            pending.time_out = pool.deadlines.at(pending.due, pool._late, pending)
-            if connection is not None:
-                pool._start(connection, pending)
-            else:
-                pool._open(endpoint, pending)
-
-    # -- what is over goes
-
-    def shed(self) -> None:
-        """Idle connections over what may be open are closed at once; busy ones when their attempt ends, at
-        the latest in half of the closing time."""
-        now, pool = self.clock(), self.service.pool
-        endpoints = {self.store_name(endpoint): endpoint for endpoint in pool.endpoints.values()}
-        for name, store in list(self.stores.items()):
-            most = self.holding.allowed(name, now)
-            endpoint = endpoints.get(name)
-            while endpoint is not None and endpoint.idle and store.open > most:
-                pool._close(endpoint.idle.pop(0))
-            if store.open <= most:
-                store.over_since = 0.0
-            elif not store.over_since:
-                store.over_since = now
-            elif now - store.over_since > FORCED * self.closing:
-                self._cut(name, store.open - most)
-            if endpoint is not None and store.waiting:
-                self._serve(endpoint)
-            if endpoint is None and not store.counted and not store.waiting:
-                del self.stores[name]
-                self.names = {uid: each for uid, each in self.names.items() if each != name}
-
-    def _cut(self, name: str, count: int) -> None:
-        pool = self.service.pool
-        for pending in list(pool.pending.values()):
-            connection = pending.connection
-            if count and connection is not None and self.store_name(connection.endpoint) == name:
-                pool._close(connection)  # its reader wakes, and its attempt ends as broken
-                count -= 1
+    def _noted(self, reply: bytes) -> None:
+        if reply.startswith(LOST_PREFIXES):
+            self.lost += 1
+        else:
+            self.succeeded += 1
 
-    def _close_drained(self) -> None:
-        """Nothing more goes to a server that drains: what is idle there is closed before its time."""
-        drained = self.follower.overlay.drained
-        for endpoint in self.service.pool.endpoints.values() if drained else ():
-            while endpoint.uid in drained and endpoint.idle:
-                self.service.pool._close(endpoint.idle.pop(0))
+    # -- by itself
 
     async def run(self) -> None:
-        """Look at what is open, until cancelled."""
+        """Keep connections within the lease, until cancelled."""
         while True:
-            await trio.sleep(TICK)
+            await trio.sleep(CHECK_INTERVAL)
             now = self.clock()
             if self.service.lifecycle.phase is Phase.READY and not self.ready_since:
                 self.ready_since = now
-            good = self.holding.validity.good(now)
-            if good is not self.was_good:
-                self.was_good = good
-                state = f"granted {self.holding.granted}" if good else f"at its floor {self.holding.floors}"
-                logger.info("connections {}: number {}", state, self.holding.number)
-            self.shed()
-            self._close_drained()
+            self._log_lease_mode(now)
+            self.enforce()
+            self.close_idle(self.follower.overlay.drained)  # nothing more goes to a server that drains
             self._measure(now)
 
-    def _measure(self, now: float) -> None:
-        origin = self.stores.get(ORIGIN)
-        if origin is not None:
-            endpoints = self.service.pool.endpoints.values()
-            endpoint = next((each for each in endpoints if self.store_name(each) == ORIGIN), None)
-            in_use = origin.open - (len(endpoint.idle) if endpoint is not None else 0)
-            self.used += 0.05 * (in_use - self.used)
-        span = now - self.span_at
-        if span < SPAN:
-            return
-        ops, cpu = self.settled + self.lost, time.process_time()
-        self.rate, self.busy = (ops - self.span_ops) / span, (cpu - self.span_cpu) / span
-        self.span_at, self.span_ops, self.span_cpu = now, ops, cpu
-        for store in self.stores.values():
-            store.before, store.peak = store.peak, len(store.waiting)
+    def _log_lease_mode(self, now: float) -> None:
+        valid = self.lease.validity.good(now)
+        if valid is not self.lease_was_valid:
+            self.lease_was_valid = valid
+            mode = f"granted {self.lease.granted}" if valid else f"at its floor {self.lease.floors}"
+            logger.info("connections {}: number {}", mode, self.lease.number)
 
-    def _noted(self, reply: bytes) -> None:
-        if reply.startswith((b"-BUSY", b"-ERR failed")):
-            self.lost += 1
-        else:
-            self.settled += 1
+    def _measure(self, now: float) -> None:
+        in_use = self.origin_connections_in_use()
+        if in_use is not None:
+            self.load.add_origin_connections(in_use)
+        if self.load.end_window(now, self.succeeded + self.lost):
+            for upstream in self.upstreams.values():
+                upstream.end_window()
 
     # -- hosted.follower.Part
 
     def report(self) -> bytes | None:
-        self.turn += 1
-        now = self.asked = self.clock()
-        kept, holding = self.files.state, self.holding
-        named = {*holding.granted, *holding.floors} - {ORIGIN, DEFAULT_SERVER}
-        counted = self._figures(named, lambda store: store.counted)
-        need = self._figures(named, lambda store: max(store.peak, store.before))
-        floors = {
-            name: max(holding.floors.get(name, 0), kept.floors.get(name, 0))
-            for name in {*holding.floors, *kept.floors}
-        }
+        """The report that goes with the next call, in JSON."""
+        self.sequence += 1
+        now = self.reported_at = self.clock()
+        state, lease = self.node_file.state, self.lease
         phase = self.service.lifecycle.phase
         drained = self.follower.overlay.drained
-        said = RouterReport(
-            f"{self.service.configuration.name}@{kept.ident}",
-            kept.run_number,
-            self.turn,
-            holding.number,
-            holding.issuer,
-            holding.granted_for_report(now),
-            counted,
-            need,
-            floors if kept.admitted_by else {},
-            kept.admitted_by,
-            holding.closed,
-            self.zone,
-            self.build,
-            list(self.labels),
-            now - self.ready_since if self.ready_since else 0.0,
-            bool(self.left) or phase in (Phase.LEAVING, Phase.CLOSING),
-            self._in_hand(),
-            self.settled,
-            self.lost,
-            self.busy,
-            max(self.used, 0.0),
-            self.rate,
-            {uid: self._out(uid) for uid in sorted(drained)[:MAX_SERVERS]},
-            self._attempts(),
-            self._listed() if self.asks_list else [],
-            kept.restart_token,
+        report = RouterReport(
+            node=f"{self.service.configuration.name}@{state.ident}",
+            run_number=state.run_number,
+            sequence=self.sequence,
+            number=lease.number,
+            issuer=lease.issuer,
+            granted=lease.granted_for_report(now),
+            open_connections=self.counts_of(lambda upstream: upstream.counted),
+            demand=self.counts_of(lambda upstream: upstream.demand),
+            floors=self._floors() if state.admitted_by else {},
+            admitted_by=state.admitted_by,
+            closed=lease.closed,
+            zone=self.zone,
+            build=self.build,
+            labels=list(self.labels),
+            ready_for=now - self.ready_since if self.ready_since else 0.0,
+            draining=bool(self.restart_token) or phase in (Phase.LEAVING, Phase.CLOSING),
+            in_flight=self._in_flight(),
+            succeeded=self.succeeded,
+            lost=self.lost,
+            cpu_cores=self.load.cpu_cores,
+            origin_connections=max(self.load.origin_connections, 0.0),
+            operation_rate=self.load.operation_rate,
+            draining_servers={uid: self._used_at(uid) for uid in sorted(drained)[:MAX_SERVERS]},
+            cache_attempts=self._cache_attempts(),
+            servers=self._listed_servers() if self.wants_servers else [],
+            restart_token=state.restart_token,
         )
-        return msgspec.json.encode(said)
+        return msgspec.json.encode(report)
 
-    def _figures(self, named: set[str], of: Callable[[UpstreamConnections], int]) -> ConnectionCounts:
-        found = {ORIGIN: 0, DEFAULT_SERVER: 0} | dict.fromkeys(named, 0)
-        for name, store in self.stores.items():
-            key = name if name in found else DEFAULT_SERVER
-            found[key] = max(found[key], of(store))
-        return found
+    def _floors(self) -> ConnectionCounts:
+        """The highest floors that this node may fall back to, by its lease or its state file."""
+        lease, state = self.lease.floors, self.node_file.state.floors
+        return {name: max(lease.get(name, 0), state.get(name, 0)) for name in {*lease, *state}}
+
+    def _in_flight(self) -> int:
+        return len(self.service.dispatch.exchanges)
 
-    def _out(self, uid: str) -> int:
-        store = self.stores.get(uid)
-        return store.counted + len(store.waiting) if store is not None else 0
+    def _used_at(self, uid: str) -> int:
+        upstream = self.upstreams.get(uid)
+        return upstream.counted + len(upstream.waiting) if upstream is not None else 0
 
-    def _attempts(self) -> int:
-        return sum(not pending.attempt.server.origin for pending in self.service.pool.pending.values())
+    def _cache_attempts(self) -> int:
+        servers: list[Any] = [pending.attempt.server for pending in self.service.pool.pending.values()]
+        return sum(not server.origin for server in servers)
 
-    def _listed(self) -> list[ServerReport]:
+    def _listed_servers(self) -> list[ServerReport]:
         origin = self.service.dispatch.router.origin
         return [
             ServerReport(
@@ -388,100 +176,89 @@
         ][:MAX_SERVERS]
 
     def hear(self, feed: Feed, asked_at: float) -> None:
+        """Follow the control plane's answer to the last report. Raises BadFeed where it is malformed."""
         raw = feed.parts.get(NAME)
         if raw is None:
             return
         try:
-            told = msgspec.json.decode(raw, type=ControlPlaneReply)
-        except msgspec.MsgspecError as bad:
-            raise BadFeed(f"drains: {bad}") from None
-        if told.run_number_above >= self.files.state.run_number:
-            # Two more, not one: of runs after the last known one nobody knows what they left open.
-            number = told.run_number_above + 2
-            logger.warning(
-                "drains: the file is of before run {}: this is run {}", told.run_number_above, number
-            )
-            kept = msgspec.structs.replace(self.files.state, run_number=number)
-            if not self.files.save(kept):
-                self.files.state = kept
+            reply = msgspec.json.decode(raw, type=ControlPlaneReply)
+        except msgspec.MsgspecError as error:
+            raise BadFeed(f"drains: {error}") from None
+        if reply.run_number_above >= self.node_file.state.run_number:
+            self._exceed_run_number(reply.run_number_above)
             return
-        if told.close_timeout:
-            self.closing = told.close_timeout
-        if told.rejection != self.said_refused:
-            self.said_refused = told.rejection
-            if told.rejection:
-                logger.warning("connections: not admitted by the keeper: {}", told.rejection)
-        self.asks_list = told.wants_servers
-        grant = told.lease()
-        if grant is not None and self.holding.accept(grant, self.asked):
-            self.holding.floors, self.holding.admitted_by = dict(grant.floors), told.incarnation
-            kept = self.files.state
-            if (kept.admitted_by, kept.floors, kept.close_timeout) != (
-                told.incarnation,
-                grant.floors,
-                self.closing,
-            ):
-                self._save(
-                    admitted_by=told.incarnation, floors=dict(grant.floors), close_timeout=self.closing
-                )
-            self.follower.wait = min(self.follower.wait, LEASE_PART * grant.duration)
-            self.shed()
-        if told.restart_token and not self.left:
-            self.left = told.restart_token
-            self._save(restart_token=told.restart_token)
-            logger.info("told to end by {}: {} operations in hand", told.restart_token, self._in_hand())
-            self.end()
-        elif told.immediate and self.left:
-            logger.warning("told to end at once by {}: {} in hand", told.restart_token, self._in_hand())
-            self.service.dispatch.fail_rest()
-            self.nursery.cancel_scope.cancel()
-
-    def _in_hand(self) -> int:
-        return len(self.service.dispatch.exchanges)
+        if reply.close_timeout:
+            self.close_timeout = reply.close_timeout
+        self._log_rejection(reply.rejection)
+        self.wants_servers = reply.wants_servers
+        lease = reply.lease()
+        if lease is not None and self.lease.accept(lease, self.reported_at):
+            self._follow(lease, reply.incarnation)
+        if reply.restart_token and not self.restart_token:
+            self._begin_shutdown(reply.restart_token)
+        elif reply.immediate and self.restart_token:
+            self._end_at_once(reply.restart_token)
+
+    def _exceed_run_number(self, known: int) -> None:
+        """The state file is older than the node's last run: count on from that."""
+        number = known + RUN_NUMBER_STEP
+        logger.warning("drains: the file is of before run {}: this is run {}", known, number)
+        state = msgspec.structs.replace(self.node_file.state, run_number=number)
+        if not self.node_file.save(state):
+            self.node_file.state = state
+
+    def _log_rejection(self, rejection: str) -> None:
+        if rejection and rejection != self.rejection:
+            logger.warning("connections: not admitted by the keeper: {}", rejection)
+        self.rejection = rejection
+
+    def _follow(self, lease: ConnectionLease, incarnation: str) -> None:
+        floors = dict(lease.floors)
+        self.lease.floors, self.lease.admitted_by = floors, incarnation
+        state = self.node_file.state
+        if (state.admitted_by, state.floors, state.close_timeout) != (
+            incarnation,
+            floors,
+            self.close_timeout,
+        ):
+            self.state_writer.save(
+                admitted_by=incarnation, floors=dict(floors), close_timeout=self.close_timeout
+            )
+        self.follower.wait = min(self.follower.wait, POLL_FRACTION * lease.duration)
+        self.enforce()
 
-    def _save(self, **figures: Any) -> None:
-        """One writing at a time; what comes meanwhile is written with the next."""
-        self.unsaved |= figures
-        if not self.saving:
-            self.saving = True
-            self.nursery.start_soon(self._saves)
+    def _begin_shutdown(self, restart_token: str) -> None:
+        self.restart_token = restart_token
+        self.state_writer.save(restart_token=restart_token)
+        logger.info("told to end by {}: {} operations in hand", restart_token, self._in_flight())
+        self.shut_down()
 
-    async def _saves(self) -> None:
-        try:
-            while self.unsaved:
-                kept = msgspec.structs.replace(self.files.state, **self.unsaved)
-                self.unsaved = {}
-                await trio.to_thread.run_sync(self.files.save, kept)
-        finally:
-            self.saving = False
+    def _end_at_once(self, restart_token: str) -> None:
+        logger.warning("told to end at once by {}: {} in hand", restart_token, self._in_flight())
+        self.service.dispatch.fail_rest()
+        self.nursery.cancel_scope.cancel()
 
     def away(self) -> None:
-        """The clock alone says when the lease is over."""
+        """Do nothing about a failed call: the clock alone says when the lease has expired."""
 
     def ready(self) -> bool:
-        """Whether connections may be opened, by a grant or at the floor. For `recovery`."""
+        """Whether connections may be opened, by a lease or at the floors. For `recovery`."""
         now = self.clock()
-        return any(self.holding.allowed(store, now) for store in (ORIGIN, DEFAULT_SERVER))
+        return any(self.lease.allowed(upstream, now) for upstream in (ORIGIN, DEFAULT_SERVER))
 
     # -- the end
 
     async def farewell(self) -> None:
-        """All is answered: close all connections, and say so when the servers have closed them, too."""
-        self.holding.closed = True
-        pool = self.service.pool
-        for pending in list(pool.pending.values()):
-            pool.call_off(pending.attempt)
-        for endpoint in pool.endpoints.values():
-            while endpoint.idle:
-                pool._close(endpoint.idle.pop())
-        with trio.move_on_after(FAREWELL):
-            while any(store.counted for store in self.stores.values()):
-                await trio.sleep(0.01)
-        left = sum(store.counted for store in self.stores.values())
-        with trio.move_on_after(FAREWELL):
+        """All is answered: close all connections, and report it once their servers have closed them, too."""
+        self.close_all()
+        with trio.move_on_after(FAREWELL_TIME):
+            while self.total_counted():  # noqa: ASYNC110 (an event of each upstream would say no more)
+                await trio.sleep(FAREWELL_CHECK_INTERVAL)
+        left = self.total_counted()
+        with trio.move_on_after(FAREWELL_TIME):
             self.follower.wait = 0.0
             try:
                 await self.follower._call()
-            except Exception as bad:  # the keeper finds out by the lease, later
-                logger.info("the keeper was not told that all is closed: {}", type(bad).__name__)
-        logger.info("connections closed: {} left, run {}", left, self.files.state.run_number)
+            except Exception as error:  # the control plane finds out by the lease, later
+                logger.info("the keeper was not told that all is closed: {}", type(error).__name__)
+        logger.info("connections closed: {} left, run {}", left, self.node_file.state.run_number)
--- a/gaugehinge/rehearsal/faultydrains.py
+++ b/gaugehinge/rehearsal/faultydrains.py
@@ -29,7 +29,7 @@
 
     def begin(self: DrainsAgent) -> None:
         right(self)
-        self.end = lambda: None
+        self.shut_down = lambda: None
 
     DrainsAgent.__post_init__ = begin
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -496,9 +496,9 @@
         follower = SimpleNamespace(overlay=SimpleNamespace(drained=frozenset(), told=[]), wait=5.0)
         time = SimpleNamespace(now=1000.0)
         part = DrainsAgent(
-            service, follower, NodeFile(str(tmp_path / "node")), nursery, clock=lambda: time.now
+            service, nursery, follower, NodeFile(str(tmp_path / "node")), clock=lambda: time.now
         )
-        part.closing = 30.0
+        part.close_timeout = 30.0
         tell(part, time, 1, granted)
         server = SimpleNamespace(ident=1, origin=False, presence=Presence.UP)
 
@@ -584,7 +584,7 @@
                 == all_.peers.open
             )
             tell(all_.part, all_.time, 1, 9)
-            assert all_.part.holding.number == 2, "an answer of an older number is not followed"
+            assert all_.part.lease.number == 2, "an answer of an older number is not followed"
 
     run(scene)
 
@@ -604,7 +604,7 @@
             await until(lambda: len(all_.ended) == 4)
             assert all_.peers.most == 3 and len(endpoint.idle) <= 1
             await all_.part.service.farewells[0]()
-            assert all_.part.holding.closed and not all_.part.may_open(endpoint)
+            assert all_.part.lease.closed and not all_.part.may_open(endpoint)
             await until(lambda: all_.peers.open == 0)
 
     run(scene)
