--- a/gaugehinge/drains/high_water_mark.py
+++ b/gaugehinge/drains/high_water_mark.py
@@ -129,7 +129,9 @@
         except OSError as unlink_error:
             self.path = path
             logger.error(
-                "drains: nothing is told: an old word in {} cannot be taken away: {}", path, unlink_error
+                "drains: no lease is issued: the old high-water mark {} cannot be removed: {}",
+                path,
+                unlink_error,
             )
             return False
         logger.warning("drains: the next start will wait, {} cannot be written: {}", path, error)
--- a/gaugehinge/drains/lease_log.py
+++ b/gaugehinge/drains/lease_log.py
@@ -26,7 +26,7 @@
                 counts = record.granted or record.floors
                 logger.info("node {} {}: number {}, {}", node, mode, record.number, counts)
         for node in leases.misreporting - self.misreporting:
-            logger.warning("node {} said that all was closed, and it is not", node)
+            logger.warning("node {} reported that all is closed, but has connections open", node)
         self.misreporting = set(leases.misreporting)
         for node in [node for node in self.modes if node not in leases.reports and node not in changed]:
             del self.modes[node]
--- a/gaugehinge/drains/lease_service.py
+++ b/gaugehinge/drains/lease_service.py
@@ -74,7 +74,7 @@
             if manager.state.admissions == 0 and not manager.state.suspension_reason:
                 manager.started_at = float("-inf")  # no lease was ever issued
             elif manager.store_is_current:
-                logger.info("drains: this store has all that was told by it: grants go on at once")
+                logger.info("drains: the store is current: leases may be raised at once")
 
     def _plan_start(self, store: Store, wall: float) -> list[Wanted]:
         held = load_state(store)
@@ -126,7 +126,7 @@
                 manager.configured_floors,
             )
         if manager.state.suspension_reason:
-            logger.warning("drains: nobody new is admitted: {}", manager.state.suspension_reason)
+            logger.warning("drains: no new node is admitted: {}", manager.state.suspension_reason)
 
     def _record_admissions(self) -> None:
         """On the store's thread: record how many nodes were admitted, before they are told."""
@@ -153,7 +153,7 @@
             try:
                 await keeper.call(self._record_admissions)
             except OSError as error:
-                logger.error("drains: no witness written, new nodes wait: {}", error)
+                logger.error("drains: admission record not written, new nodes wait: {}", error)
         self.log.log_changes(changed, self.manager)
 
     def _planned(
--- a/gaugehinge/drains/node_file.py
+++ b/gaugehinge/drains/node_file.py
@@ -68,7 +68,7 @@
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             self.close()
-            raise NodeFileLockedError(f"{self.path}: another process stands on it") from None
+            raise NodeFileLockedError(f"{self.path}: another process holds its lock") from None
 
     def _read(self) -> NodeState:
         try:
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -202,7 +202,7 @@
     def _exceed_run_number(self, known: int) -> None:
         """The state file is older than the node's last run: count on from that."""
         number = known + RUN_NUMBER_STEP
-        logger.warning("drains: the file is of before run {}: this is run {}", known, number)
+        logger.warning("drains: the state file is older than run {}: this is run {}", known, number)
         state = msgspec.structs.replace(self.node_file.state, run_number=number)
         if not self.node_file.save(state):
             self.node_file.state = state
