--- a/gaugehinge/drains/connection_budget.py
+++ b/gaugehinge/drains/connection_budget.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import socket
-from collections import deque
 from collections.abc import Callable, Iterable
 from contextlib import suppress
 from dataclasses import dataclass, field
@@ -18,6 +17,7 @@
 from .connection_counts import DEFAULT_SERVER, ORIGIN, ConnectionCounts
 from .lease_holder import LeaseHolder
 from .peer_close import wait_for_peer_close
+from .upstream_connections import UpstreamConnections
 
 MAX_WAITING = 256  # attempts that wait for a connection to one server
 WAIT_FRACTION = 0.5  # of an attempt's time to wait for a connection; then another server is tried, or none
@@ -26,36 +26,6 @@
 REST_MARGIN = 1.1  # by which a connection's rest is waited for
 
 
-@dataclass(slots=True)
-class UpstreamConnections:
-    """Connections to one server. It leaves with the last one, once the server has left the endpoint list."""
-
-    open: int = 0  # connecting, idle and in use
-    closing: int = 0
-    waiting: deque[PendingAttempt] = field(default_factory=deque)
-    peak: int = 0  # in use and waited for, the most in this window
-    previous_peak: int = 0  # and in the last one
-    over_since: float = 0.0  # more are open than allowed; 0: they are not
-
-    @property
-    def counted(self) -> int:
-        """All that the server may have."""
-        return self.open + self.closing
-
-    @property
-    def demand(self) -> int:
-        """The peak of the last one or two windows."""
-        return max(self.peak, self.previous_peak)
-
-    def note_demand(self, idle: int) -> None:
-        """Raise the peak to what is in use and waited for now."""
-        self.peak = max(self.peak, self.open - idle + len(self.waiting))
-
-    def end_window(self) -> None:
-        """Begin the next window."""
-        self.previous_peak, self.peak = self.peak, len(self.waiting)
-
-
 @dataclass(slots=True, eq=False)
 class ConnectionBudget:
     """`net.pool.Warden`: says what may be opened and used by the lease.
--- a/gaugehinge/drains/fleet_view.py
+++ b/gaugehinge/drains/fleet_view.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
@@ -15,7 +14,6 @@
 from .messages import RouterReport, ServerReport
 from .operation_counter import OperationCounter
 from .repository import MAX_ITEMS, Stored, load_limits, load_nodes, load_restarts
-from .restart_batch import LastOfShard
 from .restart_order import NodeKind
 from .restart_types import NodeStatus
 
@@ -255,23 +253,3 @@
 
 def _server_capacity(limits: ConnectionCounts, uid: str) -> float:
     return float(count_for(limits, uid))
-
-
-def last_of_shard(pinned_zones: Iterable[frozenset[str]], servers: dict[str, NodeStatus]) -> LastOfShard:
-    """A test whether a server is the last one up for a shard pinned to zones, others being unavailable."""
-    pinned = set(pinned_zones)
-
-    def serves(uid: str, zones: frozenset[str], unavailable: frozenset[str]) -> bool:
-        status = servers[uid]
-        return status.up and not status.draining and status.zone in zones and uid not in unavailable
-
-    def is_last(name: str, unavailable: frozenset[str]) -> bool:
-        if name not in servers:
-            return False  # a router
-        return any(
-            servers[name].zone in zones
-            and not any(serves(uid, zones, unavailable) for uid in servers if uid != name)
-            for zones in pinned
-        )
-
-    return is_last
--- a/gaugehinge/drains/restart_batch.py
+++ b/gaugehinge/drains/restart_batch.py
@@ -3,14 +3,48 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
+
+import msgspec
 
 from .restart_order import RestartOrder
-from .restart_records import RestartStep
-from .restart_types import UNAVAILABLE_STAGES, NodeStatus
+from .restart_records import RestartStep, RollingRestart
+from .restart_types import UNAVAILABLE_STAGES, NodeStatus, StepStage
 
 LastOfShard = Callable[[str, frozenset[str]], bool]  # a server's name, and the servers that are unavailable
 
 
+@dataclass(slots=True, frozen=True)
+class Batch:
+    """The nodes of one restart among which the next ones are taken out."""
+
+    restart: RollingRestart
+    steps: dict[str, RestartStep]  # changed in place
+    nodes: Mapping[str, NodeStatus]
+    unavailable: dict[str, NodeStatus]  # grows
+
+    def take_out(self, step: RestartStep, node: NodeStatus) -> None:
+        """Count a node as unavailable, its step as notified."""
+        is_server = self.restart.order.kind == "servers"
+        self.steps[step.node] = msgspec.structs.replace(
+            step, stage=StepStage.NOTIFIED, run=node.run, drain_ordered=is_server, reason=""
+        )
+        self.unavailable[step.node] = node
+
+
+def unavailable_by_others(
+    restart: RollingRestart, restarts: Iterable[RollingRestart], steps: Mapping[str, list[RestartStep]]
+) -> list[RestartStep]:
+    """Steps of other restarts of the same kind whose nodes are out."""
+    return [
+        step
+        for other in restarts
+        if other.ident != restart.ident and other.order.kind == restart.order.kind
+        for step in steps.get(other.ident, ())
+        if step.stage in UNAVAILABLE_STAGES
+    ]
+
+
 def unavailable_nodes(
     order: RestartOrder,
     nodes: Mapping[str, NodeStatus],
--- a/gaugehinge/drains/restart_planner.py
+++ b/gaugehinge/drains/restart_planner.py
@@ -19,8 +19,9 @@
 import msgspec
 
 from .error_budget import LONG_WINDOW, ErrorBudget
-from .restart_batch import LastOfShard, may_be_unavailable, unavailable_nodes
+from .restart_batch import Batch, LastOfShard, may_be_unavailable, unavailable_by_others, unavailable_nodes
 from .restart_order import NodeKind
+from .restart_progress import with_observed_stage
 from .restart_records import RestartPlan, RestartStep, RollingRestart
 from .restart_types import (
     FINAL_STAGES,
@@ -31,6 +32,7 @@
     StepStage,
 )
 
+ACTIVE_STATUSES = (RestartStatus.QUEUED, RestartStatus.RUNNING)
 MIN_MISSING_TIME = 1.0  # seconds for which a node is waited for that is not there
 
 
@@ -70,10 +72,8 @@
         they still have open.
         """
         plan = RestartPlan()
-        unfinished = [restart for restart in restarts if restart.status not in FINAL_STATUSES]
-        unfinished.sort(key=lambda restart: restart.number)
-        active = (RestartStatus.QUEUED, RestartStatus.RUNNING)
-        head = next((restart for restart in unfinished if restart.status in active), None)
+        unfinished = _queue(restarts)
+        head = next((restart for restart in unfinished if restart.status in ACTIVE_STATUSES), None)
         for restart in unfinished:
             nodes = nodes_by_kind[restart.order.kind]
             own_steps = steps.get(restart.ident, [])
@@ -83,12 +83,10 @@
             if restart is head:
                 restart = self._run_head(restart, after, nodes, now, wall, plan)
                 if restart.status == RestartStatus.RUNNING and restart.order.is_open(wall):
-                    others = _unavailable_by_others(restart, unfinished, steps)
-                    batch = _Batch(
-                        restart, after, nodes, unavailable_nodes(restart.order, nodes, after, others)
-                    )
-                    notified = _notified_routers(unfinished, steps)
-                    self._notify(batch, now, plan, notified, has_room_for)
+                    others = unavailable_by_others(restart, unfinished, steps)
+                    unavailable = unavailable_nodes(restart.order, nodes, after, others)
+                    batch = Batch(restart, after, nodes, unavailable)
+                    self._notify(batch, now, plan, _notified_routers(unfinished, steps), has_room_for)
             self._record(restart, own_steps, after, plan)
         self._forget({restart.ident for restart in unfinished})
         return plan
@@ -115,7 +113,7 @@
             seen = self.observed[key] = Observation(step.stage, now)
         if step.stage not in UNAVAILABLE_STAGES:
             return step
-        after = _with_observed_stage(restart, step, node)
+        after = with_observed_stage(restart, step, node)
         if after.stage == StepStage.WARMING_UP and after.drain_ordered:
             plan.servers_to_restore.append(step.node)
             after = msgspec.structs.replace(after, drain_ordered=False)
@@ -137,7 +135,7 @@
         if on_timeout == "skip":
             plan.log.append(f"roll {restart.ident}: {reason}: skipped")
             return _skip(step, reason, plan)
-        if restart.status in (RestartStatus.RUNNING, RestartStatus.QUEUED):
+        if restart.status in ACTIVE_STATUSES:
             _stop(restart, reason, plan)
         return step
 
@@ -189,7 +187,7 @@
 
     def _notify(
         self,
-        batch: _Batch,
+        batch: Batch,
         now: float,
         plan: RestartPlan,
         notified_routers: int,
@@ -236,21 +234,9 @@
             plan.restarts[restart.ident] = msgspec.structs.replace(restart, status=RestartStatus.DONE)
 
 
-@dataclass(slots=True, frozen=True)
-class _Batch:
-    """The nodes of one restart among which the next ones are taken out."""
-
-    restart: RollingRestart
-    steps: dict[str, RestartStep]  # changed in place
-    nodes: Mapping[str, NodeStatus]
-    unavailable: dict[str, NodeStatus]  # grows
-
-    def take_out(self, step: RestartStep, node: NodeStatus) -> None:
-        is_server = self.restart.order.kind == "servers"
-        self.steps[step.node] = msgspec.structs.replace(
-            step, stage=StepStage.NOTIFIED, run=node.run, drain_ordered=is_server, reason=""
-        )
-        self.unavailable[step.node] = node
+def _queue(restarts: Iterable[RollingRestart]) -> list[RollingRestart]:
+    unfinished = [restart for restart in restarts if restart.status not in FINAL_STATUSES]
+    return sorted(unfinished, key=lambda restart: restart.number)
 
 
 def _notified_routers(restarts: Iterable[RollingRestart], steps: Mapping[str, list[RestartStep]]) -> int:
@@ -262,40 +248,6 @@
     )
 
 
-def _unavailable_by_others(
-    restart: RollingRestart, restarts: Iterable[RollingRestart], steps: Mapping[str, list[RestartStep]]
-) -> list[RestartStep]:
-    """Steps of other restarts of the same kind whose nodes are out."""
-    return [
-        step
-        for other in restarts
-        if other.ident != restart.ident and other.order.kind == restart.order.kind
-        for step in steps.get(other.ident, ())
-        if step.stage in UNAVAILABLE_STAGES
-    ]
-
-
-def _with_observed_stage(restart: RollingRestart, step: RestartStep, node: NodeStatus | None) -> RestartStep:
-    """A step of a node that is out, at the stage that the node's status shows."""
-    stage = step.stage
-    if node is not None and node.up and node.run != step.run and _is_intended_build(restart, node):
-        warm = step.stage == StepStage.WARMING_UP and node.ready_for >= restart.order.warm_up
-        stage = StepStage.DONE if warm else StepStage.WARMING_UP
-    elif step.stage == StepStage.WARMING_UP or (
-        step.stage != StepStage.DOWN and (node is None or not node.up)
-    ):
-        stage = StepStage.DOWN
-    elif step.stage == StepStage.NOTIFIED and restart.order.kind == "servers" and node and node.drained:
-        stage = StepStage.DRAINED
-    return msgspec.structs.replace(step, stage=stage)
-
-
-def _is_intended_build(restart: RollingRestart, node: NodeStatus) -> bool:
-    if not restart.order.build:
-        return True
-    return (node.build == restart.order.build) is not restart.reverting
-
-
 def _skip(step: RestartStep, reason: str, plan: RestartPlan) -> RestartStep:
     if step.drain_ordered:
         plan.servers_to_restore.append(step.node)
--- a/gaugehinge/drains/restart_service.py
+++ b/gaugehinge/drains/restart_service.py
@@ -2,21 +2,20 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
 
 from loguru import logger
 
-from ..admin.service import Administration
 from ..store.store import Store, Wanted
 from .connection_counts import count_for
-from .fleet_view import ShutdownOrder, last_of_shard
+from .fleet_view import ShutdownOrder
 from .lease_service import AUTHOR, LeaseService
 from .repository import RestartTable, load_limits, load_nodes, load_restarts
 from .restart_planner import RestartPlanner
 from .restart_records import RestartPlan
 from .restart_types import RestartStatus, StepStage
+from .shard_pinning import last_of_shard, pinned_zones
 
 HasRoomFor = Callable[[int], bool]
 
@@ -78,18 +77,6 @@
         return has_room_for
 
 
-def pinned_zones(administration: Administration) -> Iterable[frozenset[str]]:
-    """The zones of each shard that may be served nowhere else, as placement has them."""
-    placement: Any = next((part for part in administration.parts if part.name == "placement"), None)
-    rows = placement.desk.rows.values() if placement is not None else ()
-    return {
-        frozenset(zone for region in terms.zones for zone in region)
-        for row, _ in rows
-        for terms in (row.now, row.then)
-        if terms and terms.only
-    }
-
-
 def _shutdown_orders(table: RestartTable) -> dict[str, ShutdownOrder]:
     """Which run of which router is told to shut down."""
     return {
--- a/tests/test_drains_control_plane.py
+++ b/tests/test_drains_control_plane.py
@@ -17,12 +17,11 @@
 from gaugehinge.admin.service import Administration
 from gaugehinge.cli.main import main as command_line
 from gaugehinge.drains.connection_counts import ORIGIN
-from gaugehinge.drains.fleet_view import last_of_shard
 from gaugehinge.drains.high_water_mark import HighWaterMarkFile
 from gaugehinge.drains.messages import NAME, ControlPlaneReply, RouterReport, ServerReport
 from gaugehinge.drains.part import create_part
 from gaugehinge.drains.repository import load_nodes
-from gaugehinge.drains.restart_service import pinned_zones
+from gaugehinge.drains.shard_pinning import last_of_shard, pinned_zones
 from gaugehinge.forms.units import Seconds
 from gaugehinge.placement.shards import Terms
 from gaugehinge.rehearsal.hostedplay import CHEAP
--- a/tests/test_drains_model.py
+++ b/tests/test_drains_model.py
@@ -1,4 +1,4 @@
-"""Grants and rolls in virtual time: all ways of three nodes, long ones of chance, faults to be found."""
+"""Connection leases and rolling restarts in virtual time: search, random walks, injected faults."""
 
 import pytest
 from hypothesis import Phase, settings
@@ -26,7 +26,7 @@
 STATES = 101_000
 
 
-def test_three_nodes_never_have_more_open_than_the_store_bears_whatever_happens_in_whatever_order():
+def test_every_order_of_events_of_three_nodes_stays_within_the_limit():
     states, transitions, broken = search(begun(World), STATES)
     assert broken is None, broken
     assert states >= STATES and transitions > 2 * STATES
@@ -37,8 +37,8 @@
 
 
 OPEN, LATE = (("open", 0),), (("answer_late", 0), *[("tick",)] * 4)
-# What one had went to another since a copy of the store was made, and a keeper is back: on the copy; on the
-# copy after one that waited on it was killed; on its own store, while one elsewhere had gone on with a copy.
+# A grant moved to another node since a backup was made, and a control plane is back: on the backup; on the
+# backup after one that waited on it was killed; on its own store, while one elsewhere went on with a copy.
 WENT_BACK = (("copy",), *ask(1, 0, 0, 1, 1), ("open", 1), ("older",), *ask(0))
 AGAIN = (*WENT_BACK, ("keeper",), *ask(0))
 ELSEWHERE = (("elsewhere",), *[("tick",)] * 6, *ask(1, 1, 1), ("open", 1), ("back_home",), *ask(0))
@@ -58,7 +58,7 @@
     ],
     ids=lambda each: getattr(each, "__name__", None),
 )
-def test_a_keeper_or_a_node_that_takes_too_little_for_proof_is_found(made, moves, most):
+def test_the_search_finds_each_injected_fault(made, moves, most):
     _, _, path = search(begun(made, moves), most)
     assert path is not None
     world = begun(made, moves)
@@ -68,23 +68,23 @@
 
 
 @pytest.mark.parametrize("moves", [WENT_BACK, AGAIN, ELSEWHERE])
-def test_a_keeper_that_is_back_believes_its_store_only_where_all_that_was_told_is_in_it(moves):
+def test_a_returning_control_plane_trusts_only_a_current_store(moves):
     states, _, broken = search(begun(World, moves), 10_000)
     assert broken is None and states >= 10_000
 
 
-def test_a_keeper_that_was_killed_goes_on_at_once():
+def test_a_killed_control_plane_resumes_at_once():
     world = begun(World, (("keeper",), *ask(1, 0, 0, 1, 1)))
     assert not world.now and world.nodes[1].holding.granted[ORIGIN] > 1
 
 
-def test_long_ways_with_clocks_at_odds_lowered_limits_lost_files_and_older_stores_stay_within():
+def test_random_walks_stay_within_the_limit():
     broken = [found for seed in range(400) if (found := walk(World, seed, 300))]
     assert not broken, broken[0]
     assert any(walk(kind(KillIsProof), seed, 300) for seed in range(100)), "these ways find faults"
 
 
-class Days(RuleBasedStateMachine):
+class GeneratedWalk(RuleBasedStateMachine):
     """A world in which hypothesis chooses each move."""
 
     @initialize(limit=st.integers(4, 9), nodes=st.integers(2, 4))
@@ -121,9 +121,9 @@
                 assert world.keeper.total_worst_case(world.slots.values(), ORIGIN) <= world.limit
 
 
-def test_ways_that_hypothesis_chooses_stay_within():
+def test_generated_walks_stay_within_the_limit():
     run_state_machine_as_test(
-        Days,
+        GeneratedWalk,
         settings=settings(
             max_examples=60,
             stateful_step_count=60,
@@ -135,12 +135,12 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_rolls_keep_within_what_may_be_out_while_nodes_fail_keepers_end_and_reports_are_lost(seed):
+def test_restarts_under_faults_keep_within_the_unavailability_limits(seed):
     took, broken, done = virtual_roll(24, 3, 3, seed, faults=True)
     assert not broken, broken
     assert done, f"not done after {took} s"
 
 
-def test_a_roll_takes_as_long_as_its_nodes_are_many():
+def test_the_duration_of_a_restart_is_independent_of_the_fleets_size():
     times = [virtual_roll(12 * size, 3, 2 * size, 1)[0] for size in (1, 4, 16)]
     assert all(time < 1.5 * times[0] for time in times), "the same part of a fleet is out at a time"
