--- a/gaugehinge/drains/connection_budget.py
+++ b/gaugehinge/drains/connection_budget.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class ConnectionBudget:
+class LeasedConnectionBudget:
     """`net.pool.Warden`: says what may be opened and used by the lease.
 
     Its clock goes on while the machine is suspended, and is read at each opening and each use.
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -17,7 +17,7 @@
 from ..tenancy.feed import Feed
 from ..tenancy.lease import DRIFT, SLACK
 from ..terms import Presence
-from .connection_budget import ConnectionBudget
+from .connection_budget import LeasedConnectionBudget
 from .connection_counts import DEFAULT_SERVER, ORIGIN, ConnectionCounts
 from .lease_holder import LeaseHolder
 from .lease_types import ConnectionLease
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class DrainsAgent(ConnectionBudget):
+class DrainsAgent(LeasedConnectionBudget):
     """`hosted.follower.Part` and `net.pool.Warden`."""
 
     follower: Follower
