--- a/gaugehinge/drains/connection_budget.py
+++ b/gaugehinge/drains/connection_budget.py
@@ -10,9 +10,10 @@
 
 import trio
 
-from ..net.pool import REST_TIME, Connection, Endpoint, PendingAttempt
+from ..net.connection import Connection, PendingAttempt, ServerPool
+from ..net.connection_pool import REUSE_DELAY
 from ..net.service import Service
-from ..terms import Outcome
+from ..routing.types import Outcome
 from .clock import boot_clock
 from .connection_counts import DEFAULT_SERVER, ORIGIN, ConnectionCounts
 from .lease_holder import LeaseHolder
@@ -28,7 +29,7 @@
 
 @dataclass(slots=True, eq=False)
 class LeasedConnectionBudget:
-    """`net.pool.Warden`: says what may be opened and used by the lease.
+    """`net.connection_pool.ConnectionBudget`: says what may be opened and used by the lease.
 
     Its clock goes on while the machine is suspended, and is read at each opening and each use.
     """
@@ -43,7 +44,7 @@
 
     # -- which upstream
 
-    def upstream_name(self, endpoint: Endpoint) -> str:
+    def upstream_name(self, endpoint: ServerPool) -> str:
         """ORIGIN, or the server's name in the endpoint list.
 
         It stays the same for as long as a connection counts: the origin leaves the list before the
@@ -51,24 +52,24 @@
         """
         name = self.upstream_names.get(endpoint.uid)
         if name is None:
-            origin = self.service.dispatch.router.origin
+            origin = self.service.dispatcher.router.origin
             name = ORIGIN if origin is not None and origin.ident == endpoint.ident else endpoint.uid
             self.upstream_names[endpoint.uid] = name
         return name
 
-    def _upstream(self, endpoint: Endpoint) -> UpstreamConnections:
+    def _upstream(self, endpoint: ServerPool) -> UpstreamConnections:
         name = self.upstream_name(endpoint)
         found = self.upstreams.get(name)
         if found is None:
             found = self.upstreams[name] = UpstreamConnections()
         return found
 
-    def _allowed(self, endpoint: Endpoint) -> int:
+    def _allowed(self, endpoint: ServerPool) -> int:
         return self.lease.allowed(self.upstream_name(endpoint), self.clock())
 
-    # -- net.pool.Warden
+    # -- net.connection_pool.ConnectionBudget
 
-    def may_open(self, endpoint: Endpoint) -> bool:
+    def may_open(self, endpoint: ServerPool) -> bool:
         """Whether one more may be opened. Closing connections count: the server may hold them still."""
         return self._upstream(endpoint).counted < self._allowed(endpoint)
 
@@ -96,7 +97,7 @@
             self.service.pool._close(connection)
         elif upstream.waiting:
             pool = self.service.pool
-            pool.deadlines.at(pool.clock() + REST_MARGIN * REST_TIME, self._serve_waiting, endpoint)
+            pool.timers.call_at(pool.clock() + REST_MARGIN * REUSE_DELAY, self._serve_waiting, endpoint)
 
     def closed(self, connection: Connection) -> None:
         """Shut down the sending side, and count the connection until the server has closed it, too."""
@@ -105,11 +106,11 @@
         upstream.closing += 1
         half_closed = None
         with suppress(OSError):  # it never came up, or was reset
-            half_closed = connection.raw.dup()
+            half_closed = connection.sock.dup()
         self.nursery.start_soon(self._await_close, half_closed, upstream, connection.endpoint)
 
     async def _await_close(
-        self, half_closed: socket.socket | None, upstream: UpstreamConnections, endpoint: Endpoint
+        self, half_closed: socket.socket | None, upstream: UpstreamConnections, endpoint: ServerPool
     ) -> None:
         try:
             if half_closed is None or not await wait_for_peer_close(half_closed, self.close_timeout):
@@ -122,51 +123,51 @@
 
     # -- attempts that wait for a connection
 
-    def wait(self, endpoint: Endpoint, pending: PendingAttempt) -> bool:
+    def wait(self, endpoint: ServerPool, pending: PendingAttempt) -> bool:
         """Keep an attempt for which no connection may be opened; False: it is not kept."""
         upstream = self._upstream(endpoint)
         if len(upstream.waiting) >= MAX_WAITING or self.lease.closed:
             return False
         pool = self.service.pool
         now = pool.clock()
-        wait_until = now + WAIT_FRACTION * max(pending.due - now, 0.0)
-        self._set_time_out(pending, wait_until, self._wait_timed_out, upstream, pending)
+        wait_until = now + WAIT_FRACTION * max(pending.deadline - now, 0.0)
+        self._set_timer(pending, wait_until, self._wait_timed_out, upstream, pending)
         upstream.waiting.append(pending)
         if endpoint.idle:  # one that has not had its rest
-            pool.deadlines.at(now + REST_MARGIN * REST_TIME, self._serve_waiting, endpoint)
+            pool.timers.call_at(now + REST_MARGIN * REUSE_DELAY, self._serve_waiting, endpoint)
         upstream.note_demand(len(endpoint.idle))
         return True
 
-    def _set_time_out(
+    def _set_timer(
         self, pending: PendingAttempt, at: float, action: Callable[..., None], *arguments: Any
     ) -> None:
-        deadlines = self.service.pool.deadlines
-        if pending.time_out is not None:
-            deadlines.drop(pending.time_out)
-        pending.time_out = deadlines.at(at, action, *arguments)
+        timers = self.service.pool.timers
+        if pending.timer is not None:
+            timers.cancel(pending.timer)
+        pending.timer = timers.call_at(at, action, *arguments)
 
     def _wait_timed_out(self, upstream: UpstreamConnections, pending: PendingAttempt) -> None:
         if pending in upstream.waiting:
             upstream.waiting.remove(pending)
-            self.service.pool._end_soon(pending, Outcome.NEVER_SENT)
+            self.service.pool._end_soon(pending, Outcome.NOT_SENT)
 
-    def _serve_waiting(self, endpoint: Endpoint) -> None:
+    def _serve_waiting(self, endpoint: ServerPool) -> None:
         """Give free connections, and openings that are allowed, to the attempts that wait longest."""
         upstream, pool = self._upstream(endpoint), self.service.pool
         while upstream.waiting:
             pending = upstream.waiting[0]
-            if pool.pending.get(pending.attempt) is not pending or pending.attempt.operation.over:
+            if pool.pending.get(pending.attempt) is not pending or pending.attempt.operation.finished:
                 upstream.waiting.popleft()
                 continue
             if pool.endpoints.get(endpoint.ident) is not endpoint:
                 upstream.waiting.popleft()
-                pool._end_soon(pending, Outcome.NEVER_SENT)
+                pool._end_soon(pending, Outcome.NOT_SENT)
                 continue
-            connection = pool._warm(endpoint)
+            connection = pool.take_idle(endpoint)
             if connection is None and not (self.may_open(endpoint) and pool._make_room()):
                 return
             upstream.waiting.popleft()
-            self._set_time_out(pending, pending.due, pool._late, pending)
+            self._set_timer(pending, pending.deadline, pool._on_timeout, pending)
             if connection is not None:
                 pool._start(connection, pending)
             else:
@@ -192,7 +193,7 @@
                 self._forget_upstream(name)
 
     def _close_excess(
-        self, name: str, upstream: UpstreamConnections, endpoint: Endpoint | None, now: float
+        self, name: str, upstream: UpstreamConnections, endpoint: ServerPool | None, now: float
     ) -> None:
         allowed = self.lease.allowed(name, now)
         while endpoint is not None and endpoint.idle and upstream.open > allowed:
@@ -227,7 +228,7 @@
         self.lease.closed = True
         pool = self.service.pool
         for pending in list(pool.pending.values()):
-            pool.call_off(pending.attempt)
+            pool.cancel(pending.attempt)
         for endpoint in pool.endpoints.values():
             while endpoint.idle:
                 pool._close(endpoint.idle.pop())
--- a/gaugehinge/drains/controller.py
+++ b/gaugehinge/drains/controller.py
@@ -9,8 +9,8 @@
 from loguru import logger
 
 from ..admin.service import Wrong
-from ..store.keeper import Overloaded
-from ..store.store import Conflict, Full, Store
+from ..store.errors import DiskFullError, RevisionConflictError, StoreOverloadedError
+from ..store.store import Store
 from ..tenancy.feed import Report
 from .connection_counts import ORIGIN, count_for
 from .lease_service import LeaseService
@@ -112,7 +112,7 @@
             try:
                 await self.leases.plan()
                 await self.restarts.plan()
-            except (Conflict, Full, Overloaded) as error:
+            except (RevisionConflictError, DiskFullError, StoreOverloadedError) as error:
                 logger.warning("drains not planned: {}", error)
             await trio.sleep(MIN_PLAN_INTERVAL)
 
@@ -121,7 +121,7 @@
             try:
                 await self.leases.start()
                 self.ready = True
-            except (Conflict, Full, Overloaded, OSError) as error:
+            except (RevisionConflictError, DiskFullError, StoreOverloadedError, OSError) as error:
                 # Started on a full disk: ending here would take the leases of all routers with it, and with
                 # them service.
                 logger.warning("drains not begun: {}", error)
--- a/gaugehinge/drains/fleet_view.py
+++ b/gaugehinge/drains/fleet_view.py
@@ -76,7 +76,9 @@
     def record(self, report: RouterReport, envelope: Report, now: float) -> None:
         """Take the report of a node."""
         self.notified_runs.pop(report.node, None)
-        self.reports[report.node] = LatestReport(report, envelope.router, envelope.run, envelope.since, now)
+        self.reports[report.node] = LatestReport(
+            report, envelope.router, envelope.run, envelope.known_revision, now
+        )
         self.operations.record(report, envelope.run)
         if report.servers:
             self._record_servers(report.servers, now)
@@ -192,7 +194,7 @@
         self, store: Store, nodes: dict[str, Stored[NodeRecord]], now: float
     ) -> dict[str, NodeStatus]:
         limits = load_limits(store)
-        drain_orders = {item.ident: item.rev for item in store.items(SERVER, most=MAX_ITEMS)}
+        drain_orders = {item.item_id: item.revision for item in store.items(SERVER, limit=MAX_ITEMS)}
         drained_by_restarts = _drained_by_restarts(store)
         load = self._load_of_each_server(now)
         found = {}
--- a/gaugehinge/drains/lease_holder.py
+++ b/gaugehinge/drains/lease_holder.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ..tenancy.lease import Held
+from ..tenancy.lease import HeldLease
 from .connection_counts import ConnectionCounts, count_for
 from .lease_types import ConnectionLease
 
@@ -19,7 +19,7 @@
     number: int = 0
     issuer: str = ""
     granted: ConnectionCounts = field(default_factory=dict)
-    validity: Held = field(default_factory=Held)
+    validity: HeldLease = field(default_factory=HeldLease)
     closed: bool = False  # nothing more is opened
     ignored_before: float = float("-inf")  # answers to reports sent earlier than this are too late
 
@@ -28,7 +28,7 @@
 
         An expired lease that was reported as such is not revived by the answer to an earlier report.
         """
-        if self.validity.good(now):
+        if self.validity.is_valid(now):
             return dict(self.granted)
         self.ignored_before = now
         return {}
@@ -43,7 +43,7 @@
         if (lease.number, lease.issuer) != (self.number, self.issuer):
             self.number, self.issuer, self.granted = lease.number, lease.issuer, dict(lease.granted)
             # The validity of one number says nothing of the next: only this answer's does.
-            self.validity = Held()
+            self.validity = HeldLease()
         if lease.predecessors_closed:
             self.floors_usable_at = float("-inf")
         self.validity.renew(requested_at, lease.duration)
@@ -53,7 +53,7 @@
         """Connections to an upstream that may be open and used now."""
         if self.closed:
             return 0
-        if self.validity.good(now):
+        if self.validity.is_valid(now):
             return count_for(self.granted, upstream)
         floors_usable = self.admitted_by and now >= self.floors_usable_at
         return count_for(self.floors, upstream) if floors_usable else 0
--- a/gaugehinge/drains/lease_manager.py
+++ b/gaugehinge/drains/lease_manager.py
@@ -24,7 +24,7 @@
 
 import msgspec
 
-from ..tenancy.lease import Given
+from ..tenancy.lease import GrantedLease
 from .connection_counts import ConnectionCounts, count_for, maximum, total
 from .lease_allocation import LeaseAllocator
 from .lease_table import LeaseTable
@@ -73,7 +73,7 @@
             return None
         if record.number < report.number or _same_number_of_other_issuer(record, report):
             return None  # the next plan takes the reported number over
-        self.issued[record.node] = Given(now, self.lease_duration, record.number)
+        self.issued[record.node] = GrantedLease(now, self.lease_duration, record.number)
         floors = {
             upstream: min(floor, count_for(record.floors, upstream))
             for upstream, floor in self.floors.items()
--- a/gaugehinge/drains/lease_service.py
+++ b/gaugehinge/drains/lease_service.py
@@ -15,7 +15,8 @@
 
 from ..admin.keep import KeepDrains
 from ..admin.service import TENANT, Administration
-from ..store.store import Store, Wanted, encode
+from ..store.records import Mutation, encode
+from ..store.store import Store
 from .admission_record import AdmissionRecord
 from .clock import boot_clock
 from .connection_counts import DEFAULT_SERVER, ORIGIN, ConnectionCounts
@@ -63,11 +64,12 @@
     async def start(self) -> None:
         """Take over what earlier runs left in the store, and the limits of the settings where it has none.
 
-        Raises Conflict, Full, Overloaded or OSError where the store or its disk does not take it now.
+        Raises RevisionConflictError, DiskFullError, StoreOverloadedError or OSError where the store or its
+        disk does not take it now.
         """
         keeper = self.administration.keeper
         await keeper.apply_planned(self._plan_start, AUTHOR)
-        await keeper.call(self._record_admissions)
+        await keeper.run_sync(self._record_admissions)
         self._log_start()
         manager = self.manager
         with self.lock:
@@ -76,7 +78,7 @@
             elif manager.store_is_current:
                 logger.info("drains: the store is current: leases may be raised at once")
 
-    def _plan_start(self, store: Store, wall: float) -> list[Wanted]:
+    def _plan_start(self, store: Store, wall: float) -> list[Mutation]:
         held = load_state(store)
         state = self._initial_state(held)
         records = [stored.record for stored in load_nodes(store).values()]
@@ -85,10 +87,10 @@
             self.manager.adopt_floors(records)
             # Killed on this machine and back on the store that it issued by: all that is held is in there.
             self.manager.store_is_current = not state.suspension_reason and self.mark_file.covers(
-                self.administration.life, store.mark, boot_clock(), self.manager.startup_hold
+                self.administration.life, store.revision_digest, boot_clock(), self.manager.startup_hold
             )
         revision = held.revision if held is not None else 0
-        return [Wanted(STATE, STATE_IDENT, encode(state), revision), *self._missing_limits(store)]
+        return [Mutation(STATE, STATE_IDENT, encode(state), revision), *self._missing_limits(store)]
 
     def _initial_state(self, held: Stored[DurableState] | None) -> DurableState:
         before = held.record if held is not None else DurableState()
@@ -105,14 +107,14 @@
             suspicion,
         )
 
-    def _missing_limits(self, store: Store) -> list[Wanted]:
+    def _missing_limits(self, store: Store) -> list[Mutation]:
         configured = {
             ORIGIN: self.settings.origin,
             DEFAULT_SERVER: self.settings.servers,
             **self.settings.limits,
         }
         return [
-            Wanted(LIMIT, upstream, encode(LimitRecord(limit)), 0)
+            Mutation(LIMIT, upstream, encode(LimitRecord(limit)), 0)
             for upstream, limit in configured.items()
             if store.get(LIMIT, upstream) is None
         ]
@@ -139,10 +141,13 @@
     # -- plans
 
     async def plan(self) -> None:
-        """Plan and write what reports, time and demand change. Raises Conflict, Full or Overloaded."""
+        """Plan and write what reports, time and demand change.
+
+        Raises RevisionConflictError, DiskFullError or StoreOverloadedError.
+        """
         changed: dict[str, NodeRecord] = {}
 
-        def plan(store: Store, wall: float) -> list[Wanted]:
+        def plan(store: Store, wall: float) -> list[Mutation]:
             held, limits, now = load_nodes(store), load_limits(store), self.clock()
             changed.update(self._planned(store, held, limits, now))
             return [*node_changes(held, changed), *state_changes(store, self.manager.state)]
@@ -151,7 +156,7 @@
         await keeper.apply_planned(plan, AUTHOR)
         if self.manager.state.admissions != self.manager.recorded_admissions:
             try:
-                await keeper.call(self._record_admissions)
+                await keeper.run_sync(self._record_admissions)
             except OSError as error:
                 logger.error("drains: admission record not written, new nodes wait: {}", error)
         self.log.log_changes(changed, self.manager)
@@ -175,7 +180,7 @@
         if usage.operation_rate <= 0.0:
             return 0.0
         allowed = 0.0
-        for item in store.items(TENANT, most=MAX_ITEMS):
+        for item in store.items(TENANT, limit=MAX_ITEMS):
             allowed += float(msgspec.json.decode(item.body).get("allowance", 0.0))
         return allowed * usage.connections / usage.operation_rate
 
@@ -186,5 +191,5 @@
         with self.lock:
             may_raise = self.manager.may_raise(self.clock())
         return self.mark_file.advance(
-            self.administration.life, store.rev, store.mark, may_raise, boot_clock()
+            self.administration.life, store.revision, store.revision_digest, may_raise, boot_clock()
         )
--- a/gaugehinge/drains/lease_table.py
+++ b/gaugehinge/drains/lease_table.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..tenancy.lease import DRIFT, SLACK, Given
+from ..tenancy.lease import EXPIRY_MARGIN, MAX_CLOCK_DRIFT, GrantedLease
 from .connection_counts import ConnectionCounts, count_for, maximum
 from .lease_types import DurableState, NodeRecord, NodeReport
 
@@ -32,7 +32,7 @@
     state: DurableState
     reports: dict[str, NodeReport] = field(default_factory=dict)  # the last one of each node
     last_heard: dict[str, float] = field(default_factory=dict)
-    issued: dict[str, Given] = field(default_factory=dict)
+    issued: dict[str, GrantedLease] = field(default_factory=dict)
     lingering_until: dict[str, float] = field(default_factory=dict)  # connections of earlier runs are closed
     misreporting: set[str] = field(default_factory=set)  # nodes with connections after reporting none
     rejected: dict[str, str] = field(default_factory=dict)  # nodes not admitted, and why
@@ -47,18 +47,21 @@
     @property
     def close_timeout_bound(self) -> float:
         """Seconds of this clock that cover the longest close timeout by any clock."""
-        return max(self.close_timeout, self.state.longest_close_timeout) * (1.0 + DRIFT) + SLACK
+        return (
+            max(self.close_timeout, self.state.longest_close_timeout) * (1.0 + MAX_CLOCK_DRIFT)
+            + EXPIRY_MARGIN
+        )
 
     @property
     def former_leases_end(self) -> float:
         """From then on no node that this run has not heard holds anything by a lease of an earlier run."""
         longest = max(self.lease_duration, self.state.longest_lease)
-        return self.started_at + longest * (1.0 + DRIFT) + SLACK + self.close_timeout_bound
+        return self.started_at + longest * (1.0 + MAX_CLOCK_DRIFT) + EXPIRY_MARGIN + self.close_timeout_bound
 
     @property
     def startup_hold(self) -> float:
         """Seconds, by any clock, in which a control plane on a copy of this store raises nothing."""
-        return (self.lease_duration + self.close_timeout) * (1.0 - DRIFT)
+        return (self.lease_duration + self.close_timeout) * (1.0 - MAX_CLOCK_DRIFT)
 
     def may_raise(self, now: float) -> bool:
         """Whether the worst case by the store is all that nodes may hold, so that the rest can be given."""
@@ -141,7 +144,7 @@
         given = self.issued.get(node)
         if given is None:
             return now >= self.former_leases_end
-        return given.over(now - self.close_timeout_bound)
+        return given.has_expired(now - self.close_timeout_bound)
 
     # -- worst case
 
--- a/gaugehinge/drains/leases_api.py
+++ b/gaugehinge/drains/leases_api.py
@@ -8,7 +8,8 @@
 
 from ..admin.app import answer
 from ..admin.service import Caller, Wrong
-from ..store.store import Store, Wanted
+from ..store.records import Mutation
+from ..store.store import Store
 from .api_types import ChangeResult, LeasePage, NodeStage, NodeView
 from .connection_counts import ConnectionCounts
 from .controller import DrainsController
@@ -29,7 +30,7 @@
         """GET /v1/grants."""
         caller.need("reader")
         keeper = self.administration.keeper
-        return answer(await keeper.call(self._page, keeper.store))
+        return answer(await keeper.run_sync(self._page, keeper.store))
 
     async def remove_node(self, request: Request, caller: Caller) -> Response:
         """POST /v1/nodes/{node}/gone: its machine and its files are gone. It has to be lost already."""
@@ -37,7 +38,7 @@
         node = request.path_params["node"]
         leases = self.leases
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             item = store.get(NODE, node)
             if item is None:
                 raise Wrong(404, "not found", f"no node {node}")
@@ -45,7 +46,7 @@
                 if not leases.manager.has_expired(node, leases.clock()):
                     detail = "it was heard of too lately: its connections may be open"
                     raise Wrong(409, "conflict", detail, "node")
-            return [Wanted(NODE, node, None, item.rev)]
+            return [Mutation(NODE, node, None, item.revision)]
 
         await self.administration._change(plan, caller.name)
         with leases.lock:
@@ -59,7 +60,7 @@
         caller.need("operator")
         leases = self.leases
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             with leases.lock:
                 manager = leases.manager
                 if leases.clock() < manager.former_leases_end:
--- a/gaugehinge/drains/limits_api.py
+++ b/gaugehinge/drains/limits_api.py
@@ -7,7 +7,8 @@
 
 from ..admin.app import answer, if_match, read
 from ..admin.service import Caller, Wrong
-from ..store.store import Store, Wanted, encode
+from ..store.records import Mutation, encode
+from ..store.store import Store
 from .api_types import LimitPage, LimitUpdate, LimitView
 from .connection_counts import count_for, undersized_limit
 from .controller import DrainsController
@@ -43,14 +44,14 @@
         expected = if_match(request)
         self._check(upstream, update)
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             held = store.get(LIMIT, upstream)
-            revision = held.rev if held else 0
+            revision = held.revision if held else 0
             if revision != expected:
                 raise Wrong(412, "precondition failed", f"it is at revision {revision}", etag=revision)
             if held is None and len(store.items(LIMIT)) >= MAX_LIMITS:
                 raise Wrong(409, "conflict", f"{MAX_LIMITS} limits are named", "store")
-            return [Wanted(LIMIT, upstream, encode(update), revision)]
+            return [Mutation(LIMIT, upstream, encode(update), revision)]
 
         await self.administration._change(plan, caller.name)
         self.controller.request_plan()
@@ -74,7 +75,7 @@
 
     async def _views(self) -> list[LimitView]:
         keeper = self.administration.keeper
-        return await keeper.call(self._read_views, keeper.store)
+        return await keeper.run_sync(self._read_views, keeper.store)
 
     def _read_views(self, store: Store) -> list[LimitView]:
         leases = self.controller.leases
--- a/gaugehinge/drains/restart_service.py
+++ b/gaugehinge/drains/restart_service.py
@@ -7,7 +7,8 @@
 
 from loguru import logger
 
-from ..store.store import Store, Wanted
+from ..store.records import Mutation
+from ..store.store import Store
 from .connection_counts import count_for
 from .fleet_view import ShutdownOrder
 from .lease_service import AUTHOR, LeaseService
@@ -28,14 +29,17 @@
     planner: RestartPlanner = field(default_factory=RestartPlanner)
 
     async def plan(self) -> None:
-        """Plan and write the steps that are due. Raises Conflict, Full or Overloaded."""
+        """Plan and write the steps that are due.
+
+        Raises RevisionConflictError, DiskFullError or StoreOverloadedError.
+        """
         now = self.leases.clock()
         self.planner.error_budget.record(now, *self.leases.fleet.operations.take())
         log: list[str] = []
         orders: dict[str, ShutdownOrder] = {}
         fleet = self.leases.fleet
 
-        def plan(store: Store, wall: float) -> list[Wanted]:
+        def plan(store: Store, wall: float) -> list[Mutation]:
             table = load_restarts(store, include_ended=False)
             if not table.restarts:
                 return []
--- a/gaugehinge/drains/restarts_api.py
+++ b/gaugehinge/drains/restarts_api.py
@@ -12,7 +12,8 @@
 
 from ..admin.app import MOST_KEY, answer, read
 from ..admin.service import Caller, Wrong
-from ..store.store import Store, Wanted, encode
+from ..store.records import Mutation, encode
+from ..store.store import Store
 from .api_types import RestartPage, RestartView, StepView
 from .controller import DrainsController
 from .repository import RESTART, STEP, RestartTable, load_restarts, step_ident
@@ -46,7 +47,7 @@
         """GET /v1/rolls."""
         caller.need("reader")
         keeper = self.administration.keeper
-        table = await keeper.call(load_restarts, keeper.store)
+        table = await keeper.run_sync(load_restarts, keeper.store)
         idents = sorted(table.restarts, key=lambda ident: table.restarts[ident].record.number)
         return answer(RestartPage([_view(table, ident) for ident in idents]))
 
@@ -61,7 +62,9 @@
 
     async def _read_one(self, ident: str) -> RestartView:
         keeper = self.administration.keeper
-        return _view(_known(await keeper.call(load_restarts, keeper.store), ident), ident, with_steps=True)
+        return _view(
+            _known(await keeper.run_sync(load_restarts, keeper.store), ident), ident, with_steps=True
+        )
 
     # -- creation
 
@@ -71,7 +74,7 @@
         order, body = await read(request, RestartOrder)
         created = _Created()
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             return self._plan_creation(store, order, caller, now, created)
 
         async def make(**key: Any) -> Response:
@@ -84,7 +87,7 @@
 
     def _plan_creation(
         self, store: Store, order: RestartOrder, caller: Caller, now: float, created: _Created
-    ) -> list[Wanted]:
+    ) -> list[Mutation]:
         leases = self.controller.leases
         with leases.lock:
             nodes = leases.fleet.statuses(store, leases.clock())[order.kind]
@@ -98,10 +101,10 @@
         created.ident = f"roll-{number:06d}-{self.administration.run_mark[:RUN_MARK_LENGTH]}"
         restart = RollingRestart(created.ident, number, order, created_by=caller.name, created_at=now)
         steps = [
-            Wanted(STEP, step_ident(created.ident, name), encode(RestartStep(name, position)), 0)
+            Mutation(STEP, step_ident(created.ident, name), encode(RestartStep(name, position)), 0)
             for position, name in enumerate(names)
         ]
-        return [Wanted(RESTART, created.ident, encode(restart), 0), *steps, *_evictions(table)]
+        return [Mutation(RESTART, created.ident, encode(restart), 0), *steps, *_evictions(table)]
 
     async def _create_once(
         self,
@@ -119,7 +122,7 @@
             return await make()
         digest = hashlib.sha256(f"POST {request.url.path}\n".encode() + body).digest()
         keeper = self.administration.keeper
-        held = await keeper.call(keeper.store.answered, caller.name, key)
+        held = await keeper.run_sync(keeper.store.recorded_response, caller.name, key)
         if held is None:
             return await make(key=key, request=digest, answer=lambda rows: created.ident.encode())
         if held[0] != digest:
@@ -148,7 +151,7 @@
         caller.need("operator")
         ident = request.path_params["id"]
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             table = _known(load_restarts(store), ident)
             before = table.restarts[ident].record
             try:
@@ -171,7 +174,7 @@
     return table
 
 
-def _evictions(table: RestartTable) -> list[Wanted]:
+def _evictions(table: RestartTable) -> list[Mutation]:
     """Rows that make room for one more restart: the oldest that ended are removed.
 
     Raises Wrong where too few have ended.
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -13,10 +13,10 @@
 
 from ..hosted.follower import Follower
 from ..hosted.roster import BadFeed
-from ..net.phase import Phase
+from ..net.lifecycle import Phase
+from ..routing.types import EndpointState
 from ..tenancy.feed import Feed
-from ..tenancy.lease import DRIFT, SLACK
-from ..terms import Presence
+from ..tenancy.lease import EXPIRY_MARGIN, MAX_CLOCK_DRIFT
 from .connection_budget import LeasedConnectionBudget
 from .connection_counts import DEFAULT_SERVER, ORIGIN, ConnectionCounts
 from .lease_holder import LeaseHolder
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, eq=False)
 class DrainsAgent(LeasedConnectionBudget):
-    """`hosted.follower.Part` and `net.pool.Warden`."""
+    """`hosted.follower.Part` and `net.connection_pool.ConnectionBudget`."""
 
     follower: Follower
     node_file: NodeFile
@@ -63,12 +63,12 @@
         now = self.clock()
         state = self.node_file.state
         self.close_timeout = state.close_timeout or FIRST_CLOSE_TIMEOUT
-        floors_usable_at = now + self.close_timeout * (1.0 + DRIFT) + SLACK
+        floors_usable_at = now + self.close_timeout * (1.0 + MAX_CLOCK_DRIFT) + EXPIRY_MARGIN
         self.lease = LeaseHolder(dict(state.floors), floors_usable_at, state.admitted_by)
         self.state_writer = NodeStateWriter(self.node_file, self.nursery)
         self.load = LoadMeter(now)
         self.service.pool.warden = self
-        self.service.dispatch.noted = self._noted
+        self.service.dispatcher.noted = self._noted
         self.service.farewells.append(self.farewell)
 
     def _noted(self, reply: bytes) -> None:
@@ -92,7 +92,7 @@
             self._measure(now)
 
     def _log_lease_mode(self, now: float) -> None:
-        valid = self.lease.validity.good(now)
+        valid = self.lease.validity.is_valid(now)
         if valid is not self.lease_was_valid:
             self.lease_was_valid = valid
             mode = f"granted {self.lease.granted}" if valid else f"at its floor {self.lease.floors}"
@@ -151,28 +151,28 @@
         return {name: max(lease.get(name, 0), state.get(name, 0)) for name in {*lease, *state}}
 
     def _in_flight(self) -> int:
-        return len(self.service.dispatch.exchanges)
+        return len(self.service.dispatcher.pending_operations)
 
     def _used_at(self, uid: str) -> int:
         upstream = self.upstreams.get(uid)
         return upstream.counted + len(upstream.waiting) if upstream is not None else 0
 
     def _cache_attempts(self) -> int:
-        servers: list[Any] = [pending.attempt.server for pending in self.service.pool.pending.values()]
+        servers: list[Any] = [pending.attempt.endpoint for pending in self.service.pool.pending.values()]
         return sum(not server.origin for server in servers)
 
     def _listed_servers(self) -> list[ServerReport]:
-        origin = self.service.dispatch.router.origin
+        origin = self.service.dispatcher.router.origin
         return [
             ServerReport(
                 target.uid,
-                target.listing.zone,
-                target.listing.kind,
-                target.listing.presence is Presence.UP,
-                target.listing.started,
+                target.entry.zone,
+                target.entry.kind,
+                target.entry.state is EndpointState.UP,
+                target.entry.started,
             )
             for target in self.follower.overlay.told
-            if origin is None or target.listing.ident != origin.ident
+            if origin is None or target.entry.ident != origin.ident
         ][:MAX_SERVERS]
 
     def hear(self, feed: Feed, asked_at: float) -> None:
@@ -235,7 +235,7 @@
 
     def _end_at_once(self, restart_token: str) -> None:
         logger.warning("told to end at once by {}: {} in hand", restart_token, self._in_flight())
-        self.service.dispatch.fail_rest()
+        self.service.dispatcher.fail_rest()
         self.nursery.cancel_scope.cancel()
 
     def away(self) -> None:
--- a/gaugehinge/drains/upstream_connections.py
+++ b/gaugehinge/drains/upstream_connections.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from ..net.pool import PendingAttempt
+from ..net.connection import PendingAttempt
 
 
 @dataclass(slots=True)
--- a/gaugehinge/rehearsal/drainsmodel.py
+++ b/gaugehinge/rehearsal/drainsmodel.py
@@ -21,7 +21,7 @@
 from ..drains.restart_planner import RestartPlanner
 from ..drains.restart_records import RestartStep, RollingRestart
 from ..drains.restart_types import NodeStatus
-from ..tenancy.lease import DRIFT, SLACK, Held
+from ..tenancy.lease import EXPIRY_MARGIN, MAX_CLOCK_DRIFT, HeldLease
 
 LEASE, CLOSING = 1.0, 3.0
 
@@ -101,7 +101,7 @@
 
     def boot(self, node: Node) -> None:
         now = node.clock(self.now)
-        from_ = now + CLOSING * (1 + DRIFT) + SLACK
+        from_ = now + CLOSING * (1 + MAX_CLOCK_DRIFT) + EXPIRY_MARGIN
         node.holding = LeaseHolder(dict(node.floors), from_, node.admitted)
         node.open, node.paused, node.turn = 0, False, 0
 
@@ -314,7 +314,7 @@
         for node in self.nodes:
             copied = twin(node)
             copied.holding = twin(node.holding)
-            copied.holding.validity = Held(node.holding.validity.until)
+            copied.holding.validity = HeldLease(node.holding.validity.expires_at)
             other.nodes.append(copied)
         keeper = other.keeper = twin(self.keeper)
         for name in (
@@ -344,7 +344,7 @@
                 n.holding.number - self._base(n),
                 n.holding.issuer == self._mark(n),
                 tuple(n.holding.granted.items()),
-                ago(n.holding.validity.until),
+                ago(n.holding.validity.expires_at),
                 ago(max(n.holding.floors_usable_at, -99.0)),
                 tuple((c, ago(t)) for c, t in n.left),
                 ago(n.used_at) if n.paused else 0.0,
@@ -372,7 +372,7 @@
             )
             for w in keeper.reports.values()
         )
-        given = tuple((node, ago(each.at)) for node, each in keeper.issued.items())
+        given = tuple((node, ago(each.granted_at)) for node, each in keeper.issued.items())
         gone = tuple(
             (node, ago(at)) for node, at in keeper.lingering_until.items() if self.slots[node].lingering
         )
@@ -534,7 +534,7 @@
     world = made(draw.choice([6, 8, 12]) * floor, floor, 3, 3)
     first = world.limit
     for node in world.nodes:
-        node.rate = draw.choice([1.0, 1.0 - DRIFT / 2, 1.0 + DRIFT / 2])
+        node.rate = draw.choice([1.0, 1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2])
     rare = {"crash": 0.1, "keeper": 0.05, "older": 0.03, "copy": 0.3, "pause": 0.15}
     rare |= {"elsewhere": 0.02, "back_home": 0.1}
     if seed % 2:
--- a/gaugehinge/rehearsal/hostedplay.py
+++ b/gaugehinge/rehearsal/hostedplay.py
@@ -29,15 +29,16 @@
 from ..hosted.front import HostedClients
 from ..installation.build import configuration_of
 from ..installation.form import DiscoveryAt, FollowEntry, Installation, Listen, Rules, Tier, TrafficEntry
-from ..net.deadlines import Clock, Deadlines
 from ..net.resp import Parser, bulk
 from ..net.service import Service
 from ..net.sockets import shut
-from ..store.keeper import StoreKeeper
-from ..tenancy.credentials import Attempts, Hasher
+from ..net.timer_queue import Clock, TimerQueue
+from ..store.async_store import AsyncStore
+from ..tenancy.attempt_limiter import AttemptLimiter
+from ..tenancy.credentials import SecretHasher
 
 HOST = "127.0.0.1"
-CHEAP = Hasher(time_cost=1, memory_kib=64)  # a rehearsal is no place to spend CPU on hashes
+CHEAP = SecretHasher(time_cost=1, memory_kib=64)  # a rehearsal is no place to spend CPU on hashes
 TRAFFIC = (
     TrafficEntry("read", "idempotent", Seconds(0.5), abandon_time=Seconds(2.0), late_payoff=0.2),
     TrafficEntry("put", "idempotent", Seconds(0.5), abandon_time=Seconds(2.0), late_payoff=0.2),
@@ -91,7 +92,7 @@
     api: str = ""
     root: str = ""  # the first operator's secret
     routers_secret: str = ""
-    keeper: StoreKeeper | None = None
+    keeper: AsyncStore | None = None
     administration: Administration | None = None
     keeping: trio.CancelScope = field(default_factory=trio.CancelScope)
     files: list[Installation] = field(default_factory=list)
@@ -106,8 +107,8 @@
 
     async def keep(self) -> None:
         """Start the keeper, at the place that it had before if it had one."""
-        keeper = self.keeper = StoreKeeper(self.folder / "store.db")
-        desk = self.administration = Administration(keeper, CHEAP, Attempts(1, keeper.clock()))
+        keeper = self.keeper = AsyncStore(self.folder / "store.db")
+        desk = self.administration = Administration(keeper, CHEAP, AttemptLimiter(1, keeper.clock()))
         await desk.ready()
         if self.lease:
             desk.give_leases(self.lease)
@@ -209,8 +210,8 @@
         with trio.fail_after(wait):
             while not all(
                 follower is not None
-                and follower.roster.revision >= self.keeper.rev
-                and service.dispatch.router.caches
+                and follower.roster.revision >= self.keeper.revision
+                and service.dispatcher.router.endpoints
                 for follower, service, scope in zip(self.followers, self.services, self.scopes, strict=True)
                 if not scope.cancel_called
             ):
@@ -237,13 +238,13 @@
     Not `inside`: the routers are only told of, in `files`, to be started as processes of their own.
     """
     clock = Clock()
-    deadlines = Deadlines(clock)
+    timers = TimerQueue(clock)
     with tempfile.TemporaryDirectory() as made_folder:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(deadlines.run)
+            nursery.start_soon(timers.run)
             ports = Ports(seed)
             shelves = Shelves(clock, work)
-            directory = Directory(deadlines, 0.01, lambda *told: None)
+            directory = Directory(timers, 0.01, lambda *told: None)
             made = Hosted(
                 nursery,
                 folder or Path(made_folder),
@@ -261,7 +262,7 @@
                 port = listeners[0].socket.getsockname()[1]
                 zone = zones[number % len(zones)]
                 directory.put(Entry(f"c-{number}", f"{HOST}:{port}", "std", zone, 0))
-            discovery = DirectoryDoor(nursery, deadlines, directory, seed, 2000.0, 60.0)
+            discovery = DirectoryDoor(nursery, timers, directory, seed, 2000.0, 60.0)
             discovery.addresses = [(HOST, ports.free([HOST])) for _ in range(routers)]
             discovery.open()
             made.api = f"http://{HOST}:{ports.free([HOST])}"
--- a/gaugehinge/rehearsal/misplaced.py
+++ b/gaugehinge/rehearsal/misplaced.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ..placement import admission, keeper, router, shards
-from ..tenancy.lease import Held
+from ..tenancy.lease import HeldLease
 
 FINDS = {
     "dozes": ("woken", {"woken", "confined"}),
@@ -27,14 +27,14 @@
 
 def dozes() -> None:
     """Its lease is never over: it wakes, and goes on by what it knew."""
-    Held.good = lambda self, now: self.until > 0.0
+    HeldLease.is_valid = lambda self, now: self.expires_at > 0.0
 
 
 def believes() -> None:
     """It takes a server to stand where it takes it to stand, whatever was told of it since."""
 
     def inside(self: router.Placing, attempt: Any, regions: tuple) -> bool:
-        return any(region is None or attempt.server.zone in region for region in regions)
+        return any(region is None or attempt.endpoint.zone in region for region in regions)
 
     router.Placing._inside = inside
 
--- a/gaugehinge/simhost/wire.py
+++ b/gaugehinge/simhost/wire.py
@@ -1,58 +1,59 @@
-"""The bench wire: lines to fields and back. The wire's names are used here and in host.py only."""
+"""The simulator's wire: lines of tab-separated `name=value` fields. Its words stay in this package."""
 
 from __future__ import annotations
 
-from typing import Any
+from ..routing.types import EndpointEntry, EndpointState, Outcome
+from ..settings import parse_non_negative
 
-from ..charter import figure
-from ..terms import Listing, Outcome, Presence
+MICROSECONDS = 1e6  # in a second
 
 OUTCOMES = {
-    "delivered": Outcome.SETTLED,
-    "app_error": Outcome.ERRORED,
-    "shed": Outcome.TURNED_AWAY,
+    "delivered": Outcome.SUCCEEDED,
+    "app_error": Outcome.SERVER_ERROR,
+    "shed": Outcome.REJECTED,
     "expired": Outcome.TIMED_OUT,
-    "dial_failed": Outcome.NOT_CONNECTED,
-    "dropped": Outcome.BROKEN,
-    "revoked": Outcome.CALLED_OFF,
-    "unused": Outcome.NEVER_SENT,
-    "empty": Outcome.MISSED,
+    "dial_failed": Outcome.CONNECT_FAILED,
+    "dropped": Outcome.CONNECTION_LOST,
+    "revoked": Outcome.CANCELLED,
+    "unused": Outcome.NOT_SENT,
+    "empty": Outcome.CACHE_MISS,
 }
-PRESENCES = {"U": Presence.UP, "L": Presence.DRAINING, "D": Presence.GONE}
+ENDPOINT_STATES = {"U": EndpointState.UP, "L": EndpointState.DRAINING, "D": EndpointState.GONE}
 
 
-class BadInput(Exception):
+class WireError(Exception):
     """The input is not the wire's; the text says what is wrong."""
 
 
-def fields(parts: list[str]) -> dict[str, str]:
-    """The name=value parts of a line, after its name."""
+def parse_fields(parts: list[str]) -> dict[str, str]:
+    """Return the fields of a line, which stand behind its name."""
     try:
         return dict([part.split("=", 1) for part in parts[1:]])
     except ValueError:
-        raise BadInput(f"{parts[0]}: a part without '='") from None
+        raise WireError(f"{parts[0]}: a part without '='") from None
 
 
-def seconds(value: Any) -> float:
-    return int(value) / 1e6
+def parse_seconds(text: str) -> float:
+    """Return a count of microseconds in seconds."""
+    return int(text) / MICROSECONDS
 
 
-def micros(value: float) -> int:
-    return int(value * 1e6)
+def to_microseconds(seconds: float) -> int:
+    """Return seconds in whole microseconds."""
+    return int(seconds * MICROSECONDS)
 
 
-def listing(values: dict[str, str]) -> Listing:
-    """One `row` of a list."""
-    presence = PRESENCES.get(values.get("availability", "U"))
-    if presence is None:
-        # An unknown state may mean anything: nothing new is sent there.
-        presence = Presence.DRAINING
-    return Listing(
-        int(values["server"]),
-        values.get("az", ""),
-        values.get("classOfHost", ""),
-        int(values.get("stripe", 0)),
-        presence,
-        seconds(values.get("cameUpUs", 0)),
-        figure(values.get("weight", "")) or 0.0,
+def parse_endpoint_entry(fields: dict[str, str]) -> EndpointEntry:
+    """Read one `row` of an endpoint list.
+
+    A state that is not known may mean anything: nothing new is sent to such a server.
+    """
+    return EndpointEntry(
+        ident=int(fields["server"]),
+        zone=fields.get("az", ""),
+        kind=fields.get("classOfHost", ""),
+        cell=int(fields.get("stripe", 0)),
+        state=ENDPOINT_STATES.get(fields.get("availability", "U"), EndpointState.DRAINING),
+        started=parse_seconds(fields.get("cameUpUs", "0")),
+        weight=parse_non_negative(fields.get("weight", "")) or 0.0,
     )
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -18,53 +18,67 @@
 import pytest
 import trio
 
-from gaugehinge.charter import charter
 from gaugehinge.door.door import Door
 from gaugehinge.emulator.shelf import Shelves
-from gaugehinge.net.deadlines import Clock
 from gaugehinge.net.resp import Malformed, Parser, bulk
-from gaugehinge.policy import Router
+from gaugehinge.net.timer_queue import Clock
 from gaugehinge.rehearsal.hostedplay import hosting
+from gaugehinge.routing.router import Router
+from gaugehinge.routing.types import (
+    Action,
+    DeduplicationScope,
+    Effect,
+    EndpointState,
+    Operation,
+    Outcome,
+    Tenant,
+    TrafficType,
+)
+from gaugehinge.settings import read_settings
 from gaugehinge.simhost.host import Host
-from gaugehinge.terms import Effect, Group, Operation, Outcome, Presence, Tenant, TrafficType, Verdict
 from tests.helper import PLAIN, SETTINGS, Cache, fleet, origin_row, row
 
 ROOT = Path(__file__).parents[1]
 
 # -- decisions alone, in virtual time
 
-ONE = replace(PLAIN, tenants=(Tenant(0.6, 40.0), Tenant(0.4, 20.0)), may_message=True, longest_come_back=2.0)
+ONE = replace(PLAIN, tenants=(Tenant(0.6, 40.0), Tenant(0.4, 20.0)), may_gossip=True, max_retry_after=2.0)
 OTHER = replace(
     PLAIN,
     seed=31,
-    me=2,
-    routers=5,
-    aside=False,
-    most_attempts=2,
-    tick=0.001,
-    cold_from=0.1,
-    cold_time=6.0,
-    fall_multiple=1.5,
-    fall_time=0.5,
-    may_message=True,
-    must_ask=True,
-    longest_come_back=0.3,
-    beyond_share=0.1,
-    payoff_by_work=True,
-    weighted=True,
+    router_number=2,
+    router_count=5,
+    cache_aside=False,
+    max_attempts=2,
+    clock_granularity=0.001,
+    cold_capacity=0.1,
+    warm_up_time=6.0,
+    overload_multiple=1.5,
+    overload_time=0.5,
+    may_gossip=True,
+    must_poll=True,
+    max_retry_after=0.3,
+    over_quota_weight=0.1,
+    weight_by_work=True,
+    has_endpoint_weights=True,
     zone="b",
-    cross_price=0.2,
-    one_a_connection=True,
+    cross_zone_price=0.2,
+    one_attempt_per_connection=True,
     connection_price=0.01,
     tenants=(Tenant(0.1, 5.0), Tenant(0.2, 9.0), Tenant(0.7, 3.0)),
     traffic_types=(
-        TrafficType(0, Effect.UNREPEATABLE, Group.CELL, 0.0, 0.05, 3.0, 0.0),
-        TrafficType(1, Effect.DEDUPLICATED, Group.ZONE, 4.0, 0.3, 1.0, 0.5),
-        TrafficType(2, Effect.IDEMPOTENT, Group.ALL, 0.0, 0.2, 0.5, 0.1),
-        TrafficType(3, Effect.DEDUPLICATED, Group.CELL, 0.9, 2.0, 1.0, 0.0),
+        TrafficType(0, Effect.NON_IDEMPOTENT, DeduplicationScope.CELL, 0.0, 0.05, 3.0, 0.0),
+        TrafficType(1, Effect.WITH_IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 4.0, 0.3, 1.0, 0.5),
+        TrafficType(2, Effect.IDEMPOTENT, DeduplicationScope.ALL, 0.0, 0.2, 0.5, 0.1),
+        TrafficType(3, Effect.WITH_IDEMPOTENCY_KEY, DeduplicationScope.CELL, 0.9, 2.0, 1.0, 0.0),
     ),
 )
-OUTCOMES = [Outcome.SETTLED] * 6 + list(Outcome)
+OUTCOMES = [Outcome.SUCCEEDED] * 6 + list(Outcome)
+
+
+def _figures_of(part: object) -> dict[str, object]:
+    """What a part counts, without the parts that it asks."""
+    return {name: value for name, value in vars(part).items() if isinstance(value, (int, float))}
 
 
 def figures(router: Router) -> str:
@@ -73,51 +87,51 @@
         (
             c.ident,
             c.load,
-            c.multiplier,
-            c.share,
-            c.tokens,
-            c.out,
+            c.latency_multiplier,
+            c.warm_up_share,
+            c.warm_up_budget,
+            c.in_flight,
             c.connections,
-            c.fault,
-            c.late,
-            c.told,
-            c.aside_until,
+            c.failure_score,
+            c.lateness,
+            c.reported_load,
+            c.ejected_until,
             c.full_until,
             c.latency,
-            c.pace,
-            c.kind,
-            c.near.keep,
-            sorted(c.near.failed),
-            c.presence,
+            c.completion_rate,
+            c.label_figures,
+            c.zone_figures.key_share,
+            sorted(c.zone_figures.failed),
+            c.state,
             c.started,
         )
-        for c in router.caches.values()
+        for c in router.endpoints.values()
     ]
     return repr(
         (
             caches,
-            router.used,
-            router.came,
-            router.tokens,
-            router.elsewhere,
-            router.peers,
-            router.gate,
-            router.latency,
-            router.rate,
-            router.work,
-            router.asked,
-            router.drop,
-            router.valve,
-            router.lateness,
-            router.mean_delay,
-            router.repeats,
-            router.excused,
-            router.counter,
-            router.total,
-            router.width,
-            router.points,
-            list(router.fetches),
-            router.pressed_until,
+            router.quotas.usage,
+            router.quotas.arrivals,
+            router.quotas.tokens,
+            router.gossip.rates_elsewhere,
+            router.gossip.peers,
+            _figures_of(router.origin_limit),
+            router.load.fleet_latency,
+            router.load.completion_rate,
+            router.load.mean_durations,
+            router.shedder.demand,
+            router.shedder.shed_probabilities,
+            router.shedder.shed_level,
+            router.shedder.lateness,
+            router.load.mean_duration,
+            router.retries.retry_budget,
+            router.retries.excused_timeouts,
+            router.random.drawn,
+            router.table.total_load,
+            router.table.effective_weight,
+            router.ring.points,
+            list(router.fetches.waiting),
+            router.origin_limit.pressed_until,
         )
     )
 
@@ -135,22 +149,26 @@
             row(i, zone="ab"[i % 2], cell=i % 3, kind=["std", "big"][i % 4 == 0], weight=float(i % 3))
             for i in range(1, 9)
         ]
-        self.router.hear_list([*self.listed, origin_row()], True, True, self.now)
+        self.router.on_endpoints_changed([*self.listed, origin_row()], True, True, self.now)
 
     def say(self, *words) -> None:
         self.told.append(repr(words))
 
     def note(self, operation, answer) -> None:
         attempt = answer.attempt
-        where = (attempt.server.ident, attempt.number) if attempt is not None else None
-        self.say(operation.ident, answer.verdict, where, answer.time, operation.over)
-        if answer.verdict is Verdict.WAIT:
-            self.say(self.router.how_long(operation, self.now))
+        where = (attempt.endpoint.ident, attempt.number) if attempt is not None else None
+        self.say(
+            operation.ident, answer.action, where, answer.timeout or answer.retry_after, operation.finished
+        )
+        if answer.action is Action.WAIT:
+            self.say(self.router.time_until_recheck(operation, self.now))
 
     def step(self) -> None:
         draw, router = self.draw, self.router
         self.now += draw.choice([0.0, 0.001, 0.004, 0.02, 0.3])
-        attempts = [attempt for operation in self.operations for attempt in operation.attempts if attempt.out]
+        attempts = [
+            attempt for operation in self.operations for attempt in operation.attempts if attempt.in_flight
+        ]
         chance = draw.random()
         if chance < 0.45 or not self.operations:
             self.count += 1
@@ -166,33 +184,35 @@
                 self.now + draw.choice([0.05, 0.5, 3.0]),
             )
             self.operations = [*self.operations[-40:], operation]
-            self.note(operation, router.where(operation, self.now))
+            self.note(operation, router.route(operation, self.now))
         elif chance < 0.82 and attempts:
             attempt, outcome = draw.choice(attempts), draw.choice(OUTCOMES)
             held = draw.choice([None, 0.0, 7.0])
-            over = outcome is Outcome.SETTLED
-            elapsed = self.now - attempt.sent
-            for operation, answer in router.after(attempt, outcome, elapsed, over, self.now, held):
+            over = outcome is Outcome.SUCCEEDED
+            elapsed = self.now - attempt.sent_at
+            for operation, answer in router.on_attempt_finished(
+                attempt, outcome, elapsed, over, self.now, held
+            ):
                 self.note(operation, answer)
         elif chance < 0.88:
             operation = draw.choice(self.operations)
-            self.note(operation, router.where(operation, self.now))
+            self.note(operation, router.route(operation, self.now))
         elif chance < 0.91:
-            self.say([attempt.number for attempt in router.gone(draw.choice(self.operations))])
+            self.say([attempt.number for attempt in router.cancel(draw.choice(self.operations))])
         elif chance < 0.94:
             n = draw.randrange(len(self.listed))
-            changed = self.listed[n]._replace(presence=draw.choice(list(Presence)))
+            changed = self.listed[n]._replace(state=draw.choice(list(EndpointState)))
             if draw.random() < 0.5:
                 changed = changed._replace(started=self.now - draw.choice([0.1, 5.0]))
             self.listed[n] = changed
-            router.hear_list([changed], False, False, self.now)
+            router.on_endpoints_changed([changed], False, False, self.now)
         elif chance < 0.97:
             content = b"".join(b"\0\0\x80\x3f" for _ in self.deployment.tenants)
-            router.hear_peer(draw.randrange(self.deployment.routers), content, self.now)
+            router.on_gossip(draw.randrange(self.deployment.router_count), content, self.now)
         else:
-            for errand in router.errands:
-                answer = router.where(errand, self.now)
-                self.say(answer, router.how_long(errand, self.now))
+            for task in router.background_tasks:
+                answer = router.route(task, self.now)
+                self.say(answer, router.time_until_recheck(task, self.now))
         self.told += router.log
         router.log.clear()
         self.told.append(figures(router) if self.count % 10 == 0 else "")
@@ -358,7 +378,7 @@
         self.host.source = io.StringIO("\n".join([f"frame\tatTimeUs={now}", *lines, "go\n"]))
         self.sink.seek(0)
         self.sink.truncate()
-        assert self.host._batch()
+        assert self.host.run_batch()
         told = self.sink.getvalue()
         assert told.endswith("ok\n")
         return told.removesuffix("ok\n").splitlines()
@@ -547,28 +567,31 @@
 
 def stop_beats(made) -> None:
     """From now on its figures change by what it is told alone: what fades or is refilled by time rests."""
-    made.service.dispatch.router.next_bucket = inf
+    made.service.dispatcher.router.load.next_bucket_at = inf
 
 
 def counted(made) -> str:
     """What one service keeps that may not follow another's traffic."""
     service = made.service
-    router, clients, pool = service.dispatch.router, service.clients, service.pool
+    router, clients, pool = service.dispatcher.router, service.clients, service.pool
     router_figures = (
-        router.used,
-        router.came,
-        router.tokens,
-        router.elsewhere,
-        router.peers,
-        router.gate.limit,
-        router.gate.out,
-        router.work,
-        router.mean_delay,
-        router.repeats,
-        router.excused,
-        list(router.fetches),
-        router.valve,
-        [(c.ident, c.out, c.busy, c.fault, c.latency.finished, c.pace.value) for c in router.caches.values()],
+        router.quotas.usage,
+        router.quotas.arrivals,
+        router.quotas.tokens,
+        router.gossip.rates_elsewhere,
+        router.gossip.peers,
+        router.origin_limit.limit,
+        router.origin_limit.in_flight,
+        router.load.mean_durations,
+        router.load.mean_duration,
+        router.retries.retry_budget,
+        router.retries.excused_timeouts,
+        list(router.fetches.waiting),
+        router.shedder.shed_level,
+        [
+            (c.ident, c.in_flight, c.busy_time, c.failure_score, c.latency.count, c.completion_rate.value)
+            for c in router.endpoints.values()
+        ],
     )
     return repr(
         (
@@ -579,11 +602,11 @@
             clients.most,
             clients.most_held,
             clients.most_in_hand,
-            pool.connections,
-            pool.most,
-            pool.connect_time,
-            pool.keep_time,
-            len(service.dispatch.exchanges),
+            pool.open_connections,
+            pool.max_connections,
+            pool.connect_timeout,
+            pool.max_idle_time,
+            len(service.dispatcher.pending_operations),
             [len(place.idle) for place in pool.endpoints.values()],
         )
     )
@@ -603,7 +626,7 @@
             for n, client in enumerate(held):
                 labels = "c=pay,t=lys,d=30000,k=same-mark"
                 await client.send("KV.SET", "same-key", f"same-id-{n}", labels, "value of theirs")
-            while len(theirs.service.dispatch.exchanges) < 2:
+            while len(theirs.service.dispatcher.pending_operations) < 2:
                 await trio.testing.wait_all_tasks_blocked()
             extra = await theirs.client()
             assert await extra.get(labels="c=page,t=lys,d=900") == b"-BUSY\r\n"  # its openCap of 2 is full
@@ -622,9 +645,9 @@
                 words = [word for cache in caches for command in cache.commands for word in command]
                 assert words and not any(foreign in word for word in words)
             # Each has the limits of its own settings.
-            assert (ours.service.pool.connect_time, theirs.service.pool.connect_time) == (2.0, 0.7)
+            assert (ours.service.pool.connect_timeout, theirs.service.pool.connect_timeout) == (2.0, 0.7)
             assert theirs.service.clients.most_in_hand == 2 < ours.service.clients.most_in_hand
-            assert [m.service.configuration.charter.longest_wait for m in (ours, theirs)] == [0.5, 1.2]
+            assert [m.service.configuration.settings.max_client_wait for m in (ours, theirs)] == [0.5, 1.2]
 
     play(scene)
 
@@ -650,7 +673,8 @@
 SCANNED = [
     *sorted((ROOT / "gaugehinge/net").glob("*.py")),
     *sorted((ROOT / "gaugehinge/simhost").glob("*.py")),
-    *(ROOT / "gaugehinge" / name for name in ("policy.py", "charter.py", "terms.py")),
+    *sorted((ROOT / "gaugehinge/routing").glob("*.py")),
+    ROOT / "gaugehinge/settings.py",
 ]
 # Constructors whose results nobody can change, or that make a value for each instance.
 UNCHANGING = {
@@ -663,18 +687,18 @@
     "frozenset",
     "tuple",
     "object",
-    "Answer",
+    "Decision",
 }
 HARMLESS = {
-    "charter.EFFECTS": "the operators' words for effects, read only: the test of that is below",
-    "charter.GROUPS": "the operators' words for groups, read only",
-    "charter.WEIGHTS": "the operators' words for weights, read only",
-    "charter.SOURCES": "the operators' words for sources of load reports, read only",
-    "net.list_update.PRESENCES": "discovery's words for states, read only",
+    "settings.EFFECTS": "the operators' words for effects, read only: the test of that is below",
+    "settings.DEDUPLICATION_SCOPES": "the operators' words for groups, read only",
+    "settings.WEIGHTS": "the operators' words for weights, read only",
+    "settings.SOURCES": "the operators' words for sources of load reports, read only",
+    "net.endpoint_list.ENDPOINT_STATES": "discovery's words for states, read only",
     "net.sockets.SPACE": "filled by recv_into and copied to bytes in one expression, with no wait between",
-    "simhost.host.EVENTS": "the wire's names to functions of a class, read only",
+    "simhost.host.EVENTS": "the wire's names to types and functions of classes, read only",
     "simhost.wire.OUTCOMES": "the wire's words for outcomes, read only",
-    "simhost.wire.PRESENCES": "the wire's words for states, read only",
+    "simhost.wire.ENDPOINT_STATES": "the wire's words for states, read only",
 }
 
 
@@ -781,7 +805,10 @@
 def test_the_shared_space_is_filled_and_copied_in_one_expression():
     source = (ROOT / "gaugehinge/net/sockets.py").read_text()
     uses = [line.strip() for line in source.splitlines() if re.search(r"\bSPACE\b", line)]
-    assert uses == ["SPACE = memoryview(bytearray(256 * 1024))", "return bytes(SPACE[:raw.recv_into(SPACE)])"]
+    assert uses == [
+        "SPACE = memoryview(bytearray(256 * 1024))",
+        "return bytes(SPACE[: sock.recv_into(SPACE)])",
+    ]
     # The door's reader has the same space, and copies it in the same step.
     lines = (ROOT / "gaugehinge/door/turnstile.py").read_text().splitlines()
     uses = [line.strip() for line in lines if re.search(r"\bSPACE\b|\b_space\b", line)]
@@ -803,8 +830,8 @@
 
 ORDINARY = {
     "read": "English, of bytes, lists and settings; as a class it would stand alone in a string",
-    "move": "Discovery.move, and English; as a class it would stand alone in a string",
-    "put": "Clients.put answers a command; as a class it would stand alone in a string",
+    "move": "DiscoveryClient.move, and English; as a class it would stand alone in a string",
+    "put": "ClientServer.put answers a command; as a class it would stand alone in a string",
 }
 # These two deploy files are installations of their own, for `gaugehinge serve`: what they name they declare.
 INSTALLATIONS = ("deploy/cluster.toml", "deploy/hosted.toml")
@@ -836,7 +863,7 @@
 def test_no_name_of_a_deployment_stands_in_the_program():
     names = set().union(*deployments().values())
     assert {"read", "put", "book", "acme", "n0"} <= names  # of the example, which is there
-    program = [path for path in SCANNED if path.name != "terms.py"]
+    program = [path for path in SCANNED if path.name != "types.py"]
     assert len(program) > 20
     for path in program:
         with path.open("rb") as file:
@@ -929,7 +956,7 @@
     for name in path[:-1]:
         place = place[name]
     place[path[-1]] = lower
-    assert charter(1, told) != charter(1, FIGURES), path
+    assert read_settings(1, told) != read_settings(1, FIGURES), path
 
 
 def test_no_function_of_the_socket_layer_has_a_figure_by_default():
@@ -977,9 +1004,9 @@
         async with hosting(new_door=new_door) as made:
             old = await made.tenant("acme", share=1.0, allowance=50.0, memory=9)
             await made.settle()
-            router, service = made.services[0].dispatch.router, made.services[0]
+            router, service = made.services[0].dispatcher.router, made.services[0]
             clients = [await made.client(0, "acme", old) for _ in range(3)]
-            router.tokens[0] = 6.0  # enough for three at once
+            router.quotas.tokens[0] = 6.0  # enough for three at once
             asked = [
                 ("KV.GET", "k", "i1", "c=read,d=1900"),
                 ("KV.SET", "k", "i2", "c=move,d=1900,k=m1", "of the old"),
@@ -1000,27 +1027,27 @@
             place = roster.by_incarnation[2].place
             assert place != roster.by_incarnation[1].place
             # Nothing of the old one's figures.
-            assert router.used[place] == 0.0 and router.came[place] == 0
+            assert router.quotas.usage[place] == 0.0 and router.quotas.arrivals[place] == 0
             assert made.followers[0].in_hand() == {"1": 3}
             # The old credential is refused, and so is all that is new on connections that it had let in.
             assert (await (await made.client(0)).ask("AUTH", "acme", old)).startswith(b"-WRONGPASS")
             assert (await (await made.client(0)).ask("AUTH", old)).startswith(b"-WRONGPASS")
             # The new one: its own space, ids and idempotency keys, while the old one's same ones are in hand.
             fresh = await made.client(0, "acme", new)
-            router.tokens[place] = 6.0
+            router.quotas.tokens[place] = 6.0
             assert await fresh.ask("KV.GET", "k", "i1", "c=read,d=1900") == b"$0\r\n\r\n"
             assert (await fresh.ask("KV.SET", "k", "i2", "c=move,d=1900,k=m1", "of the new")).startswith(b"$")
             assert await fresh.ask("KV.GET", "k", "i4", "c=read,d=1900") == b"$10\r\nof the new\r\n"
             assert made.shelves.data[b"1/k"] == b"of the old" and made.shelves.data[b"2/k"] == b"of the new"
             assert not any(seen.repeat for seen in made.shelves.seen)
-            assert router.came[roster.by_incarnation[1].place] <= 3
+            assert router.quotas.arrivals[roster.by_incarnation[1].place] <= 3
             # One final answer for each of the old one's, and then what it asks is refused.
             hold[0].let_go.set()
             for client in clients:
                 assert (await client.answer()).startswith(b"$")
                 assert (await client.ask("KV.GET", "k", "i9", "c=read,d=1900")).startswith(b"-ERR auth")
                 assert await client.ask("PING") == b"+PONG\r\n"  # and no second one
-            while len(service.dispatch.exchanges):
+            while len(service.dispatcher.pending_operations):
                 await trio.sleep(0.002)
             assert made.followers[0].in_hand() == {}
             written = [seen.ident for seen in made.shelves.seen if seen.write and seen.key == b"1/k"]
@@ -1031,17 +1058,17 @@
 
 def test_a_place_that_changes_hands_starts_with_nothing_of_the_one_before():
     router = Router(replace(PLAIN, tenants=(Tenant(1.0, 50.0), Tenant(1.0, 50.0))), 100.0)
-    router.hear_list([row(1), row(2), origin_row()], True, False, 100.0)
+    router.on_endpoints_changed([row(1), row(2), origin_row()], True, False, 100.0)
     for n in range(40):
         now = 100.0 + n * 0.05
         operation = Operation(str(n), PLAIN.traffic_types[0], b"k", n % 2, False, False, now, now + 1.0)
-        answer = router.where(operation, now)
+        answer = router.route(operation, now)
         if answer.attempt is not None:
-            router.after(answer.attempt, Outcome.SETTLED, 0.01, True, now + 0.01)
-    router.hear_peer(1, b"\0\0\x80\x3f" * 2, 102.0)
-    kept = router.used[1], router.came[1], router.tokens[1]
-    assert router.used[0] > 0.0 and router.peers
-    router.hear_tenants((Tenant(0.5, 9.0), Tenant(1.0, 50.0)), {0})
-    assert (router.used[0], router.came[0], router.tokens[0]) == (0.0, 0, 1.0)
-    assert (router.used[1], router.came[1], router.tokens[1]) == kept
-    assert not router.peers and not router.elsewhere  # a peer told of the one before
+            router.on_attempt_finished(answer.attempt, Outcome.SUCCEEDED, 0.01, True, now + 0.01)
+    router.on_gossip(1, b"\0\0\x80\x3f" * 2, 102.0)
+    kept = router.quotas.usage[1], router.quotas.arrivals[1], router.quotas.tokens[1]
+    assert router.quotas.usage[0] > 0.0 and router.gossip.peers
+    router.on_tenants_changed((Tenant(0.5, 9.0), Tenant(1.0, 50.0)), {0})
+    assert (router.quotas.usage[0], router.quotas.arrivals[0], router.quotas.tokens[0]) == (0.0, 0, 1.0)
+    assert (router.quotas.usage[1], router.quotas.arrivals[1], router.quotas.tokens[1]) == kept
+    assert not router.gossip.peers and not router.gossip.rates_elsewhere  # a peer told of the one before
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,12 +9,15 @@
 import trio
 import trio.testing
 
-from gaugehinge.charter import charter
 from gaugehinge.net import discovery as module
-from gaugehinge.net.deadlines import Deadlines
-from gaugehinge.net.discovery import MOST_AGAIN, NEAR_PAUSE, Discovery
-from gaugehinge.net.list_update import ListUpdate
-from gaugehinge.net.phase import Phase
+from gaugehinge.net import discovery_schedule
+from gaugehinge.net.discovery import DiscoveryClient
+from gaugehinge.net.discovery_schedule import AGENT_RETRY_DELAY, MAX_RECONNECTS
+from gaugehinge.net.discovery_watch import PollError, PollTimeoutError
+from gaugehinge.net.endpoint_list import EndpointListUpdate
+from gaugehinge.net.lifecycle import Phase
+from gaugehinge.net.timer_queue import TimerQueue
+from gaugehinge.settings import read_settings
 from tests.helper import SETTINGS, fleet
 
 TOLD_AFTER, TOLD_BEHIND_WAIT = 6.0, 2.0  # the operators' clock for silence
@@ -35,13 +38,12 @@
         self.news.set()
         self.news = trio.Event()
 
-    async def call(self, target: str, most_time: float) -> ListUpdate | None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate:
         wait = float(target.rpartition("wait=")[2]) / 1000 if "wait=" in target else 0.0
         since = int(target.partition("index=")[2].partition("&")[0]) if "index=" in target else 0
         self.calls.append((self.clock(), wait))
-        self.silent = False
         if self.refused:
-            return None
+            raise PollError
         mute = self.silent_calls > 0 and self.clock() >= self.silent_from
         if not mute:
             with trio.move_on_after(min(wait, max(self.silent_from - self.clock(), 0.0))) as limit:
@@ -50,12 +52,11 @@
             mute = limit.cancelled_caught and self.clock() >= self.silent_from and self.silent_calls > 0
         if mute:
             self.silent_calls -= 1
-            await trio.sleep_until(self.calls[-1][0] + most_time)
-            self.silent = True
-            return None
-        return ListUpdate(self.rev, False, ())
+            await trio.sleep_until(self.calls[-1][0] + time_limit)
+            raise PollTimeoutError
+        return EndpointListUpdate(self.rev, False, ())
 
-    def hang_up(self) -> None:
+    def close(self) -> None:
         pass
 
 
@@ -64,12 +65,12 @@
 
     async def main():
         service = Service(trio.current_time)
-        monkeypatch.setattr(module, "Watch", lambda where, deadlines: service)
+        monkeypatch.setattr(module, "Watch", lambda where, timers: service)
         heard, failed = [], []
         async with trio.open_nursery() as nursery:
-            made = Discovery(
+            made = DiscoveryClient(
                 nursery,
-                Deadlines(trio.current_time),
+                TimerQueue(trio.current_time),
                 ("127.0.0.1", 1),
                 0,
                 lambda update: heard.append((trio.current_time(), update.rev)),
@@ -77,7 +78,7 @@
                 seed,
                 near,
             )
-            made.follow()
+            made.start_watch()
             await scene(service, heard, failed)
             nursery.cancel_scope.cancel()
 
@@ -119,7 +120,8 @@
 
         play(scene, monkeypatch, seed)
     most = max(sum(at <= each < at + 0.05 for each in back) for at in back)
-    assert most <= 60 and max(back) - min(back) > 0.4  # of 200, in any 50 ms
+    assert most <= 60  # of 200, in any 50 ms
+    assert max(back) - min(back) > 0.4
 
 
 def test_a_refusal_and_too_many_silences_are_left_to_the_module(monkeypatch):
@@ -127,14 +129,16 @@
         await trio.sleep(1.0)
         service.refused = True
         await trio.sleep(30.0)
-        assert len(failed) == 1 and service.calls[-1][0] <= failed[0]
+        assert len(failed) == 1
+        assert service.calls[-1][0] <= failed[0]
 
     async def silent(service, heard, failed):
         await trio.sleep(1.0)
         service.silent_from, service.silent_calls = trio.current_time(), 10**6
         before = len(service.calls)
         await trio.sleep(60.0)
-        assert len(failed) == 1 and len(service.calls) <= before + 1 + MOST_AGAIN
+        assert len(failed) == 1
+        assert len(service.calls) <= before + 1 + MAX_RECONNECTS
 
     play(refused, monkeypatch)
     play(silent, monkeypatch)
@@ -149,15 +153,16 @@
         service.refused, back = False, trio.current_time()
         await trio.sleep(1.0)
         arrived = next(at for at, rev in heard if rev == service.rev)
-        assert arrived <= back + NEAR_PAUSE and not failed
+        assert arrived <= back + AGENT_RETRY_DELAY
+        assert not failed
 
     play(scene, monkeypatch, near=True)
 
 
 def test_a_silence_on_sockets_at_connect_after_the_request_and_amid_the_body(tmp_path, monkeypatch):
     """Each call of a kind is silent in its way once, then the list comes, indented and in pieces."""
-    monkeypatch.setattr(module, "FIRST_SILENCE", 0.3)
-    monkeypatch.setattr(module, "AGAIN_SILENCE", 0.3)
+    monkeypatch.setattr(discovery_schedule, "INITIAL_GRACE", 0.3)
+    monkeypatch.setattr(discovery_schedule, "RECONNECT_GRACE", 0.3)
     told = {
         "rev": 5,
         "all": True,
@@ -194,23 +199,25 @@
     async def main():
         heard, failed = [], []
         async with trio.open_nursery() as nursery:
-            deadlines = Deadlines(trio.current_time)
-            nursery.start_soon(deadlines.run)
+            timers = TimerQueue(trio.current_time)
+            nursery.start_soon(timers.run)
             [listener] = await nursery.start(partial(trio.serve_tcp, silent_at_first, 0, host="127.0.0.1"))
-            made = Discovery(
+            made = DiscoveryClient(
                 nursery,
-                deadlines,
+                timers,
                 listener.socket.getsockname(),
                 1,
                 heard.append,
-                lambda: (failed.append(1), made.follow()),
+                lambda: (failed.append(1), made.start_watch()),
             )
-            made.follow()
+            made.start_watch()
             with trio.fail_after(60):
                 while not heard:
                     await trio.sleep(0.01)
             assert len(failed) == 1  # after as many silences in a row as are not the module's matter
-            assert heard[0].rev == 5 and heard[0].targets[0].uid == "s-9" and len(calls) == 4
+            assert heard[0].rev == 5
+            assert heard[0].targets[0].uid == "s-9"
+            assert len(calls) == 4
             nursery.cancel_scope.cancel()
 
     trio.run(main)
@@ -218,7 +225,8 @@
 
 def test_where_lists_are_pushed_a_new_router_first_asks_the_agent(tmp_path):
     told = {**SETTINGS, "discovery": "pushed"}
-    assert charter(1, told).pushed and not charter(1, SETTINGS).pushed
+    assert read_settings(1, told).endpoints_pushed
+    assert not read_settings(1, SETTINGS).endpoints_pushed
     asked = []
 
     def agent(method, target, headers, body):
@@ -244,8 +252,10 @@
             while made.service.lifecycle.phase is not Phase.READY:
                 await trio.sleep(0.01)
             # The list kept from before has it ready: by that one, the drain would have been broken.
-            assert answer.startswith(b"-BUSY") and not made.caches[0].commands
-            assert (await client.get("k2", "j2")).startswith(b"-BUSY") and not made.caches[0].commands
+            assert answer.startswith(b"-BUSY")
+            assert not made.caches[0].commands
+            assert (await client.get("k2", "j2")).startswith(b"-BUSY")
+            assert not made.caches[0].commands
             assert asked[0] == "/discovery/hosts"
 
     trio.run(main)
--- a/tests/test_drains_connections.py
+++ b/tests/test_drains_connections.py
@@ -13,10 +13,12 @@
 from gaugehinge.drains.messages import NAME, ControlPlaneReply, RouterReport
 from gaugehinge.drains.node_file import NodeFile
 from gaugehinge.drains.router import DrainsAgent
-from gaugehinge.net.deadlines import Clock, Deadlines
-from gaugehinge.net.list_update import ListUpdate, Target
-from gaugehinge.net.pool import Cargo, Pool, RespDialect
-from gaugehinge.terms import Attempt, Listing, Outcome, Presence
+from gaugehinge.net.codec import RequestPayload
+from gaugehinge.net.connection_pool import ConnectionPool
+from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
+from gaugehinge.net.resp_codec import RespCodec
+from gaugehinge.net.timer_queue import Clock, TimerQueue
+from gaugehinge.routing.types import Attempt, EndpointEntry, EndpointState, Outcome
 
 
 class FakeServer:
@@ -48,23 +50,24 @@
     async with trio.open_nursery() as nursery:
         server_side, clock, ended = FakeServer(), Clock(), []
         listeners = await nursery.start(trio.serve_tcp, server_side.serve, 0)
-        deadlines = Deadlines(clock)
-        nursery.start_soon(deadlines.run)
-        pool = Pool(
+        timers = TimerQueue(clock)
+        nursery.start_soon(timers.run)
+        pool = ConnectionPool(
             nursery,
-            deadlines,
+            timers,
             100,
             1.0,
             60.0,
             lambda attempt, outcome, *rest: ended.append((attempt, outcome)),
         )
         port = next(x for x in listeners if x.socket.family == socket.AF_INET).socket.getsockname()[1]
-        listing = Listing(1, "a", "std", 0, Presence.UP, 0.0)
-        pool.hear_list(ListUpdate(1, True, (Target(listing, "s-1", ("127.0.0.1", port)),)))
+        listing = EndpointEntry(1, "a", "std", 0, EndpointState.UP, 0.0)
+        target = EndpointTarget(listing, "s-1", ("127.0.0.1", port))
+        pool.on_endpoints_changed(EndpointListUpdate(1, True, (target,)))
         router = SimpleNamespace(origin=None)
         service = SimpleNamespace(
             pool=pool,
-            dispatch=SimpleNamespace(noted=None, router=router, exchanges=[]),
+            dispatcher=SimpleNamespace(noted=None, router=router, pending_operations=[]),
             farewells=[],
             configuration=SimpleNamespace(name="r"),
             lifecycle=SimpleNamespace(phase=None),
@@ -76,12 +79,12 @@
         )
         agent.close_timeout = 30.0
         answer(agent, time, 1, granted)
-        server = SimpleNamespace(ident=1, origin=False, presence=Presence.UP)
+        server = SimpleNamespace(ident=1, origin=False, state=EndpointState.UP)
 
         def send(time_out=5.0):
-            attempt = Attempt(SimpleNamespace(over=False, latest=inf), server, 0, clock())
-            cargo = Cargo(b"i", b"k", (b"d=", b""), b"", b"*4\r\n$6\r\nKV.GET\r\n", b"", None)
-            pool.send(attempt, cargo, time_out, RespDialect())
+            attempt = Attempt(SimpleNamespace(finished=False, retry_deadline=inf), server, 0, clock())
+            payload = RequestPayload(b"i", b"k", (b"d=", b""), b"", b"*4\r\n$6\r\nKV.GET\r\n", b"", None)
+            pool.send(attempt, payload, time_out, RespCodec())
             return attempt
 
         yield SimpleNamespace(
@@ -116,7 +119,7 @@
             attempts = [setup.send() for _ in range(12)]
             await until(lambda: len(setup.ended) == len(attempts))
             assert {outcome for _, outcome in setup.ended} == {
-                Outcome.SETTLED
+                Outcome.SUCCEEDED
             } and setup.server_side.most == 2
             report = msgspec.json.decode(setup.agent.report(), type=RouterReport)
             assert (
@@ -128,7 +131,8 @@
             for _ in range(3):
                 setup.send(time_out=0.2)
             await until(lambda: len(setup.ended) == 15)
-            assert sorted(o.label for _, o in setup.ended[12:]) == ["never sent", "timed out", "timed out"]
+            outcomes = sorted(outcome.name for _, outcome in setup.ended[12:])
+            assert outcomes == ["NOT_SENT", "TIMED_OUT", "TIMED_OUT"]
 
     run(scene)
 
--- a/tests/test_drains_control_plane.py
+++ b/tests/test_drains_control_plane.py
@@ -25,9 +25,9 @@
 from gaugehinge.forms.units import Seconds
 from gaugehinge.placement.shards import Terms
 from gaugehinge.rehearsal.hostedplay import CHEAP
-from gaugehinge.store.keeper import StoreKeeper
-from gaugehinge.store.store import Full
-from gaugehinge.tenancy.credentials import Attempts
+from gaugehinge.store.async_store import AsyncStore
+from gaugehinge.store.errors import DiskFullError
+from gaugehinge.tenancy.attempt_limiter import AttemptLimiter
 from gaugehinge.tenancy.feed import Report
 
 
@@ -41,9 +41,9 @@
 @asynccontextmanager
 async def running_control_plane(path, **figures):
     """A control plane with its part, and the API as `root` calls it."""
-    keeper = StoreKeeper(path / "store.db")
+    keeper = AsyncStore(path / "store.db")
     try:
-        admin = Administration(keeper, CHEAP, Attempts(1, keeper.clock()))
+        admin = Administration(keeper, CHEAP, AttemptLimiter(1, keeper.clock()))
         await admin.ready()
         root = await admin.first_operator() or (path / "root").read_text()
         (path / "root").write_text(root)
@@ -105,16 +105,16 @@
 
 
 def test_a_control_plane_on_a_full_disk_starts_once_there_is_room(tmp_path, monkeypatch):
-    planned, failed = StoreKeeper.apply_planned, []
+    planned, failed = AsyncStore.apply_planned, []
 
     async def full(self, plan, who, **more):
         if who == "drains" and len(failed) < 2:
             failed.append(who)
-            raise Full("disk I/O error")
+            raise DiskFullError("disk I/O error")
         return await planned(self, plan, who, **more)
 
     async def scene():
-        monkeypatch.setattr(StoreKeeper, "apply_planned", full)
+        monkeypatch.setattr(AsyncStore, "apply_planned", full)
         monkeypatch.setattr("gaugehinge.drains.controller.START_RETRY_INTERVAL", 0.01)
         async with running_control_plane(tmp_path) as setup:
             assert len(failed) == 2
--- a/tests/test_drains_files.py
+++ b/tests/test_drains_files.py
@@ -15,7 +15,7 @@
 from gaugehinge.drains.node_file import NodeFile, NodeFileLockedError, NodeState
 from gaugehinge.drains.repository import LIMIT, NODE, RESTART, STATE, STEP, LimitRecord
 from gaugehinge.drains.restart_records import RestartStep, RollingRestart
-from gaugehinge.store.store import encode
+from gaugehinge.store.records import encode
 
 
 def test_a_state_file_admits_one_process_and_a_torn_one_is_set_aside(tmp_path, caplog):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 import trio
-from helper import MARKED, READ, Bench, Outcome, Verdict, origin_row, row
+from helper import MARKED, READ, Action, Bench, Outcome, origin_row, row
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from loguru import logger
@@ -24,8 +24,8 @@
 from gaugehinge.placement.life import Refused as NotNow
 from gaugehinge.placement.servers import Servers, slices
 from gaugehinge.placement.shards import Row, Table, Terms
-from gaugehinge.policy import Router
 from gaugehinge.rehearsal.hostedplay import hosting
+from gaugehinge.routing.hash_ring import HashRing
 
 EU, US = Terms(True, ("eu",), (("a",),)), Terms(True, ("us",), (("b",),))
 NEAR_EU = Terms(False, ("eu", "us"), (("a",), ("b",)))
@@ -188,7 +188,7 @@
 
 
 def fleet(zones="abc", each=4, **changes) -> Bench:
-    bench = Bench(caches=0, aside=False, **changes)
+    bench = Bench(caches=0, cache_aside=False, **changes)
     bench.hear([row(i, zone=zones[i % len(zones)]) for i in range(1, each * len(zones) + 1)] + [origin_row()])
     return bench
 
@@ -196,11 +196,11 @@
 def ask(bench, key, regions, traffic=READ):
     operation, _ = bench.ask(key, traffic)  # asked once without, to have one that is well made
     for attempt in operation.attempts:
-        bench.end(attempt, Outcome.NEVER_SENT, 0.0)
+        bench.end(attempt, Outcome.NOT_SENT, 0.0)
     operation.attempts.clear()
-    operation.tried.clear()
-    operation.over, operation.regions, operation.seen = False, regions, False
-    return operation, bench.router.where(operation, bench.now)
+    operation.tried_endpoints.clear()
+    operation.finished, operation.regions, operation.admitted = False, regions, False
+    return operation, bench.router.route(operation, bench.now)
 
 
 def test_a_walk_stays_in_its_region_and_goes_on_only_where_none_there_may_take_it():
@@ -210,31 +210,31 @@
     for i in range(200):
         bench.now += 0.2
         _, answer = ask(bench, f"k{i}", (a, b))
-        assert answer.attempt.server.zone == "a"
-        found.add(answer.attempt.server.ident)
-        bench.end(answer.attempt, Outcome.SETTLED)
+        assert answer.attempt.endpoint.zone == "a"
+        found.add(answer.attempt.endpoint.ident)
+        bench.end(answer.attempt, Outcome.SUCCEEDED)
     assert len(found) == 4, "all of the region share its keys"
-    for cache in bench.router.caches.values():
+    for cache in bench.router.endpoints.values():
         if cache.zone == "a":
             cache.full_until = bench.now + 1.0
     _, answer = ask(bench, "k1", (a, b))
-    assert answer.attempt.server.zone == "b"
-    bench.end(answer.attempt, Outcome.SETTLED)
-    assert ask(bench, "k1", (a,))[1].verdict is Verdict.REFUSE
+    assert answer.attempt.endpoint.zone == "b"
+    bench.end(answer.attempt, Outcome.SUCCEEDED)
+    assert ask(bench, "k1", (a,))[1].action is Action.REJECT
     _, answer = ask(bench, "k1", (a, None))
-    assert answer.attempt.server.zone in "bc"
+    assert answer.attempt.endpoint.zone in "bc"
 
 
 def test_the_bound_is_the_regions_own_mean_and_its_last_server_may_go():
     bench = fleet(each=3)
     a = frozenset("a")
     held = [ask(bench, "hot", (a,))[1].attempt for _ in range(6)]
-    homes = {attempt.server.ident for attempt in held}
+    homes = {attempt.endpoint.ident for attempt in held}
     assert len(homes) == 3, "a hot key spreads over its region by load, and no further"
     rows = [row(i, zone="abc"[i % 3]) for i in range(1, 10)]
     bench.hear([each for each in rows if each.zone != "a"] + [origin_row()])
-    assert ask(bench, "hot", (a,))[1].verdict is Verdict.REFUSE
-    assert ask(bench, "hot", (a, None))[1].verdict is Verdict.SEND
+    assert ask(bench, "hot", (a,))[1].action is Action.REJECT
+    assert ask(bench, "hot", (a, None))[1].action is Action.SEND
 
 
 def test_a_repeat_stays_in_the_region_too():
@@ -242,16 +242,16 @@
     operation, answer = ask(bench, "k", (frozenset("c"),), MARKED)
     for _ in range(2):
         first = answer.attempt
-        ((_, answer),) = bench.end(first, Outcome.BROKEN)
-        assert answer.verdict is Verdict.SEND and answer.attempt.server.zone == "c"
-        assert answer.attempt.server is not first.server
+        ((_, answer),) = bench.end(first, Outcome.CONNECTION_LOST)
+        assert answer.action is Action.SEND and answer.attempt.endpoint.zone == "c"
+        assert answer.attempt.endpoint is not first.endpoint
 
 
 def test_without_regions_the_walk_never_looks_at_any(monkeypatch):
     def within(*given):
         raise AssertionError("looked at a region")
 
-    monkeypatch.setattr(Router, "_within", within)
+    monkeypatch.setattr(HashRing, "rings_within", within)
     for seed in range(3):
         Rules(seed).run(800)
 
@@ -349,7 +349,7 @@
             play = Play(all_, secret, desk)
             with trio.fail_after(20):
                 while not play.part.servers.known or not all(
-                    f.parts[0].lease.good(trio.current_time()) and f.roster.by_credential
+                    f.parts[0].lease.is_valid(trio.current_time()) and f.roster.by_credential
                     for f in all_.followers
                 ):
                     await trio.sleep(0.02)
@@ -475,7 +475,7 @@
                             while ("c-0" in part.servers.known) is (state == "gone"):
                                 await trio.sleep(0.02)
                         for _ in range(2):
-                            await part.keeper.call(lambda: part._look_at_room(part.keeper.store))
+                            await part.keeper.run_sync(lambda: part._look_at_room(part.keeper.store))
                         assert [word in line for line in told if "region eu bears" in line][-1:] == [True]
                         if state == "gone":
                             tag = {"If-Match": got.headers["etag"]}
@@ -716,7 +716,7 @@
             for uid in ("c-0", "c-3"):
                 play.all.directory.change(uid, state="gone")
             with trio.fail_after(10):
-                while len(play.all.services[0].dispatch.router.caches) > 4:
+                while len(play.all.services[0].dispatcher.router.endpoints) > 4:
                     await trio.sleep(0.02)
             play.forget()
             assert all(a.startswith(b"-BUSY ") for a in await play.read(0, *KEYS[:5], once=True))
@@ -785,7 +785,7 @@
                 while any([(await play.get(each))["repeats_held"] for each in ("mine", "same")]):
                     await trio.sleep(0.02)
             copy = play.all.folder / "copy.db"
-            await play.all.keeper.call(play.all.keeper.store.backup, copy)
+            await play.all.keeper.run_sync(play.all.keeper.store.backup, copy)
             await play.put("mine", ["us"], match=made.headers["etag"], allowance=10)
             await play.until("mine", "confined")
             await play.put("new", ["us"], prefixes=["new/"], allowance=1)
@@ -811,7 +811,9 @@
             await play.until("same", "confined")
             for follower in play.all.followers:
                 roster = follower.roster
-                assert roster.mark == play.all.keeper.store.mark(roster.revision), "of the copy's own past"
+                assert roster.mark == play.all.keeper.store.revision_digest(roster.revision), (
+                    "of the copy's own past"
+                )
             assert (await play.read(0, "ap/1"))[0].startswith(b"$") and play.zones("ap/1") == {"c"}
             shown = await play.get("mine")
             await play.put("mine", ["us"], match=f'"{shown["revision"]}"')
@@ -855,16 +857,16 @@
                     body = {"router": "r", "run": "x", "parts": {"placement": part}}
                     got = await router.post("/v1/feed", json=body)
                     assert got.status_code == 422 and got.json()["field"] == "parts.placement"
-                assert ("r", "x") not in play.part.near.given
+                assert ("r", "x") not in play.part.near.granted
                 # one that does not speak of placement is told nothing of it, and holds nobody up
                 got = await router.post("/v1/feed", json={"router": "r", "run": "x"})
                 assert got.status_code == 200 and got.json()["parts"] == {}
-                assert ("r", "x") not in play.part.near.given
+                assert ("r", "x") not in play.part.near.granted
                 # a table of marks that nobody told counts as none
                 told = {"have": 5, "mark": "ff" * 16, "clear": 5}
                 body = {"router": "r", "run": "x", "parts": {"placement": told}}
                 got = await router.post("/v1/feed", json=body)
                 assert got.json()["parts"]["placement"]["whole"] is True
-                assert play.part.near.given["r", "x"].revision == 0
+                assert play.part.near.granted["r", "x"].revision == 0
 
     run(scene)
