--- a/gaugehinge/drains/build.py
+++ b/gaugehinge/drains/build.py
@@ -1,4 +1,4 @@
-"""The installation file's `drains` to a part of a router that follows. The keeper's is made in keeper.py."""
+"""The router's side of the subsystem, by the installation file."""
 
 from __future__ import annotations
 
@@ -9,22 +9,27 @@
 from ..hosted.follower import Follower
 from ..installation.form import Installation
 from ..net.service import Service
-from .files import NodeFile, Taken
-from .router import RouterDrains
+from .node_file import NodeFile, NodeFileLockedError
+from .router import DrainsAgent
 
 
-def draining(told: Installation) -> Callable[[Service, trio.Nursery, Follower], RouterDrains]:
-    """What adds the part to a follower; this run is counted on its file now. Raises Taken."""
-    entry = told.drains
-    files = NodeFile(entry.file)
+def drains_extension(settings: Installation) -> Callable[[Service, trio.Nursery, Follower], DrainsAgent]:
+    """What adds the part to a router's follower; this run is counted on its state file now.
 
-    def extend(service: Service, nursery: trio.Nursery, follower: Follower) -> RouterDrains:
-        part = RouterDrains(service, follower, files, nursery, told.tier.zone, entry.build, entry.labels)
-        follower.parts.append(part)
-        nursery.start_soon(part.run)
-        return part
+    Raises NodeFileLockedError.
+    """
+    entry = settings.drains
+    node_file = NodeFile(entry.file)
+
+    def extend(service: Service, nursery: trio.Nursery, follower: Follower) -> DrainsAgent:
+        agent = DrainsAgent(
+            service, nursery, follower, node_file, settings.tier.zone, entry.build, entry.labels
+        )
+        follower.parts.append(agent)
+        nursery.start_soon(agent.run)
+        return agent
 
     return extend
 
 
-__all__ = ["Taken", "draining"]
+__all__ = ["NodeFileLockedError", "drains_extension"]
