--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -20,6 +20,7 @@
 import trio
 from loguru import logger
 
+from gaugehinge.cluster.build import slot_fleet
 from gaugehinge.cluster.resp3 import CLIENT, Reader, command
 from gaugehinge.cluster.slots import SLOTS
 from gaugehinge.forms import toml
@@ -115,7 +116,7 @@
 
 
 async def _move_all(made: Play, waiting: int) -> None:
-    keeper = made.services[0].dispatcher.locate.__self__.keeper
+    keeper = slot_fleet(made.services[0]).keeper
     stream, reader = await trio.open_tcp_stream(*made.clients[0]), Reader(CLIENT)
     keys = [b"k%d" % i for i in range(waiting)]
     for name in ("c-0", "c-1", "c-2", "c-3"):
--- a/gaugehinge/__main__.py
+++ b/gaugehinge/__main__.py
@@ -23,7 +23,7 @@
     except SettingsError as bad:
         print(f"bad configuration: {bad}", file=sys.stderr)
         return 2
-    return run(configuration, partial(read_configuration, os.environ), early=early)
+    return run(configuration, partial(read_configuration, os.environ), early_hangup=early)
 
 
 if __name__ == "__main__":
--- a/gaugehinge/cli/serve_command.py
+++ b/gaugehinge/cli/serve_command.py
@@ -1,8 +1,6 @@
 """`gaugehinge serve FILE`."""
 
 import sys
-from functools import partial
-from typing import Any
 
 import click
 
@@ -18,13 +16,14 @@
     """
     from ..net.early import EarlyHangup
 
-    early = EarlyHangup().listen()
+    early_hangup = EarlyHangup().listen()
     from ..forms.toml import BadFile
     from ..installation.build import configuration_of, read_installation
     from ..installation.form import Installation
     from ..net.configuration import Configuration
     from ..net.run import run
     from ..settings import SettingsError
+    from .serve_extensions import admission_control_builder, client_server_class, extension_builder
 
     def read() -> Installation:
         try:
@@ -36,65 +35,15 @@
         return configuration_of(read())
 
     try:
-        told = read()
+        installation = read()
     except SettingsError as bad:
         raise BadInput(str(bad)) from None
-    new_door = None
-    if told.door.on:
-        from ..door.door import Door
-
-        new_door = partial(Door, label=told.door.client)
-    extensions, more = [], {}
-    if told.cluster.listen or told.cluster.servers:
-        from ..cluster.build import extension
-
-        extensions.append(extension(told))
-    if told.follow.keeper:
-        from ..hosted.build import BadSecret, following
-        from ..hosted.front import HostedClients
-
-        try:
-            follow = following(told)
-        except BadSecret as bad:
-            raise BadInput(f"{file}: follow.secret_file: {bad}") from None
-        if told.placement.on:
-            from ..placement.build import placed
-
-            follow = placed(follow)
-        if told.drains.on:
-            from ..drains.build import Taken, draining
-
-            try:
-                follow = _joined(follow, draining(told))
-            except Taken as bad:
-                raise BadInput(f"{file}: drains.file: {bad}") from None
-        extensions.append(follow)
-        more["kind"] = HostedClients
-
-    followers: list[Any] = []  # made by `following`, when the service is
-    if told.recovery.on:
-        from ..recovery.build import BadKey, recovering
-
-        try:
-            extensions.append(recovering(told, lambda: followers[0] if followers else None))
-        except BadKey as bad:
-            raise BadInput(f"{file}: recovery.key_file: {bad}") from None
-
-    def extend(service: Any, nursery: Any) -> None:
-        for each in extensions:
-            made = each(service, nursery)
-            if hasattr(made, "roster"):
-                followers.append(made)
-
-    sys.exit(run(configuration_of(told), reread, new_door, early, extend if extensions else None, **more))
-
-
-def _joined(follow: Any, more: Any) -> Any:
-    """A follower with one part more."""
-
-    def extend(service: Any, nursery: Any) -> Any:
-        follower = follow(service, nursery)
-        more(service, nursery, follower)
-        return follower
-
-    return extend
+    exit_code = run(
+        configuration_of(installation),
+        reread,
+        early_hangup=early_hangup,
+        build_admission_control=admission_control_builder(installation),
+        build_extensions=extension_builder(installation, file),
+        client_server_class=client_server_class(installation),
+    )
+    sys.exit(exit_code)
--- /dev/null
+++ b/gaugehinge/cli/serve_extensions.py
@@ -0,0 +1,130 @@
+"""What `gaugehinge serve` builds beside the router itself, from the installation file."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+from typing import TYPE_CHECKING
+
+from .main import BadInput
+
+if TYPE_CHECKING:
+    import trio
+
+    from ..cluster.fleet import SlotFleet
+    from ..drains.router import RouterDrains
+    from ..hosted.follower import Follower
+    from ..installation.form import Installation
+    from ..net.client_server import AdmissionControl, ClientServer
+    from ..net.extensions import ExtensionBuilder, Extensions
+    from ..net.service import Service
+    from ..placement.router import Placing
+    from ..recovery.driver import Recovery
+
+FollowerBuilder = Callable[["Service", "trio.Nursery"], "Follower"]
+
+
+def admission_control_builder(installation: Installation) -> Callable[..., AdmissionControl] | None:
+    """What makes the admission control; None where it is switched off."""
+    if not installation.door.on:
+        return None
+    from ..door.door import Door
+
+    if not installation.follow.keeper:
+        return partial(Door, label=installation.door.client)
+    from ..hosted.build import tenant_of_connection
+
+    return partial(Door, label=installation.door.client, tenant_of=tenant_of_connection)
+
+
+def client_server_class(installation: Installation) -> type[ClientServer]:
+    """What serves the platform's clients."""
+    if installation.follow.keeper:
+        from ..hosted.front import HostedClients
+
+        return HostedClients
+    from ..net.client_server import ClientServer
+
+    return ClientServer
+
+
+def extension_builder(installation: Installation, file: str) -> ExtensionBuilder | None:
+    """What builds the subsystems that are switched on; None where none is.
+
+    Secrets and keys are read now. Raises BadInput, which names `file` and the field.
+    """
+    build_fleet = _fleet_builder(installation)
+    build_follower = _follower_builder(installation, file)
+    build_placement = _placement_builder(installation)
+    build_drains = _drains_builder(installation, file)
+    build_recovery = _recovery_builder(installation, file)
+    if build_fleet is None and build_follower is None and build_recovery is None:
+        return None
+    from ..subsystems import Subsystems
+
+    def build(service: Service, nursery: trio.Nursery) -> Extensions:
+        follower = placement = drains = None
+        fleet = build_fleet(service, nursery) if build_fleet is not None else None
+        if build_follower is not None:
+            follower = build_follower(service, nursery)
+            placement = build_placement(service, follower) if build_placement is not None else None
+            drains = build_drains(service, nursery, follower) if build_drains is not None else None
+        recovery = build_recovery(service, nursery, follower) if build_recovery is not None else None
+        return Subsystems(fleet, follower, placement, drains, recovery).extensions()
+
+    return build
+
+
+def _fleet_builder(
+    installation: Installation,
+) -> Callable[[Service, trio.Nursery], SlotFleet | None] | None:
+    if not (installation.cluster.listen or installation.cluster.servers):
+        return None
+    from ..cluster.build import build_cluster
+
+    return partial(build_cluster, installation=installation)
+
+
+def _follower_builder(installation: Installation, file: str) -> FollowerBuilder | None:
+    if not installation.follow.keeper:
+        return None
+    from ..hosted.build import BadSecret, following
+
+    try:
+        return following(installation)
+    except BadSecret as bad:
+        raise BadInput(f"{file}: follow.secret_file: {bad}") from None
+
+
+def _placement_builder(installation: Installation) -> Callable[[Service, Follower], Placing] | None:
+    if not (installation.follow.keeper and installation.placement.on):
+        return None
+    from ..placement.build import build_placement
+
+    return build_placement
+
+
+def _drains_builder(
+    installation: Installation, file: str
+) -> Callable[[Service, trio.Nursery, Follower], RouterDrains] | None:
+    if not (installation.follow.keeper and installation.drains.on):
+        return None
+    from ..drains.build import Taken, drains_builder
+
+    try:
+        return drains_builder(installation)
+    except Taken as bad:
+        raise BadInput(f"{file}: drains.file: {bad}") from None
+
+
+def _recovery_builder(
+    installation: Installation, file: str
+) -> Callable[[Service, trio.Nursery, Follower | None], Recovery] | None:
+    if not installation.recovery.on:
+        return None
+    from ..recovery.build import BadKey, recovery_builder
+
+    try:
+        return recovery_builder(installation)
+    except BadKey as bad:
+        raise BadInput(f"{file}: recovery.key_file: {bad}") from None
--- a/gaugehinge/cluster/build.py
+++ b/gaugehinge/cluster/build.py
@@ -2,16 +2,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 import trio
 
 from ..installation.form import ClusterEntry, Installation
 from ..net.configuration import address
+from ..net.extensions import NO_EXTENSIONS, ExtensionBuilder, Extensions
 from ..net.service import BACKLOG, CLIENT_PART, Service
 from ..net.sockets import listener
 from ..routing.types import EndpointState
-from .attempts import ClusterDialect
 from .fleet import SlotFleet
 from .front import ClusterClients, ClusterTerms, log_start
 from .keeper import Keeper
@@ -43,22 +41,37 @@
     return ClusterTerms(commands, tier_map(told.cluster), told.tier.me, tenant)
 
 
-def extension(told: Installation) -> Callable[[Service, trio.Nursery], None]:
-    """What adds the dialect to a service that has all else."""
+def build_cluster(service: Service, nursery: trio.Nursery, installation: Installation) -> SlotFleet | None:
+    """Add the cluster dialect: a listener where one is named, and the fleet where servers speak it."""
+    fleet = None
+    if installation.cluster.servers:
+        fleet = add_fleet(service, nursery, installation.cluster.replicas)
+    if installation.cluster.listen:
+        add_front(service, nursery, installation)
+    return fleet
+
+
+def cluster_extensions(fleet: SlotFleet | None) -> Extensions:
+    """The extensions of a router that has the cluster dialect and no other subsystem."""
+    if fleet is None:
+        return NO_EXTENSIONS
+    return Extensions(routing_constraints=(fleet,), redirect_observers=(fleet,), server_codec=fleet.codec)
+
+
+def slot_fleet(service: Service) -> SlotFleet | None:
+    """The fleet of a service that runs; None where its servers do not speak the dialect."""
+    constraints = service.extensions.routing_constraints
+    return next((each for each in constraints if isinstance(each, SlotFleet)), None)
 
-    def extend(service: Service, nursery: trio.Nursery) -> None:
-        if told.cluster.servers:
-            add_fleet(service, nursery, told.cluster.replicas)
-        if told.cluster.listen:
-            add_front(service, nursery, told)
 
-    return extend
+def cluster_extension_builder(installation: Installation) -> ExtensionBuilder:
+    """What a service without other subsystems builds its extensions by."""
+    return lambda service, nursery: cluster_extensions(build_cluster(service, nursery, installation))
 
 
 def add_fleet(service: Service, nursery: trio.Nursery, replicas: bool) -> SlotFleet:
-    """Attempts to cluster-mode servers, and the map that says where they go."""
-    dispatcher = service.dispatcher
-    caches = dispatcher.router.caches
+    """The map that says where attempts to cluster-mode servers go, kept by a task."""
+    caches = service.dispatcher.router.caches
 
     def presence(ident: int) -> EndpointState | None:
         cache = caches.get(ident)
@@ -66,9 +79,6 @@
 
     keeper = Keeper(service.configuration.settings.deployment.seed, service.clock())
     fleet = SlotFleet(keeper, service.pool, service.timers, presence, replicas)
-    dispatcher.resp = ClusterDialect(own_slots_only=not replicas)
-    dispatcher.locate = fleet.locate
-    dispatcher.redirected = fleet.redirected
     nursery.start_soon(fleet.run)
     return fleet
 
--- a/gaugehinge/cluster/fleet.py
+++ b/gaugehinge/cluster/fleet.py
@@ -12,6 +12,7 @@
 from ..net.sockets import connect, receive, send_all, shut, tcp
 from ..net.timer_queue import TimerQueue
 from ..routing.types import Attempt, EndpointState, Operation, Outcome
+from .attempts import ClusterDialect
 from .keeper import FETCH_TIME, Keeper
 from .resp3 import SERVER, Error, Malformed, Reader, command
 from .slots import Node, SlotMap, read_redirection, read_slots, slot_of
@@ -21,7 +22,7 @@
 
 
 class SlotFleet:
-    """Which servers may serve a key."""
+    """Which servers may serve a key: a `RoutingConstraint` and a `RedirectObserver`."""
 
     def __init__(
         self,
@@ -38,18 +39,19 @@
         self.clock = timers.clock
         self.presence = presence
         self.replicas = replicas
+        self.codec = ClusterDialect(own_slots_only=not replicas)
         self.unlisted = 0  # redirections to servers that discovery does not list
         self._idents: dict[tuple[str, int], int] = {}  # follows the list, made anew when that changes
         self._of: list[tuple[int, tuple[str, int]]] = []
         self._sooner = trio.Event()
 
-    # -- asked by the dispatch
+    # -- extension points of the dispatcher
 
-    def locate(self, operation: Operation) -> None:
+    def constrain(self, operation: Operation) -> bytes | None:
         """Say which servers may serve an operation's key: the owner, and for reads its replicas."""
         told = self.keeper.map
         if told is None:
-            return  # any server says where it is
+            return None  # any server says where it is
         nodes = told.nodes(slot_of(operation.key))
         among = self._known(nodes if self.replicas and not operation.is_write else nodes[:1])
         if not among or self.presence(among[0]) is not EndpointState.UP:
@@ -58,8 +60,9 @@
             self.keeper.behind(self.clock())
             self._sooner.set()
         operation.allowed_endpoints = among or None
+        return None
 
-    def redirected(self, attempt: Attempt, outcome: Outcome, words: bytes) -> None:
+    def on_redirect(self, attempt: Attempt, outcome: Outcome, message: bytes) -> None:
         """An attempt was told another server, or that the map is wrong."""
         now = self.clock()
         operation = attempt.operation
@@ -68,7 +71,7 @@
             self._sooner.set()
             return
         endpoint = self.pool.endpoints.get(attempt.endpoint.ident)
-        told = read_redirection(words, endpoint.address if endpoint is not None else ("", 0))
+        told = read_redirection(message, endpoint.address if endpoint is not None else ("", 0))
         if told is None or told.slot != slot_of(operation.key):
             operation.allowed_endpoints = ()  # makes no sense: it goes nowhere, and nothing is learnt of it
             return
--- a/gaugehinge/door/door.py
+++ b/gaugehinge/door/door.py
@@ -65,8 +65,16 @@
 class Door:
     """Operations that wait, and how many are in hand."""
 
-    def __init__(self, settings: Settings, dispatcher: Dispatcher, memory: int, label: str = "") -> None:
-        """`label` names a client; without it each connection is one."""
+    def __init__(
+        self,
+        settings: Settings,
+        dispatcher: Dispatcher,
+        memory: int,
+        label: str = "",
+        tenant_of: Callable[[ClientConnection, str], int | None] | None = None,
+    ) -> None:
+        """`label` names a client; without it each connection is one. `tenant_of`: whose a command is that
+        names a tenant, None where it has to be read in full; without it the settings say."""
         deployment = settings.deployment
         self.label = b"%b=" % label.encode() if label else b""
         self.settings = settings
@@ -92,9 +100,7 @@
         self._sampled = now
         payoffs = [row.priority_weight for row in deployment.traffic_types]
         self.tap = Tap(tenants + 1, payoffs, deployment.seed, now)
-        self.whose: Callable[[ClientConnection, str], int | None] = lambda client, name: (
-            settings.tenant_indexes.get(name, -1)
-        )
+        self.tenant_of = tenant_of or (lambda client, name: settings.tenant_indexes.get(name, -1))
         self.in_hand = 0
         self.lateness = 0.0  # answer times as a part of the promised, smoothed
         rows = deployment.traffic_types
@@ -371,7 +377,7 @@
         row = self.settings.traffic_type_rows.get(seen.traffic)
         if row is None:
             return None
-        tenant = self.whose(client, seen.tenant)
+        tenant = self.tenant_of(client, seen.tenant)
         if tenant is None:
             return None
         client.tenant = tenant
--- a/gaugehinge/drains/build.py
+++ b/gaugehinge/drains/build.py
@@ -13,18 +13,21 @@
 from .router import RouterDrains
 
 
-def draining(told: Installation) -> Callable[[Service, trio.Nursery, Follower], RouterDrains]:
-    """What adds the part to a follower; this run is counted on its file now. Raises Taken."""
-    entry = told.drains
+def drains_builder(installation: Installation) -> Callable[[Service, trio.Nursery, Follower], RouterDrains]:
+    """What adds drains to a router that follows a keeper, as a further part of the feed.
+
+    This run is counted on its file now. Raises Taken.
+    """
+    entry, zone = installation.drains, installation.tier.zone
     files = NodeFile(entry.file)
 
-    def extend(service: Service, nursery: trio.Nursery, follower: Follower) -> RouterDrains:
-        part = RouterDrains(service, follower, files, nursery, told.tier.zone, entry.build, entry.labels)
-        follower.parts.append(part)
+    def build(service: Service, nursery: trio.Nursery, follower: Follower) -> RouterDrains:
+        part = RouterDrains(service, follower, files, nursery, zone, entry.build, entry.labels)
+        follower.add_part(part)
         nursery.start_soon(part.run)
         return part
 
-    return extend
+    return build
 
 
-__all__ = ["Taken", "draining"]
+__all__ = ["Taken", "drains_builder"]
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -19,6 +19,7 @@
 import trio
 from loguru import logger
 
+from ..hosted.feed_parts import FeedPart
 from ..hosted.follower import Follower
 from ..hosted.roster import BadFeed
 from ..net.connection_pool import REST_TIME, Connection, PendingAttempt, ServerPool
@@ -60,8 +61,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class RouterDrains:
-    """`hosted.follower.Part` and `net.connection_pool.ConnectionBudget`."""
+class RouterDrains(FeedPart):
+    """A part of the feed; the `ConnectionBudget`, a reply observer and a shutdown hook of the router."""
 
     service: Service
     follower: Follower
@@ -102,9 +103,6 @@
         from_ = now + self.closing * (1.0 + DRIFT) + SLACK
         self.holding = Holding(dict(kept.floors), from_, kept.admitted)
         self.span_at, self.span_cpu = now, time.process_time()
-        self.service.pool.warden = self
-        self.service.dispatcher.noted = self._noted
-        self.service.farewells.append(self.farewell)
 
     # -- which store
 
@@ -305,13 +303,14 @@
         for store in self.stores.values():
             store.before, store.peak = store.peak, len(store.waiting)
 
-    def _noted(self, reply: bytes) -> None:
+    def on_reply(self, reply: bytes) -> None:
+        """Count final replies by whether they settled their operation."""
         if reply.startswith((b"-BUSY", b"-ERR failed")):
             self.lost += 1
         else:
             self.settled += 1
 
-    # -- hosted.follower.Part
+    # -- hosted.feed_parts.FeedPart
 
     def report(self) -> bytes | None:
         self.turn += 1
@@ -413,7 +412,7 @@
             kept = self.files.kept
             if (kept.admitted, kept.floors, kept.closing) != (told.life, grant.floors, self.closing):
                 self._save(admitted=told.life, floors=dict(grant.floors), closing=self.closing)
-            self.follower.wait = min(self.follower.wait, LEASE_PART * grant.lease)
+            self.follower.limit_wait(LEASE_PART * grant.lease)
             self.shed()
         if told.leave and not self.left:
             self.left = told.leave
@@ -454,8 +453,8 @@
 
     # -- the end
 
-    async def farewell(self) -> None:
-        """All is answered: close all connections, and say so when the servers have closed them, too."""
+    async def before_exit(self) -> None:
+        """Close all connections, and say so when the servers have closed them, too."""
         self.holding.closed = True
         pool = self.service.pool
         for pending in list(pool.pending.values()):
@@ -468,9 +467,8 @@
                 await trio.sleep(0.01)
         left = sum(store.counted for store in self.stores.values())
         with trio.move_on_after(FAREWELL):
-            self.follower.wait = 0.0
             try:
-                await self.follower._call()
+                await self.follower.report_now()
             except Exception as bad:  # the keeper finds out by the lease, later
                 logger.info("the keeper was not told that all is closed: {}", type(bad).__name__)
         logger.info("connections closed: {} left, run {}", left, self.files.kept.run_number)
--- a/gaugehinge/hosted/build.py
+++ b/gaugehinge/hosted/build.py
@@ -39,7 +39,7 @@
     """What makes a service follow. Raises BadSecret."""
     secret, entry = read_secret(told.follow.secret_file), told.follow
 
-    def extend(service: Service, nursery: trio.Nursery) -> Follower:
+    def build(service: Service, nursery: trio.Nursery) -> Follower:
         roster, clients = Roster(), service.clients
         if not isinstance(clients, HostedClients):
             raise TypeError("its clients cannot say who they are")
@@ -47,8 +47,6 @@
         gate = Gate(roster, hasher or Hasher(), attempts, time.time)
         for front, _ in service.fronts:  # whichever dialect it speaks
             front.let_in_by(gate, time.time)
-        if clients.door is not None:
-            clients.door.whose = _place
         client = httpx.AsyncClient(
             base_url=f"http://{entry.keeper}",
             headers={"Authorization": f"Bearer {secret}", "Content-Type": "application/json"},
@@ -56,17 +54,20 @@
             trust_env=False,
         )
         snapshot = Snapshot(entry.snapshot) if entry.snapshot else None
-        follower = Follower(service, roster, Overlay(), client, snapshot, entry.most_tenants)
-        follower.read_secret = partial(read_secret, entry.secret_file)
+        again = partial(read_secret, entry.secret_file)
+        follower = Follower(service, roster, Overlay(), client, snapshot, entry.most_tenants, again)
         follower.begin()
         nursery.start_soon(follower.run)
         return follower
 
-    return extend
+    return build
 
 
-def _place(client: ClientConnection, name: str) -> int | None:
-    """Whose a command is at the first look; None where it needs a whole one."""
+def tenant_of_connection(client: ClientConnection, name: str) -> int | None:
+    """Whose a command is by its connection, for admission control; None where it has to be read in full.
+
+    `name`: the tenant that the command itself names, empty for none.
+    """
     bearer = getattr(client, "bearer", None)
     if bearer is None or name not in ("", bearer.name):
         return None
--- a/gaugehinge/hosted/follower.py
+++ b/gaugehinge/hosted/follower.py
@@ -13,7 +13,6 @@
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import Protocol
 from zlib import crc32
 
 import httpx
@@ -25,6 +24,7 @@
 from ..net.endpoint_list import EndpointListUpdate
 from ..net.service import Service
 from ..tenancy.feed import WAIT, Feed, Report
+from .feed_parts import FeedPart
 from .overlay import Overlay
 from .roster import BadFeed, Change, Roster
 
@@ -70,22 +70,6 @@
             raise BadFeed(f"snapshot: {bad}") from None
 
 
-class Part(Protocol):
-    """A subsystem's side of the feed at a router: `placement`, `drains`, `recovery`."""
-
-    name: str  # as in Report.parts and Feed.parts
-
-    def report(self) -> bytes | None:
-        """JSON that goes with the next call; None: nothing to say."""
-
-    def hear(self, feed: Feed, asked_at: float) -> None:
-        """An answer came to the call that was sent at `asked_at` (seconds, `trio.current_time`). All of the
-        feed is at hand, its own part in `feed.parts`. Raises BadFeed, and then nothing has changed in it."""
-
-    def away(self) -> None:
-        """A call failed. Leases run out by the clock alone; this is for what wants to say so early."""
-
-
 class Follower:
     """One router's following."""
 
@@ -97,17 +81,16 @@
         client: httpx.AsyncClient,
         snapshot: Snapshot | None,
         places: int,
+        read_secret: Callable[[], str] | None = None,
     ) -> None:
-        """`client`: with the keeper's address and the secret; `places`: of the door's tables."""
+        """`client`: with the keeper's address and the secret; `places`: of the admission control's tables;
+        `read_secret`: reads the secret again, where the keeper knows it no more."""
         self.service = service
         self.roster = roster
         self.overlay = overlay
         self.client = client
         self.snapshot = snapshot
         self.places = places
-        self.on_endpoints_changed: Callable[..., None] = (
-            service.dispatcher.on_endpoints_changed
-        )  # below the overlay
         self.run_mark = os.urandom(8).hex()
         self.away_since = 0.0  # 0: the keeper answers
         self.heard_at = 0.0
@@ -115,19 +98,42 @@
         self._failures = 0
         self._dirty = trio.Event()
         self.run_number = 0  # told with each report; `recovery` counts it on the router's files
-        self.parts: list[Part] = []  # as switched on by the installation file; fixed before `run`
+        self.parts: tuple[FeedPart, ...] = ()  # in the order in which they hear; fixed before `run`
         self.first_wait = 0.0  # seconds before the first call
-        self.weigh: Callable[[Feed], Feed] | None = None  # what of a feed is followed; may raise BadFeed
         self.wait = WAIT  # seconds that a call may stand open; less where leases are short
         self.first_at_once = False  # no call stands open until one was heard: it asks who is there
         self.slack = SLACK  # over that, until a call counts as failed; less where leases are short
-        self.read_secret: Callable[[], str] | None = None  # again, where the keeper knows it no more
+        self.read_secret = read_secret
+
+    def add_part(self, part: FeedPart) -> None:
+        """A further part of the feed, behind those before it. Before `run`."""
+        self.parts = (*self.parts, part)
+
+    def delay_first_call(self, seconds: float) -> None:
+        """Wait before the first call, and let no call stand open until one was answered."""
+        self.first_wait = seconds
+        self.first_at_once = True
+
+    def limit_wait(self, seconds: float) -> None:
+        """Let no call stand open for longer."""
+        self.wait = min(self.wait, seconds)
+
+    def limit_slack(self, seconds: float) -> None:
+        """Count a call as failed no later than this after the time for which it may stand open."""
+        self.slack = min(self.slack, seconds)
+
+    async def report_now(self) -> None:
+        """Call once more, with nothing to wait for, and follow nothing of the answer.
+
+        Raises what a call raises: httpx.HTTPError, msgspec.MsgspecError, BadFeed, BadSecret, Refused.
+        """
+        self.wait = 0.0
+        await self._call()
 
     # -- the start
 
     def begin(self) -> None:
-        """Take the snapshot, if there is a good one; lay orders over the list from now on."""
-        self.service.dispatcher.on_endpoints_changed = self._hear_list
+        """Take the snapshot, if there is a good one."""
         if self.snapshot is None:
             return
         try:
@@ -139,8 +145,9 @@
         except BadFeed as bad:
             logger.warning("snapshot not used: {}", bad)
 
-    def _hear_list(self, update: EndpointListUpdate, held: bool = False) -> None:
-        self.on_endpoints_changed(self.overlay.on_endpoints_changed(update), held)
+    def transform(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
+        """Lay the operators' orders over the list: an `EndpointListTransformer`."""
+        return self.overlay.on_endpoints_changed(update)
 
     # -- news
 
@@ -154,8 +161,8 @@
                 try:
                     asked_at = trio.current_time()
                     feed = await self._call()
-                    if self.weigh is not None:
-                        feed = self.weigh(feed)
+                    for part in self.parts:
+                        feed = part.filter_feed(feed)
                     before = self.roster.revision
                     self._carry_out(self.roster.hear(feed))
                     for part in self.parts:
@@ -243,7 +250,7 @@
         if change.drained is not None:
             update = self.overlay.order(change.drained)
             if update is not None:
-                self.on_endpoints_changed(update)
+                self.service.dispatcher.on_endpoints_changed(update, after=self)
             self._carry_out(None)
 
     # -- the snapshot
--- a/gaugehinge/net/connection_pool.py
+++ b/gaugehinge/net/connection_pool.py
@@ -17,6 +17,7 @@
 from ..routing.types import Attempt, EndpointState, Outcome
 from .configuration import Address
 from .endpoint_list import EndpointListUpdate
+from .extensions import NO_EXTENSIONS, Extensions
 from .resp import ARRAY, BULK, ERROR, MOST_ANSWER, Malformed, Message, Parser
 from .sockets import connect, receive, send_some, shut, silent, tcp
 from .timer_queue import Timer, TimerQueue
@@ -131,7 +132,7 @@
         """A connection's attempt ended, and it is idle."""
 
     def closed(self, connection: Connection) -> None:
-        """The pool has done with a connection: its socket is the warden's to close."""
+        """The pool has done with a connection: its socket is the budget's to close."""
 
 
 class RespCodec:
@@ -207,11 +208,15 @@
         self.pending: dict[Attempt, PendingAttempt] = {}  # until the attempt ended
         self.connections = 0
         self.full = False
-        self.guard: Callable[[Attempt], bool] | None = None  # where one stands: asked before each byte
-        self.warden: ConnectionBudget | None = None
-        self.lost: Callable[[Connection, PendingAttempt | None], None] | None = None  # servers ended these
+        self.install(NO_EXTENSIONS)
         self._sweep()
 
+    def install(self, extensions: Extensions) -> None:
+        """Take the extensions that attempts and connections concern, before the first attempt."""
+        self.attempt_policies = extensions.attempt_policies
+        self.connection_observers = extensions.connection_observers
+        self.connection_budget = extensions.connection_budget
+
     # -- the list
 
     def on_endpoints_changed(self, update: EndpointListUpdate) -> None:
@@ -248,10 +253,11 @@
         pending.time_out = self.timers.call_at(pending.due, self._late, pending)
         endpoint = self.endpoints.get(attempt.endpoint.ident)
         connection = self._warm(endpoint) if endpoint is not None else None
+        budget = self.connection_budget
         if connection is not None:
             self._start(connection, pending)
-        elif endpoint is not None and self.warden is not None and not self.warden.may_open(endpoint):
-            if not self.warden.wait(endpoint, pending):
+        elif endpoint is not None and budget is not None and not budget.may_open(endpoint):
+            if not budget.wait(endpoint, pending):
                 self._end_soon(pending, Outcome.NOT_SENT)
         elif endpoint is None or not payload.wanted() or not self._make_room():
             self._end_soon(pending, Outcome.NOT_SENT)
@@ -315,7 +321,10 @@
         """
         if self.clock() > attempt.operation.retry_deadline - WAY:
             return False
-        return self.guard is None or self.guard(attempt)
+        for policy in self.attempt_policies:  # noqa: SIM110 - a generator would cost each byte's way more
+            if not policy.may_send(attempt):
+                return False
+        return True
 
     async def _push(self, connection: Connection, pending: PendingAttempt, rest: bytes) -> None:
         """Write what did not go at once. A connection that breaks is noticed by its reader."""
@@ -371,7 +380,7 @@
             if (
                 connection.idle_since > now - self.keep_time
                 and silent(connection.raw)
-                and (self.warden is None or self.warden.may_use(connection))
+                and (self.connection_budget is None or self.connection_budget.may_use(connection))
             ):
                 return connection
             self._close(connection)
@@ -415,8 +424,8 @@
             return
         self.connections += 1
         pending.connection = Connection(raw, endpoint, pending.dialect.parser(), pending)
-        if self.warden is not None:
-            self.warden.opened(pending.connection)
+        if self.connection_budget is not None:
+            self.connection_budget.opened(pending.connection)
         self.nursery.start_soon(self._run, pending.connection)
 
     async def _run(self, connection: Connection) -> None:
@@ -473,8 +482,9 @@
             pending.connection = None
             may_have_run = Outcome.MALFORMED_RESPONSE if spoilt else Outcome.CONNECTION_LOST
             self._end(pending, may_have_run if connection.written else Outcome.CONNECT_FAILED)
-        if there and self.lost is not None:
-            self.lost(connection, pending)
+        if there:
+            for observer in self.connection_observers:
+                observer.on_connection_lost(connection, pending)
 
     def _rest(self, connection: Connection) -> None:
         connection.pending = None
@@ -483,15 +493,15 @@
             return
         connection.idle_since = self.clock()
         connection.endpoint.idle.append(connection)
-        if self.warden is not None:
-            self.warden.rested(connection)
+        if self.connection_budget is not None:
+            self.connection_budget.rested(connection)
 
     def _close(self, connection: Connection) -> None:
         if not connection.closed:
             connection.closed = True
             self.connections -= 1
-            if self.warden is not None:
-                self.warden.closed(connection)
+            if self.connection_budget is not None:
+                self.connection_budget.closed(connection)
             shut(connection.raw)
 
     def _sweep(self) -> None:
--- a/gaugehinge/net/dispatcher.py
+++ b/gaugehinge/net/dispatcher.py
@@ -1,9 +1,14 @@
-"""Sole caller of the decision module: tells it what happened, carries out its answers. Decides nothing."""
+"""Sole caller of the routing decisions: reports events to them and carries out what they decide.
+
+The way of a request: interceptors, then a handle and a place in `pending_operations`, then routing
+constraints, then `Router.route` and whatever it decides then and on finished attempts, until one final reply.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from math import inf
 
 from loguru import logger
 
@@ -12,253 +17,317 @@
 from ..settings import read_reported_load
 from .connection_pool import Codec, ConnectionPool, RequestPayload, RespCodec
 from .endpoint_list import EndpointListUpdate
+from .extensions import NO_EXTENSIONS, EndpointListTransformer, Extensions, ReplyCallback
 from .handle_table import HandleTable
 from .origin import OriginCodec
 from .timer_queue import Timer, TimerQueue
 
 FAILED_REPLY = b"-ERR failed\r\n"
 BUSY_REPLY = b"-BUSY\r\n"
-SUCCESSOR = 0.5  # by then a router that ends has a successor
-GRACE = 0.005  # after the deadline, which the module keeps by itself, and still before the client's own
+NO_HANDLE = -1  # of a request that an interceptor answered: nothing of it is pending
+SUCCESSOR_TIME = 0.5  # seconds by which a router that ends has a successor
+OVERDUE_GRACE = 0.005  # seconds behind the deadline that the decisions keep, still before the client's own
+FAILED_TASK_WAIT = 1.0  # seconds until a background task that failed is run again
+LEAST_TASK_WAIT = 0.001
 
 
-def busy_reply(wait: float) -> bytes:
-    """A refusal, with when to return if that is told: seconds, or 0."""
-    return b"-BUSY %d\r\n" % max(wait * 1000, 1) if wait else BUSY_REPLY
+def busy_reply(retry_after: float) -> bytes:
+    """A rejection; with the time to come back where that is told (seconds, 0: it is not)."""
+    return b"-BUSY %d\r\n" % max(retry_after * 1000, 1) if retry_after else BUSY_REPLY
 
 
 @dataclass(slots=True, eq=False)
 class PendingOperation:
-    """An operation in hand: what the client sent and where its answer goes."""
+    """An operation in flight: what the client sent and where its reply goes."""
 
     operation: Operation
     payload: RequestPayload
-    answer: Callable[[bytes], None]
-    wait: Timer | None = None  # when the module wants to be asked again
-    overdue: Timer | None = None
+    reply_callback: ReplyCallback
+    recheck_timer: Timer | None = None  # when the decisions want to be asked again
+    overdue_timer: Timer | None = None
     answered: bool = False
-    freed: Callable[[], None] | None = None  # called when it leaves, where its client has gone before
+    on_released: Callable[[], None] | None = None  # where its client left before the reply
 
 
 class Dispatcher:
-    """Operations in hand, by slot, and the calls on the module."""
+    """Operations in flight by handle, and all calls of the routing decisions."""
 
-    def __init__(self, deployment: Deployment, timers: TimerQueue, tells_held: bool = False) -> None:
-        self.tells_held = tells_held  # whether answers tell what their server holds
+    def __init__(self, deployment: Deployment, timers: TimerQueue, reports_load: bool = False) -> None:
+        """`reports_load`: replies of cache servers carry how many operations they have in flight."""
+        self.reports_load = reports_load
         self.timers = timers
         self.clock = timers.clock
         self.router = Router(deployment, self.clock())
-        self.pending_operations: HandleTable[PendingOperation] = (
-            HandleTable()
-        )  # until answered and all attempts in
-        self.resp: Codec = RespCodec()  # of the cache servers
-        self.http = OriginCodec()
-        self.locate: Callable[[Operation], None] | None = None  # where servers say who serves a key
-        self.redirected: Callable[[Attempt, Outcome, bytes], None] | None = None  # where servers redirect
-        self.place: Callable[[Operation], bytes | None] | None = None  # its regions, or its answer at once
-        self.noted: Callable[[bytes], None] | None = None  # hears each final answer
+        # An entry stays until it is answered and all its attempts have ended.
+        self.pending_operations: HandleTable[PendingOperation] = HandleTable()
+        self.server_codec: Codec = RespCodec()
+        self.origin_codec = OriginCodec()
         self.pool: ConnectionPool
-        self.follow: Callable[[], None]
-        self.tell: Callable[[tuple[int, ...], bytes], None]
+        self.watch_endpoints: Callable[[], None]
+        self.send_gossip: Callable[[tuple[int, ...], bytes], None]
+        self.install(NO_EXTENSIONS)
 
-    def bind(
+    def connect(
         self,
         pool: ConnectionPool,
-        follow: Callable[[], None],
-        tell: Callable[[tuple[int, ...], bytes], None],
+        watch_endpoints: Callable[[], None],
+        send_gossip: Callable[[tuple[int, ...], bytes], None],
     ) -> None:
-        """The ways out."""
-        self.pool, self.follow, self.tell = pool, follow, tell
+        """Name what decisions are carried out by, before the first event.
 
-    def begin(self) -> None:
-        """The errands begin."""
+        These parts report to this object, and are made after it for that reason. `watch_endpoints` begins a
+        watch of discovery; `send_gossip` sends a payload to peers by their numbers.
+        """
+        self.pool = pool
+        self.watch_endpoints = watch_endpoints
+        self.send_gossip = send_gossip
+
+    def install(self, extensions: Extensions) -> None:
+        """Take the extensions, once, before the first request."""
+        self.request_interceptors = extensions.request_interceptors
+        self.routing_constraints = extensions.routing_constraints
+        self.redirect_observers = extensions.redirect_observers
+        self.reply_observers = extensions.reply_observers
+        self.endpoint_list_transformers = extensions.endpoint_list_transformers
+        self.gossip_listeners = extensions.gossip_listeners
+        self.poll_policies = extensions.poll_policies
+        if extensions.server_codec is not None:
+            self.server_codec = extensions.server_codec
+
+    def start_background_tasks(self) -> None:
+        """Run each background task of the decisions, from now on whenever it is due."""
         for task in self.router.background_tasks:
-            self._errand(task)
+            self._run_background_task(task)
 
     # -- operations
 
-    def submit(self, operation: Operation, payload: RequestPayload, answer: Callable[[bytes], None]) -> int:
-        """Take an operation; `answer` gets its one final answer, perhaps at once. Returns its handle."""
-        exchange = PendingOperation(operation, payload, answer)
-        handle = operation.ident = self.pending_operations.add(exchange)
-        exchange.overdue = self.timers.call_at(operation.deadline + GRACE, self._overdue, handle)
-        if self.locate is not None:
-            self.locate(operation)
-        if self.place is not None:
-            reply = self.place(operation)
+    def submit(self, operation: Operation, payload: RequestPayload, reply_callback: ReplyCallback) -> int:
+        """Take an operation; `reply_callback` gets its one final reply, perhaps at once.
+
+        Returns its handle, NO_HANDLE where an interceptor answered it.
+        """
+        for interceptor in self.request_interceptors:
+            intercepted = interceptor.intercept(operation, payload, reply_callback)
+            if intercepted is None:
+                return NO_HANDLE
+            reply_callback = intercepted
+        pending = PendingOperation(operation, payload, reply_callback)
+        handle = operation.ident = self.pending_operations.add(pending)
+        pending.overdue_timer = self.timers.call_at(
+            operation.deadline + OVERDUE_GRACE, self._on_overdue, handle
+        )
+        for constraint in self.routing_constraints:
+            reply = constraint.constrain(operation)
             if reply is not None:
-                self.refuse(operation, reply)
+                self.reject(operation, reply)
                 return handle
-        self._ask(exchange)
+        self._route(pending)
         return handle
 
-    def refuse(self, operation: Operation, reply: bytes) -> None:
-        """The final answer of an operation in hand, from outside of the decisions."""
-        exchange = self.pending_operations.get(operation.ident)
-        if exchange is not None and not exchange.answered:
-            self._answer(exchange, reply)
-            self._drop(exchange)
-
-    def client_gone(self, handle: int, freed: Callable[[], None] | None = None) -> None:
-        """Nobody waits for the answer any more; `freed` is called once no attempt is out."""
-        exchange = self.pending_operations.get(handle)
-        if exchange is not None and not exchange.answered:
-            exchange.answered, exchange.freed = True, freed
-            self._give_up(exchange)
-        elif freed is not None:
-            freed()
-
-    def attempt_ended(
+    def reject(self, operation: Operation, reply: bytes) -> None:
+        """Give a pending operation its final reply, past the routing decisions."""
+        pending = self.pending_operations.get(operation.ident)
+        if pending is not None and not pending.answered:
+            self._reply(pending, reply)
+            self._release(pending)
+
+    def client_gone(self, handle: int, on_released: Callable[[], None] | None = None) -> None:
+        """Nobody waits for the reply any more; `on_released` is called once no attempt is out."""
+        pending = self.pending_operations.get(handle)
+        if pending is not None and not pending.answered:
+            pending.answered, pending.on_released = True, on_released
+            self._cancel(pending)
+        elif on_released is not None:
+            on_released()
+
+    def on_attempt_finished(
         self,
         attempt: Attempt,
         outcome: Outcome,
         elapsed: float,
         value: bytes | None,
-        told: bytes = b"",
+        load_report: bytes = b"",
     ) -> None:
-        """An attempt's outcome. The first value settles its operation."""
-        exchange = self.pending_operations.get(attempt.operation.ident)
-        if self.redirected is not None and value is not None and outcome is not Outcome.SUCCEEDED:
-            self.redirected(attempt, outcome, value)
+        """Take an attempt's outcome, `elapsed` seconds after its start; the first value ends it."""
+        pending = self.pending_operations.get(attempt.operation.ident)
+        if value is not None and outcome is not Outcome.SUCCEEDED:
+            for observer in self.redirect_observers:
+                observer.on_redirect(attempt, outcome, value)
         over = attempt.operation.finished or outcome is Outcome.SUCCEEDED
-        if exchange is not None and outcome is Outcome.SUCCEEDED and not attempt.operation.finished:
-            self._answer(exchange, value)
+        if pending is not None and outcome is Outcome.SUCCEEDED and not attempt.operation.finished:
+            self._reply(pending, value)
         try:
-            held = read_reported_load(told.decode("latin-1"), "=") if self.tells_held else None
-            steps = self.router.on_attempt_finished(attempt, outcome, elapsed, over, self.clock(), held)
+            load = read_reported_load(load_report.decode("latin-1"), "=") if self.reports_load else None
+            steps = self.router.on_attempt_finished(attempt, outcome, elapsed, over, self.clock(), load)
         except Exception:
-            logger.exception("an attempt's outcome failed in the decisions")
+            logger.exception("routing an attempt's outcome failed")
             attempt.in_flight = False
             steps = [Step(attempt.operation, Decision(Action.FAIL))]
-        for operation, answer in steps:
-            self._do(self.pending_operations.get(operation.ident), answer)
-        if exchange is not None:
-            self._drop(exchange)
+        for operation, decision in steps:
+            self._carry_out(self.pending_operations.get(operation.ident), decision)
+        if pending is not None:
+            self._release(pending)
         self._flush_log()
 
-    def _wake(self, handle: int) -> None:
-        exchange = self.pending_operations.get(handle)
-        if exchange is not None and not exchange.operation.finished:
-            self._ask(exchange)
-
-    def _ask(self, exchange: PendingOperation) -> None:
-        try:
-            answer = self.router.route(exchange.operation, self.clock())
-        except Exception:  # it fails this operation, not the router
-            logger.exception("an operation failed in the decisions")
-            answer = Decision(Action.FAIL)
-        self._do(exchange, answer)
-        self._flush_log()
-
-    def _overdue(self, handle: int) -> None:
-        """Its time is over with no answer given: a mistake, which must not also become a lost operation."""
-        exchange = self.pending_operations.get(handle)
-        if exchange is not None and not exchange.answered:
-            logger.error("operation {} was overdue", exchange.payload.ident)
-            self._answer(exchange, FAILED_REPLY)
-            self._give_up(exchange)
-
     def fail_rest(self) -> None:
-        """The router ends, and all in hand is answered before: what is out may have run.
+        """Answer all pending operations, as the router ends: those with an attempt out may have run.
 
-        What never went out may be tried again elsewhere: failed, its client would not know that, nor when.
+        What never went out may be retried elsewhere: failed, its client would not know that, nor when.
         """
-        away = min(SUCCESSOR, self.router.deployment.max_retry_after)
-        for exchange in self.pending_operations:
-            if not exchange.answered:
-                operation = exchange.operation
+        retry_after = min(SUCCESSOR_TIME, self.router.deployment.max_retry_after)
+        for pending in self.pending_operations:
+            if not pending.answered:
+                operation = pending.operation
                 ran = operation.may_have_run_on is not None or any(
                     attempt.in_flight for attempt in operation.attempts
                 )
-                self._answer(exchange, FAILED_REPLY if ran else busy_reply(away))
-                self._give_up(exchange)
+                self._reply(pending, FAILED_REPLY if ran else busy_reply(retry_after))
+                self._cancel(pending)
 
-    def _give_up(self, exchange: PendingOperation) -> None:
+    def _recheck(self, handle: int) -> None:
+        pending = self.pending_operations.get(handle)
+        if pending is not None and not pending.operation.finished:
+            self._route(pending)
+
+    def _route(self, pending: PendingOperation) -> None:
         try:
-            for attempt in self.router.cancel(exchange.operation):
+            decision = self.router.route(pending.operation, self.clock())
+        except Exception:  # it fails this operation, not the router
+            logger.exception("routing an operation failed")
+            decision = Decision(Action.FAIL)
+        self._carry_out(pending, decision)
+        self._flush_log()
+
+    def _on_overdue(self, handle: int) -> None:
+        """Its time is over with no reply given: a mistake, which must not also become a lost operation."""
+        pending = self.pending_operations.get(handle)
+        if pending is not None and not pending.answered:
+            logger.error("operation {} was overdue", pending.payload.ident)
+            self._reply(pending, FAILED_REPLY)
+            self._cancel(pending)
+
+    def _cancel(self, pending: PendingOperation) -> None:
+        try:
+            for attempt in self.router.cancel(pending.operation):
                 self.pool.call_off(attempt)
         except Exception:
-            logger.exception("giving an operation up failed in the decisions")
-            exchange.operation.finished = True
-        self._drop(exchange)
+            logger.exception("cancelling an operation failed")
+            pending.operation.finished = True
+        self._release(pending)
 
-    # -- the module's answers
-
-    def _do(self, exchange: PendingOperation | None, answer: Decision) -> None:
-        if exchange is None:
+    def _carry_out(self, pending: PendingOperation | None, decision: Decision) -> None:
+        if pending is None:
             return
-        verdict = answer.action
-        if verdict is Action.SEND:
-            dialect = self.http if answer.attempt.endpoint.origin else self.resp
-            self.pool.send(answer.attempt, exchange.payload, answer.timeout, dialect)
-        elif verdict is Action.WAIT:
-            now = self.clock()
-            handle = exchange.operation.ident
-            if exchange.wait is not None:
-                self.timers.cancel(exchange.wait)
-            wait = self.router.time_until_recheck(exchange.operation, now)
-            exchange.wait = self.timers.call_at(now + wait, self._wake, handle)
-        elif verdict is Action.REJECT:
-            self._answer(exchange, busy_reply(answer.retry_after))
-        elif verdict is Action.FAIL:
-            self._answer(exchange, FAILED_REPLY)
-        self._drop(exchange)
-
-    def _answer(self, exchange: PendingOperation, reply: bytes) -> None:
-        if exchange.answered:
+        action = decision.action
+        if action is Action.SEND:
+            codec = self.origin_codec if decision.attempt.endpoint.origin else self.server_codec
+            self.pool.send(decision.attempt, pending.payload, decision.timeout, codec)
+        elif action is Action.WAIT:
+            self._schedule_recheck(pending)
+        elif action is Action.REJECT:
+            self._reply(pending, busy_reply(decision.retry_after))
+        elif action is Action.FAIL:
+            self._reply(pending, FAILED_REPLY)
+        self._release(pending)
+
+    def _schedule_recheck(self, pending: PendingOperation) -> None:
+        now = self.clock()
+        if pending.recheck_timer is not None:
+            self.timers.cancel(pending.recheck_timer)
+        wait = self.router.time_until_recheck(pending.operation, now)
+        pending.recheck_timer = self.timers.call_at(now + wait, self._recheck, pending.operation.ident)
+
+    def _reply(self, pending: PendingOperation, reply: bytes) -> None:
+        if pending.answered:
             return
-        exchange.answered = True
-        exchange.operation.finished = True
-        exchange.answer(reply)
-        if self.noted is not None:
-            self.noted(reply)
-
-    def _drop(self, exchange: PendingOperation) -> None:
-        operation = exchange.operation
+        pending.answered = True
+        pending.operation.finished = True
+        pending.reply_callback(reply)
+        for observer in self.reply_observers:
+            observer.on_reply(reply)
+
+    def _release(self, pending: PendingOperation) -> None:
+        """Forget an operation that is finished and has no attempt out."""
+        operation = pending.operation
         if not operation.finished or any(attempt in self.pool.pending for attempt in operation.attempts):
             return
-        if self.pending_operations.remove(operation.ident) is not None:
-            # Operation and attempts know each other: left so, they stay until the collector's rare full pass.
-            operation.attempts.clear()
-            for due in (exchange.wait, exchange.overdue):
-                if due is not None:
-                    self.timers.cancel(due)
-            if exchange.freed is not None:
-                exchange.freed()
-
-    # -- the list, peers, errands
-
-    def on_endpoints_changed(self, update: EndpointListUpdate, held: bool = False) -> None:
+        if self.pending_operations.remove(operation.ident) is None:
+            return
+        # Operation and attempts know each other: left so, they stay until the collector's rare full pass.
+        operation.attempts.clear()
+        for timer in (pending.recheck_timer, pending.overdue_timer):
+            if timer is not None:
+                self.timers.cancel(timer)
+        if pending.on_released is not None:
+            pending.on_released()
+
+    # -- endpoint lists, gossip, background tasks
+
+    def on_endpoints_changed(
+        self,
+        update: EndpointListUpdate,
+        cached: bool = False,
+        after: EndpointListTransformer | None = None,
+    ) -> None:
+        """Pass an endpoint list, or changes of it, through the transformers and follow what comes of it.
+
+        `cached`: it was kept from before. `after`: only the transformers behind this one see it.
+        """
+        transformers = self.endpoint_list_transformers
+        if after is not None:
+            transformers = transformers[transformers.index(after) + 1 :]
+        for transformer in transformers:
+            transformed = transformer.transform(update, cached)
+            if transformed is None:
+                return
+            update = transformed
+        self.follow_endpoints(update, cached)
+
+    def follow_endpoints(self, update: EndpointListUpdate, cached: bool = False) -> None:
+        """Follow an endpoint list as it is, past all transformers."""
         self.pool.on_endpoints_changed(update)
         entries = [target.entry for target in update.targets]
-        self.router.on_endpoints_changed(entries, update.complete, held, self.clock())
+        self.router.on_endpoints_changed(entries, update.complete, cached, self.clock())
         self._flush_log()
 
     def on_poll_failed(self) -> None:
+        """The watch of discovery has ended with a failure."""
         self.router.on_poll_failed(self.clock())
         self._flush_log()
 
     def on_discovery_changed(self) -> None:
+        """Discovery is at another address from now on."""
         self.router.on_discovery_changed(self.clock())
         self._flush_log()
 
-    def on_gossip(self, number: int, payload: bytes) -> None:
-        self.router.on_gossip(number, payload, self.clock())
+    def on_gossip(self, peer: int, payload: bytes) -> None:
+        """Take a peer's message, unless it is a listener's own."""
+        for listener in self.gossip_listeners:
+            if listener.on_gossip(peer, payload):
+                return
+        self.router.on_gossip(peer, payload, self.clock())
 
-    def _errand(self, task: BackgroundTask) -> None:
-        wait = 1.0  # after a mistake; the errand must not end with it
+    def _run_background_task(self, task: BackgroundTask) -> None:
+        wait = FAILED_TASK_WAIT  # the task must not end with a mistake
         try:
-            answer = self.router.route(task, self.clock())
-            if answer.action is Action.POLL:
-                self.follow()
-            elif answer.action is Action.GOSSIP:
-                self.tell(answer.peers, answer.payload)
+            decision = self.router.route(task, self.clock())
+            if decision.action is Action.POLL:
+                self._poll_discovery()
+            elif decision.action is Action.GOSSIP:
+                self.send_gossip(decision.peers, decision.payload)
             wait = self.router.time_until_recheck(task, self.clock())
         except Exception:
-            logger.exception("an errand failed")
-        self.timers.call_at(self.clock() + max(wait, 0.001), self._errand, task)
+            logger.exception("a background task failed")
+        self.timers.call_at(self.clock() + max(wait, LEAST_TASK_WAIT), self._run_background_task, task)
         self._flush_log()
 
+    def _poll_discovery(self) -> None:
+        earliest = max((policy.earliest_poll() for policy in self.poll_policies), default=-inf)
+        if self.clock() >= earliest:
+            self.watch_endpoints()
+        else:
+            self.timers.call_at(earliest, self.watch_endpoints)
+
     def _flush_log(self) -> None:
         for text in self.router.log:
             logger.info(text)
--- a/gaugehinge/net/run.py
+++ b/gaugehinge/net/run.py
@@ -12,6 +12,7 @@
 from .client_server import ClientServer
 from .configuration import Configuration
 from .early import EarlyHangup
+from .extensions import ExtensionBuilder
 from .service import Service
 
 YOUNG = 20_000  # objects until the collector looks: passes over what lives long cost answers their time
@@ -20,16 +21,25 @@
 def run(
     configuration: Configuration,
     reread: Callable[[], Configuration],
-    new_door: Callable[..., Any] | None = None,
-    early: EarlyHangup | None = None,
-    extend: Callable[..., None] | None = None,
-    kind: type[ClientServer] = ClientServer,
+    build_admission_control: Callable[..., Any] | None = None,
+    early_hangup: EarlyHangup | None = None,
+    build_extensions: ExtensionBuilder | None = None,
+    client_server_class: type[ClientServer] = ClientServer,
 ) -> int:
-    """Serve until told to leave; the exit code. `new_door`: where a door is on; `early`: what came by now."""
+    """Serve until told to leave; the exit code. The parameters are those of `Service`."""
     gc.freeze()
     gc.set_threshold(YOUNG, 20, 20)
     try:
-        trio.run(Service(configuration, reread, new_door, early, extend, kind).run)
+        trio.run(
+            Service(
+                configuration,
+                reread,
+                build_admission_control,
+                early_hangup,
+                build_extensions,
+                client_server_class,
+            ).run
+        )
     except OSError as bad:
         print(f"cannot serve at {bad.strerror or bad}", file=sys.stderr)
         return 1
--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -4,7 +4,7 @@
 
 import signal
 import socket
-from collections.abc import AsyncIterator, Awaitable, Callable, Iterator
+from collections.abc import AsyncIterator, Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import replace
 
@@ -20,6 +20,7 @@
 from .dispatcher import Dispatcher
 from .early import EarlyHangup
 from .endpoint_list import EndpointListUpdate, read_endpoint_list
+from .extensions import NO_EXTENSIONS, ExtensionBuilder, Extensions
 from .gossip import GossipChannel
 from .lifecycle import Lifecycle, Phase
 from .sockets import listener, shut
@@ -47,19 +48,20 @@
         self,
         configuration: Configuration,
         reread: Callable[[], Configuration],
-        new_door: Callable[[Settings, Dispatcher, int], AdmissionControl] | None = None,
-        early: EarlyHangup | None = None,
-        extend: Callable[[Service, trio.Nursery], None] | None = None,
-        kind: type[ClientServer] = ClientServer,
+        build_admission_control: Callable[[Settings, Dispatcher, int], AdmissionControl] | None = None,
+        early_hangup: EarlyHangup | None = None,
+        build_extensions: ExtensionBuilder | None = None,
+        client_server_class: type[ClientServer] = ClientServer,
     ) -> None:
-        """`reread` brings the configuration as it is, or raises SettingsError; `new_door` a door; `extend`
-        adds what an installation switched on, once all else is made; `kind` serves the first front."""
-        self.extend = extend
-        self.kind = kind
+        """`reread` brings the configuration as it is, or raises SettingsError; `build_extensions` builds
+        what an installation switched on, once all else is made; `client_server_class` serves the first
+        front."""
+        self.build_extensions = build_extensions
+        self.client_server_class = client_server_class
+        self.extensions: Extensions = NO_EXTENSIONS
         self.fronts: list[tuple[ClientServer, socket.socket]] = []  # the first is the platform's
-        self.farewells: list[Callable[[], Awaitable[None]]] = []  # once all is answered, before it ends
-        self.early = early or EarlyHangup()
-        self.new_door = new_door
+        self.early = early_hangup or EarlyHangup()
+        self.build_admission_control = build_admission_control
         self.configuration = configuration
         self.reread = reread
         self.lifecycle = Lifecycle()
@@ -96,7 +98,7 @@
                     int(configuration.sockets * CONNECTION_PART),
                     settings.connect_timeout,
                     settings.idle_timeout,
-                    self.dispatcher.attempt_ended,
+                    self.dispatcher.on_attempt_finished,
                 )
                 discovery = self.discovery = DiscoveryClient(
                     nursery,
@@ -108,12 +110,13 @@
                     settings.deployment.seed,
                     near,
                 )
-                self.dispatcher.bind(pool, discovery.follow, peers.tell if peers else lambda *told: None)
+                self.dispatcher.connect(pool, discovery.follow, peers.tell if peers else lambda *told: None)
                 if known is not None and not near:
-                    self.dispatcher.on_endpoints_changed(known, held=True)
+                    self.dispatcher.follow_endpoints(known, cached=True)
                 memory = configuration.memory
-                door = self.new_door(settings, self.dispatcher, memory) if self.new_door else None
-                self.clients = self.kind(
+                build_door = self.build_admission_control
+                door = build_door(settings, self.dispatcher, memory) if build_door else None
+                self.clients = self.client_server_class(
                     settings,
                     self.lifecycle,
                     self.dispatcher,
@@ -124,9 +127,11 @@
                 )
                 nursery.start_soon(self.timers.run)
                 self.fronts.append((self.clients, self.listening))
-                if self.extend is not None:
-                    self.extend(self, nursery)  # what it puts before the dispatch acts from the first call on
-                self.dispatcher.begin()
+                if self.build_extensions is not None:
+                    self.extensions = self.build_extensions(self, nursery)
+                    self.dispatcher.install(self.extensions)
+                    self.pool.install(self.extensions)
+                self.dispatcher.start_background_tasks()
                 if peers is not None:
                     nursery.start_soon(peers.hear, self.dispatcher.on_gossip)
                 self._divide(configuration)
@@ -148,8 +153,8 @@
                     self._reread()
                 nursery.start_soon(self._told_again, signals)
                 await self._leave(accepting)
-                for farewell in self.farewells:
-                    await farewell()
+                for hook in self.extensions.shutdown_hooks:
+                    await hook.before_exit()
             for _ in range(2):
                 await trio.lowlevel.checkpoint()  # a signal that came as the receiver closed comes once more
             nursery.cancel_scope.cancel()
@@ -225,7 +230,7 @@
     def _without_agent(self, known: EndpointListUpdate | None) -> None:
         if known is not None and self.lifecycle.phase is Phase.STARTING:
             logger.warning("no word of the agent: serving by the list kept before, version {}", known.rev)
-            self.dispatcher.on_endpoints_changed(known, held=True)
+            self.dispatcher.on_endpoints_changed(known, cached=True)
         self._ready()
 
     def _ready(self) -> None:
--- a/gaugehinge/placement/build.py
+++ b/gaugehinge/placement/build.py
@@ -4,27 +4,19 @@
 
 from collections.abc import Callable
 
-import trio
-
 from ..admin.keep import KeepFile
 from ..admin.service import Administration
 from ..hosted.follower import Follower
 from ..net.service import Service
 from .keeper import Placement
-from .router import placing
-
-Extension = Callable[[Service, trio.Nursery], Follower]
-
-
-def placed(follow: Extension) -> Extension:
-    """A router that follows, and holds to what it is told of shards."""
+from .router import Placing
 
-    def extend(service: Service, nursery: trio.Nursery) -> Follower:
-        follower = follow(service, nursery)
-        placing(service, follower)
-        return follower
 
-    return extend
+def build_placement(service: Service, follower: Follower) -> Placing:
+    """Placement at a router that follows a keeper, as a further part of the feed."""
+    part = Placing(service, follower)
+    follower.add_part(part)
+    return part
 
 
 def keeping(told: KeepFile) -> Callable[[Administration], Placement]:
--- a/gaugehinge/placement/router.py
+++ b/gaugehinge/placement/router.py
@@ -10,13 +10,13 @@
 
 from collections.abc import Callable
 from itertools import count
-from typing import Any
 from zlib import crc32
 
 import msgspec
 import trio
 from loguru import logger
 
+from ..hosted.feed_parts import FeedPart
 from ..hosted.follower import Follower
 from ..hosted.roster import BadFeed
 from ..net.dispatcher import FAILED_REPLY, busy_reply
@@ -36,8 +36,8 @@
 AWAY = 1.0  # seconds that clients of a shard that is not served stay away, about
 
 
-class Placing:
-    """The part of the follower."""
+class Placing(FeedPart):
+    """A part of the feed; a transformer of endpoint lists, a routing constraint and an attempt policy."""
 
     name = "placement"
 
@@ -66,17 +66,16 @@
         self.cut_off = False
         self.bounced = 0  # operations for want of a lease, since it was lost
         self._draws = count()
-        self._hear_list = service.dispatcher.on_endpoints_changed
-        service.dispatcher.on_endpoints_changed = self.on_endpoints_changed
-        service.dispatcher.place = self.place
-        service.pool.guard = self.guard
 
     # -- the list of servers
 
-    def on_endpoints_changed(self, update: EndpointListUpdate, held: bool = False) -> None:
-        """Follow the list. A server that stands in another zone than before without a start is neither's."""
+    def transform(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
+        """Follow the list, and leave it as it is.
+
+        A server that stands in another zone than before without a start is neither's.
+        """
         origin = self.service.configuration.settings.deployment.origin_kind
-        self.listed = self.listed or not held
+        self.listed = self.listed or not cached
         if update.complete:
             named = {target.uid for target in update.targets}
             for uid in [uid for uid in self.servers if uid not in named]:
@@ -97,7 +96,7 @@
         self.zones = {i: each for i, each in self.zones.items() if each[0] in self.servers}
         started = {uid: told[3] for uid, told in self.servers.items()}
         self.relabelled = {uid: at for uid, at in self.relabelled.items() if started.get(uid) == at}
-        self._hear_list(update, held)
+        return update
 
     def _leave(self, uid: str) -> None:
         """It left the list. Should it come back with no start, it must not pass for one of another zone."""
@@ -163,8 +162,8 @@
 
     def _keep_pace(self, lease: float) -> None:
         if lease:
-            self.follower.wait = min(self.follower.wait, max(min(WAIT, lease / WAITS), LEAST_WAIT))
-            self.follower.slack = min(self.follower.slack, max(lease / WAITS, LEAST_SLACK))
+            self.follower.limit_wait(max(min(WAIT, lease / WAITS), LEAST_WAIT))
+            self.follower.limit_slack(max(lease / WAITS, LEAST_SLACK))
 
     def _list_to_tell(self, keepers: str) -> None:
         if not self.listed or self.slices or len(self.servers) > MOST_SERVERS:
@@ -201,8 +200,8 @@
 
     # -- operations
 
-    def place(self, operation: Operation) -> bytes | None:
-        """At the door: the operation's regions, or its answer at once."""
+    def constrain(self, operation: Operation) -> bytes | None:
+        """As the dispatcher takes it: the operation's regions, or its reply at once."""
         pin = self.table.find(operation.key)
         if not self.lease.good(self.clock()):
             reply = self._cut_off(operation, pin, operation.is_client_retry)
@@ -217,7 +216,7 @@
         operation.regions = pin.regions
         return None
 
-    def guard(self, attempt: Attempt) -> bool:
+    def may_send(self, attempt: Attempt) -> bool:
         """Before each attempt's bytes: whether it may go. What may not is answered, or goes elsewhere."""
         operation = attempt.operation
         pin = self.table.find(operation.key)
@@ -271,7 +270,7 @@
 
     def _refuse(self, operation: Operation, reply: bytes) -> None:
         ran = operation.may_have_run_on is not None and operation.traffic_type.effect is not Effect.IDEMPOTENT
-        self.service.dispatcher.refuse(operation, FAILED_REPLY if ran else reply)
+        self.service.dispatcher.reject(operation, FAILED_REPLY if ran else reply)
 
     def busy_reply(self) -> bytes:
         """A bounce with a time, spread: all that wait for one thing must not come back at once."""
@@ -282,10 +281,3 @@
 
 def _marked(operation: Operation) -> bool:
     return operation.is_write and operation.traffic_type.effect is Effect.WITH_IDEMPOTENCY_KEY
-
-
-def placing(service: Service, follower: Follower, **more: Any) -> Placing:
-    """Switch placement on at a router that follows a keeper."""
-    part = Placing(service, follower, **more)
-    follower.parts.append(part)
-    return part
--- a/gaugehinge/recovery/build.py
+++ b/gaugehinge/recovery/build.py
@@ -30,16 +30,15 @@
     return key
 
 
-def recovering(
-    told: Installation, follower: Callable[[], Follower | None] = lambda: None
-) -> Callable[[Service, trio.Nursery], Recovery]:
-    """What makes a service recover; `follower`: of the keeper, asked for when the service is made. It comes
-    behind all that follows a keeper. Raises BadKey."""
-    key = read_key(told.recovery.key_file)
-
-    def extend(service: Service, nursery: trio.Nursery) -> Recovery:
-        made = Recovery(service, told.recovery, key, follower())
-        made.begin(nursery)
-        return made
-
-    return extend
+def recovery_builder(
+    installation: Installation,
+) -> Callable[[Service, trio.Nursery, Follower | None], Recovery]:
+    """What makes a service recover; built behind all else that follows a keeper. Raises BadKey."""
+    key = read_key(installation.recovery.key_file)
+
+    def build(service: Service, nursery: trio.Nursery, follower: Follower | None) -> Recovery:
+        recovery = Recovery(service, installation.recovery, key, follower)
+        recovery.begin(nursery)
+        return recovery
+
+    return build
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -1,7 +1,7 @@
 """Carries out what the modules of this package decide, in one router: its snapshot, the messages to peers,
-what stands before the list, the keeper's answers and the dispatch while service returns.
+and what it does to endpoint lists, the keeper's answers and requests while service returns.
 
-Nothing of it stands in an operation's way once all is open: the dispatch has its own `submit` back then.
+Nothing of it stands in an operation's way once all is open: it intercepts nothing then.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
 from loguru import logger
 from xxhash import xxh64_intdigest
 
+from ..hosted.feed_parts import FeedPart
 from ..hosted.follower import Follower
 from ..hosted.roster import BadFeed
 from ..installation.form import RecoveryEntry
@@ -24,6 +25,7 @@
 from ..net.connection_pool import Connection, PendingAttempt, RequestPayload
 from ..net.dispatcher import FAILED_REPLY, busy_reply
 from ..net.endpoint_list import ENDPOINT_STATES, EndpointListUpdate, EndpointTarget
+from ..net.extensions import ReplyCallback
 from ..net.lifecycle import Phase
 from ..net.service import Service
 from ..routing.types import Effect, EndpointEntry, EndpointState, Operation
@@ -32,6 +34,7 @@
 from .datagram import Wire, digest
 from .effects import Effects
 from .evidence import Verdict
+from .list_transformers import BelievedStarts, ListGate
 from .lives import Lives
 from .opening import Bearing, Facts, Opening, Order, Stage, Waits
 from .snapshot import Entry, Kept, Learnt, SnapshotFile, boot_of, identity_of
@@ -45,8 +48,12 @@
 STATES = {presence: state for state, presence in ENDPOINT_STATES.items()}
 
 
-class Recovery:
-    """One router's recovery. A `Part` of the follower, too, where a keeper is followed."""
+class Recovery(FeedPart):
+    """One router's recovery. A part of the feed, too, where a keeper is followed.
+
+    It is a request interceptor, a gossip listener, a poll policy, a connection observer and a shutdown hook;
+    `list_gate` and `believed_starts` are its transformers of endpoint lists.
+    """
 
     name = "recovery"
 
@@ -108,17 +115,14 @@
         self.connections_at = self.began
         self.dirty = trio.Event()
         self.saving = trio.Lock()  # two at a time would write into one file
-        self.parting = False  # whether operations pass by `_submit`
-        self.hear_list_below: Callable[..., None] = self.dispatcher.on_endpoints_changed
-        self.hear_believed: Callable[..., None] = self.dispatcher.on_endpoints_changed
-        self.hear_peer_below = self.dispatcher.on_gossip
-        self.submit_below = self.dispatcher.submit
-        self.follow_below: Callable[[], None] = self.dispatcher.follow
+        self.intercepting = False  # whether `intercept` has anything to do
+        self.list_gate = ListGate(self._gate_list)
+        self.believed_starts = BelievedStarts(self._with_believed_starts)
 
     # -- the start
 
     def begin(self, nursery: trio.Nursery) -> None:
-        """Read what was kept, count the run before anybody is told of it, and stand before the dispatch."""
+        """Read what was kept, count the run before anybody is told of it, and intercept from now on."""
         self.former, why = self.file.load()
         kept = self.former
         if kept is None:
@@ -146,7 +150,8 @@
         sure = "" if self.age.sure else "by wall clocks "
         old = "none" if kept is None else f"{sure}{self.age.seconds:.1f} s old"
         logger.info("recovery: run {}, epoch {}, snapshot {}", run, self.mind.epoch, old)
-        self._stand_before()
+        self._join_feed()
+        self.intercepting = True
         self.service.lifecycle.enter(Phase.RECOVERING, 0)
         for task in (self._look_on, self._tell_on, self._save_on):
             nursery.start_soon(task)
@@ -159,73 +164,55 @@
         self.known_starts = {each.uid: each.started for each in kept.servers}
         self.learnt = Learnt(kept.learnt.reads * part, kept.learnt.writes * part)
 
-    def _stand_before(self) -> None:
+    def _join_feed(self) -> None:
         places = asking.places(self.me, self.routers)
-        dispatcher = self.dispatcher
         self.asks_at = self.began + places.discovery
         self.tells_from = places.messages
-        dispatcher.on_endpoints_changed, dispatcher.on_gossip = self._hear_list, self._hear_peer
-        dispatcher.follow = self._follow
-        self.service.pool.lost = self._connection_lost
-        self.service.farewells.append(self._farewell)
-        self._part(True)
         if self.follower is not None:
-            self.follower.first_wait = places.keeper
-            self.follower.first_at_once = True
-            # Other parts tell the keeper when servers started: as they were told, not as is believed here.
-            self.hear_believed, self.follower.on_endpoints_changed = (
-                self.follower.on_endpoints_changed,
-                self._believe,
-            )
-            self.follower.weigh = self._weigh
+            self.follower.delay_first_call(places.keeper)
             self.follower.run_number = self.mind.run
-            self.follower.parts.append(self)
-
-    def _part(self, wanted: bool) -> None:
-        """Whether operations pass by here."""
-        if wanted and not self.parting:
-            self.dispatcher.submit = self._submit
-        elif self.parting and not wanted:
-            del self.dispatcher.submit  # the class's own is found again
-        self.parting = wanted
-
-    def _follow(self) -> None:
-        """The module wants the list: not before this router's place among all that have just started."""
-        now = self.clock()
-        if now >= self.asks_at:
-            self.follow_below()
-        else:
-            self.service.timers.call_at(self.asks_at, self.follow_below)
+            self.follower.add_part(self)
+
+    def earliest_poll(self) -> float:
+        """This router's place among all that have just started."""
+        return self.asks_at
 
     def uptime(self) -> float:
         """Seconds since the start."""
         return self.clock() - self.began
 
-    # -- what stands before the dispatch
+    # -- requests
 
-    def _submit(self, operation: Operation, payload: RequestPayload, answer: Callable[[bytes], None]) -> int:
-        """As `Dispatch.submit`; what is not let in is answered here, and has no handle."""
+    def intercept(
+        self, operation: Operation, payload: RequestPayload, reply_callback: ReplyCallback
+    ) -> ReplyCallback | None:
+        """Answer here what is not let in; see how the rest ends, for as long as that is asked."""
+        if not self.intercepting:
+            return reply_callback
         now = self.clock()
         traffic = operation.traffic_type
         row, write = traffic.row, operation.is_write
         if now < self.effects.until[row]:
             final = self.effects.final(row, write, operation.is_client_retry, mark_of(payload.told), now)
             if final and self.mind.verdict is not Verdict.DECIDING:
-                return self._end(operation, answer, FAILED_REPLY)
+                self._answer(operation, reply_callback, FAILED_REPLY)
+                return None
         if self.opening.open and not self.old_list_until:
-            return self.submit_below(operation, payload, answer)
+            return reply_callback
         away = self._away(row, operation.tenant, write, now)
         if away:
-            return self._end(operation, answer, busy_reply(away if self.deployment.max_retry_after else 0.0))
+            retry_after = away if self.deployment.max_retry_after else 0.0
+            self._answer(operation, reply_callback, busy_reply(retry_after))
+            return None
 
-        def ended(reply: bytes) -> None:
+        def on_reply(reply: bytes) -> None:
             settled = not reply.startswith(b"-")
             if settled or self._tells(operation, reply):
                 at_origin = any(attempt.endpoint.origin for attempt in operation.attempts)
                 self.opening.ended(row, write, settled, at_origin)
-            answer(reply)
+            reply_callback(reply)
 
-        return self.submit_below(operation, payload, ended)
+        return on_reply
 
     def _away(self, row: int, tenant: int, write: bool, now: float) -> float:
         """Seconds to stay away; 0: let in."""
@@ -248,19 +235,20 @@
 
     def _parts_ready(self) -> bool:
         """Whether all parts that go by the keeper's word have what they need of it."""
-        parts = self.follower.parts if self.follower is not None else ()
-        return all(part.ready() for part in parts if hasattr(part, "ready"))
+        return all(part.ready() for part in self._parts())
+
+    def _parts(self) -> tuple[FeedPart, ...]:
+        return self.follower.parts if self.follower is not None else ()
 
     @staticmethod
-    def _end(operation: Operation, answer: Callable[[bytes], None], reply: bytes) -> int:
+    def _answer(operation: Operation, reply_callback: ReplyCallback, reply: bytes) -> None:
         operation.finished = True
-        answer(reply)
-        return -1
+        reply_callback(reply)
 
     # -- the list
 
-    def _hear_list(self, update: EndpointListUpdate, held: bool = False) -> None:
-        """Discovery's list or changes of it."""
+    def _gate_list(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate | None:
+        """Take note of discovery's list, or changes of it; held back until it is decided what to believe."""
         if update.complete:
             self._weigh_list(update)
             self.servers.clear()
@@ -275,14 +263,14 @@
         entries = [target.entry for target in update.targets]
         self.effects.on_endpoints_changed(entries, update.complete, self.clock())
         if self.effects.open(self.clock()):
-            self._part(True)
-        self.facts.list = self.facts.list or not held
-        if self.mind.verdict is Verdict.DECIDING:
-            # When servers started is believed by what is still to be decided; no client is let in before.
-            self.held_back = [update] if update.complete else [*self.held_back, update]
-        else:
-            self._pass_on(update, held)
+            self.intercepting = True
+        self.facts.list = self.facts.list or not cached
         self.dirty.set()
+        if self.mind.verdict is not Verdict.DECIDING:
+            return update
+        # When servers started is believed by what is still to be decided; no client is let in before.
+        self.held_back = [update] if update.complete else [*self.held_back, update]
+        return None
 
     def _weigh_list(self, update: EndpointListUpdate) -> None:
         """Whether a whole list is one from before."""
@@ -297,21 +285,19 @@
                     self.known_rev,
                     float(self.entry.doubt),
                 )
-                self._part(True)
+                self.intercepting = True
             return
         if self.old_list_until:
             logger.info("recovery: list {} is followed", update.rev)
         self.old_list_until = 0.0
         self.known_rev, self.known_starts = update.rev, told
 
-    def _pass_on(self, update: EndpointListUpdate, held: bool) -> None:
-        if self.follower is None:
-            self._believe(update, held)
-        else:
-            self.hear_list_below(update, held)  # comes back through the follower
+    def _pass_on(self, update: EndpointListUpdate, cached: bool) -> None:
+        """To all that comes behind the gate."""
+        self.dispatcher.on_endpoints_changed(update, cached, after=self.list_gate)
 
-    def _believe(self, update: EndpointListUpdate, held: bool = False) -> None:
-        """Tell the decisions when servers started as it is believed."""
+    def _with_believed_starts(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
+        """The list with the times at which servers are believed to have started."""
         known = {each.uid: each.started for each in self.former.servers} if self.former else {}
         spread = asking.window(self.routers, asking.DISCOVERY_EACH)
         in_service = self.uptime() > self.order.waits.list + spread
@@ -320,7 +306,7 @@
         for target in update.targets:
             told = target.entry.started
             seen = self.starts.get(target.uid)
-            if held and self.old_list_until == inf:
+            if cached and self.old_list_until == inf:
                 target = target._replace(entry=target.entry._replace(started=self.began))
                 targets.append(target)
                 continue
@@ -334,7 +320,7 @@
             if seen is not None:
                 target = target._replace(entry=target.entry._replace(started=seen[1]))
             targets.append(target)
-        self.hear_believed(EndpointListUpdate(update.rev, update.complete, tuple(targets)), held)
+        return EndpointListUpdate(update.rev, update.complete, tuple(targets))
 
     def _use_kept_list(self) -> None:
         """Discovery is not waited for any longer: what was kept serves reads, and every server is cold."""
@@ -360,8 +346,8 @@
 
     # -- connections to servers
 
-    def _connection_lost(self, connection: Connection, pending: PendingAttempt | None) -> None:
-        """A connection was ended by its server, or did not come up."""
+    def on_connection_lost(self, connection: Connection, pending: PendingAttempt | None) -> None:
+        """A connection was ended by its server, or did not come up: has that lost what it knew?"""
         endpoint = connection.endpoint
         failed = pending is not None and not (connection.written or connection.idle_since)
         pool, now = self.service.pool, self.clock()
@@ -384,13 +370,13 @@
         if not rows:
             return
         logger.info("recovery: {} may have begun anew: no line to it stands, and none comes up", uid)
-        self._part(True)
-        for exchange in list(self.dispatcher.pending_operations):
-            # The module would send it once more when the server is back, which remembers nothing of it.
-            operation = exchange.operation
+        self.intercepting = True
+        for pending in list(self.dispatcher.pending_operations):
+            # It would be sent once more when the server is back, which remembers nothing of it.
+            operation = pending.operation
             marked = operation.is_write and operation.traffic_type.row in rows
             if marked and operation.may_have_run_on is not None and not operation.finished:
-                self.dispatcher.refuse(operation, FAILED_REPLY)
+                self.dispatcher.reject(operation, FAILED_REPLY)
 
     def _look_at_connections(self, now: float) -> None:
         """What connections that stand idle say of their servers' lives."""
@@ -423,8 +409,8 @@
 
     # -- an ordered end
 
-    async def _farewell(self) -> None:
-        """All is answered. Peers are told, where nothing is in hand."""
+    async def before_exit(self) -> None:
+        """Notify peers where nothing is in flight, and write the snapshot."""
         service = self.service
         in_hand = len(self.dispatcher.pending_operations) + len(service.pool.pending)
         in_hand += sum(clients.owe() for clients, _ in service.fronts)
@@ -444,13 +430,16 @@
 
     # -- peers
 
-    def _hear_peer(self, number: int, payload: bytes) -> None:
+    def on_gossip(self, peer: int, payload: bytes) -> bool:
+        """Take the messages of recovery; all others are the routing decisions'."""
         if not self.wire.mine(payload):
-            self.hear_peer_below(number, payload)
-            return
+            return False
         told = self.wire.read(payload)
-        if told is None or not 0 <= told.me < self.routers:
-            return
+        if told is not None and 0 <= told.me < self.routers:
+            self._hear_peer(told)
+        return True
+
+    def _hear_peer(self, told: evidence.Told) -> None:
         uptime, before = self.uptime(), self.mind
         self.mind, echo = evidence.hear(before, told, uptime)
         if echo is not None:
@@ -545,10 +534,6 @@
 
     # -- the keeper: a part of the follower's feed
 
-    def report(self) -> bytes | None:
-        """Nothing goes with calls but the run's number, which the follower tells itself."""
-        return None
-
     def hear(self, feed: Feed, asked_at: float) -> None:
         """A feed was followed."""
         before, same = (
@@ -560,10 +545,7 @@
         self.facts.keeper = True
         self._changed(before)
 
-    def away(self) -> None:
-        """The keeper does not answer: the bound of its stage goes on."""
-
-    def _weigh(self, feed: Feed) -> Feed:
+    def filter_feed(self, feed: Feed) -> Feed:
         """What of a feed is followed. Raises BadFeed while it is from before what was heard."""
         now, known = self.clock(), self._known_store()
         standing = trust.keeper_answer(known, feed.store, feed.revision, feed.whole)
@@ -602,11 +584,9 @@
 
     async def _look_on(self) -> None:
         """Everything that time alone brings."""
-        if self.follower is not None and self.former is not None:
-            for part in self.follower.parts:
-                restore = getattr(part, "restore", None)
-                if restore is not None and part.name in self.former.parts:
-                    restore(self.former.parts[part.name])
+        for part in self._parts():
+            if self.former is not None and part.name in self.former.parts:
+                part.restore(self.former.parts[part.name])
         while True:
             try:
                 self._look()
@@ -621,8 +601,10 @@
         """A mistake here must not keep the router shut: as a start without recovery, but for repeats."""
         self.opening.open, self.order.stage, self.old_list_until = True, Stage.OPEN, 0.0
         waiting, self.held_back = self.held_back, []
+        # Starts are believed as told where that is this package's matter alone, and no keeper's.
+        gate = self.list_gate if self.follower is not None else self.believed_starts
         for update in waiting:
-            self.hear_list_below(update, False)
+            self.dispatcher.on_endpoints_changed(update, after=gate)
         if self.service.lifecycle.phase is Phase.RECOVERING:
             self.service.lifecycle.enter(Phase.READY, len(self.dispatcher.pending_operations))
 
@@ -646,7 +628,7 @@
         if self.opening.open and self.order.stage is Stage.CLIENTS:
             self.order.stage = Stage.OPEN
         if self.order.stage is Stage.OPEN and not self.old_list_until and not self.effects.open(now):
-            self._part(False)
+            self.intercepting = False
         self._learn(now)
         self._look_at_connections(now)
         anew = evidence.elsewhere(self.mind, uptime, self.slack)
@@ -717,11 +699,10 @@
     def _snapshot(self) -> Kept:
         mind, store = self.mind, self.store
         parts = {}
-        if self.follower is not None:
-            for part in self.follower.parts:
-                body = part.kept() if hasattr(part, "kept") else None
-                if body is not None:
-                    parts[part.name] = body
+        for part in self._parts():
+            state = part.state_to_keep()
+            if state is not None:
+                parts[part.name] = state
         return Kept(
             self.file.identity,
             mind.run,
--- a/gaugehinge/rehearsal/broken.py
+++ b/gaugehinge/rehearsal/broken.py
@@ -70,40 +70,40 @@
 
 def _answers(change: Callable[[Dispatcher, PendingOperation, bytes], bytes | None]) -> None:
     """Put `change` between a router and its answers; None: it has seen to that itself."""
-    right = Dispatcher._answer
+    right = Dispatcher._reply
 
-    def answer(self: Dispatcher, exchange: PendingOperation, reply: bytes) -> None:
-        if exchange.answered:
+    def answer(self: Dispatcher, pending: PendingOperation, reply: bytes) -> None:
+        if pending.answered:
             return
-        told = change(self, exchange, reply)
-        if told is None:
-            exchange.answered = exchange.operation.finished = True
+        changed = change(self, pending, reply)
+        if changed is None:
+            pending.answered = pending.operation.finished = True
         else:
-            right(self, exchange, told)
+            right(self, pending, changed)
 
-    Dispatcher._answer = answer
+    Dispatcher._reply = answer
 
 
 def double() -> None:
     """It answers twice."""
     turns = Turns()
-    _answers(lambda dispatcher, exchange, reply: reply + reply if turns.wrong() else reply)
+    _answers(lambda dispatcher, pending, reply: reply + reply if turns.wrong() else reply)
 
 
 def mute() -> None:
     """It does not answer."""
     turns = Turns()
-    _answers(lambda dispatcher, exchange, reply: None if turns.wrong() else reply)
+    _answers(lambda dispatcher, pending, reply: None if turns.wrong() else reply)
 
 
 def late() -> None:
     """It answers after the abandon time."""
     turns = Turns()
 
-    def change(dispatcher: Dispatcher, exchange: PendingOperation, reply: bytes) -> bytes | None:
+    def change(dispatcher: Dispatcher, pending: PendingOperation, reply: bytes) -> bytes | None:
         if not turns.wrong():
             return reply
-        dispatcher.timers.call_at(exchange.operation.deadline + OVER, exchange.answer, reply)
+        dispatcher.timers.call_at(pending.operation.deadline + OVER, pending.reply_callback, reply)
         return None
 
     _answers(change)
@@ -113,8 +113,8 @@
     """It says of what ran, and may not run again, that it never did."""
     turns = Turns()
 
-    def change(dispatcher: Dispatcher, exchange: PendingOperation, reply: bytes) -> bytes:
-        ran = exchange.operation.traffic_type.effect is Effect.NON_IDEMPOTENT and reply[:1] == b"$"
+    def change(dispatcher: Dispatcher, pending: PendingOperation, reply: bytes) -> bytes:
+        ran = pending.operation.traffic_type.effect is Effect.NON_IDEMPOTENT and reply[:1] == b"$"
         return busy_reply(0.1) if ran and turns.wrong() else reply
 
     _answers(change)
@@ -124,8 +124,8 @@
     """It answers a tenant with what another one read."""
     turns, last = Turns(), {}
 
-    def change(dispatcher: Dispatcher, exchange: PendingOperation, reply: bytes) -> bytes:
-        operation = exchange.operation
+    def change(dispatcher: Dispatcher, pending: PendingOperation, reply: bytes) -> bytes:
+        operation = pending.operation
         if operation.is_write or reply[:1] != b"$":
             return reply
         last[operation.tenant] = reply
@@ -137,23 +137,23 @@
 
 def lies() -> None:
     """It says that a write is done, and sends it nowhere."""
-    turns, right = Turns(), Dispatcher._ask
+    turns, right = Turns(), Dispatcher._route
 
-    def ask(self: Dispatcher, exchange: PendingOperation) -> None:
-        if exchange.operation.is_write and not exchange.operation.attempts and turns.wrong():
-            self._answer(exchange, bulk(b"done"))
-            self._drop(exchange)
+    def route(self: Dispatcher, pending: PendingOperation) -> None:
+        if pending.operation.is_write and not pending.operation.attempts and turns.wrong():
+            self._reply(pending, bulk(b"done"))
+            self._release(pending)
         else:
-            right(self, exchange)
+            right(self, pending)
 
-    Dispatcher._ask = ask
+    Dispatcher._route = route
 
 
 def crashes() -> None:
     """It ends by itself."""
     count = 0
 
-    def change(dispatcher: Dispatcher, exchange: PendingOperation, reply: bytes) -> bytes:
+    def change(dispatcher: Dispatcher, pending: PendingOperation, reply: bytes) -> bytes:
         nonlocal count
         count += 1
         if count > ENDS_AFTER:
@@ -220,8 +220,8 @@
     """It sends keys of pinned shards anywhere, and tells the keeper that it follows."""
     from ..placement.router import Placing
 
-    Placing.place = lambda self, operation: None
-    Placing.guard = lambda self, attempt: True
+    Placing.constrain = lambda self, operation: None
+    Placing.may_send = lambda self, attempt: True
 
 
 def opens() -> None:
--- a/gaugehinge/rehearsal/brokenterms.py
+++ b/gaugehinge/rehearsal/brokenterms.py
@@ -6,18 +6,18 @@
 
 import runpy
 import sys
-from collections.abc import Callable
 from math import inf
 
 from ..net import discovery
 from ..net.client_server import ClientConnection, ClientServer, _no_more
 from ..net.connection_pool import RequestPayload
 from ..net.discovery import DiscoveryClient, Watch
-from ..net.dispatcher import Dispatcher
+from ..net.dispatcher import NO_HANDLE, Dispatcher
+from ..net.extensions import ReplyCallback
 from ..routing.types import Operation
 
 ASLEEP = 5.0  # seconds
-QUEUED, NO_HANDLE = 1.0, -1  # seconds that an operation stands in the queue
+QUEUED = 1.0  # seconds that an operation stands in the queue
 READS_ON = 0.06  # seconds after the end of a connection
 
 FINDS = {"deaf": "clock", "sleeps": "clock", "unmoved": "clock", "stays": "gone", "reads_on": "crossed"}
@@ -48,13 +48,13 @@
     right = Dispatcher.submit
 
     def submit(
-        self: Dispatcher, operation: Operation, payload: RequestPayload, answer: Callable[[bytes], None]
+        self: Dispatcher, operation: Operation, payload: RequestPayload, reply_callback: ReplyCallback
     ) -> int:
-        self.timers.call_at(self.clock() + QUEUED, right, self, operation, payload, answer)
+        self.timers.call_at(self.clock() + QUEUED, right, self, operation, payload, reply_callback)
         return NO_HANDLE
 
     Dispatcher.submit = submit
-    Dispatcher.client_gone = lambda self, handle, freed=None: None
+    Dispatcher.client_gone = lambda self, handle, on_released=None: None
     ClientServer.present = lambda self, client: True  # either of the two finds out
 
 
--- a/gaugehinge/rehearsal/clusterplay.py
+++ b/gaugehinge/rehearsal/clusterplay.py
@@ -15,7 +15,7 @@
 import msgspec
 import trio
 
-from ..cluster.build import extension
+from ..cluster.build import cluster_extension_builder, slot_fleet
 from ..emulator.directory import Directory, Entry
 from ..emulator.doors import DirectoryDoor
 from ..emulator.ports import Ports
@@ -224,7 +224,10 @@
                 continue
             configuration = configuration_of(told)
             service = Service(
-                configuration, lambda same=configuration: same, new_door, extend=extension(told)
+                configuration,
+                lambda same=configuration: same,
+                new_door,
+                build_extensions=cluster_extension_builder(told),
             )
             made.services.append(service)
             nursery.start_soon(service.run)
@@ -264,11 +267,8 @@
     """Until every router has its list and its map."""
     with trio.fail_after(20):
         while True:
-            maps = [
-                service.dispatcher.locate.__self__.keeper.map
-                for service in made.services
-                if service.dispatcher.locate is not None
-            ]
+            fleets = [fleet for service in made.services if (fleet := slot_fleet(service)) is not None]
+            maps = [fleet.keeper.map for fleet in fleets]
             if len(maps) == len(made.services) and all(maps):
                 return
             await trio.sleep(0.01)
--- a/gaugehinge/rehearsal/clusterrun.py
+++ b/gaugehinge/rehearsal/clusterrun.py
@@ -12,6 +12,7 @@
 
 import trio
 
+from ..cluster.build import slot_fleet
 from ..cluster.resp3 import CLIENT, Error, Reader, command
 from ..cluster.slots import slot_of
 from .clusterplay import BOOK, Play, playing
@@ -182,9 +183,7 @@
             f"drains kept: a leg to {name} {late:.3f} s late" for name, late in self.made.late_attempts()
         ]
         told.redirections = self.made.shards.redirections
-        told.fetches = sum(
-            service.dispatcher.locate.__self__.keeper.fetches for service in self.made.services
-        )
+        told.fetches = sum(slot_fleet(service).keeper.fetches for service in self.made.services)
 
 
 async def _answer(stream: trio.SocketStream, reader: Reader) -> object:
--- a/gaugehinge/rehearsal/hostedplay.py
+++ b/gaugehinge/rehearsal/hostedplay.py
@@ -18,22 +18,25 @@
 
 from ..admin.app import Api
 from ..admin.service import Administration
-from ..cluster.build import extension
+from ..cluster.build import build_cluster
 from ..emulator.directory import Directory, Entry
 from ..emulator.doors import DirectoryDoor
 from ..emulator.ports import Ports
 from ..emulator.shelf import Shelves
 from ..forms.units import Seconds
-from ..hosted.build import following
+from ..hosted.build import following, tenant_of_connection
 from ..hosted.follower import Follower
 from ..hosted.front import HostedClients
 from ..installation.build import configuration_of
 from ..installation.form import DiscoveryAt, FollowEntry, Installation, Listen, Rules, Tier, TrafficEntry
+from ..net.extensions import Extensions
 from ..net.resp import Parser, bulk
 from ..net.service import Service
 from ..net.sockets import shut
 from ..net.timer_queue import Clock, TimerQueue
+from ..placement.build import build_placement
 from ..store.keeper import StoreKeeper
+from ..subsystems import Subsystems
 from ..tenancy.credentials import Attempts, Hasher
 
 HOST = "127.0.0.1"
@@ -100,7 +103,6 @@
     scopes: list[trio.CancelScope] = field(default_factory=list)
     lease: float = 0.0  # seconds that the keeper gives routers; 0: none
     parts: tuple[Callable[[Administration], Any], ...] = ()  # at the keeper
-    dress: Callable[[Any], Any] = lambda follow: follow  # what a router has beside its following
 
     # -- the keeper
 
@@ -163,15 +165,22 @@
         """Start one, or start it again after a crash: with nothing but its files."""
         told = self.files[number]
         configuration = configuration_of(told)
-        follow = self.dress(following(told, CHEAP))
+        build_follower = following(told, CHEAP)
         scope = trio.CancelScope()
 
-        def extend(service: Service, nursery: trio.Nursery) -> None:
-            if told.cluster.listen:
-                extension(told)(service, nursery)
-            self.followers[number] = follow(service, nursery)
-
-        service = Service(configuration, lambda: configuration, new_door, extend=extend, kind=HostedClients)
+        def build(service: Service, nursery: trio.Nursery) -> Extensions:
+            fleet = build_cluster(service, nursery, told)
+            follower = self.followers[number] = build_follower(service, nursery)
+            placement = build_placement(service, follower) if told.placement.on else None
+            return Subsystems(fleet, follower, placement).extensions()
+
+        service = Service(
+            configuration,
+            lambda: configuration,
+            partial(new_door, tenant_of=tenant_of_connection) if new_door is not None else None,
+            build_extensions=build,
+            client_server_class=HostedClients,
+        )
         self.services[number], self.scopes[number] = service, scope
         self.nursery.start_soon(self._run, service, scope)
 
@@ -229,7 +238,6 @@
     zones: tuple[str, ...] = ("a",),
     lease: float = 0.0,
     parts: tuple[Any, ...] = (),
-    dress: Any = lambda follow: follow,
     **changes: Any,
 ) -> AsyncIterator[Hosted]:
     """A keeper with `root` and routers that follow it; ended with the block.
@@ -252,7 +260,6 @@
                 directory,
                 lease=lease,
                 parts=parts,
-                dress=dress,
             )
             for number in range(servers):
                 listeners = await nursery.start(
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -308,7 +308,7 @@
     settings=None,
     peers=(),
     new_door=None,
-    extend=None,
+    build_extensions=None,
 ):
     """Start stand-ins and a router; the router ends by itself or with the block."""
     origin = Web(origin or (lambda method, target, headers, body: (200, "", b"fetched")))
@@ -349,7 +349,9 @@
         path.write_text(json.dumps(config))
         environment = {"LB_CONFIG": str(path)}
         again = partial(read_configuration, environment)
-        service = Service(read_configuration(environment), again, new_door or DOOR, extend=extend)
+        service = Service(
+            read_configuration(environment), again, new_door or DOOR, build_extensions=build_extensions
+        )
         made = Fleet(service, caches, origin, port, targets, trio.CancelScope(), trio.Event(), path)
         nursery.start_soon(_run, made)
         await trio.testing.wait_all_tasks_blocked()
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -12,7 +12,7 @@
 from redis.asyncio.cluster import RedisCluster as AsyncCluster
 from redis.cluster import RedisCluster
 
-from gaugehinge.cluster.build import extension
+from gaugehinge.cluster.build import cluster_extension_builder, slot_fleet
 from gaugehinge.cluster.resp3 import CLIENT, Error, Reader, command
 from gaugehinge.cluster.slots import SLOTS, slot_of
 from gaugehinge.door.door import Door
@@ -63,7 +63,7 @@
 
 
 def keeper(made: Play, router: int = 0):
-    return made.services[router].dispatcher.locate.__self__.keeper
+    return slot_fleet(made.services[router]).keeper
 
 
 def key_of(made: Play, name: str, number: int = 0) -> bytes:
@@ -382,7 +382,7 @@
         cluster=msgspec.structs.replace(
             told.cluster,
             listen=f"127.0.0.1:{port}",
-            router_count=(f"127.0.0.1:{port}",),
+            routers=(f"127.0.0.1:{port}",),
             command=(*told.cluster.command, CommandEntry("SET", "book", write=True, least=2, most=2)),
         ),
     )
@@ -397,7 +397,9 @@
     }
 
     async def scene():
-        async with fleet(tmp_path, [Cache(), Cache()], settings=settings, extend=extension(told)) as made:
+        async with fleet(
+            tmp_path, [Cache(), Cache()], settings=settings, build_extensions=cluster_extension_builder(told)
+        ) as made:
             client = Plain(await trio.open_tcp_stream("127.0.0.1", port))
             assert await client.ask("GET", "k1") == b"of k1"
             word, key, ident, labels = next(c for cache in made.caches for c in cache.commands)
--- a/tests/test_cluster_model.py
+++ b/tests/test_cluster_model.py
@@ -15,6 +15,7 @@
 )
 
 from gaugehinge.cluster.attempts import read_answer
+from gaugehinge.cluster.build import cluster_extensions
 from gaugehinge.cluster.fleet import SlotFleet
 from gaugehinge.cluster.keeper import CALM_EVERY, FETCH_TIME, LEAST_EVERY, LOWER_BELIEVED, Keeper
 from gaugehinge.cluster.resp3 import encode
@@ -119,7 +120,7 @@
         self.shards.deal(NAMES)
         self.dispatcher = Dispatcher(DEPLOYMENT, self.time)
         self.connections = Connections()
-        self.dispatcher.bind(self.connections, lambda: None, lambda *told: None)
+        self.dispatcher.connect(self.connections, lambda: None, lambda *told: None)
         self.keeper = Keeper(3, self.time.now)
         caches = self.dispatcher.router.caches
         self.fleet = SlotFleet(
@@ -129,7 +130,7 @@
             lambda ident: caches[ident].state if ident in caches else None,
             False,
         )
-        self.dispatcher.locate, self.dispatcher.redirected = self.fleet.locate, self.fleet.redirected
+        self.dispatcher.install(cluster_extensions(self.fleet))
         self.states = dict.fromkeys(NAMES, EndpointState.UP)
         self.started = dict.fromkeys(NAMES, 0.0)
         self._list()
@@ -177,7 +178,7 @@
 
     def _end(self, attempt, outcome, value=None) -> None:
         del self.connections.pending[attempt]
-        self.dispatcher.attempt_ended(attempt, outcome, self.time.now - attempt.sent_at, value)
+        self.dispatcher.on_attempt_finished(attempt, outcome, self.time.now - attempt.sent_at, value)
 
     @precondition(lambda self: self.connections.pending)
     @rule(place=st.integers(0, 50))
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -15,6 +15,7 @@
 from gaugehinge.door.door import Door
 from gaugehinge.door.turnstile import READ_MOST
 from gaugehinge.net import client_server, service
+from gaugehinge.net.extensions import Extensions
 from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.resp import bulk
 from gaugehinge.net.sockets import unsent
@@ -578,18 +579,20 @@
 def test_a_second_sigterm_neither_ends_the_process_by_the_signal_nor_cuts_answers_off(tmp_path, second):
     taken = []
 
+    class LastStep:
+        async def before_exit(self):
+            if second == "the last step":
+                signalled()  # and no pass of the loop follows before the receiver ends
+
+    def build(service, nursery):
+        return Extensions(shutdown_hooks=(LastStep(),))
+
     async def scene():
         cache = Holding()
-        async with fleet(tmp_path, [cache]) as made:
+        async with fleet(tmp_path, [cache], build_extensions=build) as made:
             client = await made.client()
             await client.stream.send_all(get("r0"))
             await until(lambda: cache.streams)
-
-            async def last_step():
-                signalled()  # and no pass of the loop follows before the receiver ends
-
-            if second == "the last step":
-                made.service.farewells.append(last_step)
             signalled()
             if second == "leaving":
                 await until(lambda: made.service.lifecycle.phase is Phase.LEAVING)
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -42,6 +42,7 @@
 from gaugehinge.forms.units import Seconds
 from gaugehinge.net.connection_pool import ConnectionPool, RequestPayload, RespCodec
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
+from gaugehinge.net.extensions import Extensions
 from gaugehinge.net.timer_queue import Clock, TimerQueue
 from gaugehinge.placement.shards import Terms
 from gaugehinge.rehearsal.drainsplay import woken, written_ago
@@ -473,16 +474,20 @@
         router = SimpleNamespace(origin=None)
         service = SimpleNamespace(
             pool=pool,
-            dispatcher=SimpleNamespace(noted=None, router=router, pending_operations=[]),
-            farewells=[],
+            dispatcher=SimpleNamespace(router=router, pending_operations=[]),
             configuration=SimpleNamespace(name="r"),
             lifecycle=SimpleNamespace(phase=None),
         )
-        follower = SimpleNamespace(overlay=SimpleNamespace(drained=frozenset(), told=[]), wait=5.0)
+        follower = SimpleNamespace(
+            overlay=SimpleNamespace(drained=frozenset(), told=[]),
+            limit_wait=lambda seconds: None,
+            report_now=unanswered,
+        )
         time = SimpleNamespace(now=1000.0)
         part = RouterDrains(
             service, follower, NodeFile(str(tmp_path / "node")), nursery, clock=lambda: time.now
         )
+        pool.install(Extensions(connection_budget=part))
         part.closing = 30.0
         tell(part, time, 1, granted)
         server = SimpleNamespace(ident=1, origin=False, state=EndpointState.UP)
@@ -497,6 +502,10 @@
         nursery.cancel_scope.cancel()
 
 
+async def unanswered():
+    raise OSError("the keeper is away")
+
+
 def tell(part, time, number, servers, lease=10.0):
     """An answer of the keeper to a question that goes now."""
     part.report()
@@ -571,7 +580,7 @@
             all_.send()
             await until(lambda: len(all_.ended) == 4)
             assert all_.peers.most == 3 and len(endpoint.idle) <= 1
-            await all_.part.service.farewells[0]()
+            await all_.part.before_exit()
             assert all_.part.holding.closed and not all_.part.may_open(endpoint)
             await until(lambda: all_.peers.open == 0)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -310,13 +310,13 @@
                 settings={**of(["bolt", "acme"]), "me": 1},
             )
             client, dispatcher = await behind.client(), behind.service.dispatcher
-            told, heard, tell = [], [], dispatcher.tell
+            told, heard, tell = [], [], dispatcher.send_gossip
 
             def noted(numbers, payload) -> None:
                 tell(numbers, payload)
                 told.append(payload)
 
-            dispatcher.tell = noted
+            dispatcher.send_gossip = noted
             while len(told) < 3:
                 await client.get(f"k{len(told)}", labels="c=read,t=acme,d=900")
                 heard += [rates for _, rates in new.service.dispatcher.router.peers.values()]
--- a/tests/test_list_moves.py
+++ b/tests/test_list_moves.py
@@ -99,8 +99,8 @@
                 mine.append((trio.current_time(), update.rev))
 
             made = DiscoveryClient(nursery, timers, HERE, 10, hear, dispatcher.on_poll_failed, number)
-            dispatcher.bind(NOBODY, made.follow, lambda *told: None)
-            dispatcher.begin()
+            dispatcher.connect(NOBODY, made.follow, lambda *told: None)
+            dispatcher.start_background_tasks()
             nursery.start_soon(timers.run)
             return made, dispatcher
 
--- a/tests/test_list_outages.py
+++ b/tests/test_list_outages.py
@@ -136,8 +136,8 @@
         discovery = DiscoveryClient(
             nursery, timers, ("127.0.0.1", 1), 0, hear, dispatcher.on_poll_failed, own
         )
-        dispatcher.bind(NOBODY, discovery.follow, lambda *told: None)
-        dispatcher.begin()
+        dispatcher.connect(NOBODY, discovery.follow, lambda *told: None)
+        dispatcher.start_background_tasks()
         nursery.start_soon(timers.run)
 
     async def main() -> None:
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -13,12 +13,13 @@
 from gaugehinge.installation.form import RecoveryEntry
 from gaugehinge.net.endpoint_list import read_endpoint_list
 from gaugehinge.net.lifecycle import Phase
+from gaugehinge.placement.build import build_placement
 from gaugehinge.placement.forms import KeeperTold, RouterTold
-from gaugehinge.placement.router import placing
 from gaugehinge.recovery.driver import Recovery
 from gaugehinge.recovery.evidence import Verdict
 from gaugehinge.recovery.opening import Stage
 from gaugehinge.routing.types import Operation
+from gaugehinge.subsystems import Subsystems
 from gaugehinge.tenancy.feed import Feed, Report
 from tests.helper import SETTINGS, Cache, fleet
 
@@ -38,14 +39,15 @@
         self.lists: list[list] = []  # of servers that the keeper was told
         self.secret = ""  # that the keeper knows; empty: it does not ask
 
-    def extend(self, service, nursery):
+    def build(self, service, nursery):
         client = httpx.AsyncClient(base_url="http://keeper", transport=httpx.MockTransport(self.keeper))
         self.follower = Follower(service, Roster(), Overlay(), client, None, 8)
         self.follower.begin()
-        self.placing = placing(service, self.follower)
+        self.placing = build_placement(service, self.follower)
         nursery.start_soon(self.follower.run)
         self.recovery = Recovery(service, self.entry, KEY, self.follower)
         self.recovery.begin(nursery)
+        return Subsystems(follower=self.follower, placement=self.placing, recovery=self.recovery).extensions()
 
     async def keeper(self, request):
         if self.silent:
@@ -68,7 +70,7 @@
     async def main():
         made = Together(tmp_path, silent)
         settings = {**SETTINGS, "replicasOfMe": 1}
-        async with fleet(tmp_path, [Cache()], settings=settings, extend=made.extend) as all_:
+        async with fleet(tmp_path, [Cache()], settings=settings, build_extensions=made.build) as all_:
             with trio.fail_after(20):
                 await look(made, all_)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -18,7 +18,6 @@
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.installation.form import PlacementEntry
 from gaugehinge.placement.admission import Budget, Ground, Refused, Server
-from gaugehinge.placement.build import placed
 from gaugehinge.placement.keeper import Placement
 from gaugehinge.placement.life import NEXT, Event, Life, Stage, step
 from gaugehinge.placement.life import Refused as NotNow
@@ -337,7 +336,6 @@
         servers=6,
         zones=("a", "b", "c"),
         lease=lease,
-        dress=placed,
         parts=(lambda administration: Placement(administration, told),),
         placement=PlacementEntry(True),
         **more,
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -115,22 +115,24 @@
         self.operation = None  # in hand since the door
         self.roster = Roster()
         deployment = SimpleNamespace(origin_kind="origin", max_retry_after=2.0)
-        dispatcher = SimpleNamespace(on_endpoints_changed=lambda *told: None, place=None, refuse=self.refuse)
-        pool = SimpleNamespace(pending={}, guard=None)
+        dispatcher = SimpleNamespace(reject=self.reject)
+        pool = SimpleNamespace(pending={})
         configuration = SimpleNamespace(settings=SimpleNamespace(deployment=deployment))
         service = SimpleNamespace(dispatcher=dispatcher, pool=pool, configuration=configuration)
-        follower = SimpleNamespace(wait=1.0, slack=1.0, roster=self.roster)
+        follower = SimpleNamespace(
+            limit_wait=lambda seconds: None, limit_slack=lambda seconds: None, roster=self.roster
+        )
         self.pool = pool
         self.part = kind(service, follower, clock=self.clock)
         told = [EndpointEntry(n, zone, "std", 0, EndpointState.UP, 5.0, 1.0) for n, _, zone in SERVERS]
         names = [uid for _, uid, _ in SERVERS]
         targets = [EndpointTarget(each, uid, ("h", 1)) for each, uid in zip(told, names, strict=True)]
-        self.part.on_endpoints_changed(EndpointListUpdate(1, True, tuple(targets)))
+        self.part.transform(EndpointListUpdate(1, True, tuple(targets)), False)
 
     def clock(self) -> float:
         return 1000.0 * (self.number + 1) + self.rate * self.world.now
 
-    def refuse(self, operation, reply) -> None:
+    def reject(self, operation, reply) -> None:
         operation.finished = True
 
     def report(self) -> Report:
@@ -146,7 +148,7 @@
 
     def door(self, key: bytes, repeat: bool) -> Operation | None:
         operation = Operation(next(self.world.runs), MARKED, key, 0, True, repeat, 0.0, 9.0)
-        return operation if self.part.place(operation) is None else None
+        return operation if self.part.constrain(operation) is None else None
 
     def attempt(self, operation, zone: str) -> Attempt | None:
         """Begin an attempt at a server of a zone, if that is let."""
@@ -154,7 +156,7 @@
         attempt = Attempt(operation, SimpleNamespace(ident=ident, zone=zone, origin=False), 0, 0.0)
         return (
             attempt
-            if not operation.finished and self.part.guard(attempt) and not operation.finished
+            if not operation.finished and self.part.may_send(attempt) and not operation.finished
             else None
         )
 
@@ -428,10 +430,10 @@
 class Sleepy(Placing):
     """Looks at its lease at the door alone."""
 
-    def guard(self, attempt) -> bool:
+    def may_send(self, attempt) -> bool:
         held, self.lease = self.lease, Held(1e12)
         try:
-            return super().guard(attempt)
+            return super().may_send(attempt)
         finally:
             self.lease = held
 
@@ -439,7 +441,7 @@
 class Careless(Placing):
     """Sends what is in hand by the placement that it came under."""
 
-    def guard(self, attempt) -> bool:
+    def may_send(self, attempt) -> bool:
         return (
             attempt.operation.finished is False
             and any(zones is None or attempt.endpoint.zone in zones for zones in attempt.operation.regions)
@@ -450,9 +452,9 @@
 class Forgetful(Placing):
     """Repeats of deduplicated writes go as any operation."""
 
-    def place(self, operation):
+    def constrain(self, operation):
         operation.is_client_retry = False
-        return super().place(operation)
+        return super().constrain(operation)
 
 
 class Trusting(Placement):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -849,9 +849,7 @@
 
 
 def test_untold_by_peers_a_run_of_one_tenant_is_not_held_to_its_home():
-    bench = Bench(
-        tenants=(Tenant(0.5, 5.0), Tenant(0.5, 5.0)), over_quota_weight=0.05, router_count=300
-    )
+    bench = Bench(tenants=(Tenant(0.5, 5.0), Tenant(0.5, 5.0)), over_quota_weight=0.05, router_count=300)
     bench.router.tokens = [0.0, 9.0]
     assert all(bench.ask("k", tenant=0)[1].action is Action.SEND for _ in range(4))
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -27,6 +27,7 @@
 from gaugehinge.recovery.opening import Bearing, Facts, Opening, Order, Stage, Waits, portion
 from gaugehinge.recovery.snapshot import MOST_BYTES, Entry, Kept, SnapshotFile, encode, identity_of
 from gaugehinge.routing.types import DeduplicationScope
+from gaugehinge.subsystems import Subsystems
 from gaugehinge.tenancy.feed import Feed, TenantRow
 from tests.helper import MARKED, ONCE, PLAIN, READ, SETTINGS, Cache, Web, fleet, free_port, origin_row, row
 
@@ -465,9 +466,10 @@
         self.entry = RecoveryEntry(True, str(tmp_path / "key"), str(tmp_path / "snap"), **figures)
         self.made: Recovery | None = None
 
-    def extend(self, service, nursery):
+    def build(self, service, nursery):
         self.made = Recovery(service, self.entry, KEY)
         self.made.begin(nursery)
+        return Subsystems(recovery=self.made).extensions()
 
 
 SAID = {"rev": 2, "all": True}
@@ -488,22 +490,28 @@
 async def test_clients_wait_until_ready_and_nothing_stands_in_the_way_when_open(tmp_path):
     played = Played(tmp_path, list_wait=60.0)
     settings = {**SETTINGS, "replicasOfMe": 1}
-    async with fleet(tmp_path, [Cache()], settings=settings, extend=played.extend) as made:
+    async with fleet(tmp_path, [Cache()], settings=settings, build_extensions=played.build) as made:
         played.made.effects.until = [0.0, 1e12, 0.0]  # as long as this test takes
         client = await made.client()
         assert await client.ask("PING") == b"-ERR recovering\r\n"
         reply = await client.get()
         assert reply.startswith(b"-BUSY ") and 200 <= int(reply[6:]) <= 2000
         recovery = played.made
-        assert recovery.mind.verdict is Verdict.ALL and "submit" in vars(made.service.dispatcher)
+        assert recovery.mind.verdict is Verdict.ALL and recovery.intercepting
+        assert made.service.dispatcher.request_interceptors == (recovery,)
         made.service.dispatcher.on_endpoints_changed(told_list(made))
         await until(lambda: recovery.order.stage in (Stage.CLIENTS, Stage.OPEN))
         assert await client.ask("PING") == b"+PONG\r\n"
         await until(lambda: recovery.order.stage is Stage.OPEN)
         assert (await client.get()).startswith(b"$")
-        assert "submit" in vars(made.service.dispatcher)  # the memory of marks is not over
+        assert recovery.intercepting  # the memory of marks is not over
         recovery.effects.until = [0.0] * 3
-        await until(lambda: "submit" not in vars(made.service.dispatcher))
+        await until(lambda: not recovery.intercepting)
+
+        def taken(reply):
+            raise AssertionError("nobody is to be answered here")
+
+        assert recovery.intercept(None, None, taken) is taken  # it looks at nothing of an operation
         await until(lambda: recovery.file.load()[0].servers != [])
     again = SnapshotFile(played.entry.snapshot, identity_of(KEY, "n0", 0)).load()[0]
     assert again.run == 1 and again.list_rev == 2
@@ -518,7 +526,7 @@
         return 200, "", b"done"
 
     played, settings = Played(tmp_path), {**SETTINGS, "replicasOfMe": 1}
-    async with fleet(tmp_path, [Cache()], origin, settings=settings, extend=played.extend) as made:
+    async with fleet(tmp_path, [Cache()], origin, settings=settings, build_extensions=played.build) as made:
         assert played.made.effects.until[1:] > [played.made.clock()] * 2
         played.made.effects.until = [0.0, 1e12, 1e12]  # as long as this test takes
         made.service.dispatcher.on_endpoints_changed(told_list(made, boot_ms=5000))
@@ -575,7 +583,7 @@
     played, origin, settings = Played(tmp_path), Forgets(), {**SETTINGS, "replicasOfMe": 1}
     async with (
         trio.open_nursery() as nursery,
-        fleet(tmp_path, [Cache()], settings=settings, extend=played.extend) as made,
+        fleet(tmp_path, [Cache()], settings=settings, build_extensions=played.build) as made,
     ):
         recovery, told = played.made, []
         life = await nursery.start(origin.live)
@@ -629,18 +637,18 @@
 @in_trio
 async def test_an_ordered_end_is_said_with_nothing_in_hand_alone(tmp_path):
     played, cache = Played(tmp_path), Cache("stall")
-    async with fleet(tmp_path, [cache], extend=played.extend) as made:
+    async with fleet(tmp_path, [cache], build_extensions=played.build) as made:
         recovery, dispatcher = played.made, made.service.dispatcher
         dispatcher.on_endpoints_changed(told_list(made))
         recovery._give_way()
         client = await made.client()
         await client.send("KV.GET", "k", "id-1", "c=read,t=acme,d=60000")
         await until(lambda: cache.commands)
-        await recovery._farewell()
+        await recovery.before_exit()
         assert not evidence.say(recovery.mind, 1, 9.0).left
         dispatcher.fail_rest()
         await until(lambda: not dispatcher.pending_operations and not made.service.pool.pending)
-        await recovery._farewell()
+        await recovery.before_exit()
         assert evidence.say(recovery.mind, 1, 9.0).left
     assert SnapshotFile(played.entry.snapshot, identity_of(KEY, "n0", 0)).load()[0].run == 1
 
@@ -659,11 +667,11 @@
 async def test_a_list_kept_or_old_serves_reads_alone(tmp_path, way):
     played, settings = Played(tmp_path, doubt=1000.0), {**SETTINGS, "replicasOfMe": 1}
 
-    def extend(service, nursery):
+    def build(service, nursery):
         keep_snapshot(tmp_path, service.configuration.known["targets"])
-        played.extend(service, nursery)
+        return played.build(service, nursery)
 
-    async with fleet(tmp_path, [Cache()], settings=settings, extend=extend) as made:
+    async with fleet(tmp_path, [Cache()], settings=settings, build_extensions=build) as made:
         recovery = played.made
         assert recovery.mind.run == 8
         if way == "older":
@@ -695,25 +703,25 @@
 @in_trio
 async def test_a_keeper_from_before_is_not_followed_at_once_nor_ever_into_anothers_keys(tmp_path):
     played, settings = Played(tmp_path, doubt=5.0), {**SETTINGS, "replicasOfMe": 1}
-    async with fleet(tmp_path, [Cache()], settings=settings, extend=played.extend):
+    async with fleet(tmp_path, [Cache()], settings=settings, build_extensions=played.build):
         recovery = played.made
         whole = feed("s1", 20, (1, "acme"), (2, "bolt"))
-        assert recovery._weigh(whole) is whole
+        assert recovery.filter_feed(whole) is whole
         with pytest.raises(BadFeed, match="older"):
-            recovery._weigh(feed("s1", 11, (1, "acme")))
-        assert recovery._weigh(feed("s1", 21, (1, "acme"), (2, "bolt"))).revision == 21
+            recovery.filter_feed(feed("s1", 11, (1, "acme")))
+        assert recovery.filter_feed(feed("s1", 21, (1, "acme"), (2, "bolt"))).revision == 21
         with pytest.raises(BadFeed, match="other"):
-            recovery._weigh(feed("s2", 3, (1, "acme"), (2, "dune")))
+            recovery.filter_feed(feed("s2", 3, (1, "acme"), (2, "dune")))
         recovery.older_until = 1.0  # the doubt is over: the new store is followed, but not its number 2
-        after = recovery._weigh(feed("s2", 4, (1, "acme"), (2, "dune")))
+        after = recovery.filter_feed(feed("s2", 4, (1, "acme"), (2, "dune")))
         assert [row.name for row in after.tenants] == ["acme"]
-        assert recovery._weigh(feed("s2", 5, (3, "dune"))).tenants[0].name == "dune"
+        assert recovery.filter_feed(feed("s2", 5, (3, "dune"))).tenants[0].name == "dune"
 
 
 @in_trio
 async def test_messages_of_peers_and_of_the_module_find_their_ways(tmp_path):
     played, told = Played(tmp_path, decide=1000.0), []
-    async with fleet(tmp_path, [Cache()], extend=played.extend) as made:
+    async with fleet(tmp_path, [Cache()], build_extensions=played.build) as made:
         recovery, dispatcher = played.made, made.service.dispatcher
         recovery._tell = lambda number, echo=None: told.append(
             evidence.say(recovery.mind, number, recovery.uptime(), echo)
@@ -738,7 +746,7 @@
 @in_trio
 async def test_a_mistake_of_its_own_does_not_keep_the_router_shut(tmp_path):
     played = Played(tmp_path, list_wait=60.0)
-    async with fleet(tmp_path, [Cache()], extend=played.extend) as made:
+    async with fleet(tmp_path, [Cache()], build_extensions=played.build) as made:
         client = await made.client()
         assert await client.ask("PING") == b"-ERR recovering\r\n"
         made.service.dispatcher.on_endpoints_changed(told_list(made))
