--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -134,7 +134,7 @@
             monkeypatch.setattr(
                 connection_pool, "send_some", lambda raw, data: sockets.send_some(raw, data[:3])
             )
-            monkeypatch.setattr(ConnectionPool, "_send_rest", nothing_more)
+            monkeypatch.setattr(ConnectionPool, "_push", nothing_more)
             assert (await client.put(labels="c=once,d=500")).startswith(b"-BUSY") and made.origin.seen == []
 
     run(scene)
