--- a/gaugehinge/__main__.py
+++ b/gaugehinge/__main__.py
@@ -7,15 +7,16 @@
 from loguru import logger
 
 from .net.configuration import read_configuration
-from .net.early import EarlyHangup
 from .net.run import run
+from .net.signals import EarlyHangup
 from .settings import SettingsError
 
 FORM = "{time:HH:mm:ss.SSS} {level.name} {message}"
 
 
 def main() -> int:
-    early = EarlyHangup().listen()
+    """Serve until ordered to end; the exit code: 2 for a bad configuration."""
+    early_hangup = EarlyHangup().listen()
     logger.remove()
     logger.add(sys.stderr, format=FORM, level="INFO", diagnose=False)
     try:
@@ -23,7 +24,7 @@
     except SettingsError as bad:
         print(f"bad configuration: {bad}", file=sys.stderr)
         return 2
-    return run(configuration, partial(read_configuration, os.environ), early_hangup=early)
+    return run(configuration, partial(read_configuration, os.environ), early_hangup=early_hangup)
 
 
 if __name__ == "__main__":
--- a/gaugehinge/cli/serve_command.py
+++ b/gaugehinge/cli/serve_command.py
@@ -14,7 +14,7 @@
 
     SIGHUP reads the file again: discovery, peers and limits follow it, a bad file changes nothing.
     """
-    from ..net.early import EarlyHangup
+    from ..net.signals import EarlyHangup
 
     early_hangup = EarlyHangup().listen()
     from ..forms.toml import BadFile
--- a/gaugehinge/cluster/build.py
+++ b/gaugehinge/cluster/build.py
@@ -7,7 +7,9 @@
 from ..installation.form import ClusterEntry, Installation
 from ..net.configuration import address
 from ..net.extensions import NO_EXTENSIONS, ExtensionBuilder, Extensions
-from ..net.service import BACKLOG, CLIENT_PART, Service
+from ..net.front import BACKLOG, Front
+from ..net.resource_limits import CLIENT_SHARE
+from ..net.service import Service
 from ..net.sockets import listener
 from ..routing.types import EndpointState
 from .fleet import SlotFleet
@@ -92,12 +94,12 @@
         configuration.settings,
         service.lifecycle,
         service.dispatcher,
-        int(configuration.sockets * CLIENT_PART) // 2,
+        int(configuration.sockets * CLIENT_SHARE) // 2,
         configuration.memory // 2,
         nursery,
         terms,
         service.clients.door,
     )
-    service.fronts.append((clients, listening))
+    service.fronts.append(Front(clients, listening))
     log_start(terms, where)
     return clients
--- a/gaugehinge/hosted/build.py
+++ b/gaugehinge/hosted/build.py
@@ -45,8 +45,8 @@
             raise TypeError("its clients cannot say who they are")
         attempts = Attempts(service.configuration.settings.deployment.seed, time.time())
         gate = Gate(roster, hasher or Hasher(), attempts, time.time)
-        for front, _ in service.fronts:  # whichever dialect it speaks
-            front.let_in_by(gate, time.time)
+        for front in service.fronts:  # whichever dialect it speaks
+            front.clients.let_in_by(gate, time.time)
         client = httpx.AsyncClient(
             base_url=f"http://{entry.keeper}",
             headers={"Authorization": f"Bearer {secret}", "Content-Type": "application/json"},
--- /dev/null
+++ b/gaugehinge/net/reload.py
@@ -0,0 +1,40 @@
+"""SIGHUP: what a running service takes over from its configuration."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+from loguru import logger
+
+from ..settings import SettingsError
+from .configuration import lasting
+from .resource_limits import divide_resources
+
+if TYPE_CHECKING:
+    from .service import Service
+
+
+def reload_configuration(service: Service) -> None:
+    """Take over what can change in service: discovery, peers, memory and descriptors.
+
+    A bad configuration changes nothing and is logged; so is each field that changes at the next start only.
+    """
+    old = service.configuration
+    try:
+        new = service.reread()
+    except SettingsError as error:
+        logger.warning("configuration not taken: {}", error)
+        return
+    for field in lasting(old, new):
+        logger.warning("configuration: {} changes at the next start only", field)
+    service.configuration = replace(
+        old, discovery=new.discovery, peers=new.peers, memory=new.memory, sockets=new.sockets
+    )
+    logger.info("configuration read again: discovery at {}:{}", *new.discovery)
+    divide_resources(new, service.fronts, service.pool)
+    if service.gossip is not None:
+        service.gossip.know(new.peers)
+    if new.discovery != old.discovery:
+        service.discovery.move(new.discovery)
+        service.dispatcher.on_discovery_changed()
--- /dev/null
+++ b/gaugehinge/net/resource_limits.py
@@ -0,0 +1,25 @@
+"""How descriptors and memory of one router are divided among its fronts and its connections to servers."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from .configuration import Configuration
+from .connection_pool import ConnectionPool
+from .front import Front
+
+CLIENT_SHARE = 0.4  # of the descriptors, with a quarter of that again to answer BUSY from
+SERVER_SHARE = 0.4  # to servers; the rest is for listeners, discovery, peers and the interpreter,
+RESERVED_SOCKETS = 14  # this many at least: short of them, connections to servers and to discovery fail
+LEAST_SERVER_CONNECTIONS = 8
+
+
+def divide_resources(configuration: Configuration, fronts: Sequence[Front], pool: ConnectionPool) -> None:
+    """Give each front its part of descriptors and memory, and the pool its part of what is left."""
+    count, left = len(fronts), configuration.sockets - RESERVED_SOCKETS
+    for front in fronts:
+        clients = front.clients
+        clients.limit(int(configuration.sockets * CLIENT_SHARE) // count, configuration.memory // count)
+        left -= clients.most + clients.spare
+    most = min(int(configuration.sockets * SERVER_SHARE), left)
+    pool.limit(max(most, LEAST_SERVER_CONNECTIONS))
--- a/gaugehinge/net/run.py
+++ b/gaugehinge/net/run.py
@@ -5,42 +5,39 @@
 import gc
 import sys
 from collections.abc import Callable
-from typing import Any
 
 import trio
 
 from .client_server import ClientServer
 from .configuration import Configuration
-from .early import EarlyHangup
 from .extensions import ExtensionBuilder
-from .service import Service
+from .service import AdmissionControlBuilder, Service
+from .signals import EarlyHangup
 
-YOUNG = 20_000  # objects until the collector looks: passes over what lives long cost answers their time
+YOUNG_OBJECTS = 20_000  # until the collector looks: passes over what lives long cost replies their time
+OLDER_PASSES = 20  # passes over younger objects for each over older ones
 
 
 def run(
     configuration: Configuration,
     reread: Callable[[], Configuration],
-    build_admission_control: Callable[..., Any] | None = None,
+    build_admission_control: AdmissionControlBuilder | None = None,
     early_hangup: EarlyHangup | None = None,
     build_extensions: ExtensionBuilder | None = None,
     client_server_class: type[ClientServer] = ClientServer,
 ) -> int:
-    """Serve until told to leave; the exit code. The parameters are those of `Service`."""
+    """Serve until ordered to end and return the exit code: 1 where an address cannot be had, else 0.
+
+    The parameters are those of `Service`.
+    """
     gc.freeze()
-    gc.set_threshold(YOUNG, 20, 20)
+    gc.set_threshold(YOUNG_OBJECTS, OLDER_PASSES, OLDER_PASSES)
+    service = Service(
+        configuration, reread, build_admission_control, early_hangup, build_extensions, client_server_class
+    )
     try:
-        trio.run(
-            Service(
-                configuration,
-                reread,
-                build_admission_control,
-                early_hangup,
-                build_extensions,
-                client_server_class,
-            ).run
-        )
-    except OSError as bad:
-        print(f"cannot serve at {bad.strerror or bad}", file=sys.stderr)
+        trio.run(service.run)
+    except OSError as error:
+        print(f"cannot serve at {error.strerror or error}", file=sys.stderr)
         return 1
     return 0
--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -1,292 +1,210 @@
-"""The router as a whole, from its start to its end, and the nurseries that its parts live in."""
+"""One router as a whole: its parts, the nursery that they live in, and the order of its life.
+
+Start-up stands in startup.py, what SIGHUP changes in reload.py, the end in graceful_shutdown.py.
+"""
 
 from __future__ import annotations
 
 import signal
 import socket
-from collections.abc import AsyncIterator, Callable, Iterator
-from contextlib import contextmanager
-from dataclasses import replace
+from collections.abc import AsyncIterator, Callable
 
 import trio
 from loguru import logger
 
-from ..routing.types import EndpointState
-from ..settings import Settings, SettingsError
+from ..settings import Settings
 from .client_server import AdmissionControl, ClientServer
-from .configuration import Configuration, lasting
+from .configuration import Configuration
 from .connection_pool import ConnectionPool
 from .discovery import DiscoveryClient
 from .dispatcher import Dispatcher
-from .early import EarlyHangup
-from .endpoint_list import EndpointListUpdate, read_endpoint_list
+from .endpoint_list import EndpointListUpdate
 from .extensions import NO_EXTENSIONS, ExtensionBuilder, Extensions
+from .front import BACKLOG, Front
 from .gossip import GossipChannel
+from .graceful_shutdown import GracefulShutdown
 from .lifecycle import Lifecycle, Phase
-from .sockets import listener, shut
+from .reload import reload_configuration
+from .resource_limits import CLIENT_SHARE, SERVER_SHARE, divide_resources
+from .signals import EarlyHangup, TerminationFlag
+from .sockets import listener
+from .startup import Startup, read_cached_list
 from .timer_queue import Clock, TimerQueue
 
-CLIENT_PART = 0.4  # of the descriptors, with a quarter of that again to answer BUSY from
-CONNECTION_PART = 0.4  # to servers; the rest is for listeners, discovery, peers and the interpreter,
-RESERVED = 14  # this many at least: short of them, connections to servers and to discovery could not be had
-LEAST_LINES = 8
-BACKLOG = 512
-START_TIME = 2.0  # with no list kept from before, clients are let in after this at the latest
-STILL_COMING = 0.5  # new connections go on coming for less than this after the signal
-KILL_SLACK = 0.7  # a platform kills a router no sooner than the longest wait and this after the signal,
-MOST_WAITED = 3.0  # of which it counts no more than this
-CLOSING_TIME = 0.9  # the last part of that, in which connections are closed,
-LAST_PART = 0.35  # and the last of it, by when all is answered
-LOOK_EVERY = 0.02
-LAST_LOOK = 0.001  # in that last part
+AdmissionControlBuilder = Callable[[Settings, Dispatcher, int], AdmissionControl]
+Signals = AsyncIterator[int]
 
 
 class Service:
-    """One router."""
+    """One router. Its parts beyond the dispatcher exist from `run` on."""
 
     def __init__(
         self,
         configuration: Configuration,
         reread: Callable[[], Configuration],
-        build_admission_control: Callable[[Settings, Dispatcher, int], AdmissionControl] | None = None,
+        build_admission_control: AdmissionControlBuilder | None = None,
         early_hangup: EarlyHangup | None = None,
         build_extensions: ExtensionBuilder | None = None,
         client_server_class: type[ClientServer] = ClientServer,
     ) -> None:
-        """`reread` brings the configuration as it is, or raises SettingsError; `build_extensions` builds
-        what an installation switched on, once all else is made; `client_server_class` serves the first
-        front."""
-        self.build_extensions = build_extensions
-        self.client_server_class = client_server_class
-        self.extensions: Extensions = NO_EXTENSIONS
-        self.fronts: list[tuple[ClientServer, socket.socket]] = []  # the first is the platform's
-        self.early = early_hangup or EarlyHangup()
-        self.build_admission_control = build_admission_control
+        """Name what `run` is to build.
+
+        `reread` returns the configuration as it is then, or raises SettingsError. `build_extensions` is
+        called once all other parts exist. `client_server_class` serves the first front, the platform's.
+        """
+        settings = configuration.settings
         self.configuration = configuration
         self.reread = reread
+        self.build_admission_control = build_admission_control
+        self.build_extensions = build_extensions
+        self.client_server_class = client_server_class
+        self.early_hangup = early_hangup or EarlyHangup()
+        self.termination = TerminationFlag()
         self.lifecycle = Lifecycle()
-        self.told_to_end = False  # before signals had their receiver, or behind it
         self.clock = Clock()
         self.timers = TimerQueue(self.clock)
-        settings = configuration.settings
         self.dispatcher = Dispatcher(settings.deployment, self.timers, settings.reports_load)
-        self.clients: ClientServer
+        self.extensions: Extensions = NO_EXTENSIONS
+        self.fronts: list[Front] = []  # the first is the platform's
+        self.startup: Startup
+        self.listening: socket.socket
+        self.clients: ClientServer  # of the first front
         self.pool: ConnectionPool
         self.discovery: DiscoveryClient
-        self.peers: GossipChannel | None = None
-        self.listening: socket.socket
+        self.gossip: GossipChannel | None = None
 
     async def run(self) -> None:
-        """Until told to leave and all in hand is answered."""
-        with self._signals():
+        """Serve until ordered to end and all that is in flight is answered. Raises OSError: no address."""
+        with self.termination.handling():
             await self._run()
 
+    def enter(self, phase: Phase) -> None:
+        """Enter a phase of the lifecycle."""
+        self.lifecycle.enter(phase, len(self.dispatcher.pending_operations))
+
+    def reload(self) -> None:
+        """Take over from the configuration what can change in service; a bad one changes nothing."""
+        reload_configuration(self)
+
+    def on_endpoint_list(self, update: EndpointListUpdate) -> None:
+        """Follow what discovery said, and be ready by it."""
+        self.dispatcher.on_endpoints_changed(update)
+        self.startup.become_ready()
+
     async def _run(self) -> None:
-        configuration, settings = self.configuration, self.configuration.settings
-        self.listening = listener(configuration.listen, BACKLOG)
-        logger.info("router {} at {}:{}", configuration.name, *configuration.listen)
-        peers = self.peers = None
-        if configuration.peer_listen:
-            order = "\0".join(configuration.settings.tenant_indexes).encode()  # of the figures in messages
-            peers = self.peers = GossipChannel(configuration.peer_listen, configuration.peers, order)
+        self._open_sockets()
         async with trio.open_nursery() as nursery:
             with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-                known, near = self._known(), settings.endpoints_pushed
-                pool = self.pool = ConnectionPool(
-                    nursery,
-                    self.timers,
-                    int(configuration.sockets * CONNECTION_PART),
-                    settings.connect_timeout,
-                    settings.idle_timeout,
-                    self.dispatcher.on_attempt_finished,
-                )
-                discovery = self.discovery = DiscoveryClient(
-                    nursery,
-                    self.timers,
-                    configuration.discovery,
-                    None if known is None or near else known.rev,
-                    self._hear_list,
-                    self.dispatcher.on_poll_failed,
-                    settings.deployment.seed,
-                    near,
-                )
-                self.dispatcher.connect(pool, discovery.follow, peers.tell if peers else lambda *told: None)
-                if known is not None and not near:
-                    self.dispatcher.follow_endpoints(known, cached=True)
-                memory = configuration.memory
-                build_door = self.build_admission_control
-                door = build_door(settings, self.dispatcher, memory) if build_door else None
-                self.clients = self.client_server_class(
-                    settings,
-                    self.lifecycle,
-                    self.dispatcher,
-                    int(configuration.sockets * CLIENT_PART),
-                    memory,
-                    nursery,
-                    door,
-                )
-                nursery.start_soon(self.timers.run)
-                self.fronts.append((self.clients, self.listening))
-                if self.build_extensions is not None:
-                    self.extensions = self.build_extensions(self, nursery)
-                    self.dispatcher.install(self.extensions)
-                    self.pool.install(self.extensions)
-                self.dispatcher.start_background_tasks()
-                if peers is not None:
-                    nursery.start_soon(peers.hear, self.dispatcher.on_gossip)
-                self._divide(configuration)
-                accepting = trio.CancelScope()
-                nursery.start_soon(self._accept, accepting)
-                up = known is not None and any(t.entry.state is EndpointState.UP for t in known.targets)
-                if near:
-                    # What the agent has counts as told from the first moment on: by a list kept from before,
-                    # attempts went to servers that had been told to drain. Only with the agent away it
-                    # serves.
-                    self.timers.call_at(self.clock() + START_TIME, self._without_agent, known)
-                elif up and self.lifecycle.phase is Phase.STARTING:
-                    self._enter(Phase.READY)
-                else:
-                    self.timers.call_at(self.clock() + START_TIME, self._ready)
-                if self.early.take():
-                    self._reread()
-                while not self.told_to_end and await anext(signals) == signal.SIGHUP:
-                    self._reread()
-                nursery.start_soon(self._told_again, signals)
-                await self._leave(accepting)
+                self._build_parts(nursery)
+                accepting = self._start(nursery)
+                await self._serve(signals)
+                nursery.start_soon(self._on_further_signals, signals)
+                await GracefulShutdown(self).run(accepting)
                 for hook in self.extensions.shutdown_hooks:
                     await hook.before_exit()
             for _ in range(2):
                 await trio.lowlevel.checkpoint()  # a signal that came as the receiver closed comes once more
             nursery.cancel_scope.cancel()
-        self._enter(Phase.ENDED)
-
-    @contextmanager
-    def _signals(self) -> Iterator[None]:
-        """Orders to end that come just before signals have their receiver, or behind it, are taken too.
-
-        An order to end that was still pending as the receiver closed was delivered once more, and ended the
-        process by the signal in place of 0.
-        """
-        ends = (signal.SIGTERM, signal.SIGINT)
-        before = {number: signal.signal(number, self._note_end) for number in ends}
-        try:
-            yield
-        finally:
-            for number, handler in before.items():
-                signal.signal(number, handler)
+        self.enter(Phase.ENDED)
 
-    def _note_end(self, number: int, frame: object) -> None:
-        self.told_to_end = True
-
-    async def _told_again(self, signals: AsyncIterator[int]) -> None:
-        """While it leaves: one more order, left pending, would end the process by the signal, not with 0."""
-        async for number in signals:
-            if number == signal.SIGHUP:
-                # It still serves for seconds. Dropped, the order left it with a discovery that had moved, and
-                # it sent on to servers that were told to drain.
-                self._reread()
-            else:
-                logger.info("told again to leave by signal {}", number)
-
-    def _reread(self) -> None:
-        """Take over from the configuration what can change in service; a bad one changes nothing."""
-        old = self.configuration
-        try:
-            new = self.reread()
-        except SettingsError as bad:
-            logger.warning("configuration not taken: {}", bad)
-            return
-        for field in lasting(old, new):
-            logger.warning("configuration: {} changes at the next start only", field)
-        self.configuration = replace(
-            old,
-            discovery=new.discovery,
-            peers=new.peers,
-            memory=new.memory,
-            sockets=new.sockets,
+    def _open_sockets(self) -> None:
+        configuration = self.configuration
+        self.listening = listener(configuration.listen, BACKLOG)
+        logger.info("router {} at {}:{}", configuration.name, *configuration.listen)
+        if configuration.peer_listen:
+            # What the figures in messages stand for: peers with other tenants are not listened to.
+            meaning = "\0".join(configuration.settings.tenant_indexes).encode()
+            self.gossip = GossipChannel(configuration.peer_listen, configuration.peers, meaning)
+
+    def _build_parts(self, nursery: trio.Nursery) -> None:
+        cached = read_cached_list(self.configuration)
+        self.startup = Startup(self, cached)
+        self.pool = self._build_pool(nursery)
+        self.discovery = self._build_discovery(nursery, cached)
+        send_gossip = self.gossip.tell if self.gossip is not None else _send_nothing
+        self.dispatcher.connect(self.pool, self.discovery.follow, send_gossip)
+        self.startup.use_cached_list()
+        self.clients = self._build_clients(nursery)
+        nursery.start_soon(self.timers.run)
+        self.fronts.append(Front(self.clients, self.listening))
+        if self.build_extensions is not None:
+            self.extensions = self.build_extensions(self, nursery)
+            self.dispatcher.install(self.extensions)
+            self.pool.install(self.extensions)
+
+    def _build_pool(self, nursery: trio.Nursery) -> ConnectionPool:
+        settings = self.configuration.settings
+        return ConnectionPool(
+            nursery,
+            self.timers,
+            int(self.configuration.sockets * SERVER_SHARE),
+            settings.connect_timeout,
+            settings.idle_timeout,
+            self.dispatcher.on_attempt_finished,
         )
-        logger.info("configuration read again: discovery at {}:{}", *new.discovery)
-        self._divide(new)
-        if self.peers is not None:
-            self.peers.know(new.peers)
-        if new.discovery != old.discovery:
-            self.discovery.move(new.discovery)
-            self.dispatcher.on_discovery_changed()
-
-    def _known(self) -> EndpointListUpdate | None:
-        """The list that this router had before; a bad one is as none."""
-        if self.configuration.known is None:
-            return None
-        try:
-            return read_endpoint_list(self.configuration.known)
-        except SettingsError as bad:
-            logger.warning("known list not used: {}", bad)
-            return None
 
-    def _hear_list(self, update: EndpointListUpdate) -> None:
-        self.dispatcher.on_endpoints_changed(update)
-        self._ready()
-
-    def _without_agent(self, known: EndpointListUpdate | None) -> None:
-        if known is not None and self.lifecycle.phase is Phase.STARTING:
-            logger.warning("no word of the agent: serving by the list kept before, version {}", known.rev)
-            self.dispatcher.on_endpoints_changed(known, cached=True)
-        self._ready()
-
-    def _ready(self) -> None:
-        if self.lifecycle.phase is Phase.STARTING:
-            self._enter(Phase.READY)
+    def _build_discovery(self, nursery: trio.Nursery, cached: EndpointListUpdate | None) -> DiscoveryClient:
+        settings = self.configuration.settings
+        return DiscoveryClient(
+            nursery,
+            self.timers,
+            self.configuration.discovery,
+            None if cached is None or settings.endpoints_pushed else cached.rev,
+            self.on_endpoint_list,
+            self.dispatcher.on_poll_failed,
+            settings.deployment.seed,
+            settings.endpoints_pushed,
+        )
 
-    def _enter(self, phase: Phase) -> None:
-        self.lifecycle.enter(phase, len(self.dispatcher.pending_operations))
+    def _build_clients(self, nursery: trio.Nursery) -> ClientServer:
+        settings, memory = self.configuration.settings, self.configuration.memory
+        admission_control = None
+        if self.build_admission_control is not None:
+            admission_control = self.build_admission_control(settings, self.dispatcher, memory)
+        return self.client_server_class(
+            settings,
+            self.lifecycle,
+            self.dispatcher,
+            int(self.configuration.sockets * CLIENT_SHARE),
+            memory,
+            nursery,
+            admission_control,
+        )
 
-    def _divide(self, configuration: Configuration) -> None:
-        """Each front has its part of descriptors and memory."""
-        count, left = len(self.fronts), configuration.sockets - RESERVED
-        for clients, _ in self.fronts:
-            clients.limit(int(configuration.sockets * CLIENT_PART) // count, configuration.memory // count)
-            left -= clients.most + clients.spare
-        self.pool.limit(max(min(int(configuration.sockets * CONNECTION_PART), left), LEAST_LINES))
+    def _start(self, nursery: trio.Nursery) -> trio.CancelScope:
+        """Begin to work; returns what ends the accepting of connections."""
+        self.dispatcher.start_background_tasks()
+        if self.gossip is not None:
+            nursery.start_soon(self.gossip.hear, self.dispatcher.on_gossip)
+        divide_resources(self.configuration, self.fronts, self.pool)
+        accepting = trio.CancelScope()
+        nursery.start_soon(self._accept, accepting)
+        self.startup.begin()
+        return accepting
 
     async def _accept(self, scope: trio.CancelScope) -> None:
         with scope:
             async with trio.open_nursery() as nursery:
-                for clients, listening in self.fronts:
-                    nursery.start_soon(clients.accept, listening)
+                for front in self.fronts:
+                    nursery.start_soon(front.clients.accept, front.listening)
 
-    async def _leave(self, accepting: trio.CancelScope) -> None:
-        """Serve on for as long as the platform lets us, then answer all in hand and close what stands idle.
+    async def _serve(self, signals: Signals) -> None:
+        """Until ordered to end; SIGHUP reloads the configuration."""
+        if self.early_hangup.take():
+            self.reload()
+        while not self.termination.came and await anext(signals) == signal.SIGHUP:
+            self.reload()
+
+    async def _on_further_signals(self, signals: Signals) -> None:
+        """While it leaves: one more order, left pending, would end the process by the signal, not with 0."""
+        async for number in signals:
+            if number == signal.SIGHUP:
+                # It still serves for seconds. Dropped, the order left it with a discovery that had moved, and
+                # it forwarded to servers that were to drain.
+                self.reload()
+            else:
+                logger.info("told again to leave by signal {}", number)
 
-        Some clients know no other router: closed early, all that they ask until the next one is up fails.
-        """
-        self._enter(Phase.LEAVING)
-        began = self.clock()
-        end = began + min(self.configuration.settings.max_client_wait, MOST_WAITED) + KILL_SLACK
-        closing = max(end - CLOSING_TIME, began + STILL_COMING)
-        while self.clock() < closing and (self._connections() or self.clock() < began + STILL_COMING):
-            await trio.sleep(LOOK_EVERY)
-        self._enter(Phase.CLOSING)
-        accepting.cancel()
-        await trio.lowlevel.checkpoint()
-        for clients, listening in self.fronts:
-            clients.accept_rest(listening)  # what the machine has taken already
-            shut(listening)
-        while self._connections():
-            if self.clock() > end - LAST_PART:
-                for clients, _ in self.fronts:
-                    if clients.door is not None:
-                        clients.door.fail_rest()
-                self.dispatcher.fail_rest()
-            owe = any(clients.owe() for clients, _ in self.fronts)
-            if self.clock() > end:
-                break  # what is left stands within a command that never comes whole, or is not read
-            for clients, _ in self.fronts:
-                clients.leave(0.0)
-            # A client may have sent hundreds of commands; what was read of them is given up some at a time.
-            await trio.sleep(LAST_LOOK if owe and self.clock() > end - LAST_PART else LOOK_EVERY)
-        for clients, _ in self.fronts:
-            for client in clients.connections:
-                clients.forget(client)
 
-    def _connections(self) -> int:
-        return sum(len(clients.connections) for clients, _ in self.fronts)
+def _send_nothing(peers: tuple[int, ...], payload: bytes) -> None:
+    """Stands in for gossip in a router without peers."""
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -413,11 +413,11 @@
         """Notify peers where nothing is in flight, and write the snapshot."""
         service = self.service
         in_hand = len(self.dispatcher.pending_operations) + len(service.pool.pending)
-        in_hand += sum(clients.owe() for clients, _ in service.fronts)
+        in_hand += sum(front.clients.owe() for front in service.fronts)
         self.mind = evidence.leave(self.mind, in_hand)
         how = f"with {in_hand} in hand" if in_hand else "in order"
         logger.info("recovery: run {} ends {}", self.mind.run, how)
-        if self.mind.leaving and self.service.peers is not None:
+        if self.mind.leaving and self.service.gossip is not None:
             for _ in range(WORDS):
                 for number in range(self.routers):
                     if number != self.me:
@@ -500,7 +500,7 @@
 
     async def _tell_on(self) -> None:
         """Messages to peers, round by round."""
-        if self.routers == 1 or self.service.peers is None:
+        if self.routers == 1 or self.service.gossip is None:
             return
         await trio.sleep(self.tells_from)
         while True:
@@ -530,7 +530,7 @@
             lost_ago=now - effects.lost_at if settled and effects.open(now) else -1.0,
             kept=self._kept(number),
         )
-        self.service.peers.tell((number,), self.wire.write(told))
+        self.service.gossip.tell((number,), self.wire.write(told))
 
     # -- the keeper: a part of the follower's feed
 
--- a/gaugehinge/rehearsal/hostedplay.py
+++ b/gaugehinge/rehearsal/hostedplay.py
@@ -193,9 +193,9 @@
         """It is gone at once, with all that it had in hand."""
         self.scopes[number].cancel()
         service = self.services[number]
-        for clients, listening in service.fronts:
-            shut(listening)
-            for client in clients.connections:
+        for front in service.fronts:
+            shut(front.listening)
+            for client in front.clients.connections:
                 shut(client.raw)
 
     async def client(self, number: int, *secret: str, source: str = HOST) -> Client:
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -29,8 +29,9 @@
 from loguru import logger
 
 from gaugehinge.net import client_server, connection_pool, sockets
+from gaugehinge.net.graceful_shutdown import KILL_SLACK
 from gaugehinge.net.resp import MOST_ANSWER, Malformed, Parser, bulk
-from gaugehinge.net.service import KILL_SLACK, Service
+from gaugehinge.net.service import Service
 from tests.helper import SETTINGS, fleet
 
 LONGEST = 0.6  # the longest wait of the settings
@@ -1017,7 +1018,7 @@
         if event.pick:
             os.kill(os.getpid(), signal.SIGHUP)
         else:
-            self.made.service._reread()
+            self.made.service.reload()
 
     async def _leave(self, name: str, customer: Customer, awaited: bool) -> None:
         if name == "quit":
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -125,7 +125,7 @@
                 await trio.to_thread.run_sync(use, *made.clients[router], version)
             await trio.to_thread.run_sync(lambda: asyncio.run(use_async(*made.clients[2])))
             # Each router served: the clients sent to the one that its map names.
-            assert all(service.fronts[1][0].connections is not None for service in made.services)
+            assert all(service.fronts[1].clients.connections is not None for service in made.services)
 
     run(scene)
 
--- a/tests/test_crossings_generated.py
+++ b/tests/test_crossings_generated.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gaugehinge.net import service
+from gaugehinge.net import graceful_shutdown
 from gaugehinge.net.client_server import ClientServer
 from gaugehinge.net.connection_pool import ConnectionPool
 from gaugehinge.net.dispatcher import Dispatcher
@@ -135,7 +135,7 @@
 
 def never_ends(monkeypatch):
     """It takes the time that it has for longer than it is, and no connection for idle."""
-    monkeypatch.setattr(service, "KILL_SLACK", 3.0)
+    monkeypatch.setattr(graceful_shutdown, "KILL_SLACK", 3.0)
     monkeypatch.setattr(ClientServer, "owe", lambda self: True)
     monkeypatch.setattr(ClientServer, "leave", lambda self, quiet: None)
 
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -14,8 +14,9 @@
 
 from gaugehinge.door.door import Door
 from gaugehinge.door.turnstile import READ_MOST
-from gaugehinge.net import client_server, service
+from gaugehinge.net import client_server
 from gaugehinge.net.extensions import Extensions
+from gaugehinge.net.graceful_shutdown import KILL_SLACK
 from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.resp import bulk
 from gaugehinge.net.sockets import unsent
@@ -395,7 +396,7 @@
             began = trio.current_time()
             signalled()
             await made.ended.wait()
-            stated = made.service.configuration.settings.max_client_wait + service.KILL_SLACK
+            stated = made.service.configuration.settings.max_client_wait + KILL_SLACK
             assert trio.current_time() - began < stated + SLACK
 
     run(scene)
@@ -513,7 +514,7 @@
             if comes:
                 await client.stream.send_all(whole[40:])
             await end_of_process(made)
-            stated = made.service.configuration.settings.max_client_wait + service.KILL_SLACK
+            stated = made.service.configuration.settings.max_client_wait + KILL_SLACK
             assert trio.current_time() - began < stated + SLACK
             answers = await rest_of(client)
             assert sent_on(made) == ([b"o0"] if comes else [])
@@ -567,7 +568,7 @@
             assert len(answers) == 2 and all(each.startswith(b"-BUSY") for each in answers)  # none ran
             assert await rests.answer() is None
             await made.ended.wait()
-            stated = made.service.configuration.settings.max_client_wait + service.KILL_SLACK
+            stated = made.service.configuration.settings.max_client_wait + KILL_SLACK
             assert trio.current_time() - began < stated + SLACK
             assert sent_on(made) == [] and nothing_left(made)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,7 +18,7 @@
 from gaugehinge.hosted import follower as follower_module
 from gaugehinge.hosted.follower import Snapshot
 from gaugehinge.net import connection_pool as pool_module
-from gaugehinge.net import service as service_module
+from gaugehinge.net import startup
 from gaugehinge.net.configuration import read_configuration
 from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.resp import Parser, bulk
@@ -81,13 +81,13 @@
         self.service, self.scope, self.ended = service, trio.CancelScope(), trio.Event()
         self.error: Exception | None = None
         self.heard: list[int] = []  # revisions of the lists that it took
-        take = service._hear_list
+        take = service.on_endpoint_list
 
         def hear(update) -> None:
             take(update)
             self.heard.append(update.rev)
 
-        service._hear_list = hear
+        service.on_endpoint_list = hear
 
     async def run(self) -> None:
         try:
@@ -240,7 +240,7 @@
             finally:
                 await client.answer()
                 await old.ended.wait()
-                shut(old.service.peers.raw)
+                shut(old.service.gossip.raw)
 
     play(scene)
 
@@ -262,10 +262,10 @@
                 where = old.service.configuration.peer_listen
                 # They stand in the old one's socket when it ends, unread: nobody is told of them.
                 old.scope.cancel()
-                stamp = old.service.peers.stamp
+                stamp = old.service.gossip.stamp
                 peer.sendto(stamp + struct.pack("<f", 77.0), where)
                 await old.ended.wait()
-                shut(old.service.peers.raw)  # as the end of its process would
+                shut(old.service.gossip.raw)  # as the end of its process would
                 shut(old.service.listening)
                 new = await made.start(**told)
                 assert new.error is None, new.error
@@ -467,7 +467,7 @@
 
 
 def test_where_lists_are_pushed_the_list_kept_never_undoes_the_agents(tmp_path, monkeypatch):
-    monkeypatch.setattr(service_module, "START_TIME", 0.2)
+    monkeypatch.setattr(startup, "START_TIME", 0.2)
 
     async def scene():
         async with staged(tmp_path, settings=PUSHED) as made:
@@ -488,7 +488,7 @@
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_where_lists_are_pushed_a_late_agent_undoes_the_list_kept(tmp_path, monkeypatch, state):
-    monkeypatch.setattr(service_module, "START_TIME", 0.1)
+    monkeypatch.setattr(startup, "START_TIME", 0.1)
 
     async def scene():
         async with staged(tmp_path, settings=PUSHED) as made:
@@ -705,7 +705,7 @@
                 await until(lambda: new.heard == [99])
             if when == "with":
                 old.streams[0].socket._sock.send(late)  # on its way, unread, when the order comes
-                new.service._reread()
+                new.service.reload()
             else:
                 signal.raise_signal(signal.SIGHUP)
             await until(lambda: len(made.directory.calls) == 1)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -878,7 +878,7 @@
             udp = socket.SOCK_DGRAM
             with socket.socket(type=udp) as stranger, socket.socket(type=udp) as friend:
                 friend.bind(("127.0.0.1", peer))
-                stamp = made.service.peers.stamp
+                stamp = made.service.gossip.stamp
                 stranger.sendto(stamp + struct.pack("<f", 3.0), ("127.0.0.1", own))
                 for payload in (b"x" * 300, b"x", struct.pack("<f", float("nan")), struct.pack("<f", -1.0)):
                     friend.sendto(stamp + payload, ("127.0.0.1", own))
