--- a/benchmarks/hosted.py
+++ b/benchmarks/hosted.py
@@ -78,9 +78,9 @@
             await trio.sleep(0.3 + draw.random())
             await made.tenant(f"missed-too-{number}")
             await trio.sleep(draw.random())
-            assert follower.roster.revision < made.keeper.rev
+            assert follower.registry.revision < made.keeper.rev
             follower.client, began = kept, trio.current_time()
-            while follower.roster.revision < made.keeper.rev:
+            while follower.registry.revision < made.keeper.rev:
                 await trio.sleep(0.001)
             took.append(trio.current_time() - began)
     return took
--- a/gaugehinge/cli/serve_extensions.py
+++ b/gaugehinge/cli/serve_extensions.py
@@ -13,7 +13,7 @@
 
     from ..cluster.fleet import SlotFleet
     from ..drains.router import RouterDrains
-    from ..hosted.follower import Follower
+    from ..hosted.control_plane_watch import ControlPlaneWatch
     from ..installation.form import Installation
     from ..net.client_server import AdmissionControl, ClientServer
     from ..net.extensions import ExtensionBuilder, Extensions
@@ -21,7 +21,7 @@
     from ..placement.router import Placing
     from ..recovery.driver import Recovery
 
-FollowerBuilder = Callable[["Service", "trio.Nursery"], "Follower"]
+WatchBuilder = Callable[["Service", "trio.Nursery"], "ControlPlaneWatch"]
 
 
 def admission_control_builder(installation: Installation) -> Callable[..., AdmissionControl] | None:
@@ -54,23 +54,23 @@
     Secrets and keys are read now. Raises BadInput, which names `file` and the field.
     """
     build_fleet = _fleet_builder(installation)
-    build_follower = _follower_builder(installation, file)
+    build_watch = _watch_builder(installation, file)
     build_placement = _placement_builder(installation)
     build_drains = _drains_builder(installation, file)
     build_recovery = _recovery_builder(installation, file)
-    if build_fleet is None and build_follower is None and build_recovery is None:
+    if build_fleet is None and build_watch is None and build_recovery is None:
         return None
     from ..subsystems import Subsystems
 
     def build(service: Service, nursery: trio.Nursery) -> Extensions:
-        follower = placement = drains = None
+        watch = placement = drains = None
         fleet = build_fleet(service, nursery) if build_fleet is not None else None
-        if build_follower is not None:
-            follower = build_follower(service, nursery)
-            placement = build_placement(service, follower) if build_placement is not None else None
-            drains = build_drains(service, nursery, follower) if build_drains is not None else None
-        recovery = build_recovery(service, nursery, follower) if build_recovery is not None else None
-        return Subsystems(fleet, follower, placement, drains, recovery).extensions()
+        if build_watch is not None:
+            watch = build_watch(service, nursery)
+            placement = build_placement(service, watch) if build_placement is not None else None
+            drains = build_drains(service, nursery, watch) if build_drains is not None else None
+        recovery = build_recovery(service, nursery, watch) if build_recovery is not None else None
+        return Subsystems(fleet, watch, placement, drains, recovery).extensions()
 
     return build
 
@@ -85,18 +85,19 @@
     return partial(build_cluster, installation=installation)
 
 
-def _follower_builder(installation: Installation, file: str) -> FollowerBuilder | None:
+def _watch_builder(installation: Installation, file: str) -> WatchBuilder | None:
     if not installation.follow.keeper:
         return None
-    from ..hosted.build import BadSecret, following
+    from ..hosted.build import control_plane_watch_builder
+    from ..hosted.errors import SecretFileError
 
     try:
-        return following(installation)
-    except BadSecret as bad:
-        raise BadInput(f"{file}: follow.secret_file: {bad}") from None
+        return control_plane_watch_builder(installation)
+    except SecretFileError as error:
+        raise BadInput(f"{file}: follow.secret_file: {error}") from error
 
 
-def _placement_builder(installation: Installation) -> Callable[[Service, Follower], Placing] | None:
+def _placement_builder(installation: Installation) -> Callable[[Service, ControlPlaneWatch], Placing] | None:
     if not (installation.follow.keeper and installation.placement.on):
         return None
     from ..placement.build import build_placement
@@ -106,25 +107,25 @@
 
 def _drains_builder(
     installation: Installation, file: str
-) -> Callable[[Service, trio.Nursery, Follower], RouterDrains] | None:
+) -> Callable[[Service, trio.Nursery, ControlPlaneWatch], RouterDrains] | None:
     if not (installation.follow.keeper and installation.drains.on):
         return None
     from ..drains.build import Taken, drains_builder
 
     try:
         return drains_builder(installation)
-    except Taken as bad:
-        raise BadInput(f"{file}: drains.file: {bad}") from None
+    except Taken as error:
+        raise BadInput(f"{file}: drains.file: {error}") from error
 
 
 def _recovery_builder(
     installation: Installation, file: str
-) -> Callable[[Service, trio.Nursery, Follower | None], Recovery] | None:
+) -> Callable[[Service, trio.Nursery, ControlPlaneWatch | None], Recovery] | None:
     if not installation.recovery.on:
         return None
     from ..recovery.build import BadKey, recovery_builder
 
     try:
         return recovery_builder(installation)
-    except BadKey as bad:
-        raise BadInput(f"{file}: recovery.key_file: {bad}") from None
+    except BadKey as error:
+        raise BadInput(f"{file}: recovery.key_file: {error}") from error
--- a/gaugehinge/cluster/build.py
+++ b/gaugehinge/cluster/build.py
@@ -6,7 +6,7 @@
 
 from ..installation.form import ClusterEntry, Installation
 from ..net.configuration import address
-from ..net.extensions import NO_EXTENSIONS, ExtensionBuilder, Extensions
+from ..net.extensions import ExtensionBuilder, Extensions
 from ..net.front import BACKLOG, Front
 from ..net.resource_limits import CLIENT_SHARE
 from ..net.service import Service
@@ -56,7 +56,7 @@
 def cluster_extensions(fleet: SlotFleet | None) -> Extensions:
     """The extensions of a router that has the cluster dialect and no other subsystem."""
     if fleet is None:
-        return NO_EXTENSIONS
+        return Extensions()
     return Extensions(routing_constraints=(fleet,), redirect_observers=(fleet,), server_codec=fleet.codec)
 
 
--- a/gaugehinge/cluster/front.py
+++ b/gaugehinge/cluster/front.py
@@ -39,20 +39,20 @@
 OK = b"+OK\r\n"
 
 
-class Bearer(Protocol):
+class Principal(Protocol):
     """A tenant, as far as its commands need it: `gaugehinge.hosted`, where a keeper is followed."""
 
     name: str
-    place: int
-    keys: bytes
-    marks: bytes
+    tenant_index: int
+    key_prefix: bytes
+    id_prefix: bytes
     row: Any  # as the keeper told it
 
-    def why_not(self, credential: str, now: float) -> str:
+    def rejection_reason(self, credential: str, now: float) -> str:
         """Why its operations are not taken; empty where they are."""
 
 
-class Gate(Protocol):
+class Authenticator(Protocol):
     """Who comes on a connection."""
 
     async def check(self, source: str, name: str, secret: str) -> tuple[Any, str, bytes]:
@@ -77,7 +77,7 @@
     pieces: list[Piece]
     answers: list[bytes | None]
     left: int
-    bearer: Bearer | None = None
+    bearer: Principal | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -89,7 +89,7 @@
     parser: Any = field(default_factory=lambda: Reader(CLIENT))
     under_way: dict[bytes, int] = field(default_factory=dict)  # by key; left with its last answer
     backlog: deque[tuple[PendingReply, Whole]] = field(default_factory=deque)  # bounded with the tickets
-    bearer: Bearer | None = None  # who comes there, where that is asked
+    bearer: Principal | None = None  # who comes there, where that is asked
     credential: str = ""
 
 
@@ -114,7 +114,7 @@
         self.others = [node for node in nodes if node is not self.node]
         self.redirected = 0  # commands told another router, while it leaves
         self._labels = [b"c=%b,d=" % name.encode() for name in settings.traffic_type_rows]  # by row
-        self.gate: Gate | None = None
+        self.gate: Authenticator | None = None
         self._unix: Callable[[], float] = time.time
         self._run = secrets.token_hex(4)  # ids made here begin with it: new with each start
         self._count = 0
@@ -166,11 +166,11 @@
         client.tenant = self.terms.tenant
         bearer = self._bearer(client)
         if bearer is not None:
-            client.tenant = bearer.place
+            client.tenant = bearer.tenant_index
             most = bearer.row.most_value
             if most and any(len(piece.value or b"") > most for piece in pieces):
                 raise Refused(f"ERR value over {most} bytes")
-            pieces = dressed(entry, words, pieces, bearer.keys)
+            pieces = dressed(entry, words, pieces, bearer.key_prefix)
         if self.lifecycle.phase is Phase.LEAVING and self.others:
             # Drained by redirections, its clients lose nothing when it ends.
             slot = slot_of(pieces[0].key)
@@ -241,13 +241,13 @@
             self._start(client, ticket, whole, self.clock())
 
     def _cargo(
-        self, client: ClusterClient, entry: Entry, piece: Any, bearer: Bearer | None
+        self, client: ClusterClient, entry: Entry, piece: Any, bearer: Principal | None
     ) -> RequestPayload:
         """What goes on to servers: as it came, or in the platform's dialect with an id made here."""
         ident = f"{self._run}{self._count:010x}".encode()
         before, after = self._labels[entry.row], b""
         if bearer is not None:
-            ident, after = bearer.marks + ident, b",t=" + bearer.name.encode()
+            ident, after = bearer.id_prefix + ident, b",t=" + bearer.name.encode()
         word = b"KV.SET" if entry.write else b"KV.GET"
         head = b"*%d\r\n$6\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
             4 + entry.write,
@@ -301,16 +301,18 @@
 
     # -- who is it
 
-    def let_in_by(self, gate: Gate, unix: Callable[[], float]) -> None:
+    def let_in_by(self, gate: Authenticator, unix: Callable[[], float]) -> None:
         """From now on connections say whose they are. `unix`: the time by which credentials end."""
         self.gate, self._unix = gate, unix
 
-    def _bearer(self, client: ClusterClient) -> Bearer | None:
+    def _bearer(self, client: ClusterClient) -> Principal | None:
         """Whose a command is; None where nobody is asked. Raises Refused."""
         if self.gate is None:
             return None
         bearer = client.bearer
-        why = "authentication required" if bearer is None else bearer.why_not(client.credential, self._unix())
+        why = "authentication required"
+        if bearer is not None:
+            why = bearer.rejection_reason(client.credential, self._unix())
         if why == "authentication required":
             client.bearer = None
             raise Refused("NOAUTH Authentication required.")
--- a/gaugehinge/drains/build.py
+++ b/gaugehinge/drains/build.py
@@ -6,14 +6,16 @@
 
 import trio
 
-from ..hosted.follower import Follower
+from ..hosted.control_plane_watch import ControlPlaneWatch
 from ..installation.form import Installation
 from ..net.service import Service
 from .files import NodeFile, Taken
 from .router import RouterDrains
 
 
-def drains_builder(installation: Installation) -> Callable[[Service, trio.Nursery, Follower], RouterDrains]:
+def drains_builder(
+    installation: Installation,
+) -> Callable[[Service, trio.Nursery, ControlPlaneWatch], RouterDrains]:
     """What adds drains to a router that follows a keeper, as a further part of the feed.
 
     This run is counted on its file now. Raises Taken.
@@ -21,7 +23,7 @@
     entry, zone = installation.drains, installation.tier.zone
     files = NodeFile(entry.file)
 
-    def build(service: Service, nursery: trio.Nursery, follower: Follower) -> RouterDrains:
+    def build(service: Service, nursery: trio.Nursery, follower: ControlPlaneWatch) -> RouterDrains:
         part = RouterDrains(service, follower, files, nursery, zone, entry.build, entry.labels)
         follower.add_part(part)
         nursery.start_soon(part.run)
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -19,9 +19,9 @@
 import trio
 from loguru import logger
 
+from ..hosted.control_plane_watch import ControlPlaneWatch
+from ..hosted.errors import FeedError
 from ..hosted.feed_parts import FeedPart
-from ..hosted.follower import Follower
-from ..hosted.roster import BadFeed
 from ..net.connection_pool import REST_TIME, Connection, PendingAttempt, ServerPool
 from ..net.lifecycle import Phase
 from ..net.service import Service
@@ -65,7 +65,7 @@
     """A part of the feed; the `ConnectionBudget`, a reply observer and a shutdown hook of the router."""
 
     service: Service
-    follower: Follower
+    follower: ControlPlaneWatch
     files: NodeFile
     nursery: trio.Nursery
     zone: str = ""
@@ -266,7 +266,7 @@
 
     def _close_drained(self) -> None:
         """Nothing more goes to a server that drains: what is idle there is closed before its time."""
-        drained = self.follower.overlay.drained
+        drained = self.follower.overrides.drained
         for endpoint in self.service.pool.endpoints.values() if drained else ():
             while endpoint.uid in drained and endpoint.idle:
                 self.service.pool._close(endpoint.idle.pop(0))
@@ -324,7 +324,7 @@
             for name in {*holding.floors, *kept.floors}
         }
         phase = self.service.lifecycle.phase
-        drained = self.follower.overlay.drained
+        drained = self.follower.overrides.drained
         said = Said(
             f"{self.service.configuration.name}@{kept.ident}",
             kept.run_number,
@@ -379,7 +379,7 @@
                 target.entry.state is EndpointState.UP,
                 target.entry.started,
             )
-            for target in self.follower.overlay.told
+            for target in self.follower.overrides.discovered
             if origin is None or target.entry.ident != origin.ident
         ][:MOST_SERVERS]
 
@@ -390,7 +390,7 @@
         try:
             told = msgspec.json.decode(raw, type=Told)
         except msgspec.MsgspecError as bad:
-            raise BadFeed(f"drains: {bad}") from None
+            raise FeedError(f"drains: {bad}") from None
         if told.again >= self.files.kept.run_number:
             # Two more, not one: of runs after the last known one nobody knows what they left open.
             number = told.again + 2
--- a/gaugehinge/hosted/build.py
+++ b/gaugehinge/hosted/build.py
@@ -1,4 +1,4 @@
-"""The installation file's `follow` to a running service that follows."""
+"""The installation file's `follow` to a running service that watches the control plane."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from functools import partial
 from pathlib import Path
+from typing import cast
 
 import httpx
 import trio
@@ -15,50 +16,51 @@
 from ..net.service import Service
 from ..tenancy.credentials import Attempts, Hasher
 from ..tenancy.feed import WAIT
-from .follower import CONNECT_TIME, SLACK, BadSecret, Follower, Snapshot
+from .authenticator import Authenticator
+from .control_plane_client import CONNECT_TIME, ControlPlaneClient
+from .control_plane_watch import SLACK, ControlPlaneWatch
+from .endpoint_overrides import EndpointOverrides
+from .errors import SecretFileError
+from .feed_snapshot import FeedSnapshot
 from .front import HostedClients
-from .gate import Gate
-from .overlay import Overlay
-from .roster import Roster
+from .interfaces import AuthenticatingServer
+from .tenant_registry import TenantRegistry
 
 
 def read_secret(path: str) -> str:
-    """Its only line. Raises BadSecret."""
+    """Return the only line of the file. Raises SecretFileError."""
     try:
         secret = Path(path).read_text(encoding="ascii").strip()
-    except (OSError, UnicodeDecodeError) as bad:
-        raise BadSecret(f"cannot read {path}: {type(bad).__name__}") from None
+    except (OSError, UnicodeDecodeError) as error:
+        raise SecretFileError(f"cannot read {path}: {type(error).__name__}") from error
     if not secret or len(secret.split()) != 1:
-        raise BadSecret(f"{path}: not one line with a secret")
+        raise SecretFileError(f"{path}: not one line with a secret")
     return secret
 
 
-def following(
-    told: Installation, hasher: Hasher | None = None
-) -> Callable[[Service, trio.Nursery], Follower]:
-    """What makes a service follow. Raises BadSecret."""
-    secret, entry = read_secret(told.follow.secret_file), told.follow
-
-    def build(service: Service, nursery: trio.Nursery) -> Follower:
-        roster, clients = Roster(), service.clients
-        if not isinstance(clients, HostedClients):
-            raise TypeError("its clients cannot say who they are")
-        attempts = Attempts(service.configuration.settings.deployment.seed, time.time())
-        gate = Gate(roster, hasher or Hasher(), attempts, time.time)
-        for front in service.fronts:  # whichever dialect it speaks
-            front.clients.let_in_by(gate, time.time)
-        client = httpx.AsyncClient(
-            base_url=f"http://{entry.keeper}",
-            headers={"Authorization": f"Bearer {secret}", "Content-Type": "application/json"},
-            timeout=httpx.Timeout(WAIT + SLACK, connect=CONNECT_TIME),
-            trust_env=False,
+def control_plane_watch_builder(
+    installation: Installation, hasher: Hasher | None = None
+) -> Callable[[Service, trio.Nursery], ControlPlaneWatch]:
+    """What makes a service watch the control plane and authenticate its clients.
+
+    The secret is read now. Raises SecretFileError.
+    """
+    entry = installation.follow
+    secret = read_secret(entry.secret_file)
+
+    def build(service: Service, nursery: trio.Nursery) -> ControlPlaneWatch:
+        registry = TenantRegistry()
+        _authenticate_clients(service, registry, hasher or Hasher())
+        client = ControlPlaneClient(
+            _http_client(entry.keeper, secret), partial(read_secret, entry.secret_file)
+        )
+        snapshot = FeedSnapshot(entry.snapshot) if entry.snapshot else None
+        watch = ControlPlaneWatch(
+            service, registry, EndpointOverrides(), client, snapshot, entry.most_tenants
         )
-        snapshot = Snapshot(entry.snapshot) if entry.snapshot else None
-        again = partial(read_secret, entry.secret_file)
-        follower = Follower(service, roster, Overlay(), client, snapshot, entry.most_tenants, again)
-        follower.begin()
-        nursery.start_soon(follower.run)
-        return follower
+        watch.load_snapshot()
+        nursery.start_soon(watch.run)
+        return watch
 
     return build
 
@@ -68,7 +70,26 @@
 
     `name`: the tenant that the command itself names, empty for none.
     """
-    bearer = getattr(client, "bearer", None)
-    if bearer is None or name not in ("", bearer.name):
+    principal = getattr(client, "bearer", None)  # connections of every dialect that authenticates have one
+    if principal is None or name not in ("", principal.name):
         return None
-    return bearer.place
+    return principal.tenant_index
+
+
+def _authenticate_clients(service: Service, registry: TenantRegistry, hasher: Hasher) -> None:
+    """From now on clients of each front say who they are, whichever dialect it speaks."""
+    if not isinstance(service.clients, HostedClients):
+        raise TypeError("its clients cannot say who they are")
+    attempts = Attempts(service.configuration.settings.deployment.seed, time.time())
+    authenticator = Authenticator(registry, hasher, attempts, time.time)
+    for front in service.fronts:
+        cast(AuthenticatingServer, front.clients).let_in_by(authenticator, time.time)
+
+
+def _http_client(address: str, secret: str) -> httpx.AsyncClient:
+    return httpx.AsyncClient(
+        base_url=f"http://{address}",
+        headers={"Authorization": f"Bearer {secret}", "Content-Type": "application/json"},
+        timeout=httpx.Timeout(WAIT + SLACK, connect=CONNECT_TIME),
+        trust_env=False,
+    )
--- /dev/null
+++ b/gaugehinge/hosted/control_plane_client.py
@@ -0,0 +1,44 @@
+"""Calls of the control plane: a report goes out, a feed comes back."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import httpx
+import msgspec
+import trio
+
+from ..tenancy.feed import Feed, Report
+from .errors import ControlPlaneError, FeedError
+
+FEED_PATH = "/v1/feed"
+CONNECT_TIME = 2.0  # seconds
+MOST_FEED = 16 << 20  # bytes
+
+
+class ControlPlaneClient:
+    """One connection's worth of calls, with the router's secret."""
+
+    def __init__(self, http: httpx.AsyncClient, read_secret: Callable[[], str] | None = None) -> None:
+        """`http`: with the address and the secret; `read_secret`: reads the secret once more."""
+        self.http = http
+        self.read_secret = read_secret
+
+    async def fetch_feed(self, report: Report, slack: float) -> Feed:
+        """Send a report and return the feed that answers it.
+
+        The call fails `slack` seconds after the time for which the report lets it stand open. Raises
+        httpx.HTTPError, msgspec.MsgspecError, FeedError, SecretFileError and ControlPlaneError.
+        """
+        with trio.move_on_after(CONNECT_TIME + report.wait + slack):
+            answer = await self.http.post(FEED_PATH, content=msgspec.json.encode(report))
+            if answer.status_code == httpx.codes.UNAUTHORIZED and self.read_secret is not None:
+                # A control plane whose disk was lost has none of the secrets. Routers that read theirs at the
+                # start alone would all have to be restarted for a new one, and none be let leave in turn.
+                self.http.headers["Authorization"] = f"Bearer {self.read_secret()}"
+            if answer.status_code != httpx.codes.OK:
+                raise ControlPlaneError(f"status {answer.status_code}")
+            if len(answer.content) > MOST_FEED:
+                raise FeedError("too long")
+            return msgspec.json.decode(answer.content, type=Feed)
+        raise ControlPlaneError("no answer in time")
--- /dev/null
+++ b/gaugehinge/hosted/control_plane_watch.py
@@ -0,0 +1,235 @@
+"""Watches the control plane: calls for changes, carries them out, keeps a snapshot, reports operations.
+
+With the control plane away the router serves on by what it was told last; so it does after a crash, by its
+snapshot. What was changed meanwhile it does not know: a tenant that was removed is served for as long as the
+router is cut off, in its own key space, which nobody else is ever given.
+"""
+
+from __future__ import annotations
+
+import os
+from collections import Counter
+from collections.abc import Iterator
+from typing import cast
+from zlib import crc32
+
+import httpx
+import msgspec
+import trio
+from loguru import logger
+
+from ..net.endpoint_list import EndpointListUpdate
+from ..net.service import Service
+from ..tenancy.feed import WAIT, Feed, Report
+from .control_plane_client import ControlPlaneClient
+from .endpoint_overrides import EndpointOverrides
+from .errors import ControlPlaneError, FeedError, SecretFileError
+from .feed_parts import FeedPart
+from .feed_snapshot import FeedSnapshot
+from .interfaces import TenantAdmission
+from .tenant_registry import RegistryChange, TenantRegistry
+
+FIRST_BACKOFF, MOST_BACKOFF = 0.2, 0.8  # seconds after a call that failed; doubled, a part of it by chance:
+# one that was cut off is to know within a second what it missed
+MOST_DOUBLINGS = 8
+SLACK = 5.0  # seconds over the wait, for an answer
+SAVE_REST = 0.1  # seconds between two snapshots: of many changes at once the last one counts
+
+CALL_ERRORS = (httpx.HTTPError, msgspec.MsgspecError, FeedError, SecretFileError, ControlPlaneError)
+
+
+class ControlPlaneWatch:
+    """One router's watch. Operators' orders to drain make it an `EndpointListTransformer`, too."""
+
+    def __init__(
+        self,
+        service: Service,
+        registry: TenantRegistry,
+        overrides: EndpointOverrides,
+        client: ControlPlaneClient,
+        snapshot: FeedSnapshot | None,
+        tenant_slots: int,
+    ) -> None:
+        """`tenant_slots`: the size of the tables of admission control."""
+        self.service = service
+        self.registry = registry
+        self.overrides = overrides
+        self.client = client
+        self.snapshot = snapshot
+        self.tenant_slots = tenant_slots
+        self.parts: tuple[FeedPart, ...] = ()  # in the order in which they follow; fixed before `run`
+        self.run_mark = os.urandom(8).hex()
+        self.run_number = 0  # told with each report; `recovery` counts it on the router's files
+        self.unreachable_since = 0.0  # 0: the control plane answers
+        self.answered = False  # whether it ever did
+        self.calls = 0
+        self.wait = WAIT  # seconds that a call may stand open; less where leases are short
+        self.slack = SLACK  # over that, until a call counts as failed; less where leases are short
+        self._first_call_delay = 0.0  # seconds
+        self._first_call_at_once = False  # no call stands open until one was answered: it asks who is there
+        self._failures = 0
+        self._changed = trio.Event()
+
+    # -- set up
+
+    def add_part(self, part: FeedPart) -> None:
+        """Add a part of the feed, behind those before it. Only before `run`."""
+        self.parts = (*self.parts, part)
+
+    def delay_first_call(self, seconds: float) -> None:
+        """Wait before the first call, and let no call stand open until one was answered."""
+        self._first_call_delay = seconds
+        self._first_call_at_once = True
+
+    def limit_wait(self, seconds: float) -> None:
+        """Let no call stand open for longer."""
+        self.wait = min(self.wait, seconds)
+
+    def limit_slack(self, seconds: float) -> None:
+        """Count a call as failed no later than this after the time for which it may stand open."""
+        self.slack = min(self.slack, seconds)
+
+    def load_snapshot(self) -> None:
+        """Follow the snapshot, if there is a good one."""
+        if self.snapshot is None:
+            return
+        try:
+            feed = self.snapshot.load()
+            if feed is not None:
+                self._carry_out(self.registry.follow(feed))
+                told = f"revision {feed.revision}, {len(feed.tenants)} tenants"
+                logger.info("tenants as in the snapshot: {}", told)
+        except FeedError as error:
+            logger.warning("snapshot not used: {}", error)
+
+    # -- endpoint lists
+
+    def transform(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
+        """Lay the operators' orders over an endpoint list."""
+        return self.overrides.on_endpoints_changed(update)
+
+    # -- calls
+
+    async def run(self) -> None:
+        """Call for changes until cancelled."""
+        async with trio.open_nursery() as nursery:
+            if self.snapshot is not None:
+                nursery.start_soon(self._save, self.snapshot)
+            await trio.sleep(self._first_call_delay)
+            while True:
+                revision = self.registry.revision
+                try:
+                    asked_at = trio.current_time()
+                    self._follow(await self._call(), asked_at)
+                except CALL_ERRORS as error:
+                    await trio.sleep(self._on_failed(error))
+                    continue
+                self._on_followed(revision)
+
+    async def report_now(self) -> None:
+        """Call once more, with nothing to wait for, and follow nothing of the answer.
+
+        Raises one of CALL_ERRORS.
+        """
+        self.wait = 0.0
+        await self._call()
+
+    def operations_in_flight(self) -> dict[str, int]:
+        """Operations by incarnation, those that wait for admission among them."""
+        counts = Counter(key.partition(b"/")[0] for key in self._keys_in_flight())
+        return {str(int(number, 16)): count for number, count in counts.items()}
+
+    def _keys_in_flight(self) -> Iterator[bytes]:
+        for pending in self.service.dispatcher.pending_operations:
+            yield pending.payload.key
+        admission_control = self._admission_control()
+        if admission_control is not None:
+            for waiting in admission_control.waiting():
+                yield waiting.thing.payload.key
+
+    async def _call(self) -> Feed:
+        reports = {part.name: part.report() for part in self.parts}
+        at_once = self._first_call_at_once and not self.answered
+        report = Report(
+            router=self.service.configuration.name,
+            run=self.run_mark,
+            store=self.registry.store,
+            since=self.registry.revision,
+            wait=0.0 if at_once else self.wait,
+            in_hand=self.operations_in_flight(),
+            run_number=self.run_number,
+            parts={name: msgspec.Raw(body) for name, body in reports.items() if body is not None},
+            mark=self.registry.mark,
+        )
+        self.calls += 1
+        return await self.client.fetch_feed(report, self.slack)
+
+    def _follow(self, feed: Feed, asked_at: float) -> None:
+        """Carry out a feed. Raises FeedError."""
+        for part in self.parts:
+            feed = part.filter_feed(feed)
+        self._carry_out(self.registry.follow(feed))
+        for part in self.parts:
+            part.hear(feed, asked_at)
+
+    def _on_failed(self, error: Exception) -> float:
+        """Take note of a call that failed; how long to wait until the next one (seconds)."""
+        for part in self.parts:
+            part.away()
+        if not self.unreachable_since:
+            self.unreachable_since = trio.current_time()
+            what = str(error) or type(error).__name__
+            state = f"revision {self.registry.revision}, {len(self.registry.by_incarnation)} tenants"
+            logger.warning("keeper away: {}; serving on by {}", what, state)
+        self._failures += 1
+        chance = crc32(f"{self.run_mark} {self._failures}".encode()) / 0x100000000
+        backoff = FIRST_BACKOFF * 2.0 ** min(self._failures - 1, MOST_DOUBLINGS)
+        return min(backoff, MOST_BACKOFF) * (0.5 + 0.5 * chance)
+
+    def _on_followed(self, former_revision: int) -> None:
+        revision = self.registry.revision
+        if self.unreachable_since:
+            away = trio.current_time() - self.unreachable_since
+            logger.info("keeper back after {:.1f} s: revision {} to {}", away, former_revision, revision)
+        self.unreachable_since, self._failures, self.answered = 0.0, 0, True
+        if revision != former_revision:
+            self._changed.set()
+
+    # -- changes
+
+    def _carry_out(self, change: RegistryChange | None) -> None:
+        self._flush_logs()
+        if change is None:
+            return
+        self.service.dispatcher.router.on_tenants_changed(change.tenants, change.reset_indexes)
+        self._set_shares(change)
+        if change.drained is not None:
+            update = self.overrides.set_drained(change.drained)
+            if update is not None:
+                self.service.dispatcher.on_endpoints_changed(update, after=self)
+            self._flush_logs()
+
+    def _set_shares(self, change: RegistryChange) -> None:
+        admission_control = self._admission_control()
+        if admission_control is not None:
+            shares = [tenant.quota for tenant in change.tenants[: self.tenant_slots]]
+            admission_control.share([*shares, *[0.0] * (self.tenant_slots - len(shares))])
+
+    def _admission_control(self) -> TenantAdmission | None:
+        return cast("TenantAdmission | None", self.service.clients.door)
+
+    def _flush_logs(self) -> None:
+        for log in (self.registry.log, self.overrides.log):
+            for text in log:
+                logger.info(text)
+            log.clear()
+
+    async def _save(self, snapshot: FeedSnapshot) -> None:
+        while True:
+            await self._changed.wait()
+            self._changed = trio.Event()
+            try:
+                await trio.to_thread.run_sync(snapshot.save, self.registry.snapshot())
+            except OSError as error:  # the disk is the snapshot's matter alone
+                logger.warning("snapshot not written: {}", error)
+            await trio.sleep(SAVE_REST)
--- a/gaugehinge/hosted/overlay.py
+++ b/gaugehinge/hosted/endpoint_overrides.py
@@ -1,4 +1,4 @@
-"""Orders of operators beside the word of discovery, on one list of servers. No I/O.
+"""Operators' orders to drain beside the word of discovery, on one list of servers. No I/O.
 
 A server takes something new only where both let it: told to drain by either, it drains. An order stands until
 it is taken back, also over a server's end and return; discovery's own drain outlives an order's end.
@@ -10,43 +10,43 @@
 from ..routing.types import EndpointState
 
 
-class Overlay:
+class EndpointOverrides:
     """The list as discovery told it, and as the decisions are to see it. As long as the list."""
 
     def __init__(self) -> None:
-        self.drained: frozenset[str] = frozenset()
+        self.drained: frozenset[str] = frozenset()  # by the list's names
         self.log: list[str] = []  # emptied by the driver
-        self._told: dict[str, EndpointTarget] = {}  # by the list's names, without those that are gone
-        self._rev = 0
+        self._discovered: dict[str, EndpointTarget] = {}  # by the list's names, without those that are gone
+        self._revision = 0
 
     @property
-    def told(self) -> list[EndpointTarget]:
+    def discovered(self) -> list[EndpointTarget]:
         """The list by discovery's word alone."""
-        return list(self._told.values())
+        return list(self._discovered.values())
 
     def on_endpoints_changed(self, update: EndpointListUpdate) -> EndpointListUpdate:
         """Discovery's list or changes of it, with the orders laid over."""
         if update.complete:
-            self._told.clear()
+            self._discovered.clear()
         for target in update.targets:
             if target.entry.state is EndpointState.GONE:
-                self._told.pop(target.uid, None)
+                self._discovered.pop(target.uid, None)
             else:
-                self._told[target.uid] = target
-        self._rev = update.rev
-        return EndpointListUpdate(update.rev, update.complete, tuple(map(self._laid, update.targets)))
+                self._discovered[target.uid] = target
+        self._revision = update.rev
+        return EndpointListUpdate(update.rev, update.complete, tuple(map(self._overridden, update.targets)))
 
-    def order(self, drained: frozenset[str]) -> EndpointListUpdate | None:
+    def set_drained(self, drained: frozenset[str]) -> EndpointListUpdate | None:
         """All orders that stand now; the changes of the list that follow, None where there is none."""
-        changed = drained ^ self.drained
+        changed = sorted(drained ^ self.drained)
         self.drained = drained
-        for uid in sorted(changed):
-            word = "drains by order" if uid in drained else "is discovery's again"
-            self.log.append(f"server {uid} {word}: {len(drained)} orders stand")
-        targets = tuple(self._laid(self._told[uid]) for uid in sorted(changed) if uid in self._told)
-        return EndpointListUpdate(self._rev, False, targets) if targets else None
+        for uid in changed:
+            what = "drains by order" if uid in drained else "is discovery's again"
+            self.log.append(f"server {uid} {what}: {len(drained)} orders stand")
+        targets = [self._overridden(self._discovered[uid]) for uid in changed if uid in self._discovered]
+        return EndpointListUpdate(self._revision, False, tuple(targets)) if targets else None
 
-    def _laid(self, target: EndpointTarget) -> EndpointTarget:
+    def _overridden(self, target: EndpointTarget) -> EndpointTarget:
         if target.uid not in self.drained or target.entry.state is not EndpointState.UP:
             return target
         return target._replace(entry=target.entry._replace(state=EndpointState.DRAINING))
--- a/gaugehinge/hosted/front.py
+++ b/gaugehinge/hosted/front.py
@@ -16,8 +16,8 @@
 from ..net.connection_pool import RequestPayload
 from ..net.resp import BULK, Message, bulk
 from ..routing.types import Operation
-from .gate import Gate
-from .roster import Bearer
+from .authenticator import Authenticator
+from .principal import Principal
 
 MOST_LABELS = 4096  # bytes
 
@@ -26,16 +26,16 @@
 class HostedClient(ClientConnection):
     """One connection, and who comes there."""
 
-    bearer: Bearer | None = None
+    bearer: Principal | None = None
     credential: str = ""
 
 
 class HostedClients(ClientServer):
     """All connections of the platform's dialect, at a hosted router."""
 
-    gate: Gate
+    gate: Authenticator
 
-    def let_in_by(self, gate: Gate, unix: Callable[[], float]) -> None:
+    def let_in_by(self, gate: Authenticator, unix: Callable[[], float]) -> None:
         """From now on connections say whose they are. `unix`: the time by which credentials end."""
         self.gate, self.unix = gate, unix
         self.commands[b"AUTH"] = self._auth
@@ -67,12 +67,12 @@
         finally:
             answer(reply)  # one that is not answered holds up all behind it
 
-    def _bearer(self, client: HostedClient) -> Bearer:
+    def _bearer(self, client: HostedClient) -> Principal:
         """Whose operation it is, now. Raises Refused."""
         bearer = client.bearer
         if bearer is None:
             raise RequestError("authentication required")
-        why = bearer.why_not(client.credential, self.unix())
+        why = bearer.rejection_reason(client.credential, self.unix())
         if why:
             if why == "authentication required":
                 client.bearer = None
@@ -91,11 +91,11 @@
         bearer = self._bearer(client)
         own = dressed(message, write, bearer)
         operation, payload = super()._read_operation(client, own, write, now)
-        operation.tenant = bearer.place
+        operation.tenant = bearer.tenant_index
         return operation, payload
 
 
-def dressed(message: Message, write: bool, bearer: Bearer) -> Message:
+def dressed(message: Message, write: bool, bearer: Principal) -> Message:
     """A command as it goes on: key, id, mark and tenant are the bearer's own. Raises Refused."""
     parts = message.top.body
     if len(parts) != 4 + write:
@@ -117,10 +117,10 @@
     if write and row.most_value and len(parts[4].body) > row.most_value:
         raise RequestError(f"value over {row.most_value} bytes")
     if "k" in labels and labels["k"]:
-        labels["k"] = bearer.marks.decode() + labels["k"]
+        labels["k"] = bearer.id_prefix.decode() + labels["k"]
     labels["t"] = bearer.name
     told = ",".join(f"{name}={value}" for name, value in labels.items()).encode()
-    bodies = [parts[0].body, bearer.keys + parts[1].body, bearer.marks + parts[2].body, told]
+    bodies = [parts[0].body, bearer.key_prefix + parts[1].body, bearer.id_prefix + parts[2].body, told]
     if write:
         bodies.append(parts[4].body)
     raw, made = b"*%d\r\n" % len(bodies), []
--- /dev/null
+++ b/gaugehinge/hosted/tenant_registry.py
@@ -0,0 +1,127 @@
+"""Tenants as a router follows them, from the control plane's feed. No I/O, no clock of its own.
+
+Each incarnation has an index in the routers' tables, the same at all of them. An index changes hands only
+after every router said that it has nothing of its tenant in flight; what a table knew of it is emptied then.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from ..routing.types import Tenant
+from ..tenancy.feed import Feed
+from ..tenancy.life import Stage
+from .errors import FeedError
+from .principal import Principal, read_principal
+
+
+@dataclass(slots=True, frozen=True)
+class RegistryChange:
+    """What the routing decisions are told of a feed."""
+
+    tenants: tuple[Tenant, ...]
+    reset_indexes: set[int]  # whose tables are emptied: another incarnation stands there now
+    drained: frozenset[str] | None  # servers that operators drain, where these changed
+
+
+@dataclass(slots=True, eq=False)
+class TenantRegistry:
+    """All principals, by incarnation, index and credential."""
+
+    revision: int = 0
+    store: str = ""
+    mark: str = ""  # of the revision, as it was told
+    drained: frozenset[str] = frozenset()
+    by_incarnation: dict[int, Principal] = field(default_factory=dict)
+    by_index: dict[int, Principal] = field(default_factory=dict)
+    by_credential: dict[str, Principal] = field(default_factory=dict)
+    log: list[str] = field(default_factory=list)  # emptied by the driver
+
+    @property
+    def known(self) -> bool:
+        """Whether any feed was ever followed."""
+        return bool(self.store)
+
+    def follow(self, feed: Feed) -> RegistryChange | None:
+        """Follow a feed; the change that the decisions are to be told, None where that is nothing.
+
+        Raises FeedError, and then nothing has changed.
+        """
+        principals = [read_principal(row) for row in feed.tenants]
+        standing = self._standing_after(feed, principals)
+        by_index = _by_index(standing, principals)
+        reset_indexes = {index for index, each in by_index.items() if self._is_new_at(index, each)}
+        drained = frozenset(feed.drained)
+        drains_changed = drained != self.drained or not self.known
+        self._take(feed, standing, by_index)
+        if not (principals or feed.gone or feed.whole or drains_changed):
+            return None
+        self.drained = drained
+        return RegistryChange(self.tenants(), reset_indexes, drained if drains_changed else None)
+
+    def tenants(self) -> tuple[Tenant, ...]:
+        """The table by index, as the decisions take it; those that are not active have no quota."""
+        size = max(self.by_index, default=0) + 1
+        table = [Tenant(0.0, 0.0)] * size
+        for index, principal in self.by_index.items():
+            if principal.stage is Stage.ACTIVE:
+                table[index] = Tenant(principal.quota, principal.rate_limit)
+        return tuple(table)
+
+    def snapshot(self) -> Feed:
+        """All of it, as a feed that `follow` takes."""
+        rows = [principal.row for principal in self.by_incarnation.values()]
+        return Feed(self.store, self.revision, True, rows, [], sorted(self.drained), mark=self.mark)
+
+    def _standing_after(self, feed: Feed, principals: list[Principal]) -> dict[int, Principal]:
+        """Those that stand already and go on; the feed's own are still to be added."""
+        numbers = {principal.incarnation for principal in principals}
+        if len(numbers) != len(principals) or not feed.store or feed.revision < 0:
+            raise FeedError("one incarnation told twice, or no store named")
+        if feed.whole:
+            return {}
+        if feed.store != self.store or feed.revision < self.revision:
+            raise FeedError("changes of another store, or of the past")
+        standing = dict(self.by_incarnation)
+        for number in feed.gone:
+            standing.pop(number, None)
+        return standing
+
+    def _is_new_at(self, index: int, principal: Principal) -> bool:
+        former = self.by_index.get(index)
+        return former is None or (former.incarnation, former.name) != (principal.incarnation, principal.name)
+
+    def _take(self, feed: Feed, standing: dict[int, Principal], by_index: dict[int, Principal]) -> None:
+        for number, former in self.by_incarnation.items():
+            newer = standing.get(number)
+            # Another store gives a number again. To bring the former principal up to date would leave its
+            # name: its tenant's own secret is then one of another tenant, and nobody is let in until a new
+            # start.
+            if newer is None or newer.name != former.name:
+                former.removed = True  # connections that came in as it refer to it still
+                self.log.append(f"tenant {former.name} #{number} gone at revision {feed.revision}")
+            elif newer is not former:
+                self._log_stage(former, newer, feed.revision)
+                former.update(newer)
+                standing[number] = by_index[newer.tenant_index] = former
+        self.by_incarnation, self.by_index = standing, by_index
+        self.by_credential = {
+            ident: principal for principal in standing.values() for ident in principal.credentials
+        }
+        self.store, self.revision, self.mark = feed.store, feed.revision, feed.mark
+
+    def _log_stage(self, former: Principal, newer: Principal, revision: int) -> None:
+        if newer.stage is not former.stage:
+            change = f"{former.stage.value} to {newer.stage.value} at revision {revision}"
+            self.log.append(f"tenant {newer.name} #{newer.incarnation} {change}")
+
+
+def _by_index(standing: dict[int, Principal], principals: list[Principal]) -> dict[int, Principal]:
+    """Add `principals` to `standing`; all of them by index. Raises FeedError where two have one."""
+    numbers = {principal.incarnation for principal in principals}
+    by_index = {each.tenant_index: each for each in standing.values() if each.incarnation not in numbers}
+    for principal in principals:
+        if principal.tenant_index in by_index:
+            raise FeedError(f"place {principal.tenant_index} told for two")
+        by_index[principal.tenant_index] = standing[principal.incarnation] = principal
+    return by_index
--- a/gaugehinge/net/connection_pool.py
+++ b/gaugehinge/net/connection_pool.py
@@ -17,7 +17,7 @@
 from ..routing.types import Attempt, EndpointState, Outcome
 from .configuration import Address
 from .endpoint_list import EndpointListUpdate
-from .extensions import NO_EXTENSIONS, Extensions
+from .extensions import Extensions
 from .resp import ARRAY, BULK, ERROR, MOST_ANSWER, Malformed, Message, Parser
 from .sockets import connect, receive, send_some, shut, silent, tcp
 from .timer_queue import Timer, TimerQueue
@@ -208,7 +208,7 @@
         self.pending: dict[Attempt, PendingAttempt] = {}  # until the attempt ended
         self.connections = 0
         self.full = False
-        self.install(NO_EXTENSIONS)
+        self.install(Extensions())
         self._sweep()
 
     def install(self, extensions: Extensions) -> None:
--- a/gaugehinge/net/dispatcher.py
+++ b/gaugehinge/net/dispatcher.py
@@ -17,7 +17,7 @@
 from ..settings import read_reported_load
 from .connection_pool import Codec, ConnectionPool, RequestPayload, RespCodec
 from .endpoint_list import EndpointListUpdate
-from .extensions import NO_EXTENSIONS, EndpointListTransformer, Extensions, ReplyCallback
+from .extensions import EndpointListTransformer, Extensions, ReplyCallback
 from .handle_table import HandleTable
 from .origin import OriginCodec
 from .timer_queue import Timer, TimerQueue
@@ -65,7 +65,7 @@
         self.pool: ConnectionPool
         self.watch_endpoints: Callable[[], None]
         self.send_gossip: Callable[[tuple[int, ...], bytes], None]
-        self.install(NO_EXTENSIONS)
+        self.install(Extensions())
 
     def connect(
         self,
@@ -218,10 +218,10 @@
     def _carry_out(self, pending: PendingOperation | None, decision: Decision) -> None:
         if pending is None:
             return
-        action = decision.action
+        action, attempt = decision.action, decision.attempt
         if action is Action.SEND:
-            codec = self.origin_codec if decision.attempt.endpoint.origin else self.server_codec
-            self.pool.send(decision.attempt, pending.payload, decision.timeout, codec)
+            codec = self.origin_codec if attempt.endpoint.origin else self.server_codec
+            self.pool.send(attempt, pending.payload, decision.timeout, codec)
         elif action is Action.WAIT:
             self._schedule_recheck(pending)
         elif action is Action.REJECT:
--- a/gaugehinge/net/extensions.py
+++ b/gaugehinge/net/extensions.py
@@ -4,7 +4,7 @@
 subsystems and returns one `Extensions`; each of its tuples is called in the order in which it is written. An
 extension that has nothing to do at the moment says so in its answer; extensions are never exchanged while
 the router runs. The order of each program stands in one place: `gaugehinge.subsystems` for the installed
-command. The platform's router runs with `NO_EXTENSIONS`.
+command. The platform's router runs with `Extensions()`: none.
 """
 
 from __future__ import annotations
@@ -121,9 +121,6 @@
     server_codec: Codec | None = None  # spoken to cache servers; None: the platform's protocol
 
 
-NO_EXTENSIONS = Extensions()
-
-
 class ExtensionBuilder(Protocol):
     """Builds the subsystems of a router while it starts."""
 
--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -19,7 +19,7 @@
 from .discovery import DiscoveryClient
 from .dispatcher import Dispatcher
 from .endpoint_list import EndpointListUpdate
-from .extensions import NO_EXTENSIONS, ExtensionBuilder, Extensions
+from .extensions import ExtensionBuilder, Extensions
 from .front import BACKLOG, Front
 from .gossip import GossipChannel
 from .graceful_shutdown import GracefulShutdown
@@ -64,7 +64,7 @@
         self.clock = Clock()
         self.timers = TimerQueue(self.clock)
         self.dispatcher = Dispatcher(settings.deployment, self.timers, settings.reports_load)
-        self.extensions: Extensions = NO_EXTENSIONS
+        self.extensions: Extensions = Extensions()
         self.fronts: list[Front] = []  # the first is the platform's
         self.startup: Startup
         self.listening: socket.socket
--- a/gaugehinge/placement/build.py
+++ b/gaugehinge/placement/build.py
@@ -6,13 +6,13 @@
 
 from ..admin.keep import KeepFile
 from ..admin.service import Administration
-from ..hosted.follower import Follower
+from ..hosted.control_plane_watch import ControlPlaneWatch
 from ..net.service import Service
 from .keeper import Placement
 from .router import Placing
 
 
-def build_placement(service: Service, follower: Follower) -> Placing:
+def build_placement(service: Service, follower: ControlPlaneWatch) -> Placing:
     """Placement at a router that follows a keeper, as a further part of the feed."""
     part = Placing(service, follower)
     follower.add_part(part)
--- a/gaugehinge/placement/router.py
+++ b/gaugehinge/placement/router.py
@@ -16,9 +16,9 @@
 import trio
 from loguru import logger
 
+from ..hosted.control_plane_watch import ControlPlaneWatch
+from ..hosted.errors import FeedError
 from ..hosted.feed_parts import FeedPart
-from ..hosted.follower import Follower
-from ..hosted.roster import BadFeed
 from ..net.dispatcher import FAILED_REPLY, busy_reply
 from ..net.endpoint_list import EndpointListUpdate
 from ..net.service import Service
@@ -42,7 +42,7 @@
     name = "placement"
 
     def __init__(
-        self, service: Service, follower: Follower, clock: Callable[[], float] = trio.current_time
+        self, service: Service, follower: ControlPlaneWatch, clock: Callable[[], float] = trio.current_time
     ) -> None:
         """`clock`: the follower's, by which it says when a call was sent."""
         self.service, self.follower, self.clock = service, follower, clock
@@ -122,20 +122,20 @@
         return msgspec.json.encode(RouterTold(self.have, self.mark, self.clear, part, doubts))
 
     def hear(self, feed: Feed, asked_at: float) -> None:
-        """The keeper told. Raises BadFeed."""
+        """The keeper told. Raises FeedError."""
         body = feed.parts.get(self.name)
         if body is None:
-            raise BadFeed("the keeper has no placement")
+            raise FeedError("the keeper has no placement")
         told = msgspec.json.decode(body, type=KeeperTold)
         if asked_at < self.asked_at:
-            raise BadFeed("placement: the answer to an older question than one that was answered")
+            raise FeedError("placement: the answer to an older question than one that was answered")
         if not told.whole and (feed.store != self.store or told.revision < self.have):
-            raise BadFeed("placement: changes of another store, or of the past")
+            raise FeedError("placement: changes of another store, or of the past")
         if told.back and feed.store == self.store:
             self._doubt(told)
         elif feed.store != self.store:
             self.doubts.clear()
-        standing = self.follower.roster.by_incarnation
+        standing = self.follower.registry.by_incarnation
         self.doubts = {ident: row for ident, row in self.doubts.items() if ident[0] in standing}
         gone = [tuple(ident) for ident in told.gone]
         rows = [row for row in told.rows if self._settles(row)]
@@ -179,7 +179,7 @@
         """The store is an older copy. What was pinned here by `only`, and differs there, is held by nobody's
         word: it is served nowhere until its tenant has spoken anew."""
         theirs = {row.ident: row for row in told.rows}
-        standing = self.follower.roster.by_incarnation
+        standing = self.follower.registry.by_incarnation
         for ident, row in self.table.rows.items():
             other = theirs.get(ident)
             if row.terms is None or not row.terms.only or ident[0] not in standing:
--- a/gaugehinge/recovery/build.py
+++ b/gaugehinge/recovery/build.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from ..hosted.follower import Follower
+from ..hosted.control_plane_watch import ControlPlaneWatch
 from ..installation.form import Installation
 from ..net.service import Service
 from .driver import Recovery
@@ -32,11 +32,11 @@
 
 def recovery_builder(
     installation: Installation,
-) -> Callable[[Service, trio.Nursery, Follower | None], Recovery]:
+) -> Callable[[Service, trio.Nursery, ControlPlaneWatch | None], Recovery]:
     """What makes a service recover; built behind all else that follows a keeper. Raises BadKey."""
     key = read_key(installation.recovery.key_file)
 
-    def build(service: Service, nursery: trio.Nursery, follower: Follower | None) -> Recovery:
+    def build(service: Service, nursery: trio.Nursery, follower: ControlPlaneWatch | None) -> Recovery:
         recovery = Recovery(service, installation.recovery, key, follower)
         recovery.begin(nursery)
         return recovery
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -17,9 +17,9 @@
 from loguru import logger
 from xxhash import xxh64_intdigest
 
+from ..hosted.control_plane_watch import ControlPlaneWatch
+from ..hosted.errors import FeedError
 from ..hosted.feed_parts import FeedPart
-from ..hosted.follower import Follower
-from ..hosted.roster import BadFeed
 from ..installation.form import RecoveryEntry
 from ..net.configuration import address
 from ..net.connection_pool import Connection, PendingAttempt, RequestPayload
@@ -62,7 +62,7 @@
         service: Service,
         entry: RecoveryEntry,
         key: bytes,
-        follower: Follower | None = None,
+        follower: ControlPlaneWatch | None = None,
         wall: Callable[[], float] = time.time,
         steady: Callable[[], float] = time.monotonic,
         boot: Callable[[], str] = boot_of,
@@ -546,7 +546,7 @@
         self._changed(before)
 
     def filter_feed(self, feed: Feed) -> Feed:
-        """What of a feed is followed. Raises BadFeed while it is from before what was heard."""
+        """What of a feed is followed. Raises FeedError while it is from before what was heard."""
         now, known = self.clock(), self._known_store()
         standing = trust.keeper_answer(known, feed.store, feed.revision, feed.whole)
         if standing is not trust.Standing.FOLLOWED:
@@ -555,7 +555,7 @@
                 self.older_until = now + float(self.entry.doubt)
                 logger.error("recovery: keeper is {}: {}", standing.value, what)
             if now < self.older_until:
-                raise BadFeed(f"keeper is {standing.value}: {what}")
+                raise FeedError(f"keeper is {standing.value}: {what}")
             logger.error("recovery: keeper is followed though it is {}: {}", standing.value, what)
         elif self.older_until:
             logger.info("recovery: keeper is at revision {} again", feed.revision)
--- a/gaugehinge/rehearsal/allcases.py
+++ b/gaugehinge/rehearsal/allcases.py
@@ -19,7 +19,7 @@
 
 from ..emulator.link import Fault, State
 from ..histories.events import Note, OpBegan, OpEnded
-from ..hosted.follower import Snapshot
+from ..hosted.feed_snapshot import FeedSnapshot
 from ..net.resp import Parser
 from ..net.sockets import connect, shut, tcp
 from ..recovery.snapshot import MOST_BYTES, decode, encode, identity_of
@@ -285,7 +285,7 @@
         kept = decode(path.read_bytes()[:MOST_BYTES], own)
         other = identity_of(recoveryplay.OTHER_KEY, router, number)
         path.write_bytes(encode(msgspec.structs.replace(kept, identity=other)))
-    snapshot = Snapshot(str(child.files / "snapshot"))
+    snapshot = FeedSnapshot(str(child.files / "snapshot"))
     feed = snapshot.load()
     if feed is not None:
         numbers = [row.incarnation for row in feed.tenants]
--- a/gaugehinge/rehearsal/hostedplay.py
+++ b/gaugehinge/rehearsal/hostedplay.py
@@ -24,8 +24,8 @@
 from ..emulator.ports import Ports
 from ..emulator.shelf import Shelves
 from ..forms.units import Seconds
-from ..hosted.build import following, tenant_of_connection
-from ..hosted.follower import Follower
+from ..hosted.build import control_plane_watch_builder, tenant_of_connection
+from ..hosted.control_plane_watch import ControlPlaneWatch
 from ..hosted.front import HostedClients
 from ..installation.build import configuration_of
 from ..installation.form import DiscoveryAt, FollowEntry, Installation, Listen, Rules, Tier, TrafficEntry
@@ -99,7 +99,7 @@
     keeping: trio.CancelScope = field(default_factory=trio.CancelScope)
     files: list[Installation] = field(default_factory=list)
     services: list[Service] = field(default_factory=list)
-    followers: list[Follower] = field(default_factory=list)
+    followers: list[ControlPlaneWatch] = field(default_factory=list)
     scopes: list[trio.CancelScope] = field(default_factory=list)
     lease: float = 0.0  # seconds that the keeper gives routers; 0: none
     parts: tuple[Callable[[Administration], Any], ...] = ()  # at the keeper
@@ -165,12 +165,12 @@
         """Start one, or start it again after a crash: with nothing but its files."""
         told = self.files[number]
         configuration = configuration_of(told)
-        build_follower = following(told, CHEAP)
+        build_watch = control_plane_watch_builder(told, CHEAP)
         scope = trio.CancelScope()
 
         def build(service: Service, nursery: trio.Nursery) -> Extensions:
             fleet = build_cluster(service, nursery, told)
-            follower = self.followers[number] = build_follower(service, nursery)
+            follower = self.followers[number] = build_watch(service, nursery)
             placement = build_placement(service, follower) if told.placement.on else None
             return Subsystems(fleet, follower, placement).extensions()
 
@@ -218,7 +218,7 @@
         with trio.fail_after(wait):
             while not all(
                 follower is not None
-                and follower.roster.revision >= self.keeper.rev
+                and follower.registry.revision >= self.keeper.rev
                 and service.dispatcher.router.caches
                 for follower, service, scope in zip(self.followers, self.services, self.scopes, strict=True)
                 if not scope.cancel_called
--- a/gaugehinge/rehearsal/hostedrun.py
+++ b/gaugehinge/rehearsal/hostedrun.py
@@ -183,7 +183,7 @@
     async def _spread(self) -> None:
         began, revision = trio.current_time(), self.made.keeper.rev
         with trio.move_on_after(10.0) as limit:
-            while any(follower.roster.revision < revision for follower in self.made.followers):
+            while any(follower.registry.revision < revision for follower in self.made.followers):
                 await trio.sleep(SPREAD_LOOK)
         if limit.cancelled_caught:
             self.told.breaks.append(f"revision {revision} did not reach all routers in 10 s")
@@ -221,7 +221,7 @@
         for name in NAMES:
             play.secrets[name] = await made.tenant(name, allowance=1500.0, memory=9.0)
         await made.settle()
-        for number, bearer in made.followers[0].roster.by_incarnation.items():
+        for number, bearer in made.followers[0].registry.by_incarnation.items():
             play.own[bearer.name] = number
         made.shelves.seen.clear()
         async with trio.open_nursery() as nursery:
--- a/gaugehinge/subsystems.py
+++ b/gaugehinge/subsystems.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from .cluster.fleet import SlotFleet
     from .drains.router import RouterDrains
-    from .hosted.follower import Follower
+    from .hosted.control_plane_watch import ControlPlaneWatch
     from .placement.router import Placing
     from .recovery.driver import Recovery
 
@@ -26,7 +26,7 @@
     """What is switched on; None: it is not."""
 
     slot_fleet: SlotFleet | None = None
-    follower: Follower | None = None
+    watch: ControlPlaneWatch | None = None
     placement: Placing | None = None
     drains: RouterDrains | None = None
     recovery: Recovery | None = None
@@ -36,7 +36,7 @@
 
         Endpoint lists: nobody sees one that recovery still holds back; placement and the operators' orders
         go by the starts that discovery told; the decisions alone go by the starts that recovery believes. An
-        order of operators begins behind `follower`, and reaches what comes after that.
+        order of operators begins behind `watch`, and reaches what comes after that.
         """
         recovery = self.recovery
         return Extensions(
@@ -48,7 +48,7 @@
             endpoint_list_transformers=_present(
                 recovery.list_gate if recovery is not None else None,
                 self.placement,
-                self.follower,
+                self.watch,
                 recovery.believed_starts if recovery is not None else None,
             ),
             gossip_listeners=_present(recovery),
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1011,13 +1011,16 @@
                 assert (await desk.delete("/v1/tenants/acme", headers={"If-Match": etag})).is_success
             new = await made.tenant("acme", share=1.0, allowance=50.0, memory=9)
             await made.settle()
-            roster = made.followers[0].roster
-            assert {n: b.stage.value for n, b in roster.by_incarnation.items()} == {1: "leaving", 2: "active"}
-            place = roster.by_incarnation[2].place
-            assert place != roster.by_incarnation[1].place
+            registry = made.followers[0].registry
+            assert {n: b.stage.value for n, b in registry.by_incarnation.items()} == {
+                1: "leaving",
+                2: "active",
+            }
+            place = registry.by_incarnation[2].tenant_index
+            assert place != registry.by_incarnation[1].tenant_index
             # Nothing of the old one's figures.
             assert router.used[place] == 0.0 and router.came[place] == 0
-            assert made.followers[0].in_hand() == {"1": 3}
+            assert made.followers[0].operations_in_flight() == {"1": 3}
             # The old credential is refused, and so is all that is new on connections that it had let in.
             assert (await (await made.client(0)).ask("AUTH", "acme", old)).startswith(b"-WRONGPASS")
             assert (await (await made.client(0)).ask("AUTH", old)).startswith(b"-WRONGPASS")
@@ -1029,7 +1032,7 @@
             assert await fresh.ask("KV.GET", "k", "i4", "c=read,d=1900") == b"$10\r\nof the new\r\n"
             assert made.shelves.data[b"1/k"] == b"of the old" and made.shelves.data[b"2/k"] == b"of the new"
             assert not any(seen.repeat for seen in made.shelves.seen)
-            assert router.came[roster.by_incarnation[1].place] <= 3
+            assert router.came[registry.by_incarnation[1].tenant_index] <= 3
             # One final answer for each of the old one's, and then what it asks is refused.
             hold[0].let_go.set()
             for client in clients:
@@ -1038,7 +1041,7 @@
                 assert await client.ask("PING") == b"+PONG\r\n"  # and no second one
             while len(service.dispatcher.pending_operations):
                 await trio.sleep(0.002)
-            assert made.followers[0].in_hand() == {}
+            assert made.followers[0].operations_in_flight() == {}
             written = [seen.ident for seen in made.shelves.seen if seen.write and seen.key == b"1/k"]
             assert written == [b"1.i2", b"1.i3"]
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,8 +15,8 @@
 import pytest
 import trio
 
-from gaugehinge.hosted import follower as follower_module
-from gaugehinge.hosted.follower import Snapshot
+from gaugehinge.hosted import feed_snapshot
+from gaugehinge.hosted.feed_snapshot import FeedSnapshot
 from gaugehinge.net import connection_pool as pool_module
 from gaugehinge.net import startup
 from gaugehinge.net.configuration import read_configuration
@@ -329,7 +329,7 @@
 
 def test_two_processes_that_keep_one_snapshot_leave_it_whole(tmp_path, monkeypatch):
     """The old process and the new one of a hosted router write the same file; one is amid it when both do."""
-    old, new = (Snapshot(str(tmp_path / "tenants.json")) for _ in range(2))
+    old, new = (FeedSnapshot(str(tmp_path / "tenants.json")) for _ in range(2))
     rows = [TenantRow(f"t{n}", n + 1, n, "active", 1.0, 1.0) for n in range(200)]
     feeds = {"old": Feed("s", 5, True, rows, []), "new": Feed("s", 6, True, rows[:100], [])}
     opened, written = {name: threading.Event() for name in feeds}, threading.Event()
@@ -347,14 +347,14 @@
         if threading.current_thread().name == "old":
             written.set()
 
-    def save(snapshot: Snapshot, feed: Feed) -> None:
+    def save(snapshot: FeedSnapshot, feed: Feed) -> None:
         try:
             snapshot.save(feed)
         except OSError as bad:  # the router goes on by it, with a line in its log
             errors.append(bad)
 
-    monkeypatch.setattr(follower_module.os, "open", open_)
-    monkeypatch.setattr(follower_module.os, "fsync", fsync)
+    monkeypatch.setattr(feed_snapshot.os, "open", open_)
+    monkeypatch.setattr(feed_snapshot.os, "fsync", fsync)
     pairs = (("old", old), ("new", new))
     threads = [threading.Thread(target=save, name=name, args=(each, feeds[name])) for name, each in pairs]
     threads[0].start()
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -15,12 +15,13 @@
 from gaugehinge.cli.main import main as command_line
 from gaugehinge.door.door import Door
 from gaugehinge.emulator.ports import Ports
-from gaugehinge.hosted.build import BadSecret, read_secret
-from gaugehinge.hosted.follower import Snapshot
+from gaugehinge.hosted.authenticator import Authenticator
+from gaugehinge.hosted.build import read_secret
+from gaugehinge.hosted.endpoint_overrides import EndpointOverrides
+from gaugehinge.hosted.errors import FeedError, SecretFileError
+from gaugehinge.hosted.feed_snapshot import FeedSnapshot
 from gaugehinge.hosted.front import dressed
-from gaugehinge.hosted.gate import Gate
-from gaugehinge.hosted.overlay import Overlay
-from gaugehinge.hosted.roster import BadFeed, Roster
+from gaugehinge.hosted.tenant_registry import TenantRegistry
 from gaugehinge.installation.form import ClusterEntry, CommandEntry
 from gaugehinge.net.client_server import RequestError
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
@@ -40,7 +41,7 @@
     trio.run(main)
 
 
-# -- the roster
+# -- the registry
 
 
 def row(name="acme", incarnation=1, place=0, stage="active", share=1.0, allowance=10.0, credentials=()):
@@ -56,19 +57,27 @@
 
 
 def test_places_tell_the_module_who_is_new_and_those_that_take_nothing_have_no_share():
-    roster = Roster()
-    change = roster.hear(whole(row(share=2.0), row("bolt", 2, 2, "suspended")))
+    registry = TenantRegistry()
+    change = registry.follow(whole(row(share=2.0), row("bolt", 2, 2, "suspended")))
     assert change.tenants == (Tenant(2.0, 10.0), Tenant(0.0, 0.0), Tenant(0.0, 0.0))
-    assert change.anew == {0, 2} and change.drained == frozenset()
-    acme = roster.by_incarnation[1]
-    change = roster.hear(news(row("acme", 1, 0, "leaving")))
-    assert acme.stage.value == "leaving" and change.anew == set() and change.tenants[0] == Tenant(0.0, 0.0)
+    assert change.reset_indexes == {0, 2} and change.drained == frozenset()
+    acme = registry.by_incarnation[1]
+    change = registry.follow(news(row("acme", 1, 0, "leaving")))
+    assert (
+        acme.stage.value == "leaving"
+        and change.reset_indexes == set()
+        and change.tenants[0] == Tenant(0.0, 0.0)
+    )
     # Its name is another one's by now; its place is not, until it is gone.
-    roster.hear(news(row("acme", 3, 1), revision=7))
-    assert roster.by_place[1].keys == b"3/" and not acme.gone
-    change = roster.hear(news(row("cord", 4, 0), revision=8, gone=[1]))
-    assert change.anew == {0} and acme.gone and acme.why_not("any", 0.0) == "authentication required"
-    assert roster.hear(news(revision=9)) is None and roster.revision == 9
+    registry.follow(news(row("acme", 3, 1), revision=7))
+    assert registry.by_index[1].key_prefix == b"3/" and not acme.removed
+    change = registry.follow(news(row("cord", 4, 0), revision=8, gone=[1]))
+    assert (
+        change.reset_indexes == {0}
+        and acme.removed
+        and acme.rejection_reason("any", 0.0) == "authentication required"
+    )
+    assert registry.follow(news(revision=9)) is None and registry.revision == 9
 
 
 @pytest.mark.parametrize(
@@ -89,19 +98,19 @@
     ],
 )
 def test_a_feed_that_makes_no_sense_changes_nothing(feed):
-    roster = Roster()
-    roster.hear(whole(row("held", 7, 0)))
-    with pytest.raises(BadFeed):
-        roster.hear(feed)
-    assert roster.revision == 5 and list(roster.by_incarnation) == [7]
+    registry = TenantRegistry()
+    registry.follow(whole(row("held", 7, 0)))
+    with pytest.raises(FeedError):
+        registry.follow(feed)
+    assert registry.revision == 5 and list(registry.by_incarnation) == [7]
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 10_000))
 def test_changes_in_order_come_to_what_the_whole_would(seed):
     draw = random.Random(seed)
-    roster, standing, number = Roster(), {}, 0
-    roster.hear(whole())
+    registry, standing, number = TenantRegistry(), {}, 0
+    registry.follow(whole())
     for revision in range(6, 40):
         gone, rows = [], []
         if standing and draw.random() < 0.3:
@@ -117,36 +126,42 @@
             rows.append(msgspec.structs.replace(before, share=draw.random(), stage="suspended"))
         for each in rows:
             standing[each.incarnation] = each
-        roster.hear(news(*rows, revision=revision, gone=gone))
-        other = Roster()
-        other.hear(whole(*standing.values(), revision=revision))
-        assert roster.tenants() == other.tenants()
-        assert set(roster.by_incarnation) == set(other.by_incarnation) == set(standing)
-        again = Roster()
-        again.hear(roster.snapshot())
-        assert again.tenants() == roster.tenants() and again.revision == revision
+        registry.follow(news(*rows, revision=revision, gone=gone))
+        other = TenantRegistry()
+        other.follow(whole(*standing.values(), revision=revision))
+        assert registry.tenants() == other.tenants()
+        assert set(registry.by_incarnation) == set(other.by_incarnation) == set(standing)
+        again = TenantRegistry()
+        again.follow(registry.snapshot())
+        assert again.tenants() == registry.tenants() and again.revision == revision
 
 
 def test_a_number_that_another_store_gave_to_another_tenant_is_another_bearer():
-    roster = Roster()
-    roster.hear(whole(row(), row("bolt", 2, 1), store="of another installation"))
-    former = roster.by_incarnation[1]
-    change = roster.hear(whole(row("bolt", 1, 0), row("bolder", 2, 1)))
-    assert [roster.by_incarnation[number].name for number in (1, 2)] == ["bolt", "bolder"]
-    assert former.gone and former.why_not("", 0.0) == "authentication required"
-    assert change.anew == {0, 1}
+    registry = TenantRegistry()
+    registry.follow(whole(row(), row("bolt", 2, 1), store="of another installation"))
+    former = registry.by_incarnation[1]
+    change = registry.follow(whole(row("bolt", 1, 0), row("bolder", 2, 1)))
+    assert [registry.by_incarnation[number].name for number in (1, 2)] == ["bolt", "bolder"]
+    assert former.removed and former.rejection_reason("", 0.0) == "authentication required"
+    assert change.reset_indexes == {0, 1}
 
 
 def test_a_credential_ends_by_the_clock_and_by_being_taken_out():
     old, new = Credential("a", "h", 0.0, ends=100.0), Credential("b", "h", 1.0)
-    roster = Roster()
-    roster.hear(whole(row(credentials=[old, new])))
-    bearer = roster.by_credential["a"]
-    assert bearer.why_not("a", 99.0) == "" and bearer.why_not("a", 100.0) == "authentication required"
-    roster.hear(news(row(credentials=[new])))
-    assert bearer.why_not("a", 50.0) == "authentication required" and bearer.why_not("b", 50.0) == ""
-    roster.hear(news(row(stage="suspended", credentials=[new]), revision=7))
-    assert bearer.why_not("b", 50.0) == "tenant suspended"
+    registry = TenantRegistry()
+    registry.follow(whole(row(credentials=[old, new])))
+    bearer = registry.by_credential["a"]
+    assert (
+        bearer.rejection_reason("a", 99.0) == ""
+        and bearer.rejection_reason("a", 100.0) == "authentication required"
+    )
+    registry.follow(news(row(credentials=[new])))
+    assert (
+        bearer.rejection_reason("a", 50.0) == "authentication required"
+        and bearer.rejection_reason("b", 50.0) == ""
+    )
+    registry.follow(news(row(stage="suspended", credentials=[new]), revision=7))
+    assert bearer.rejection_reason("b", 50.0) == "tenant suspended"
 
 
 # -- orders over the list
@@ -158,37 +173,39 @@
 
 
 def test_a_server_takes_something_new_only_where_order_and_discovery_both_let_it():
-    overlay = Overlay()
+    overrides = EndpointOverrides()
 
     def seen(update: EndpointListUpdate) -> dict:
         return {target.uid: target.entry.state for target in update.targets}
 
     up, draining, gone = EndpointState.UP, EndpointState.DRAINING, EndpointState.GONE
-    overlay.on_endpoints_changed(EndpointListUpdate(1, True, (listed("a", up), listed("b", up))))
-    assert seen(overlay.order(frozenset("a"))) == {"a": draining}
+    overrides.on_endpoints_changed(EndpointListUpdate(1, True, (listed("a", up), listed("b", up))))
+    assert seen(overrides.set_drained(frozenset("a"))) == {"a": draining}
     # Discovery's own drain comes between; the order's end does not undo it.
-    assert seen(overlay.on_endpoints_changed(EndpointListUpdate(2, False, (listed("a", draining),)))) == {
+    assert seen(overrides.on_endpoints_changed(EndpointListUpdate(2, False, (listed("a", draining),)))) == {
         "a": draining
     }
-    assert seen(overlay.order(frozenset())) == {"a": draining}
-    assert seen(overlay.on_endpoints_changed(EndpointListUpdate(3, False, (listed("a", up),)))) == {"a": up}
+    assert seen(overrides.set_drained(frozenset())) == {"a": draining}
+    assert seen(overrides.on_endpoints_changed(EndpointListUpdate(3, False, (listed("a", up),)))) == {"a": up}
     # It ends and is back: the order still stands.
-    overlay.order(frozenset("a"))
-    assert seen(overlay.on_endpoints_changed(EndpointListUpdate(4, False, (listed("a", gone),)))) == {
+    overrides.set_drained(frozenset("a"))
+    assert seen(overrides.on_endpoints_changed(EndpointListUpdate(4, False, (listed("a", gone),)))) == {
         "a": gone
     }
-    assert overlay.order(frozenset()) is None and overlay.order(frozenset("a")) is None
-    assert seen(overlay.on_endpoints_changed(EndpointListUpdate(5, False, (listed("a", up, 9.0),)))) == {
+    assert overrides.set_drained(frozenset()) is None and overrides.set_drained(frozenset("a")) is None
+    assert seen(overrides.on_endpoints_changed(EndpointListUpdate(5, False, (listed("a", up, 9.0),)))) == {
         "a": draining
     }
     # A whole list does not forget it either; an order of a server that nobody lists says nothing yet.
     assert seen(
-        overlay.on_endpoints_changed(EndpointListUpdate(6, True, (listed("a", up), listed("b", up))))
+        overrides.on_endpoints_changed(EndpointListUpdate(6, True, (listed("a", up), listed("b", up))))
     ) == {
         "a": draining,
         "b": up,
     }
-    assert overlay.order(frozenset("az")) is None and seen(overlay.order(frozenset("z"))) == {"a": up}
+    assert overrides.set_drained(frozenset("az")) is None and seen(overrides.set_drained(frozenset("z"))) == {
+        "a": up
+    }
 
 
 # -- a space of their own
@@ -196,9 +213,9 @@
 
 def bearing(number: int, **rules):
     """An active tenant of its own rules."""
-    roster = Roster()
-    roster.hear(whole(msgspec.structs.replace(row("acme", number), **rules)))
-    return roster.by_incarnation[number]
+    registry = TenantRegistry()
+    registry.follow(whole(msgspec.structs.replace(row("acme", number), **rules)))
+    return registry.by_incarnation[number]
 
 
 @pytest.mark.parametrize(
@@ -260,25 +277,25 @@
 
 def test_wrong_secrets_are_told_one_thing_and_are_bounded():
     async def scene():
-        roster = Roster()
+        registry = TenantRegistry()
         secret, credential = CHEAP.make(0.0)
         other, theirs = CHEAP.make(0.0)
-        gate = Gate(roster, CHEAP, Attempts(1, 0.0), lambda: 0.0)
-        assert (await gate.check("s", "", secret))[2].startswith(b"-LOADING")
-        roster.hear(whole(row(credentials=[credential]), row("bolt", 2, 1, credentials=[theirs])))
-        bearer, ident, reply = await gate.check("s", "acme", secret)
+        authenticator = Authenticator(registry, CHEAP, Attempts(1, 0.0), lambda: 0.0)
+        assert (await authenticator.check("s", "", secret))[2].startswith(b"-LOADING")
+        registry.follow(whole(row(credentials=[credential]), row("bolt", 2, 1, credentials=[theirs])))
+        bearer, ident, reply = await authenticator.check("s", "acme", secret)
         assert (bearer.name, ident, reply) == ("acme", credential.ident, b"+OK\r\n")
         wrong = set()
         for name, told in [("bolt", secret), ("", secret[:-1] + "?"), ("none", other), ("", "nonsense")]:
-            wrong.add((await gate.check("s", name, told))[2])
+            wrong.add((await authenticator.check("s", name, told))[2])
         assert len(wrong) == 1 and wrong.pop().startswith(b"-WRONGPASS")
         for _ in range(int(BURST)):
-            reply = (await gate.check("s", "", "gh_x_y"))[2]
+            reply = (await authenticator.check("s", "", "gh_x_y"))[2]
         assert reply.startswith(b"-BUSY")
         # One that was found right is not checked again, so a crowd of wrong ones does not keep it out.
-        assert (await gate.check("s", "", secret))[2] == b"+OK\r\n"
-        roster.hear(news(row(credentials=[])))
-        assert (await gate.check("elsewhere", "", secret))[2].startswith(b"-WRONGPASS")
+        assert (await authenticator.check("s", "", secret))[2] == b"+OK\r\n"
+        registry.follow(news(row(credentials=[])))
+        assert (await authenticator.check("elsewhere", "", secret))[2].startswith(b"-WRONGPASS")
 
     run(scene)
 
@@ -431,8 +448,8 @@
             new = await made.tenant("acme", memory=9)
             await made.settle()
             # Its tombstone keeps the place, so that figures of the two do not mix.
-            roster = made.followers[0].roster
-            assert {b.incarnation: (b.place, b.stage.value) for b in roster.by_place.values()} == {
+            registry = made.followers[0].registry
+            assert {b.incarnation: (b.tenant_index, b.stage.value) for b in registry.by_index.values()} == {
                 1: (0, "leaving"),
                 2: (1, "active"),
             }
@@ -460,7 +477,7 @@
                 made.keeper.clock = lambda: clock() + 120.0
             assert gone == 1
             await made.settle()
-            assert list(roster.by_incarnation) == [2]
+            assert list(registry.by_incarnation) == [2]
 
     run(scene)
 
@@ -512,7 +529,7 @@
             client = await made.client(0, acme)
             assert await client.ask("KV.SET", "k", "i1", "c=put,d=2000", "v") is not None
             with trio.fail_after(10):
-                while not follower.away_since:
+                while not follower.unreachable_since:
                     await trio.sleep(0.01)
             # A crash: it starts by its snapshot, with nobody to ask, and lets the tenant in.
             made.crash_router(0)
@@ -525,7 +542,7 @@
             await made.keep()
             bolt = await made.tenant("bolt")
             await made.settle()
-            assert not made.followers[0].away_since
+            assert not made.followers[0].unreachable_since
             other = await made.client(0, bolt)
             assert await other.ask("KV.GET", "k", "i3", "c=read,d=2000") == b"$0\r\n\r\n"
 
@@ -538,29 +555,32 @@
             follower = made.followers[0]
             await made.tenant("acme")
             await made.settle()
-            kept, follower.client = follower.client, httpx.AsyncClient(base_url="http://127.0.0.1:9")
+            kept, follower.client.http = (
+                follower.client.http,
+                httpx.AsyncClient(base_url="http://127.0.0.1:9"),
+            )
             for count in range(30):
                 await made.tenant(f"t{count}")
             await made.administration.keeper.call(made.keeper.store.compact, made.keeper.rev - 3)
             async with made.desk() as desk:
                 etag = (await desk.get("/v1/tenants/t7")).headers["etag"]
                 await desk.delete("/v1/tenants/t7", headers={"If-Match": etag})
-            follower.client = kept
+            follower.client.http = kept
             await made.settle()
-            assert len(follower.roster.by_incarnation) == 31
-            assert follower.roster.by_incarnation[9].stage.value == "leaving"
+            assert len(follower.registry.by_incarnation) == 31
+            assert follower.registry.by_incarnation[9].stage.value == "leaving"
 
     run(scene)
 
 
 @pytest.mark.parametrize("spoil", [b"", b"nonsense", b"0" * 32 + b"\n{}", "half"])
 def test_a_snapshot_that_is_not_whole_is_not_used(tmp_path, spoil):
-    snapshot = Snapshot(str(tmp_path / "s"))
+    snapshot = FeedSnapshot(str(tmp_path / "s"))
     assert snapshot.load() is None
     snapshot.save(whole(row()))
     assert snapshot.load() == whole(row()) and (tmp_path / "s").stat().st_mode & 0o777 == 0o600
     (tmp_path / "s").write_bytes((tmp_path / "s").read_bytes()[:-9] if spoil == "half" else spoil)
-    with pytest.raises(BadFeed):
+    with pytest.raises(FeedError):
         snapshot.load()
 
 
@@ -591,7 +611,7 @@
 def test_a_secret_file_or_an_installation_that_cannot_be_says_where(tmp_path):
     (tmp_path / "two").write_text("a b\n")
     for name in ("two", "none"):
-        with pytest.raises(BadSecret):
+        with pytest.raises(SecretFileError):
             read_secret(str(tmp_path / name))
     from click.testing import CliRunner
 
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -7,9 +7,10 @@
 import trio
 
 from gaugehinge.hosted.build import read_secret
-from gaugehinge.hosted.follower import Follower
-from gaugehinge.hosted.overlay import Overlay
-from gaugehinge.hosted.roster import Roster
+from gaugehinge.hosted.control_plane_client import ControlPlaneClient
+from gaugehinge.hosted.control_plane_watch import ControlPlaneWatch
+from gaugehinge.hosted.endpoint_overrides import EndpointOverrides
+from gaugehinge.hosted.tenant_registry import TenantRegistry
 from gaugehinge.installation.form import RecoveryEntry
 from gaugehinge.net.endpoint_list import read_endpoint_list
 from gaugehinge.net.lifecycle import Phase
@@ -40,14 +41,15 @@
         self.secret = ""  # that the keeper knows; empty: it does not ask
 
     def build(self, service, nursery):
-        client = httpx.AsyncClient(base_url="http://keeper", transport=httpx.MockTransport(self.keeper))
-        self.follower = Follower(service, Roster(), Overlay(), client, None, 8)
-        self.follower.begin()
+        http = httpx.AsyncClient(base_url="http://keeper", transport=httpx.MockTransport(self.keeper))
+        client = ControlPlaneClient(http)
+        self.follower = ControlPlaneWatch(service, TenantRegistry(), EndpointOverrides(), client, None, 8)
+        self.follower.load_snapshot()
         self.placing = build_placement(service, self.follower)
         nursery.start_soon(self.follower.run)
         self.recovery = Recovery(service, self.entry, KEY, self.follower)
         self.recovery.begin(nursery)
-        return Subsystems(follower=self.follower, placement=self.placing, recovery=self.recovery).extensions()
+        return Subsystems(watch=self.follower, placement=self.placing, recovery=self.recovery).extensions()
 
     async def keeper(self, request):
         if self.silent:
@@ -95,7 +97,7 @@
         while made.recovery.mind.verdict is Verdict.DECIDING or not all_.service.dispatcher.router.caches:
             await trio.sleep(0.01)
         assert {told[3] for told in made.placing.servers.values()} == {5.0}
-        told = [target.entry.started for target in made.follower.overlay.told if target.entry.started]
+        told = [target.entry.started for target in made.follower.overrides.discovered if target.entry.started]
         assert set(told) == {5.0}
         believed = {cache.started for cache in all_.service.dispatcher.router.caches.values()}
         assert min(believed) >= made.recovery.began  # nobody knows whether they lived on: cold
@@ -162,17 +164,17 @@
         await made.fed.wait()
         file = tmp_path / "secret"
         file.write_text("former\n")
-        made.follower.read_secret = partial(read_secret, str(file))
+        made.follower.client.read_secret = partial(read_secret, str(file))
         made.secret, made.fed = "newer", trio.Event()
         calls = len(made.waits)
-        while not made.follower.away_since:
+        while not made.follower.unreachable_since:
             await trio.sleep(0.01)
         file.unlink()  # amid its change
         await trio.sleep(0.3)
         file.write_text("newer\n")
         while len(made.waits) == calls:
             await trio.sleep(0.01)
-        while made.follower.away_since:
+        while made.follower.unreachable_since:
             await trio.sleep(0.01)
 
     play(tmp_path, look)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -347,7 +347,7 @@
             play = Play(all_, secret, desk)
             with trio.fail_after(20):
                 while not play.part.servers.known or not all(
-                    f.parts[0].lease.good(trio.current_time()) and f.roster.by_credential
+                    f.parts[0].lease.good(trio.current_time()) and f.registry.by_credential
                     for f in all_.followers
                 ):
                     await trio.sleep(0.02)
@@ -512,7 +512,7 @@
             made = await play.put("mine", ["eu"], prefixes=["eu/"], allowance=600)
             await play.until("mine", "confined")
             follower = play.all.followers[1]
-            follower.client.base_url = "http://127.0.0.1:9"  # goes on in the old region for a while
+            follower.client.http.base_url = "http://127.0.0.1:9"  # goes on in the old region for a while
             await play.put("mine", ["us"], match=made.headers["etag"], allowance=10)
             await play.all.tenant("bolt", allowance=900.0)
             async with play.all.desk() as desk:
@@ -524,7 +524,7 @@
                     await trio.sleep(0.05)
                 assert waited and got.status_code == 200
                 assert (await play.get("mine"))["stage"] == "confined"
-            follower.client.base_url = play.all.api
+            follower.client.http.base_url = play.all.api
             # What its tenant lets end is its own again at once.
             rest = await play.put("rest", ["us"], prefixes=["rest/"], allowance=890)
             match = {"If-Match": rest.headers["etag"]}
@@ -595,7 +595,7 @@
             made = await play.put("mine", ["eu"], prefixes=["eu/"])
             await play.until("mine", "confined")
             follower = play.all.followers[1]
-            follower.client.base_url = "http://127.0.0.1:9"  # cut off
+            follower.client.http.base_url = "http://127.0.0.1:9"  # cut off
             await play.put("mine", ["us"], match=made.headers["etag"])
             assert "router-1" in (await play.get("mine"))["waits_for"]
             while (await play.get("mine"))["stage"] != "confined":
@@ -612,7 +612,7 @@
             with trio.fail_after(20):
                 while (await play.read(1, "other", once=True))[0].startswith(b"$"):
                     await trio.sleep(0.2)
-            follower.client.base_url = play.all.api
+            follower.client.http.base_url = play.all.api
             with trio.fail_after(20):
                 while not (await play.read(1, KEYS[0], once=True))[0].startswith(b"$"):
                     await trio.sleep(0.1)
@@ -624,7 +624,7 @@
 def test_a_first_only_pin_waits_for_those_that_may_act_without_a_lease():
     async def scene():
         async with playing(routers=2, told=msgspec.structs.replace(PLACE, alone=LONG)) as play:
-            play.all.followers[1].client.base_url = "http://127.0.0.1:9"
+            play.all.followers[1].client.http.base_url = "http://127.0.0.1:9"
             await trio.sleep(1.4)  # its lease is over: it serves on what was never `only`
             served(await play.read(1, KEYS[0]))
             await play.put("mine", ["eu"], prefixes=["eu/"])
@@ -808,7 +808,7 @@
             assert not play.zones("eu/1", "new/1")
             await play.until("same", "confined")
             for follower in play.all.followers:
-                roster = follower.roster
+                roster = follower.registry
                 assert roster.mark == play.all.keeper.store.mark(roster.revision), "of the copy's own past"
             assert (await play.read(0, "ap/1"))[0].startswith(b"$") and play.zones("ap/1") == {"c"}
             shown = await play.get("mine")
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -22,7 +22,8 @@
 from gaugehinge.admin.service import Administration, Wrong
 from gaugehinge.admin.types import NewTenant
 from gaugehinge.forms.units import Rate, Seconds
-from gaugehinge.hosted.roster import BadFeed, Roster
+from gaugehinge.hosted.errors import FeedError
+from gaugehinge.hosted.tenant_registry import TenantRegistry
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
 from gaugehinge.placement.forms import ShardWanted
 from gaugehinge.placement.keeper import Placement
@@ -113,14 +114,14 @@
         self.run, self.rate = f"run-{next(world.runs)}", world.rates[number]
         self.paused = False
         self.operation = None  # in hand since the door
-        self.roster = Roster()
+        self.registry = TenantRegistry()
         deployment = SimpleNamespace(origin_kind="origin", max_retry_after=2.0)
         dispatcher = SimpleNamespace(reject=self.reject)
         pool = SimpleNamespace(pending={})
         configuration = SimpleNamespace(settings=SimpleNamespace(deployment=deployment))
         service = SimpleNamespace(dispatcher=dispatcher, pool=pool, configuration=configuration)
         follower = SimpleNamespace(
-            limit_wait=lambda seconds: None, limit_slack=lambda seconds: None, roster=self.roster
+            limit_wait=lambda seconds: None, limit_slack=lambda seconds: None, registry=self.registry
         )
         self.pool = pool
         self.part = kind(service, follower, clock=self.clock)
@@ -136,14 +137,14 @@
         operation.finished = True
 
     def report(self) -> Report:
-        roster = self.roster
+        registry = self.registry
         parts = {"placement": msgspec.Raw(self.part.report())}
         name = f"router-{self.number}"
-        return Report(name, self.run, roster.store, roster.revision, 1.0, {}, 0, parts, roster.mark)
+        return Report(name, self.run, registry.store, registry.revision, 1.0, {}, 0, parts, registry.mark)
 
     def hear(self, feed, asked_at) -> None:
-        with suppress(BadFeed):
-            self.roster.hear(feed)
+        with suppress(FeedError):
+            self.registry.follow(feed)
             self.part.hear(feed, asked_at)
 
     def door(self, key: bytes, repeat: bool) -> Operation | None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from gaugehinge.forms.toml import BadFile, parse
-from gaugehinge.hosted.roster import BadFeed
+from gaugehinge.hosted.errors import FeedError
 from gaugehinge.installation.form import Installation, RecoveryEntry
 from gaugehinge.net.endpoint_list import read_endpoint_list
 from gaugehinge.recovery import asking, evidence, trust
@@ -707,10 +707,10 @@
         recovery = played.made
         whole = feed("s1", 20, (1, "acme"), (2, "bolt"))
         assert recovery.filter_feed(whole) is whole
-        with pytest.raises(BadFeed, match="older"):
+        with pytest.raises(FeedError, match="older"):
             recovery.filter_feed(feed("s1", 11, (1, "acme")))
         assert recovery.filter_feed(feed("s1", 21, (1, "acme"), (2, "bolt"))).revision == 21
-        with pytest.raises(BadFeed, match="other"):
+        with pytest.raises(FeedError, match="other"):
             recovery.filter_feed(feed("s2", 3, (1, "acme"), (2, "dune")))
         recovery.older_until = 1.0  # the doubt is over: the new store is followed, but not its number 2
         after = recovery.filter_feed(feed("s2", 4, (1, "acme"), (2, "dune")))
