--- a/gaugehinge/drains/build.py
+++ b/gaugehinge/drains/build.py
@@ -6,30 +6,32 @@
 
 import trio
 
-from ..hosted.follower import Follower
+from ..hosted.control_plane_watch import ControlPlaneWatch
 from ..installation.form import Installation
 from ..net.service import Service
 from .node_file import NodeFile, NodeFileLockedError
 from .router import DrainsAgent
 
 
-def drains_extension(settings: Installation) -> Callable[[Service, trio.Nursery, Follower], DrainsAgent]:
-    """What adds the part to a router's follower; this run is counted on its state file now.
+def drains_builder(
+    installation: Installation,
+) -> Callable[[Service, trio.Nursery, ControlPlaneWatch], DrainsAgent]:
+    """What adds drains to a router that follows a control plane; this run is counted on its state file now.
 
     Raises NodeFileLockedError.
     """
-    entry = settings.drains
+    entry = installation.drains
     node_file = NodeFile(entry.file)
 
-    def extend(service: Service, nursery: trio.Nursery, follower: Follower) -> DrainsAgent:
+    def build(service: Service, nursery: trio.Nursery, follower: ControlPlaneWatch) -> DrainsAgent:
         agent = DrainsAgent(
-            service, nursery, follower, node_file, settings.tier.zone, entry.build, entry.labels
+            service, nursery, follower, node_file, installation.tier.zone, entry.build, entry.labels
         )
-        follower.parts.append(agent)
+        follower.add_part(agent)
         nursery.start_soon(agent.run)
         return agent
 
-    return extend
+    return build
 
 
-__all__ = ["NodeFileLockedError", "drains_extension"]
+__all__ = ["NodeFileLockedError", "drains_builder"]
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -11,8 +11,9 @@
 import trio
 from loguru import logger
 
-from ..hosted.follower import Follower
-from ..hosted.roster import BadFeed
+from ..hosted.control_plane_watch import ControlPlaneWatch
+from ..hosted.errors import FeedError
+from ..hosted.feed_parts import FeedPart
 from ..net.lifecycle import Phase
 from ..routing.types import EndpointState
 from ..tenancy.feed import Feed
@@ -36,10 +37,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class DrainsAgent(LeasedConnectionBudget):
-    """`hosted.follower.Part` and `net.connection_pool.ConnectionBudget`."""
+class DrainsAgent(LeasedConnectionBudget, FeedPart):
+    """A part of the feed; the connection budget, a reply observer and a shutdown hook of the router."""
 
-    follower: Follower
+    follower: ControlPlaneWatch
     node_file: NodeFile
     zone: str = ""
     build: str = ""
@@ -67,11 +68,9 @@
         self.lease = LeaseHolder(dict(state.floors), floors_usable_at, state.admitted_by)
         self.state_writer = NodeStateWriter(self.node_file, self.nursery)
         self.load = LoadMeter(now)
-        self.service.pool.warden = self
-        self.service.dispatcher.noted = self._noted
-        self.service.farewells.append(self.farewell)
 
-    def _noted(self, reply: bytes) -> None:
+    def on_reply(self, reply: bytes) -> None:
+        """Count final replies by whether they answered their operation."""
         if reply.startswith(LOST_PREFIXES):
             self.lost += 1
         else:
@@ -88,7 +87,7 @@
                 self.ready_since = now
             self._log_lease_mode(now)
             self.enforce()
-            self.close_idle(self.follower.overlay.drained)  # nothing more goes to a server that drains
+            self.close_idle(self.follower.overrides.drained)  # nothing more goes to a server that drains
             self._measure(now)
 
     def _log_lease_mode(self, now: float) -> None:
@@ -106,7 +105,7 @@
             for upstream in self.upstreams.values():
                 upstream.end_window()
 
-    # -- hosted.follower.Part
+    # -- hosted.feed_parts.FeedPart
 
     def report(self) -> bytes | None:
         """The report that goes with the next call, in JSON."""
@@ -114,7 +113,7 @@
         now = self.reported_at = self.clock()
         state, lease = self.node_file.state, self.lease
         phase = self.service.lifecycle.phase
-        drained = self.follower.overlay.drained
+        drained = self.follower.overrides.drained
         report = RouterReport(
             node=f"{self.service.configuration.name}@{state.ident}",
             run_number=state.run_number,
@@ -171,19 +170,19 @@
                 target.entry.state is EndpointState.UP,
                 target.entry.started,
             )
-            for target in self.follower.overlay.told
+            for target in self.follower.overrides.discovered
             if origin is None or target.entry.ident != origin.ident
         ][:MAX_SERVERS]
 
     def hear(self, feed: Feed, asked_at: float) -> None:
-        """Follow the control plane's answer to the last report. Raises BadFeed where it is malformed."""
+        """Follow the control plane's answer to the last report. Raises FeedError where it is malformed."""
         raw = feed.parts.get(NAME)
         if raw is None:
             return
         try:
             reply = msgspec.json.decode(raw, type=ControlPlaneReply)
         except msgspec.MsgspecError as error:
-            raise BadFeed(f"drains: {error}") from None
+            raise FeedError(f"drains: {error}") from None
         if reply.run_number_above >= self.node_file.state.run_number:
             self._exceed_run_number(reply.run_number_above)
             return
@@ -224,7 +223,7 @@
             self.state_writer.save(
                 admitted_by=incarnation, floors=dict(floors), close_timeout=self.close_timeout
             )
-        self.follower.wait = min(self.follower.wait, POLL_FRACTION * lease.duration)
+        self.follower.limit_wait(POLL_FRACTION * lease.duration)
         self.enforce()
 
     def _begin_shutdown(self, restart_token: str) -> None:
@@ -248,7 +247,7 @@
 
     # -- the end
 
-    async def farewell(self) -> None:
+    async def before_exit(self) -> None:
         """All is answered: close all connections, and report it once their servers have closed them, too."""
         self.close_all()
         with trio.move_on_after(FAREWELL_TIME):
@@ -256,9 +255,8 @@
                 await trio.sleep(FAREWELL_CHECK_INTERVAL)
         left = self.total_counted()
         with trio.move_on_after(FAREWELL_TIME):
-            self.follower.wait = 0.0
             try:
-                await self.follower._call()
+                await self.follower.report_now()
             except Exception as error:  # the control plane finds out by the lease, later
                 logger.info("the keeper was not told that all is closed: {}", type(error).__name__)
         logger.info("connections closed: {} left, run {}", left, self.node_file.state.run_number)
--- a/tests/test_drains_connections.py
+++ b/tests/test_drains_connections.py
@@ -16,6 +16,7 @@
 from gaugehinge.net.codec import RequestPayload
 from gaugehinge.net.connection_pool import ConnectionPool
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
+from gaugehinge.net.extensions import Extensions
 from gaugehinge.net.resp_codec import RespCodec
 from gaugehinge.net.timer_queue import Clock, TimerQueue
 from gaugehinge.routing.types import Attempt, EndpointEntry, EndpointState, Outcome
@@ -67,16 +68,20 @@
         router = SimpleNamespace(origin=None)
         service = SimpleNamespace(
             pool=pool,
-            dispatcher=SimpleNamespace(noted=None, router=router, pending_operations=[]),
-            farewells=[],
+            dispatcher=SimpleNamespace(router=router, pending_operations=[]),
             configuration=SimpleNamespace(name="r"),
             lifecycle=SimpleNamespace(phase=None),
         )
-        follower = SimpleNamespace(overlay=SimpleNamespace(drained=frozenset(), told=[]), wait=5.0)
+        follower = SimpleNamespace(
+            overrides=SimpleNamespace(drained=frozenset(), discovered=[]),
+            limit_wait=lambda seconds: None,
+            report_now=unanswered,
+        )
         time = SimpleNamespace(now=1000.0)
         agent = DrainsAgent(
             service, nursery, follower, NodeFile(str(tmp_path / "node")), clock=lambda: time.now
         )
+        pool.install(Extensions(connection_budget=agent))
         agent.close_timeout = 30.0
         answer(agent, time, 1, granted)
         server = SimpleNamespace(ident=1, origin=False, state=EndpointState.UP)
@@ -93,6 +98,10 @@
         nursery.cancel_scope.cancel()
 
 
+async def unanswered():
+    raise OSError("the control plane is away")
+
+
 def answer(agent, time, number, servers, lease=10.0):
     """An answer of the control plane to a report that is sent now."""
     agent.report()
@@ -173,7 +182,7 @@
             setup.send()
             await until(lambda: len(setup.ended) == 4)
             assert setup.server_side.most == 3 and len(endpoint.idle) <= 1
-            await setup.agent.service.farewells[0]()
+            await setup.agent.before_exit()
             assert setup.agent.lease.closed and not setup.agent.may_open(endpoint)
             await until(lambda: setup.server_side.open == 0)
 
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -22,7 +22,8 @@
 from gaugehinge.admin.service import Administration, Wrong
 from gaugehinge.admin.types import NewTenant
 from gaugehinge.forms.units import Rate, Seconds
-from gaugehinge.hosted.roster import BadFeed, Roster
+from gaugehinge.hosted.errors import FeedError
+from gaugehinge.hosted.tenant_registry import TenantRegistry
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
 from gaugehinge.placement.forms import ShardWanted
 from gaugehinge.placement.keeper import Placement
@@ -114,40 +115,42 @@
         self.run, self.rate = f"run-{next(world.runs)}", world.rates[number]
         self.paused = False
         self.operation = None  # in hand since the door
-        self.roster = Roster()
+        self.registry = TenantRegistry()
         deployment = SimpleNamespace(origin_kind="origin", max_retry_after=2.0)
-        dispatcher = SimpleNamespace(on_endpoints_changed=lambda *told: None, place=None, refuse=self.refuse)
-        pool = SimpleNamespace(pending={}, guard=None)
+        dispatcher = SimpleNamespace(reject=self.reject)
+        pool = SimpleNamespace(pending={})
         configuration = SimpleNamespace(settings=SimpleNamespace(deployment=deployment))
         service = SimpleNamespace(dispatcher=dispatcher, pool=pool, configuration=configuration)
-        follower = SimpleNamespace(wait=1.0, slack=1.0, roster=self.roster)
+        follower = SimpleNamespace(
+            limit_wait=lambda seconds: None, limit_slack=lambda seconds: None, registry=self.registry
+        )
         self.pool = pool
         self.part = kind(service, follower, clock=self.clock)
         told = [EndpointEntry(n, zone, "std", 0, EndpointState.UP, 5.0, 1.0) for n, _, zone in SERVERS]
         names = [uid for _, uid, _ in SERVERS]
         targets = [EndpointTarget(each, uid, ("h", 1)) for each, uid in zip(told, names, strict=True)]
-        self.part.on_endpoints_changed(EndpointListUpdate(1, True, tuple(targets)))
+        self.part.transform(EndpointListUpdate(1, True, tuple(targets)), False)
 
     def clock(self) -> float:
         return 1000.0 * (self.number + 1) + self.rate * self.world.now
 
-    def refuse(self, operation, reply) -> None:
+    def reject(self, operation, reply) -> None:
         operation.finished = True
 
     def report(self) -> Report:
-        roster = self.roster
+        registry = self.registry
         parts = {"placement": msgspec.Raw(self.part.report())}
         name = f"router-{self.number}"
-        return Report(name, self.run, roster.store, roster.revision, 1.0, {}, 0, parts, roster.mark)
+        return Report(name, self.run, registry.store, registry.revision, 1.0, {}, 0, parts, registry.mark)
 
     def hear(self, feed, asked_at) -> None:
-        with suppress(BadFeed):
-            self.roster.hear(feed)
+        with suppress(FeedError):
+            self.registry.follow(feed)
             self.part.hear(feed, asked_at)
 
     def door(self, key: bytes, repeat: bool) -> Operation | None:
         operation = Operation(next(self.world.runs), MARKED, key, 0, True, repeat, 0.0, 9.0)
-        return operation if self.part.place(operation) is None else None
+        return operation if self.part.constrain(operation) is None else None
 
     def attempt(self, operation, zone: str) -> Attempt | None:
         """Begin an attempt at a server of a zone, if that is let."""
@@ -155,7 +158,7 @@
         attempt = Attempt(operation, SimpleNamespace(ident=ident, zone=zone, origin=False), 0, 0.0)
         return (
             attempt
-            if not operation.finished and self.part.guard(attempt) and not operation.finished
+            if not operation.finished and self.part.may_send(attempt) and not operation.finished
             else None
         )
 
@@ -429,10 +432,10 @@
 class Sleepy(Placing):
     """Looks at its lease at the door alone."""
 
-    def guard(self, attempt) -> bool:
+    def may_send(self, attempt) -> bool:
         held, self.lease = self.lease, HeldLease(1e12)
         try:
-            return super().guard(attempt)
+            return super().may_send(attempt)
         finally:
             self.lease = held
 
@@ -440,7 +443,7 @@
 class Careless(Placing):
     """Sends what is in hand by the placement that it came under."""
 
-    def guard(self, attempt) -> bool:
+    def may_send(self, attempt) -> bool:
         return (
             attempt.operation.finished is False
             and any(zones is None or attempt.endpoint.zone in zones for zones in attempt.operation.regions)
@@ -451,9 +454,9 @@
 class Forgetful(Placing):
     """Repeats of deduplicated writes go as any operation."""
 
-    def place(self, operation):
+    def constrain(self, operation):
         operation.is_client_retry = False
-        return super().place(operation)
+        return super().constrain(operation)
 
 
 class Trusting(Placement):
