--- a/gaugehinge/routing/discovery_polling.py
+++ b/gaugehinge/routing/discovery_polling.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .seeded_random import SeededRandom
-from .types import Action, BackgroundTask, Decision, Deployment, TaskKind
+from .types import WAIT, Action, BackgroundTask, Decision, Deployment, TaskKind
 
 POLL_BACKOFF = 0.4  # seconds after a failed poll, times how many failed in a row
 MAX_POLL_BACKOFF = 1.25  # seconds; a change counts as known 6 s after it
@@ -12,8 +12,6 @@
 DISCOVERY_CHANGE_JITTER = 0.5  # seconds; all routers learn at once that discovery is elsewhere from now on
 POLL_TIMEOUT = 4.0  # seconds; a poll with no answer for this long is made again
 
-WAIT = Decision(Action.WAIT)
-
 
 class DiscoveryPolling:
     """The standing task that asks for the endpoint list.
--- a/gaugehinge/routing/endpoint_queue.py
+++ b/gaugehinge/routing/endpoint_queue.py
@@ -2,21 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from .concurrency_limits import ConcurrencyLimits
 from .deadlines import end_of_waiting
 from .endpoint import Endpoint
 from .endpoint_table import EndpointTable
 from .load_measurement import LoadMeasurement
-from .types import Decision, EndpointState, Operation, Step
+from .types import EndpointState, Operation, Route, Step
 
 MAX_QUEUE_LENGTH = 64  # operations that wait for capacity at the only server of their key
 QUEUE_RECHECK_INTERVAL = 0.05  # seconds after which each looks whether waiting still makes sense
 QUEUED_AHEAD = 2.0  # attempts' times that an operation waits and runs for, beyond those queued before it
 
-Route = Callable[[Operation, float], Decision]
-
 
 class EndpointQueues:
     """The queues before endpoints.
--- a/gaugehinge/routing/fetch_coalescing.py
+++ b/gaugehinge/routing/fetch_coalescing.py
@@ -6,12 +6,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from .deadlines import end_of_waiting
-from .types import Action, Decision, Operation, Step
-
-Route = Callable[[Operation, float], Decision]
+from .types import Action, Decision, Operation, Route, Step
 
 
 class FetchCoalescing:
--- a/gaugehinge/routing/retries.py
+++ b/gaugehinge/routing/retries.py
@@ -13,7 +13,7 @@
 from .load_shedding import LoadShedder
 from .origin_limit import OriginConcurrencyLimit
 from .seeded_random import SeededRandom
-from .types import Action, Attempt, Decision, Deployment, Effect, Operation, Outcome
+from .types import FAIL, Action, Attempt, Decision, Deployment, Effect, Operation, Outcome
 
 FIRST_ATTEMPT_SHARE = 0.6  # of the time left, that one attempt may take while another is possible
 MIN_FIRST_DURATIONS = 3.0  # usual durations; with less than this the attempt gets all the time left
@@ -34,8 +34,6 @@
 # While operations are shed, at least this part of the longest time to come back, and up to all of it.
 MIN_SHEDDING_PART = 0.5
 
-FAIL = Decision(Action.FAIL)
-
 
 class RetryPolicy:
     """Decides about further attempts.
--- a/gaugehinge/routing/router.py
+++ b/gaugehinge/routing/router.py
@@ -38,7 +38,8 @@
 from .seeded_random import SeededRandom
 from .slow_start import SlowStart
 from .types import (
-    Action,
+    NO_ACTION,
+    WAIT,
     Attempt,
     BackgroundTask,
     Decision,
@@ -51,9 +52,6 @@
     Tenant,
 )
 
-NO_ACTION = Decision(Action.NONE)
-WAIT = Decision(Action.WAIT)
-
 
 class Router:
     """The decisions of one router.
--- a/gaugehinge/routing/types.py
+++ b/gaugehinge/routing/types.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum, auto
 from math import inf
@@ -226,6 +227,13 @@
     peers: tuple[int, ...] = ()  # whom to send the payload to
 
 
+WAIT = Decision(Action.WAIT)
+FAIL = Decision(Action.FAIL)
+NO_ACTION = Decision(Action.NONE)
+
+Route = Callable[[Operation, float], Decision]  # routes an operation at a moment
+
+
 class Step(NamedTuple):
     """What to do next with one operation."""
 
