--- a/gaugehinge/routing/load_measurement.py
+++ b/gaugehinge/routing/load_measurement.py
@@ -98,7 +98,7 @@
     def forget_unlisted(self, endpoints: list[Endpoint]) -> None:
         """Stop measuring those of these endpoints that left the list."""
         for endpoint in endpoints:
-            if not self._table.is_listed(endpoint):
+            if not endpoint.origin and not self._table.is_listed(endpoint):
                 self.active.pop(endpoint.ident, None)
 
     # -- attempts
