--- a/gaugehinge/admin/app.py
+++ b/gaugehinge/admin/app.py
@@ -12,13 +12,26 @@
 from starlette.applications import Starlette
 from starlette.requests import Request
 from starlette.responses import Response
-from starlette.routing import Route
+from starlette.routing import Route as StarletteRoute
 
 from ..store.keeper import Overloaded
 from ..store.store import Full
 from ..tenancy.feed import Feed, Report
 from ..tenancy.life import Order
-from .service import Administration, Caller, Wrong
+from .caller import Caller
+from .errors import (
+    ApiError,
+    InvalidRequestError,
+    MalformedJsonError,
+    PayloadTooLargeError,
+    PreconditionFailedError,
+    PreconditionRequiredError,
+    ResourceConflictError,
+    UnauthorizedError,
+    UnsupportedMediaTypeError,
+)
+from .route import Handler, Route
+from .service import Administration
 from .types import (
     AuditPage,
     NewOperator,
@@ -45,7 +58,6 @@
 MOST_OPEN = 256  # calls at once: more are shed before anything is read of them
 
 T = TypeVar("T")
-Handler = Callable[[Request, Caller], Awaitable[Response]]
 
 
 class Rates:
@@ -85,48 +97,48 @@
 
 
 async def read_body(request: Request) -> bytes:
-    """The whole body, cut off where it is too long. Raises Wrong."""
+    """The whole body, cut off where it is too long. Raises ApiError."""
     body = bytearray()
     async for part in request.stream():
         body += part
         if len(body) > MOST_BODY:
-            raise Wrong(413, "too large", f"over {MOST_BODY} bytes")
+            raise PayloadTooLargeError(f"over {MOST_BODY} bytes")
     return bytes(body)
 
 
 async def read(request: Request, form: type[T]) -> tuple[T, bytes]:
-    """The body as a struct, and as it came. Raises Wrong with the field."""
+    """The body as a struct, and as it came. Raises ApiError with the field."""
     kind = request.headers.get("content-type", "application/json").partition(";")[0].strip().lower()
     body = await read_body(request)
     if kind != "application/json" and body:
-        raise Wrong(415, "unsupported media type", "bodies are application/json")
+        raise UnsupportedMediaTypeError("bodies are application/json")
     try:
         return msgspec.json.decode(body or b"{}", type=form), body
     except msgspec.ValidationError as bad:
         told, _, place = str(bad).partition(" - at `$")
-        raise Wrong(422, "invalid", told, place.strip("`.")) from None
+        raise InvalidRequestError(told, place.strip("`.")) from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as bad:
-        raise Wrong(400, "no JSON", str(bad)) from None
+        raise MalformedJsonError(str(bad)) from None
 
 
 def if_match(request: Request) -> int:
-    """The revision that a change is made for. Raises Wrong."""
+    """The revision that a change is made for. Raises ApiError."""
     told = request.headers.get("if-match", "")
     if not told:
-        raise Wrong(428, "precondition required", "read it first, and send its ETag as If-Match")
+        raise PreconditionRequiredError("read it first, and send its ETag as If-Match")
     number = told.strip().removeprefix("W/").strip('"')
     if not number.isascii() or not number.isdigit() or len(number) > 15:
-        raise Wrong(412, "precondition failed", "If-Match is no entity tag of ours")
+        raise PreconditionFailedError("If-Match is no entity tag of ours")
     return int(number)
 
 
 def number(request: Request, name: str, default: int, most: int) -> int:
-    """A figure of the query. Raises Wrong."""
+    """A figure of the query. Raises ApiError."""
     told = request.query_params.get(name, "")
     if not told:
         return default
     if not told.isascii() or not told.isdigit() or len(told) > 15:
-        raise Wrong(422, "invalid", "not a number", name)
+        raise InvalidRequestError("not a number", name)
     return min(int(told), most)
 
 
@@ -137,10 +149,10 @@
     body: bytes,
     make: Callable[..., Awaitable[Response]],
 ) -> Response:
-    """A call with an idempotency key is made once; its repeat gets the same answer. Raises Wrong."""
+    """A call with an idempotency key is made once; its repeat gets the same answer. Raises ApiError."""
     key = request.headers.get("idempotency-key", "")
     if len(key) > MOST_KEY:
-        raise Wrong(422, "invalid", f"over {MOST_KEY} characters", "Idempotency-Key")
+        raise InvalidRequestError(f"over {MOST_KEY} characters", "Idempotency-Key")
     if not key:
         return await make()
     print_ = hashlib.sha256(f"{request.method} {request.url.path}\n".encode() + body).digest()
@@ -149,9 +161,9 @@
     if held is None:
         return await make(key=key, request=print_)
     if held[0] != print_:
-        raise Wrong(422, "invalid", "another call had this key", "Idempotency-Key")
+        raise InvalidRequestError("another call had this key", "Idempotency-Key")
     if not held[1]:
-        raise Wrong(409, "conflict", "it was made, and its secret is shown once")
+        raise ResourceConflictError("it was made, and its secret is shown once")
     return Response(held[1], 201, {"Idempotent-Replayed": "true"}, media_type="application/json")
 
 
@@ -162,35 +174,42 @@
         self.administration = administration
         self.rates = Rates(administration.keeper.clock)
         self.open = 0
-        self.table = [
-            ("GET", "/v1/tenants", "tenants in the order of their names", None, Page, self.tenants),
-            ("POST", "/v1/tenants", "make a tenant", NewTenant, Tenant, self.create),
-            ("GET", "/v1/tenants/{name}", "one tenant", None, Tenant, self.tenant),
-            ("PATCH", "/v1/tenants/{name}", "change its figures", TenantChange, Tenant, self.change),
-            ("DELETE", "/v1/tenants/{name}", "let it leave", None, None, self.remove),
-            ("POST", "/v1/tenants/{name}/activate", "take its operations", None, Tenant, self.activate),
-            ("POST", "/v1/tenants/{name}/suspend", "take none for now", None, Tenant, self.suspend),
-            ("POST", "/v1/tenants/{name}/credentials", "a new secret", Rotation, Secret, self.credential),
-            ("DELETE", "/v1/tenants/{name}/credentials/{ident}", "end a secret", None, None, self.revoke),
-            ("GET", "/v1/servers", "orders that stand", None, ServerPage, self.servers),
-            ("POST", "/v1/servers/{name}/drain", "nothing new to a server", None, ServerOrder, self.drain),
-            ("POST", "/v1/servers/{name}/restore", "as discovery says", None, ServerOrder, self.restore),
-            ("GET", "/v1/routers", "routers and what they hold", None, RouterPage, self.routers),
-            ("POST", "/v1/operators", "a secret for the API", NewOperator, Secret, self.operator),
-            ("POST", "/v1/feed", "news for a router, and its report", Report, Feed, self.feed),
-            ("GET", "/v1/audit", "changes behind a revision", None, AuditPage, self.audit),
+        self.routes = [
+            Route("GET", "/v1/tenants", "tenants in the order of their names", None, Page, self.tenants),
+            Route("POST", "/v1/tenants", "make a tenant", NewTenant, Tenant, self.create),
+            Route("GET", "/v1/tenants/{name}", "one tenant", None, Tenant, self.tenant),
+            Route("PATCH", "/v1/tenants/{name}", "change its figures", TenantChange, Tenant, self.change),
+            Route("DELETE", "/v1/tenants/{name}", "let it leave", None, None, self.remove),
+            Route("POST", "/v1/tenants/{name}/activate", "take its operations", None, Tenant, self.activate),
+            Route("POST", "/v1/tenants/{name}/suspend", "take none for now", None, Tenant, self.suspend),
+            Route(
+                "POST", "/v1/tenants/{name}/credentials", "a new secret", Rotation, Secret, self.credential
+            ),
+            Route(
+                "DELETE", "/v1/tenants/{name}/credentials/{ident}", "end a secret", None, None, self.revoke
+            ),
+            Route("GET", "/v1/servers", "orders that stand", None, ServerPage, self.servers),
+            Route(
+                "POST", "/v1/servers/{name}/drain", "nothing new to a server", None, ServerOrder, self.drain
+            ),
+            Route("POST", "/v1/servers/{name}/restore", "as discovery says", None, ServerOrder, self.restore),
+            Route("GET", "/v1/routers", "routers and what they hold", None, RouterPage, self.routers),
+            Route("POST", "/v1/operators", "a secret for the API", NewOperator, Secret, self.operator),
+            Route("POST", "/v1/feed", "news for a router, and its report", Report, Feed, self.feed),
+            Route("GET", "/v1/audit", "changes behind a revision", None, AuditPage, self.audit),
         ]
         for part in administration.parts:
-            self.table += part.routes()
-        self.description = openapi([row[:5] for row in self.table])
+            self.routes += part.routes()
+        self.description = openapi(self.routes)
 
     def app(self) -> Starlette:
         """The ASGI application."""
         routes = [
-            Route(path, self._guarded(handler), methods=[method]) for method, path, *_, handler in self.table
+            StarletteRoute(route.path, self._guarded(route.handler), methods=[route.method])
+            for route in self.routes
         ]
-        routes.append(Route("/v1/openapi.json", self._openapi, methods=["GET"]))
-        routes.append(Route("/healthz", self._health, methods=["GET"]))
+        routes.append(StarletteRoute("/v1/openapi.json", self._openapi, methods=["GET"]))
+        routes.append(StarletteRoute("/healthz", self._health, methods=["GET"]))
         unknown = {404: self._unknown, 405: self._unknown}
         return Starlette(routes=routes, exception_handlers=unknown)
 
@@ -215,9 +234,9 @@
                 with trio.move_on_after(MOST_TIME + MOST_WAIT):
                     return await self._called(handler, request)
                 return problem(503, "too slow", "the store did not answer in time", **{"Retry-After": "5"})
-            except Wrong as bad:
+            except ApiError as bad:
                 headers = {"WWW-Authenticate": "Bearer"} if bad.status == 401 else {}
-                return problem(bad.status, bad.what, bad.detail, bad.field, bad.etag, **headers)
+                return problem(bad.status, bad.title, bad.detail, bad.field, bad.etag, **headers)
             except Overloaded:
                 return problem(503, "overloaded", **{"Retry-After": "1"})
             except Full:
@@ -233,7 +252,7 @@
     async def _called(self, handler: Handler, request: Request) -> Response:
         form, _, secret = request.headers.get("authorization", "").partition(" ")
         if form.lower() != "bearer" or not secret:
-            raise Wrong(401, "unauthorized", "no such secret")
+            raise UnauthorizedError
         source = request.client.host if request.client else ""
         caller = await self.administration.caller(secret.strip(), source)
         # Routers share a secret, and their calls stand open until there is news for all of them at once.
@@ -251,14 +270,14 @@
 
     async def tenants(self, request: Request, caller: Caller) -> Response:
         """GET /v1/tenants."""
-        caller.need("reader")
+        caller.require_role("reader")
         most = max(number(request, "limit", 100, MOST_PAGE), 1)
         found, after = await self.administration.tenants(request.query_params.get("after", ""), most)
         return answer(Page(found, after))
 
     async def create(self, request: Request, caller: Caller) -> Response:
         """POST /v1/tenants."""
-        caller.need("operator")
+        caller.require_role("operator")
         new, body = await read(request, NewTenant)
 
         async def make(**key: Any) -> Response:
@@ -270,13 +289,13 @@
     async def tenant(self, request: Request, caller: Caller) -> Response:
         """GET /v1/tenants/{name}."""
         name = request.path_params["name"]
-        caller.need("reader", name)
+        caller.require_role("reader", name)
         found = await self.administration.tenant(name)
         return answer(found, etag=found.revision)
 
     async def change(self, request: Request, caller: Caller) -> Response:
         """PATCH /v1/tenants/{name}."""
-        caller.need("operator")
+        caller.require_role("operator")
         told, _ = await read(request, TenantChange)
         name = request.path_params["name"]
         found = await self.administration.change(name, told, if_match(request), caller.name)
@@ -284,7 +303,7 @@
 
     async def remove(self, request: Request, caller: Caller) -> Response:
         """DELETE /v1/tenants/{name}."""
-        caller.need("operator")
+        caller.require_role("operator")
         await self.administration.remove(request.path_params["name"], if_match(request), caller.name)
         return Response(status_code=204)
 
@@ -297,7 +316,7 @@
         return await self._tell(request, caller, Order.SUSPEND)
 
     async def _tell(self, request: Request, caller: Caller, wanted: Order) -> Response:
-        caller.need("operator")
+        caller.require_role("operator")
         name = request.path_params["name"]
         found = await self.administration.tell(name, wanted, if_match(request), caller.name)
         return answer(found, etag=found.revision)
@@ -305,7 +324,7 @@
     async def credential(self, request: Request, caller: Caller) -> Response:
         """POST /v1/tenants/{name}/credentials."""
         name = request.path_params["name"]
-        caller.need("operator", name)
+        caller.require_role("operator", name)
         told, body = await read(request, Rotation)
 
         async def make(**key: Any) -> Response:
@@ -317,7 +336,7 @@
     async def revoke(self, request: Request, caller: Caller) -> Response:
         """DELETE /v1/tenants/{name}/credentials/{ident}."""
         name = request.path_params["name"]
-        caller.need("operator", name)
+        caller.require_role("operator", name)
         await self.administration.drop_credential(name, request.path_params["ident"], caller.name)
         return Response(status_code=204)
 
@@ -325,7 +344,7 @@
 
     async def servers(self, request: Request, caller: Caller) -> Response:
         """GET /v1/servers."""
-        caller.need("reader")
+        caller.require_role("reader")
         return answer(ServerPage(await self.administration.servers()))
 
     async def drain(self, request: Request, caller: Caller) -> Response:
@@ -337,24 +356,24 @@
         return await self._order(request, caller, False)
 
     async def _order(self, request: Request, caller: Caller, drain: bool) -> Response:
-        caller.need("operator")
+        caller.require_role("operator")
         return answer(await self.administration.order_server(request.path_params["name"], drain, caller.name))
 
     async def routers(self, request: Request, caller: Caller) -> Response:
         """GET /v1/routers."""
-        caller.need("reader")
+        caller.require_role("reader")
         return answer(RouterPage(await self.administration.shown_routers()))
 
     async def operator(self, request: Request, caller: Caller) -> Response:
         """POST /v1/operators."""
-        caller.need("operator")
+        caller.require_role("operator")
         new, _ = await read(request, NewOperator)
         made = await self.administration.new_operator(new.name, new.role, new.tenant, caller.name)
         return answer(made, 201, **{"Cache-Control": "no-store"})
 
     async def feed(self, request: Request, caller: Caller) -> Response:
         """POST /v1/feed: hashes of secrets are in it, so it is for routers alone."""
-        caller.need("router")
+        caller.require_role("router")
         report, _ = await read(request, Report)
         return answer(await self.administration.feed(report), **{"Cache-Control": "no-store"})
 
@@ -362,7 +381,7 @@
 
     async def audit(self, request: Request, caller: Caller) -> Response:
         """GET /v1/audit: `since`, `limit`, and `wait` in seconds for a watch."""
-        caller.need("reader")
+        caller.require_role("reader")
         since, most = number(request, "since", 0, 1 << 53), max(number(request, "limit", 100, MOST_PAGE), 1)
         wait = float(number(request, "wait", 0, int(MOST_WAIT)))
         changes = await self.administration.audit(since, most, wait)
--- a/gaugehinge/admin/service.py
+++ b/gaugehinge/admin/service.py
@@ -25,6 +25,18 @@
 from ..tenancy.lease import Ledger
 from ..tenancy.life import UNHEARD, Order, Refused, Stage, create, order
 from ..tenancy.life import Report as LifeReport
+from .caller import Caller
+from .errors import (
+    BusyError,
+    GoneError,
+    InvalidRequestError,
+    NotFoundError,
+    PreconditionFailedError,
+    ResourceConflictError,
+    TooManyAttemptsError,
+    UnauthorizedError,
+)
+from .route import Route
 from .types import (
     AuditEntry,
     Kept,
@@ -52,14 +64,6 @@
 T = TypeVar("T")
 
 
-class Wrong(Exception):
-    """A call that cannot be done: status, what, and the field where there is one."""
-
-    def __init__(self, status: int, what: str, detail: str = "", field: str = "", etag: int = 0) -> None:
-        super().__init__(detail or what)
-        self.status, self.what, self.detail, self.field, self.etag = status, what, detail, field, etag
-
-
 class OperatorKept(msgspec.Struct, frozen=True):
     """Who may use the API, as the store has it."""
 
@@ -69,23 +73,6 @@
     credentials: list[Credential] = []
 
 
-@dataclass(slots=True, frozen=True)
-class Caller:
-    """Who calls."""
-
-    name: str
-    role: str
-    tenant: str = ""
-
-    def need(self, role: str, tenant: str = "") -> None:
-        """Raises Wrong unless the caller has this role, or is the tenant itself where one is named."""
-        if self.role == role or (self.role == "operator" and role != "router"):
-            return
-        if self.role == "tenant" and tenant and tenant == self.tenant:
-            return
-        raise Wrong(403, "forbidden", "this secret does not allow that")
-
-
 @dataclass(slots=True, frozen=True)
 class Heard:
     """A router's last report."""
@@ -108,8 +95,8 @@
     def feed(self, store: Store, report: Report) -> bytes | None:
         """On the store's thread: JSON of what a router is to know of it, as of the store's revision."""
 
-    def routes(self) -> list[tuple[str, str, str, Any, Any, Any]]:
-        """Rows for the table of `admin.app.Api`: method, path, what, form in, form out, handler."""
+    def routes(self) -> list[Route]:
+        """What it adds to the API."""
 
     async def run(self) -> None:
         """What it does by itself, until cancelled."""
@@ -139,7 +126,7 @@
     # -- who is it
 
     async def caller(self, secret: str, source: str) -> Caller:
-        """Whose secret this is. Raises Wrong, in the same words whatever is wrong with it."""
+        """Whose secret this is. Raises ApiError, in the same words whatever is wrong with it."""
         now = self.keeper.clock()
         print_ = hashlib.sha256(secret.encode()).digest()
         known = self._known.get(print_)
@@ -148,7 +135,7 @@
         ident = secret.split("_")[1] if secret.count("_") >= 2 else ""
         wait = self.attempts.wait(source, ident, now)
         if wait:
-            raise Wrong(429, "too many tries", f"again in {wait:.0f} s")
+            raise TooManyAttemptsError(f"again in {wait:.0f} s")
         operators = await self.keeper.call(lambda: self.keeper.store.items(OPERATOR))
         kept = [msgspec.json.decode(item.body, type=OperatorKept) for item in operators]
         mine = next((each for each in kept if any(c.ident == ident for c in each.credentials)), None)
@@ -157,7 +144,7 @@
         )
         if found is None:
             self.attempts.wrong(source, ident, now)
-            raise Wrong(401, "unauthorized", "no such secret")
+            raise UnauthorizedError
         caller = Caller(mine.name, mine.role, mine.tenant)
         while len(self._known) >= KNOWN_MOST:
             del self._known[next(iter(self._known))]
@@ -179,7 +166,7 @@
         try:
             await self.keeper.apply([Wanted(OPERATOR, name, encode(kept), 0)], who)
         except Conflict:
-            raise Wrong(409, "conflict", f"operator {name} is there already", "name") from None
+            raise ResourceConflictError(f"operator {name} is there already", "name") from None
         self._operators_rev += 1
         return Secret(credential.ident, secret)
 
@@ -213,10 +200,10 @@
         return found, found[-1].name if len(items) > most else None
 
     async def tenant(self, name: str) -> Tenant:
-        """One of them. Raises Wrong."""
+        """One of them. Raises ApiError."""
         item = await self.keeper.call(lambda: self.keeper.store.get(TENANT, name))
         if item is None:
-            raise Wrong(404, "not found", f"no tenant {name}")
+            raise NotFoundError(f"no tenant {name}")
         return shown(_kept(item), item.rev)
 
     async def create(self, new: NewTenant, who: str, **key: Any) -> Tenant:
@@ -230,10 +217,10 @@
             try:
                 life = create(new.name, [_kept(held).tenancy] if held else [], last, now)
             except Refused as bad:
-                raise Wrong(409, "conflict", str(bad), "name") from None
+                raise ResourceConflictError(str(bad), "name") from None
             taken = _places(store)
             if len(taken) >= MOST_TENANTS:
-                raise Wrong(409, "conflict", f"{MOST_TENANTS} tenants stand, those that leave among them")
+                raise ResourceConflictError(f"{MOST_TENANTS} tenants stand, those that leave among them")
             kept = Kept(
                 new.name,
                 life.incarnation,
@@ -276,7 +263,7 @@
             try:
                 return kept.living(order(kept.tenancy, wanted, kept.memory, now))
             except Refused as bad:
-                raise Wrong(409, "conflict", str(bad)) from None
+                raise ResourceConflictError(str(bad)) from None
 
         return await self._alter(name, if_match, who, alter)
 
@@ -313,7 +300,7 @@
             try:
                 return msgspec.structs.replace(kept, credentials=list(revoke(kept.credentials, ident)))
             except KeyError:
-                raise Wrong(404, "not found", f"no credential {ident}") from None
+                raise NotFoundError(f"no credential {ident}") from None
 
         await self._alter(name, None, who, alter)
 
@@ -342,8 +329,8 @@
             except Conflict:
                 continue
             except sqlite3.IntegrityError:
-                raise Wrong(409, "conflict", "a call with this key is under way") from None
-        raise Wrong(503, "busy", "others change the same thing")
+                raise ResourceConflictError("a call with this key is under way") from None
+        raise BusyError("others change the same thing")
 
     # -- servers
 
@@ -359,7 +346,7 @@
         for a reason is not put in by a restart.
         """
         if not 0 < len(name) <= MOST_SERVER:
-            raise Wrong(422, "invalid", f"1 to {MOST_SERVER} characters", "server")
+            raise InvalidRequestError(f"1 to {MOST_SERVER} characters", "server")
 
         def plan(store: Store, now: float) -> list[Wanted]:
             held = store.get(SERVER, name)
@@ -474,10 +461,10 @@
     # -- what happened
 
     async def audit(self, since: int, most: int, wait: float = 0.0) -> list[AuditEntry]:
-        """Changes behind a revision, waited for some seconds. Raises Wrong where the log begins later."""
+        """Changes behind a revision, waited for some seconds. Raises ApiError where the log begins later."""
         changes = await self.keeper.changes(since, most, wait)
         if changes is None:
-            raise Wrong(410, "gone", "the log no longer goes back so far: take the whole state")
+            raise GoneError("the log no longer goes back so far: take the whole state")
         return [
             AuditEntry(c.rev, c.at, c.who, c.kind, c.ident, c.body is None, without_hashes(c.body))
             for c in changes
@@ -517,13 +504,13 @@
 
 
 def _expected(store: Store, name: str, if_match: int | None) -> Item:
-    """A tenant at the revision that the caller read. Raises Wrong."""
+    """A tenant at the revision that the caller read. Raises ApiError."""
     item = store.get(TENANT, name)
     if item is None:
-        raise Wrong(404, "not found", f"no tenant {name}")
+        raise NotFoundError(f"no tenant {name}")
     if if_match is not None and item.rev != if_match:
-        raise Wrong(412, "precondition failed", f"it is at revision {item.rev}", etag=item.rev)
+        raise PreconditionFailedError(f"it is at revision {item.rev}", etag=item.rev)
     return item
 
 
-__all__ = ["Administration", "Caller", "OperatorKept", "Order", "Stage", "Wrong"]
+__all__ = ["Administration", "Caller", "OperatorKept", "Order", "Stage"]
--- a/gaugehinge/admin/types.py
+++ b/gaugehinge/admin/types.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from typing import Annotated, Any, Literal
 
 import msgspec
@@ -9,6 +10,7 @@
 
 from ..tenancy.credentials import Credential
 from ..tenancy.life import Stage, Tenancy
+from .route import Route
 
 Name = Annotated[str, Meta(pattern="^[a-z][a-z0-9-]{0,62}$", description="lower case, digits and dashes")]
 Share = Annotated[float, Meta(ge=0, le=1e6, description="its weight against the others")]
@@ -239,26 +241,32 @@
     return value
 
 
-def openapi(routes: list[tuple[str, str, str, type | None, type | None]]) -> dict[str, Any]:
-    """The OpenAPI description of routes: method, path, summary, what goes in, what comes out."""
-    bodies = [each for route in routes for each in route[3:] if each is not None]
+def openapi(routes: Sequence[Route]) -> dict[str, Any]:
+    """The OpenAPI description of routes."""
+    bodies = [
+        body for route in routes for body in (route.request_type, route.response_type) if body is not None
+    ]
     _, parts = msgspec.json.schema_components([*bodies, Problem], ref_template="#/components/schemas/{name}")
 
     def content(kind: type, form: str = "application/json") -> dict[str, Any]:
         return {"content": {form: {"schema": {"$ref": f"#/components/schemas/{kind.__name__}"}}}}
 
     paths: dict[str, Any] = {}
-    for method, path, summary, takes, gives in routes:
+    for route in routes:
+        takes, gives = route.request_type, route.response_type
         good = {"description": "done", **(content(gives) if gives else {})}
         wrong = {"description": "a problem", **content(Problem, "application/problem+json")}
-        told: dict[str, Any] = {"summary": summary, "responses": {"2XX": good, "4XX": wrong, "503": wrong}}
+        told: dict[str, Any] = {
+            "summary": route.summary,
+            "responses": {"2XX": good, "4XX": wrong, "503": wrong},
+        }
         if takes is not None:
             told["requestBody"] = {"required": True, **content(takes)}
-        names = [part[1:-1] for part in path.split("/") if part.startswith("{")]
+        names = [part[1:-1] for part in route.path.split("/") if part.startswith("{")]
         told["parameters"] = [
             {"name": name, "in": "path", "required": True, "schema": {"type": "string"}} for name in names
         ]
-        paths.setdefault(path, {})[method.lower()] = told
+        paths.setdefault(route.path, {})[route.method.lower()] = told
     return {
         "openapi": "3.1.0",
         "info": {"title": "gaugehinge administration", "version": "1"},
--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -1,4 +1,4 @@
-"""Limits, grants and rolls over HTTP: rows for the table of `admin.app.Api`."""
+"""Limits, grants and rolls over HTTP: routes of `admin.app.Api`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,14 @@
 from starlette.responses import Response
 
 from ..admin.app import MOST_KEY, answer, if_match, read
-from ..admin.service import Caller, Wrong
+from ..admin.caller import Caller
+from ..admin.errors import (
+    InvalidRequestError,
+    NotFoundError,
+    PreconditionFailedError,
+    ResourceConflictError,
+)
+from ..admin.route import Route
 from ..store.store import Store, Wanted, encode
 from .grants import Figures, figure, fits
 from .rolls import (
@@ -132,22 +139,22 @@
         self.part = part
         self.administration = part.administration
 
-    def routes(self) -> list[tuple[str, str, str, Any, Any, Any]]:
-        """method, path, what, form in, form out, handler."""
+    def routes(self) -> list[Route]:
+        """The routes of limits, grants, nodes and rolls."""
         return [
-            ("GET", "/v1/limits", "limits on connections", None, LimitPage, self.limits),
-            ("GET", "/v1/limits/{store}", "one limit", None, LimitShown, self.limit),
-            ("PUT", "/v1/limits/{store}", "change a limit", LimitOrder, LimitShown, self.put_limit),
-            ("GET", "/v1/grants", "who may have how many open", None, GrantPage, self.grants),
-            ("POST", "/v1/nodes/{node}/gone", "a node that is no more", None, Done, self.gone),
-            ("POST", "/v1/nodes/confirm", "all nodes there are, are known", None, Done, self.confirm),
-            ("GET", "/v1/rolls", "rolls that stand or stood", None, RollPage, self.rolls),
-            ("POST", "/v1/rolls", "roll nodes", RollOrder, RollShown, self.new_roll),
-            ("GET", "/v1/rolls/{id}", "one roll", None, RollShown, self.roll),
-            ("POST", "/v1/rolls/{id}/pause", "tell nobody more", None, RollShown, self.pause),
-            ("POST", "/v1/rolls/{id}/resume", "go on", None, RollShown, self.resume),
-            ("POST", "/v1/rolls/{id}/cancel", "end it as it stands", None, RollShown, self.cancel),
-            ("POST", "/v1/rolls/{id}/back", "take back what was done", None, RollShown, self.back),
+            Route("GET", "/v1/limits", "limits on connections", None, LimitPage, self.limits),
+            Route("GET", "/v1/limits/{store}", "one limit", None, LimitShown, self.limit),
+            Route("PUT", "/v1/limits/{store}", "change a limit", LimitOrder, LimitShown, self.put_limit),
+            Route("GET", "/v1/grants", "who may have how many open", None, GrantPage, self.grants),
+            Route("POST", "/v1/nodes/{node}/gone", "a node that is no more", None, Done, self.gone),
+            Route("POST", "/v1/nodes/confirm", "all nodes there are, are known", None, Done, self.confirm),
+            Route("GET", "/v1/rolls", "rolls that stand or stood", None, RollPage, self.rolls),
+            Route("POST", "/v1/rolls", "roll nodes", RollOrder, RollShown, self.new_roll),
+            Route("GET", "/v1/rolls/{id}", "one roll", None, RollShown, self.roll),
+            Route("POST", "/v1/rolls/{id}/pause", "tell nobody more", None, RollShown, self.pause),
+            Route("POST", "/v1/rolls/{id}/resume", "go on", None, RollShown, self.resume),
+            Route("POST", "/v1/rolls/{id}/cancel", "end it as it stands", None, RollShown, self.cancel),
+            Route("POST", "/v1/rolls/{id}/back", "take back what was done", None, RollShown, self.back),
         ]
 
     # -- limits
@@ -175,7 +182,7 @@
 
     async def limits(self, request: Request, caller: Caller) -> Response:
         """GET /v1/limits."""
-        caller.need("reader")
+        caller.require_role("reader")
         return answer(LimitPage(await self.administration.keeper.call(self._limits, self._store)))
 
     @property
@@ -184,37 +191,37 @@
 
     async def limit(self, request: Request, caller: Caller) -> Response:
         """GET /v1/limits/{store}."""
-        caller.need("reader")
+        caller.require_role("reader")
         return await self._limit(request.path_params["store"])
 
     async def _limit(self, name: str) -> Response:
         found = await self.administration.keeper.call(self._limits, self._store)
         shown = next((each for each in found if each.store == name), None)
         if shown is None:
-            raise Wrong(404, "not found", f"no limit for {name}")
+            raise NotFoundError(f"no limit for {name}")
         return answer(shown, etag=shown.revision)
 
     async def put_limit(self, request: Request, caller: Caller) -> Response:
         """PUT /v1/limits/{store}: for the revision that was read; 0 names a server for the first time."""
-        caller.need("operator")
+        caller.require_role("operator")
         name = request.path_params["store"]
         told, _ = await read(request, LimitOrder)
         expect = if_match(request)
         if not 0 < len(name) <= MOST_NAME:
-            raise Wrong(422, "invalid", f"1 to {MOST_NAME} characters", "store")
+            raise InvalidRequestError(f"1 to {MOST_NAME} characters", "store")
         grants = self.part.grants
         small = fits({name: told.most}, grants.floors, grants.most_nodes)
         if small is not None:
             why = f"{told.most} is under {small[1]}, the floors of {grants.most_nodes} nodes"
-            raise Wrong(422, "invalid", why, "most")
+            raise InvalidRequestError(why, "most")
 
         def plan(store: Store, now: float) -> list[Wanted]:
             held = store.get(LIMIT, name)
             at = held.rev if held else 0
             if at != expect:
-                raise Wrong(412, "precondition failed", f"it is at revision {at}", etag=at)
+                raise PreconditionFailedError(f"it is at revision {at}", etag=at)
             if held is None and len(store.items(LIMIT)) >= 64:
-                raise Wrong(409, "conflict", "64 limits are named", "store")
+                raise ResourceConflictError("64 limits are named", "store")
             return [Wanted(LIMIT, name, encode(told), at)]
 
         await self.administration._change(plan, caller.name)
@@ -225,7 +232,7 @@
 
     async def grants(self, request: Request, caller: Caller) -> Response:
         """GET /v1/grants."""
-        caller.need("reader")
+        caller.require_role("reader")
         return answer(await self.administration.keeper.call(self._grants, self._store))
 
     def _grants(self, store: Store) -> GrantPage:
@@ -269,18 +276,18 @@
 
     async def gone(self, request: Request, caller: Caller) -> Response:
         """POST /v1/nodes/{node}/gone: its machine and its files are no more. It has to be lost already."""
-        caller.need("operator")
+        caller.require_role("operator")
         node = request.path_params["node"]
         part = self.part
 
         def plan(store: Store, now: float) -> list[Wanted]:
             item = store.get(NODE, node)
             if item is None:
-                raise Wrong(404, "not found", f"no node {node}")
+                raise NotFoundError(f"no node {node}")
             with part.lock:
                 if not part.grants.over(node, part.clock()):
                     why = "it was heard of too lately: its connections may be open"
-                    raise Wrong(409, "conflict", why, "node")
+                    raise ResourceConflictError(why, "node")
             return [Wanted(NODE, node, None, item.rev)]
 
         await self.administration._change(plan, caller.name)
@@ -292,7 +299,7 @@
 
     async def confirm(self, request: Request, caller: Caller) -> Response:
         """POST /v1/nodes/confirm: every node that exists is known, so new ones may be admitted again."""
-        caller.need("operator")
+        caller.require_role("operator")
         part = self.part
 
         def plan(store: Store, now: float) -> list[Wanted]:
@@ -300,7 +307,7 @@
                 grants = part.grants
                 if part.clock() < grants.settled_at:
                     why = "this keeper has just started: nodes may come that it does not know"
-                    raise Wrong(409, "conflict", why)
+                    raise ResourceConflictError(why)
                 grants.ground = msgspec.structs.replace(grants.ground, doubt="")
                 item = store.get("drains-ground", "ground")
                 body = encode(grants.ground)
@@ -318,14 +325,14 @@
 
     async def rolls(self, request: Request, caller: Caller) -> Response:
         """GET /v1/rolls."""
-        caller.need("reader")
+        caller.require_role("reader")
         rolls, steps, _ = await self.administration.keeper.call(self.part.standing, self._store)
         rows = sorted(rolls.values(), key=lambda row: row[1].number)
         return answer(RollPage([shown(roll, steps[roll.ident], rev) for rev, roll in rows]))
 
     async def roll(self, request: Request, caller: Caller) -> Response:
         """GET /v1/rolls/{id}."""
-        caller.need("reader")
+        caller.require_role("reader")
         return await self._roll(request.path_params["id"])
 
     async def _roll(self, ident: str) -> Response:
@@ -335,13 +342,13 @@
     def _one(self, store: Store, ident: str) -> RollShown:
         rolls, steps, _ = self.part.standing(store)
         if ident not in rolls:
-            raise Wrong(404, "not found", f"no roll {ident}")
+            raise NotFoundError(f"no roll {ident}")
         rev, roll = rolls[ident]
         return shown(roll, steps[ident], rev, True)
 
     async def new_roll(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls."""
-        caller.need("operator")
+        caller.require_role("operator")
         order, body = await read(request, RollOrder)
         part = self.part
         made: list[str] = []
@@ -352,7 +359,7 @@
             try:
                 names = chosen(order, facts.values())
             except Refused as bad:
-                raise Wrong(422, "invalid", str(bad), bad.field) from None
+                raise InvalidRequestError(str(bad), bad.field) from None
             rolls, steps, revisions = part.standing(store)
             number = max((roll.number for _, roll in rolls.values()), default=0) + 1
             ident = f"roll-{number:06d}-{self.administration.run_mark[:4]}"  # of a lost store's no name again
@@ -382,7 +389,7 @@
         """A call with an idempotency key is made once; its repeat is shown what it made."""
         key = request.headers.get("idempotency-key", "")
         if len(key) > MOST_KEY:
-            raise Wrong(422, "invalid", f"over {MOST_KEY} characters", "Idempotency-Key")
+            raise InvalidRequestError(f"over {MOST_KEY} characters", "Idempotency-Key")
         if not key:
             return await make()
         print_ = hashlib.sha256(f"POST {request.url.path}\n".encode() + body).digest()
@@ -391,7 +398,7 @@
         if held is None:
             return await make(key=key, request=print_, answer=lambda rows: made[0].encode())
         if held[0] != print_:
-            raise Wrong(422, "invalid", "another call had this key", "Idempotency-Key")
+            raise InvalidRequestError("another call had this key", "Idempotency-Key")
         return await self._roll(held[1].decode())
 
     async def pause(self, request: Request, caller: Caller) -> Response:
@@ -416,19 +423,19 @@
         caller: Caller,
         alter: Callable[[Roll, list[Step]], tuple[Roll, list[Step], list[str]]],
     ) -> Response:
-        caller.need("operator")
+        caller.require_role("operator")
         ident = request.path_params["id"]
         part = self.part
 
         def plan(store: Store, now: float) -> list[Wanted]:
             rolls, steps, revisions = part.standing(store)
             if ident not in rolls:
-                raise Wrong(404, "not found", f"no roll {ident}")
+                raise NotFoundError(f"no roll {ident}")
             before = rolls[ident][1]
             try:
                 after, changed, restore = alter(before, steps[ident])
             except Refused as bad:
-                raise Wrong(409, "conflict", str(bad), bad.field) from None
+                raise ResourceConflictError(str(bad), bad.field) from None
             altered = {ident: after} if after != before else {}
             return part.write(store, rolls, revisions, altered, {ident: changed}, [], restore)
 
@@ -440,13 +447,13 @@
 def _room(
     rolls: dict[str, tuple[int, Roll]], steps: dict[str, list[Step]], revisions: dict[str, int]
 ) -> list[Wanted]:
-    """Room for one more: the oldest that ended go. Raises Wrong where none has."""
+    """Room for one more: the oldest that ended go. Raises ResourceConflictError where none has."""
     ended = sorted(
         (roll.number, ident, rev) for ident, (rev, roll) in rolls.items() if Status(roll.status) in ENDED
     )
     over = len(rolls) + 1 - MOST_ROLLS
     if over > len(ended):
-        raise Wrong(409, "conflict", f"{MOST_ROLLS} rolls stand")
+        raise ResourceConflictError(f"{MOST_ROLLS} rolls stand")
     gone: list[Wanted] = []
     for _, ident, rev in ended[: max(over, 0)]:
         gone.append(Wanted(ROLL, ident, None, rev))
--- a/gaugehinge/drains/keeper.py
+++ b/gaugehinge/drains/keeper.py
@@ -18,8 +18,9 @@
 import trio
 from loguru import logger
 
+from ..admin.errors import InvalidRequestError
 from ..admin.keep import KeepDrains, KeepFile
-from ..admin.service import SERVER, TENANT, Administration, Wrong
+from ..admin.service import SERVER, TENANT, Administration
 from ..store.keeper import Overloaded
 from ..store.store import Conflict, Full, Store, Wanted, encode
 from ..tenancy.feed import Report
@@ -122,16 +123,16 @@
     # -- what routers say
 
     def hear(self, report: Report, now: float) -> None:
-        """`admin.service.Part`. Raises Wrong where its part makes no sense."""
+        """`admin.service.Part`. Raises InvalidRequestError where its part makes no sense."""
         raw = report.parts.get(NAME)
         if raw is None:
             return
         try:
             said = msgspec.json.decode(raw, type=Said)
         except msgspec.MsgspecError as bad:
-            raise Wrong(422, "invalid", str(bad), f"parts.{NAME}") from None
+            raise InvalidRequestError(str(bad), f"parts.{NAME}") from None
         if said.node.rpartition("@")[0] != report.router:
-            raise Wrong(422, "invalid", "not this router's", f"parts.{NAME}.node")
+            raise InvalidRequestError("not this router's", f"parts.{NAME}.node")
         with self.lock:
             known = self.grants.words.get(said.node)
             if not self.grants.hear(said.word(report.run), now):
--- a/gaugehinge/placement/keeper.py
+++ b/gaugehinge/placement/keeper.py
@@ -22,8 +22,18 @@
 from xxhash import xxh3_128_hexdigest
 
 from ..admin.app import answer, if_match, once, read
+from ..admin.caller import Caller
+from ..admin.errors import (
+    ApiError,
+    InvalidRequestError,
+    NotFoundError,
+    PreconditionFailedError,
+    PreconditionRequiredError,
+    ResourceConflictError,
+)
 from ..admin.keep import KeepPlacement
-from ..admin.service import SERVER, TENANT, TOMBSTONE, Administration, Caller, Wrong
+from ..admin.route import Route
+from ..admin.service import SERVER, TENANT, TOMBSTONE, Administration
 from ..admin.types import Kept
 from ..store.keeper import Overloaded
 from ..store.store import Full, Store, Wanted, encode
@@ -94,7 +104,7 @@
         try:
             told = msgspec.json.decode(report.parts.get(self.name, b"{}"), type=RouterTold)
         except msgspec.MsgspecError as bad:
-            raise Wrong(422, "invalid", str(bad), "parts.placement") from None
+            raise InvalidRequestError(str(bad), "parts.placement") from None
         known = bool(told.mark) and self.administration.told.get(told.have) == told.mark
         revision = min(told.clear, told.have) if known else 0
         # A reader without the part follows nothing and is given nothing.
@@ -365,20 +375,20 @@
 
     # -- tenants
 
-    def routes(self) -> list[tuple[str, str, str, Any, Any, Any]]:
-        """Rows of the API's table."""
+    def routes(self) -> list[Route]:
+        """The routes of shards."""
         path = "/v1/tenants/{name}/shards"
         return [
-            ("GET", path, "a tenant's shards", None, ShardPage, self.shards),
-            ("GET", path + "/{shard}", "one shard", None, ShardShown, self.get),
-            ("PUT", path + "/{shard}", "pin it to regions", ShardWanted, ShardShown, self.put),
-            ("DELETE", path + "/{shard}", "let its pin end", None, None, self.delete),
+            Route("GET", path, "a tenant's shards", None, ShardPage, self.shards),
+            Route("GET", path + "/{shard}", "one shard", None, ShardShown, self.get),
+            Route("PUT", path + "/{shard}", "pin it to regions", ShardWanted, ShardShown, self.put),
+            Route("DELETE", path + "/{shard}", "let its pin end", None, None, self.delete),
         ]
 
     async def shards(self, request: Request, caller: Caller) -> Response:
         """GET /v1/tenants/{name}/shards."""
         name = request.path_params["name"]
-        caller.need("reader", name)
+        caller.require_role("reader", name)
 
         def look() -> list[ShardShown]:
             kept, _ = self._standing(self.keeper.store, name)
@@ -389,12 +399,12 @@
     async def get(self, request: Request, caller: Caller) -> Response:
         """GET /v1/tenants/{name}/shards/{shard}."""
         name, shard = request.path_params["name"], request.path_params["shard"]
-        caller.need("reader", name)
+        caller.require_role("reader", name)
 
         def look() -> ShardShown:
             kept, rows = self._standing(self.keeper.store, name)
             if shard not in rows or rows[shard][0].ends:
-                raise Wrong(404, "not found", f"no shard {shard}")
+                raise NotFoundError(f"no shard {shard}")
             return self._shown(self.keeper.store, *rows[shard])
 
         found = await self.keeper.call(look)
@@ -403,7 +413,7 @@
     async def put(self, request: Request, caller: Caller) -> Response:
         """PUT /v1/tenants/{name}/shards/{shard}: If-Match with the tag of what stands, none for a new one."""
         name, shard = request.path_params["name"], request.path_params["shard"]
-        caller.need("operator", name)
+        caller.require_role("operator", name)
         wanted, body = await read(request, ShardWanted)
         match = if_match(request) if request.headers.get("if-match") else None
 
@@ -416,14 +426,14 @@
     async def delete(self, request: Request, caller: Caller) -> Response:
         """DELETE /v1/tenants/{name}/shards/{shard}."""
         name, shard = request.path_params["name"], request.path_params["shard"]
-        caller.need("operator", name)
+        caller.require_role("operator", name)
         await self.remove(name, shard, if_match(request), caller.name)
         return Response(status_code=204)
 
     async def ask(
         self, name: str, shard: str, wanted: ShardWanted, match: int | None, who: str, **key: Any
     ) -> ShardShown:
-        """Pin a shard, or change its pin. Raises Wrong."""
+        """Pin a shard, or change its pin. Raises ApiError."""
 
         def plan(store: Store, now: float) -> list[Wanted]:
             kept, rows = self._standing(store, name)
@@ -442,9 +452,9 @@
                 event = Event.LATER if wanted.at > now else Event.ASK
                 life = step(life_of(row) if row else None, event, terms, wanted.at)
             except NotTaken as bad:
-                raise Wrong(bad.status, bad.what, bad.detail, bad.field) from None
+                raise ApiError(bad.status, bad.what, bad.detail, bad.field) from None
             except Refused as bad:
-                raise Wrong(409, "conflict", str(bad)) from None
+                raise ResourceConflictError(str(bad)) from None
             after = Pinned(
                 kept.incarnation,
                 name,
@@ -470,20 +480,20 @@
         return msgspec.json.decode(self._answered(made), type=ShardShown)
 
     async def remove(self, name: str, shard: str, match: int, who: str) -> None:
-        """Let a pin end. Raises Wrong."""
+        """Let a pin end. Raises ApiError."""
 
         def plan(store: Store, now: float) -> list[Wanted]:
             kept, rows = self._standing(store, name)
             row, rev = rows.get(shard, (None, 0))
             if row is None or row.ends:
-                raise Wrong(404, "not found", f"no shard {shard}")
+                raise NotFoundError(f"no shard {shard}")
             _match(row, match, shard)
             ident = f"{kept.incarnation}/{shard}"
             try:
                 budget = self._spend(store, kept.incarnation, now)
                 life = step(life_of(row), Event.REMOVE)
             except NotTaken as bad:
-                raise Wrong(bad.status, bad.what, bad.detail, bad.field) from None
+                raise ApiError(bad.status, bad.what, bad.detail, bad.field) from None
             after = living(row, life, now)
             after = msgspec.structs.replace(after, version=store.rev + 1, former=_former(row, life))
             return [Wanted(SHARD, ident, None if life.stage is Stage.GONE else encode(after), rev), budget]
@@ -498,7 +508,7 @@
     def _standing(self, store: Store, name: str) -> tuple[Kept, dict[str, tuple[Pinned, int]]]:
         item = store.get(TENANT, name)
         if item is None:
-            raise Wrong(404, "not found", f"no tenant {name}")
+            raise NotFoundError(f"no tenant {name}")
         kept = msgspec.json.decode(item.body, type=Kept)
         self.desk.refresh(store)
         return kept, {row.shard: (row, rev) for row, rev in self.desk.of(kept.incarnation)}
@@ -609,32 +619,32 @@
 def _match(row: Pinned | None, match: int | None, shard: str) -> None:
     row = None if row is not None and row.ends else row
     if row is None and match is not None:
-        raise Wrong(412, "precondition failed", f"no shard {shard}")
+        raise PreconditionFailedError(f"no shard {shard}")
     if row is not None and match is None:
-        raise Wrong(428, "precondition required", "it stands: send its ETag as If-Match", etag=row.version)
+        raise PreconditionRequiredError("it stands: send its ETag as If-Match", etag=row.version)
     if row is not None and row.version != match:
-        raise Wrong(412, "precondition failed", f"it is at revision {row.version}", etag=row.version)
+        raise PreconditionFailedError(f"it is at revision {row.version}", etag=row.version)
 
 
 def _prefixes(
     shard: str, wanted: ShardWanted, row: Pinned | None, rows: dict[str, tuple[Pinned, int]]
 ) -> tuple[str, ...]:
-    """The prefixes of a shard, once and for all. Raises Wrong."""
+    """The prefixes of a shard, once and for all. Raises ApiError."""
     prefixes = tuple(wanted.prefixes)
     if len(set(prefixes)) < len(prefixes):
-        raise Wrong(422, "invalid", "one is told twice", "prefixes")
+        raise InvalidRequestError("one is told twice", "prefixes")
     if row is not None:
         if (prefixes or row.ends) and set(prefixes) != set(row.prefixes):
-            raise Wrong(409, "conflict", "prefixes stay as they were made until it is gone", "prefixes")
+            raise ResourceConflictError("prefixes stay as they were made until it is gone", "prefixes")
         return row.prefixes
     if not NAME.fullmatch(shard):
-        raise Wrong(422, "invalid", "a shard's name is of lower case letters, digits and dashes", "shard")
+        raise InvalidRequestError("a shard's name is of lower case letters, digits and dashes", "shard")
     if (shard == DEFAULT) is bool(prefixes):
-        raise Wrong(422, "invalid", "every shard but `default` has prefixes, and only these", "prefixes")
+        raise InvalidRequestError("every shard but `default` has prefixes, and only these", "prefixes")
     for other, (held, _) in rows.items():
         taken = sorted(set(held.prefixes) & set(prefixes))
         if taken:
-            raise Wrong(409, "conflict", f"{taken[0]!r} is shard {other}'s", "prefixes")
+            raise ResourceConflictError(f"{taken[0]!r} is shard {other}'s", "prefixes")
     return prefixes
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -426,7 +426,7 @@
     async def scene():
         async with office(tmp_path) as desk:
             told = (await desk.client.get("/v1/openapi.json")).json()
-            assert set(told["paths"]) == {row[1] for row in Api(desk.administration).table}
+            assert set(told["paths"]) == {route.path for route in Api(desk.administration).routes}
             refs = set(re.findall(r"#/components/schemas/(\w+)", json.dumps(told)))
             assert refs <= set(told["components"]["schemas"]) and {"NewTenant", "Problem"} <= refs
 
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -18,8 +18,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
+from gaugehinge.admin.errors import ApiError
 from gaugehinge.admin.keep import KeepPlacement
-from gaugehinge.admin.service import Administration, Wrong
+from gaugehinge.admin.service import Administration
 from gaugehinge.admin.types import NewTenant
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.hosted.roster import BadFeed, Roster
@@ -254,7 +255,7 @@
             done(self.part.look())
 
     def put(self, shard: str, regions: tuple[str, ...], hold: str) -> None:
-        with suppress(Wrong):
+        with suppress(ApiError):
             held = self.part.desk.rows.get(f"1/{shard}")
             match = held[0].version if held and not held[0].ends else None
             wanted = ShardWanted(regions, (SHARDS[shard],), hold, 1.0)
@@ -263,7 +264,7 @@
     def remove(self, shard: str) -> None:
         held = self.part.desk.rows.get(f"1/{shard}")
         if held:
-            with suppress(Wrong):
+            with suppress(ApiError):
                 done(self.part.remove("acme", shard, held[0].version, "t"))
 
     def begin(self, number: int, key: int) -> None:
