--- a/benchmarks/hosted.py
+++ b/benchmarks/hosted.py
@@ -154,8 +154,8 @@
 
 async def _heard(made: Hosted) -> None:
     with trio.fail_after(60):
-        while not made.administration.routers or any(
-            heard.revision < made.keeper.rev for heard in made.administration.routers.values()
+        while not made.administration.routers.last_reports or any(
+            heard.revision < made.keeper.rev for heard in made.administration.routers.last_reports.values()
         ):
             await trio.sleep(0.05)
 
--- a/gaugehinge/admin/app.py
+++ b/gaugehinge/admin/app.py
@@ -1,12 +1,9 @@
-"""The API over HTTP: routes, limits, problems. What is done stands in service.py."""
+"""The administration API as an ASGI application: all routes, each within the limits of load and time."""
 
 from __future__ import annotations
 
-import hashlib
 from collections.abc import Awaitable, Callable
-from typing import Any, TypeVar
 
-import msgspec
 import trio
 from loguru import logger
 from starlette.applications import Starlette
@@ -16,191 +13,34 @@
 
 from ..store.keeper import Overloaded
 from ..store.store import Full
-from ..tenancy.feed import Feed, Report
-from ..tenancy.life import Order
-from .caller import Caller
-from .errors import (
-    ApiError,
-    InvalidRequestError,
-    MalformedJsonError,
-    PayloadTooLargeError,
-    PreconditionFailedError,
-    PreconditionRequiredError,
-    ResourceConflictError,
-    UnauthorizedError,
-    UnsupportedMediaTypeError,
-)
+from .control_plane import ControlPlane
+from .endpoints.audit import MAX_WAIT, AuditEndpoints
+from .endpoints.feed import FeedEndpoints
+from .endpoints.operators import OperatorEndpoints
+from .endpoints.routers import RouterEndpoints
+from .endpoints.servers import ServerEndpoints
+from .endpoints.tenants import TenantEndpoints
+from .errors import ApiError, UnauthorizedError
+from .http import json_response, problem_response
+from .openapi import describe
+from .rate_limit import CallerRateLimiter
 from .route import Handler, Route
-from .service import Administration
-from .types import (
-    AuditPage,
-    NewOperator,
-    NewTenant,
-    Page,
-    Problem,
-    Rotation,
-    RouterPage,
-    Secret,
-    ServerOrder,
-    ServerPage,
-    Tenant,
-    TenantChange,
-    openapi,
-)
 
-MOST_BODY = 64 * 1024
-MOST_TIME = 10.0  # seconds of a call, its wait for news not counted
-MOST_WAIT = 30.0  # of a watch
-MOST_PAGE = 500
-MOST_KEY = 200  # characters of an idempotency key
-RATE, BURST = 50.0, 100.0  # calls a second of one caller, and in a row
-CALLERS = 1024  # whose rates are known; the longest quiet one goes first
-MOST_OPEN = 256  # calls at once: more are shed before anything is read of them
-
-T = TypeVar("T")
-
-
-class Rates:
-    """Calls of each caller, by a bucket each."""
-
-    def __init__(self, clock: Callable[[], float]) -> None:
-        self.clock = clock
-        self._left: dict[str, tuple[float, float]] = {}  # CALLERS of them
-
-    def take(self, name: str) -> float:
-        """0 and one call taken, or the seconds until one is free."""
-        now = self.clock()
-        left, at = self._left.pop(name, (BURST, now))
-        left = min(left + RATE * max(now - at, 0.0), BURST)
-        good = left >= 1.0
-        self._left[name] = left - good, now
-        while len(self._left) > CALLERS:
-            del self._left[next(iter(self._left))]
-        return 0.0 if good else (1.0 - left) / RATE
-
-
-def answer(value: Any, status: int = 200, etag: int = 0, **headers: str) -> Response:
-    """JSON, with the revision as its entity tag."""
-    if etag:
-        headers["ETag"] = f'"{etag}"'
-    return Response(msgspec.json.encode(value), status, headers, media_type="application/json")
-
-
-def problem(
-    status: int, title: str, detail: str = "", field: str = "", etag: int = 0, **headers: str
-) -> Response:
-    """Problem details; never a trace."""
-    told = Problem(f"urn:gaugehinge:{title.replace(' ', '-')}", title, status, detail, field)
-    if etag:
-        headers["ETag"] = f'"{etag}"'
-    return Response(msgspec.json.encode(told), status, headers, media_type="application/problem+json")
-
-
-async def read_body(request: Request) -> bytes:
-    """The whole body, cut off where it is too long. Raises ApiError."""
-    body = bytearray()
-    async for part in request.stream():
-        body += part
-        if len(body) > MOST_BODY:
-            raise PayloadTooLargeError(f"over {MOST_BODY} bytes")
-    return bytes(body)
-
-
-async def read(request: Request, form: type[T]) -> tuple[T, bytes]:
-    """The body as a struct, and as it came. Raises ApiError with the field."""
-    kind = request.headers.get("content-type", "application/json").partition(";")[0].strip().lower()
-    body = await read_body(request)
-    if kind != "application/json" and body:
-        raise UnsupportedMediaTypeError("bodies are application/json")
-    try:
-        return msgspec.json.decode(body or b"{}", type=form), body
-    except msgspec.ValidationError as bad:
-        told, _, place = str(bad).partition(" - at `$")
-        raise InvalidRequestError(told, place.strip("`.")) from None
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as bad:
-        raise MalformedJsonError(str(bad)) from None
-
-
-def if_match(request: Request) -> int:
-    """The revision that a change is made for. Raises ApiError."""
-    told = request.headers.get("if-match", "")
-    if not told:
-        raise PreconditionRequiredError("read it first, and send its ETag as If-Match")
-    number = told.strip().removeprefix("W/").strip('"')
-    if not number.isascii() or not number.isdigit() or len(number) > 15:
-        raise PreconditionFailedError("If-Match is no entity tag of ours")
-    return int(number)
-
-
-def number(request: Request, name: str, default: int, most: int) -> int:
-    """A figure of the query. Raises ApiError."""
-    told = request.query_params.get(name, "")
-    if not told:
-        return default
-    if not told.isascii() or not told.isdigit() or len(told) > 15:
-        raise InvalidRequestError("not a number", name)
-    return min(int(told), most)
-
-
-async def once(
-    administration: Administration,
-    request: Request,
-    caller: Caller,
-    body: bytes,
-    make: Callable[..., Awaitable[Response]],
-) -> Response:
-    """A call with an idempotency key is made once; its repeat gets the same answer. Raises ApiError."""
-    key = request.headers.get("idempotency-key", "")
-    if len(key) > MOST_KEY:
-        raise InvalidRequestError(f"over {MOST_KEY} characters", "Idempotency-Key")
-    if not key:
-        return await make()
-    print_ = hashlib.sha256(f"{request.method} {request.url.path}\n".encode() + body).digest()
-    keeper = administration.keeper
-    held = await keeper.call(keeper.store.answered, caller.name, key)
-    if held is None:
-        return await make(key=key, request=print_)
-    if held[0] != print_:
-        raise InvalidRequestError("another call had this key", "Idempotency-Key")
-    if not held[1]:
-        raise ResourceConflictError("it was made, and its secret is shown once")
-    return Response(held[1], 201, {"Idempotent-Replayed": "true"}, media_type="application/json")
+MAX_OPEN_CALLS = 256  # more are shed before anything is read of them
+MAX_CALL_TIME = 10.0  # seconds of a call, its wait for changes not counted
+OVERLOAD_RETRY_AFTER = "1"  # seconds
+TIMEOUT_RETRY_AFTER = "5"
 
 
 class Api:
-    """The routes on one store."""
+    """The API of one control plane."""
 
-    def __init__(self, administration: Administration) -> None:
-        self.administration = administration
-        self.rates = Rates(administration.keeper.clock)
-        self.open = 0
-        self.routes = [
-            Route("GET", "/v1/tenants", "tenants in the order of their names", None, Page, self.tenants),
-            Route("POST", "/v1/tenants", "make a tenant", NewTenant, Tenant, self.create),
-            Route("GET", "/v1/tenants/{name}", "one tenant", None, Tenant, self.tenant),
-            Route("PATCH", "/v1/tenants/{name}", "change its figures", TenantChange, Tenant, self.change),
-            Route("DELETE", "/v1/tenants/{name}", "let it leave", None, None, self.remove),
-            Route("POST", "/v1/tenants/{name}/activate", "take its operations", None, Tenant, self.activate),
-            Route("POST", "/v1/tenants/{name}/suspend", "take none for now", None, Tenant, self.suspend),
-            Route(
-                "POST", "/v1/tenants/{name}/credentials", "a new secret", Rotation, Secret, self.credential
-            ),
-            Route(
-                "DELETE", "/v1/tenants/{name}/credentials/{ident}", "end a secret", None, None, self.revoke
-            ),
-            Route("GET", "/v1/servers", "orders that stand", None, ServerPage, self.servers),
-            Route(
-                "POST", "/v1/servers/{name}/drain", "nothing new to a server", None, ServerOrder, self.drain
-            ),
-            Route("POST", "/v1/servers/{name}/restore", "as discovery says", None, ServerOrder, self.restore),
-            Route("GET", "/v1/routers", "routers and what they hold", None, RouterPage, self.routers),
-            Route("POST", "/v1/operators", "a secret for the API", NewOperator, Secret, self.operator),
-            Route("POST", "/v1/feed", "news for a router, and its report", Report, Feed, self.feed),
-            Route("GET", "/v1/audit", "changes behind a revision", None, AuditPage, self.audit),
-        ]
-        for part in administration.parts:
-            self.routes += part.routes()
-        self.description = openapi(self.routes)
+    def __init__(self, control_plane: ControlPlane) -> None:
+        self._control_plane = control_plane
+        self._rate_limiter = CallerRateLimiter(control_plane.store_writer.clock)
+        self._open_calls = 0
+        self.routes = _routes(control_plane)
+        self._description = describe(self.routes)
 
     def app(self) -> Starlette:
         """The ASGI application."""
@@ -210,179 +50,79 @@
         ]
         routes.append(StarletteRoute("/v1/openapi.json", self._openapi, methods=["GET"]))
         routes.append(StarletteRoute("/healthz", self._health, methods=["GET"]))
-        unknown = {404: self._unknown, 405: self._unknown}
-        return Starlette(routes=routes, exception_handlers=unknown)
+        return Starlette(routes=routes, exception_handlers={404: self._no_route, 405: self._no_route})
 
-    async def _unknown(self, request: Request, bad: Exception) -> Response:
-        status = getattr(bad, "status_code", 404)
-        return problem(status, "not found" if status == 404 else "method not allowed")
+    async def _no_route(self, request: Request, error: Exception) -> Response:
+        status = getattr(error, "status_code", 404)
+        return problem_response(status, "not found" if status == 404 else "method not allowed")
 
     async def _openapi(self, request: Request) -> Response:
-        return answer(self.description)
+        return json_response(self._description)
 
     async def _health(self, request: Request) -> Response:
-        return answer({"revision": self.administration.keeper.rev})
+        return json_response({"revision": self._control_plane.store_writer.rev})
 
     def _guarded(self, handler: Handler) -> Callable[[Request], Awaitable[Response]]:
-        """A handler within all limits; whatever goes wrong is a problem in the protocol."""
+        """A handler within the limit of open calls."""
 
         async def guarded(request: Request) -> Response:
-            if self.open >= MOST_OPEN:
-                return problem(503, "overloaded", **{"Retry-After": "1"})
-            self.open += 1
+            if self._open_calls >= MAX_OPEN_CALLS:
+                return _overloaded()
+            self._open_calls += 1
             try:
-                with trio.move_on_after(MOST_TIME + MOST_WAIT):
-                    return await self._called(handler, request)
-                return problem(503, "too slow", "the store did not answer in time", **{"Retry-After": "5"})
-            except ApiError as bad:
-                headers = {"WWW-Authenticate": "Bearer"} if bad.status == 401 else {}
-                return problem(bad.status, bad.title, bad.detail, bad.field, bad.etag, **headers)
-            except Overloaded:
-                return problem(503, "overloaded", **{"Retry-After": "1"})
-            except Full:
-                return problem(507, "storage full", "nothing was changed")
-            except Exception:
-                logger.exception("a call of the API failed")
-                return problem(500, "internal error")
+                return await self._call(handler, request)
             finally:
-                self.open -= 1
+                self._open_calls -= 1
 
         return guarded
 
-    async def _called(self, handler: Handler, request: Request) -> Response:
-        form, _, secret = request.headers.get("authorization", "").partition(" ")
-        if form.lower() != "bearer" or not secret:
+    async def _call(self, handler: Handler, request: Request) -> Response:
+        """The response of a handler; whatever goes wrong is a problem document."""
+        try:
+            with trio.move_on_after(MAX_CALL_TIME + MAX_WAIT):
+                return await self._call_authenticated(handler, request)
+            return problem_response(
+                503,
+                "too slow",
+                "the store did not answer in time",
+                headers={"Retry-After": TIMEOUT_RETRY_AFTER},
+            )
+        except ApiError as error:
+            headers = {"WWW-Authenticate": "Bearer"} if isinstance(error, UnauthorizedError) else {}
+            return problem_response(error.status, error.title, error.detail, error.field, error.etag, headers)
+        except Overloaded:
+            return _overloaded()
+        except Full:
+            return problem_response(507, "storage full", "nothing was changed")
+        except Exception:
+            logger.exception("a call of the API failed")
+            return problem_response(500, "internal error")
+
+    async def _call_authenticated(self, handler: Handler, request: Request) -> Response:
+        scheme, _, secret = request.headers.get("authorization", "").partition(" ")
+        if scheme.lower() != "bearer" or not secret:
             raise UnauthorizedError
         source = request.client.host if request.client else ""
-        caller = await self.administration.caller(secret.strip(), source)
+        caller = await self._control_plane.authenticator.authenticate(secret.strip(), source)
         # Routers share a secret, and their calls stand open until there is news for all of them at once.
-        wait = 0.0 if caller.role == "router" else self.rates.take(caller.name)
+        wait = 0.0 if caller.role == "router" else self._rate_limiter.acquire(caller.name)
         if wait:
-            return problem(429, "too many calls", **{"Retry-After": f"{wait:.0f}"})
+            return problem_response(429, "too many calls", headers={"Retry-After": f"{wait:.0f}"})
         return await handler(request, caller)
 
-    async def _once(
-        self, request: Request, caller: Caller, body: bytes, make: Callable[..., Awaitable[Response]]
-    ) -> Response:
-        return await once(self.administration, request, caller, body, make)
-
-    # -- tenants
-
-    async def tenants(self, request: Request, caller: Caller) -> Response:
-        """GET /v1/tenants."""
-        caller.require_role("reader")
-        most = max(number(request, "limit", 100, MOST_PAGE), 1)
-        found, after = await self.administration.tenants(request.query_params.get("after", ""), most)
-        return answer(Page(found, after))
-
-    async def create(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/tenants."""
-        caller.require_role("operator")
-        new, body = await read(request, NewTenant)
-
-        async def make(**key: Any) -> Response:
-            made = await self.administration.create(new, caller.name, **key)
-            return answer(made, 201, made.revision, Location=f"/v1/tenants/{made.name}")
-
-        return await self._once(request, caller, body, make)
-
-    async def tenant(self, request: Request, caller: Caller) -> Response:
-        """GET /v1/tenants/{name}."""
-        name = request.path_params["name"]
-        caller.require_role("reader", name)
-        found = await self.administration.tenant(name)
-        return answer(found, etag=found.revision)
-
-    async def change(self, request: Request, caller: Caller) -> Response:
-        """PATCH /v1/tenants/{name}."""
-        caller.require_role("operator")
-        told, _ = await read(request, TenantChange)
-        name = request.path_params["name"]
-        found = await self.administration.change(name, told, if_match(request), caller.name)
-        return answer(found, etag=found.revision)
-
-    async def remove(self, request: Request, caller: Caller) -> Response:
-        """DELETE /v1/tenants/{name}."""
-        caller.require_role("operator")
-        await self.administration.remove(request.path_params["name"], if_match(request), caller.name)
-        return Response(status_code=204)
-
-    async def activate(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/tenants/{name}/activate."""
-        return await self._tell(request, caller, Order.ACTIVATE)
-
-    async def suspend(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/tenants/{name}/suspend."""
-        return await self._tell(request, caller, Order.SUSPEND)
-
-    async def _tell(self, request: Request, caller: Caller, wanted: Order) -> Response:
-        caller.require_role("operator")
-        name = request.path_params["name"]
-        found = await self.administration.tell(name, wanted, if_match(request), caller.name)
-        return answer(found, etag=found.revision)
-
-    async def credential(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/tenants/{name}/credentials."""
-        name = request.path_params["name"]
-        caller.require_role("operator", name)
-        told, body = await read(request, Rotation)
-
-        async def make(**key: Any) -> Response:
-            made = await self.administration.new_credential(name, told.overlap, caller.name, **key)
-            return answer(made, 201, **{"Cache-Control": "no-store"})
-
-        return await self._once(request, caller, body, make)
-
-    async def revoke(self, request: Request, caller: Caller) -> Response:
-        """DELETE /v1/tenants/{name}/credentials/{ident}."""
-        name = request.path_params["name"]
-        caller.require_role("operator", name)
-        await self.administration.drop_credential(name, request.path_params["ident"], caller.name)
-        return Response(status_code=204)
-
-    # -- servers, routers, operators
-
-    async def servers(self, request: Request, caller: Caller) -> Response:
-        """GET /v1/servers."""
-        caller.require_role("reader")
-        return answer(ServerPage(await self.administration.servers()))
-
-    async def drain(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/servers/{name}/drain."""
-        return await self._order(request, caller, True)
-
-    async def restore(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/servers/{name}/restore."""
-        return await self._order(request, caller, False)
-
-    async def _order(self, request: Request, caller: Caller, drain: bool) -> Response:
-        caller.require_role("operator")
-        return answer(await self.administration.order_server(request.path_params["name"], drain, caller.name))
-
-    async def routers(self, request: Request, caller: Caller) -> Response:
-        """GET /v1/routers."""
-        caller.require_role("reader")
-        return answer(RouterPage(await self.administration.shown_routers()))
-
-    async def operator(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/operators."""
-        caller.require_role("operator")
-        new, _ = await read(request, NewOperator)
-        made = await self.administration.new_operator(new.name, new.role, new.tenant, caller.name)
-        return answer(made, 201, **{"Cache-Control": "no-store"})
 
-    async def feed(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/feed: hashes of secrets are in it, so it is for routers alone."""
-        caller.require_role("router")
-        report, _ = await read(request, Report)
-        return answer(await self.administration.feed(report), **{"Cache-Control": "no-store"})
+def _routes(control_plane: ControlPlane) -> list[Route]:
+    """All routes, in the order of the OpenAPI description."""
+    return [
+        *TenantEndpoints(control_plane).routes(),
+        *ServerEndpoints(control_plane).routes(),
+        *RouterEndpoints(control_plane).routes(),
+        *OperatorEndpoints(control_plane).routes(),
+        *FeedEndpoints(control_plane).routes(),
+        *AuditEndpoints(control_plane).routes(),
+        *(route for extension in control_plane.extensions for route in extension.routes()),
+    ]
 
-    # -- what happened
 
-    async def audit(self, request: Request, caller: Caller) -> Response:
-        """GET /v1/audit: `since`, `limit`, and `wait` in seconds for a watch."""
-        caller.require_role("reader")
-        since, most = number(request, "since", 0, 1 << 53), max(number(request, "limit", 100, MOST_PAGE), 1)
-        wait = float(number(request, "wait", 0, int(MOST_WAIT)))
-        changes = await self.administration.audit(since, most, wait)
-        return answer(AuditPage(changes, changes[-1].revision if changes else since))
+def _overloaded() -> Response:
+    return problem_response(503, "overloaded", headers={"Retry-After": OVERLOAD_RETRY_AFTER})
--- a/gaugehinge/admin/caller.py
+++ b/gaugehinge/admin/caller.py
@@ -15,7 +15,7 @@
     """An authenticated caller."""
 
     name: str
-    role: Role
+    role: str  # a `Role`, or one that only a newer version knows
     tenant: str = ""  # of role `tenant`: the only one that it may see
 
     def require_role(self, role: Role, tenant: str = "") -> None:
--- /dev/null
+++ b/gaugehinge/admin/control_plane.py
@@ -0,0 +1,78 @@
+"""The control plane on one store: its parts, put together."""
+
+from __future__ import annotations
+
+import secrets
+
+import msgspec
+
+from ..store.keeper import StoreKeeper
+from ..store.store import Change, Store, Wanted, encode
+from ..tenancy.credentials import Attempts, Hasher
+from .audit import AuditLog
+from .authentication import Authenticator
+from .extension import Extension
+from .feed import Identity, RouterFeed
+from .leases import RouterLeases
+from .operators import STARTUP_ACTOR, Operators
+from .records import COUNTER_KIND, STORE_ID_COUNTER
+from .routers import RouterRegistry
+from .servers import ServerOrders
+from .tenants import Tenants, plan_missing_places
+from .transactions import IdempotencyKey, Plan, ResponseEncoder, commit, no_response
+
+
+class ControlPlane:
+    """What the administration API serves, without HTTP. Each call is one transaction of the store."""
+
+    def __init__(self, store_writer: StoreKeeper, hasher: Hasher, attempts: Attempts) -> None:
+        self.store_writer = store_writer
+        self.extensions: list[Extension] = []  # complete before the API is served
+        self.operators = Operators(store_writer, hasher)
+        self.authenticator = Authenticator(store_writer, self.operators, hasher, attempts)
+        self.tenants = Tenants(store_writer, hasher)
+        self.servers = ServerOrders(store_writer)
+        self.routers = RouterRegistry(store_writer)
+        self.audit = AuditLog(store_writer)
+        self.leases = RouterLeases()
+        self._identity = Identity()
+        self.feed = RouterFeed(store_writer, self._identity, self.routers, self.leases, self.extensions)
+
+    @property
+    def store_id(self) -> str:
+        """The random name of the store; empty before `prepare`."""
+        return self._identity.store_id
+
+    @property
+    def run_id(self) -> str:
+        """A random name of this run of the control plane."""
+        return self._identity.run_id
+
+    async def prepare(self) -> None:
+        """Name the store and place every tenant, where that was not done; called before the first router."""
+        await self.store_writer.apply_planned(_plan_preparation, STARTUP_ACTOR)
+        self._identity.store_id = await self.store_writer.call(_read_store_id, self.store_writer.store)
+
+    async def commit(
+        self,
+        plan: Plan,
+        actor: str,
+        idempotency: IdempotencyKey | None = None,
+        encode_response: ResponseEncoder = no_response,
+    ) -> list[Change]:
+        """Change the store, as `transactions.commit` does."""
+        return await commit(self.store_writer, plan, actor, idempotency, encode_response)
+
+
+def _read_store_id(store: Store) -> str:
+    item = store.get(COUNTER_KIND, STORE_ID_COUNTER)
+    if item is None:
+        raise LookupError("the store has no name yet")
+    return msgspec.json.decode(item.body, type=str)
+
+
+def _plan_preparation(store: Store, now: float) -> list[Wanted]:
+    wanted = plan_missing_places(store, now)
+    if store.get(COUNTER_KIND, STORE_ID_COUNTER) is None:
+        wanted.insert(0, Wanted(COUNTER_KIND, STORE_ID_COUNTER, encode(secrets.token_hex(8)), 0))
+    return wanted
--- /dev/null
+++ b/gaugehinge/admin/leases.py
@@ -0,0 +1,24 @@
+"""Leases that routers get with each answer of the feed (see `tenancy/lease.py`)."""
+
+from __future__ import annotations
+
+import time
+
+from ..tenancy.lease import Ledger
+
+
+class RouterLeases:
+    """Grants leases, once they are enabled, and remembers which."""
+
+    def __init__(self) -> None:
+        self.duration = 0.0  # seconds; 0: no leases are granted, and no extension is on
+        self._ledger = Ledger(time.monotonic(), 0.0)
+
+    def enable(self, duration: float) -> None:
+        """Grant leases of so many seconds from now on; called before the first router is answered."""
+        self.duration = duration
+        self._ledger = Ledger(time.monotonic(), duration)
+
+    def grant(self, router: str, run: str, revision: int) -> float:
+        """Grant a lease to a router that follows a revision; its seconds from now, 0 if none is granted."""
+        return self._ledger.give(router, run, revision, self.duration, time.monotonic())
--- /dev/null
+++ b/gaugehinge/admin/servers.py
@@ -0,0 +1,57 @@
+"""Operators' orders to drain cache servers, beside what discovery says of them."""
+
+from __future__ import annotations
+
+from ..store.keeper import StoreKeeper
+from ..store.store import Store, Wanted, encode
+from .errors import InvalidRequestError
+from .records import SERVER_ORDER_KIND
+from .transactions import commit
+from .types import ServerOrder
+
+MAX_SERVER_NAME = 200  # characters
+DRAIN, NO_ORDER = "drain", "none"  # as the API shows an order
+
+
+class ServerOrders:
+    """The orders in the store."""
+
+    def __init__(self, store_writer: StoreKeeper) -> None:
+        self._store_writer = store_writer
+
+    async def list_all(self) -> list[ServerOrder]:
+        """All orders that stand, by server name."""
+        store = self._store_writer.store
+        items = await self._store_writer.call(lambda: store.items(SERVER_ORDER_KIND))
+        return [ServerOrder(item.ident, DRAIN, item.rev) for item in items]
+
+    async def set_draining(self, name: str, draining: bool, actor: str) -> ServerOrder:
+        """Order a server to drain, or take the order back. Repeating an order changes nothing.
+
+        An order stands until it is taken back, also when the server ends and returns: what an operator took
+        out for a reason is not put in by a restart.
+
+        Raises:
+            InvalidRequestError: The name is empty or too long.
+        """
+        if not 0 < len(name) <= MAX_SERVER_NAME:
+            raise InvalidRequestError(f"1 to {MAX_SERVER_NAME} characters", "server")
+
+        def plan(store: Store, now: float) -> list[Wanted]:
+            item = store.get(SERVER_ORDER_KIND, name)
+            if (item is not None) is draining:
+                return []
+            body = encode(DRAIN) if draining else None
+            return [Wanted(SERVER_ORDER_KIND, name, body, item.rev if item else 0)]
+
+        await commit(self._store_writer, plan, actor)
+        store = self._store_writer.store
+        item = await self._store_writer.call(lambda: store.get(SERVER_ORDER_KIND, name))
+        if item is None:
+            return ServerOrder(name, NO_ORDER, self._store_writer.rev)
+        return ServerOrder(name, DRAIN, item.rev)
+
+
+def draining_servers(store: Store) -> list[str]:
+    """The servers that operators ordered to drain, by name; called on the store's thread."""
+    return [item.ident for item in store.items(SERVER_ORDER_KIND)]
--- /dev/null
+++ b/gaugehinge/admin/tenants.py
@@ -0,0 +1,255 @@
+"""Tenants: creation, figures, lifecycle and credentials.
+
+A change is made for the revision that the caller read, so that of two concurrent ones the later fails. A
+tenant that is removed leaves its name at once, and stands on as a tombstone until its deduplication marks
+expired.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+import trio
+
+from ..store.keeper import StoreKeeper
+from ..store.store import Change, Item, Store, Wanted, encode
+from ..tenancy.credentials import Hasher, revoke, rotate
+from ..tenancy.feed import MOST_TENANTS
+from ..tenancy.life import Order, Refused, Tenancy, create, order
+from .errors import NotFoundError, ResourceConflictError
+from .records import (
+    COUNTER_KIND,
+    INCARNATION_COUNTER,
+    TENANT_KIND,
+    TOMBSTONE_KIND,
+    UNPLACED,
+    TenantRecord,
+    decode_tenant,
+    standing_tenants,
+    tenant_item,
+)
+from .transactions import IdempotencyKey, commit, no_response
+from .types import NewTenant, Page, Secret, Tenant, TenantChange, tenant_resource
+
+Alteration = Callable[[TenantRecord, float], TenantRecord]
+"""Makes the new record of a tenant from the old one and the wall-clock time in seconds."""
+
+
+class Tenants:
+    """The tenants in the store."""
+
+    def __init__(self, store_writer: StoreKeeper, hasher: Hasher) -> None:
+        self._store_writer = store_writer
+        self._hasher = hasher
+        self.incarnation_floor = 0  # a new store does not know which incarnations a lost one gave: above this
+
+    async def list_page(self, after: str, limit: int) -> Page:
+        """Up to `limit` tenants whose names follow `after`, and where the next page begins."""
+        store = self._store_writer.store
+        items = await self._store_writer.call(lambda: store.items(TENANT_KIND, after, limit + 1))
+        tenants = [_resource_of(item) for item in items[:limit]]
+        return Page(tenants, tenants[-1].name if len(items) > limit else None)
+
+    async def get(self, name: str) -> Tenant:
+        """One tenant.
+
+        Raises:
+            NotFoundError: There is none of that name.
+        """
+        store = self._store_writer.store
+        return _resource_of(await self._store_writer.call(lambda: tenant_item(store, name)))
+
+    async def create(self, new: NewTenant, actor: str, idempotency: IdempotencyKey | None = None) -> Tenant:
+        """Create a tenant. The name of one that was removed may be used again, for another incarnation.
+
+        Raises:
+            ResourceConflictError: The name is taken, or there are too many tenants.
+        """
+
+        def plan(store: Store, now: float) -> list[Wanted]:
+            current = store.get(TENANT_KIND, new.name)
+            counter = store.get(COUNTER_KIND, INCARNATION_COUNTER)
+            # A number that a lost store gave is a key space that still has values of the one that bore it.
+            last = max(int(counter.body) if counter else 0, self.incarnation_floor)
+            tenancy = _new_tenancy(new.name, current, last, now)
+            record = _new_record(new, tenancy, _allocate_place(store), now)
+            return [
+                Wanted(TENANT_KIND, new.name, encode(record), current.rev if current else 0),
+                Wanted(
+                    COUNTER_KIND,
+                    INCARNATION_COUNTER,
+                    b"%d" % tenancy.incarnation,
+                    counter.rev if counter else 0,
+                ),
+            ]
+
+        changes = await commit(self._store_writer, plan, actor, idempotency, _encode_tenant)
+        return _resource_of(changes[0])
+
+    async def update(self, name: str, change: TenantChange, if_match: int, actor: str) -> Tenant:
+        """Change figures of a tenant; those that are unset stay.
+
+        Raises:
+            NotFoundError: There is no such tenant.
+            PreconditionFailedError: It changed since the revision `if_match`.
+        """
+        fields = {
+            field: value
+            for field, value in msgspec.structs.asdict(change).items()
+            if value is not msgspec.UNSET
+        }
+        return await self._alter(
+            name, if_match, actor, lambda record, now: msgspec.structs.replace(record, **fields)
+        )
+
+    async def transition(self, name: str, wanted: Order, if_match: int | None, actor: str) -> Tenant:
+        """Activate or suspend a tenant.
+
+        Raises:
+            NotFoundError: There is no such tenant.
+            PreconditionFailedError: It changed since the revision `if_match`.
+            ResourceConflictError: Its stage does not allow that.
+        """
+
+        def alter(record: TenantRecord, now: float) -> TenantRecord:
+            try:
+                return record.with_tenancy(order(record.tenancy, wanted, record.memory, now))
+            except Refused as error:
+                raise ResourceConflictError(str(error)) from error
+
+        return await self._alter(name, if_match, actor, alter)
+
+    async def remove(self, name: str, if_match: int, actor: str) -> None:
+        """Remove a tenant: its name is free at once, and a tombstone takes its place.
+
+        Raises:
+            NotFoundError: There is no such tenant.
+            PreconditionFailedError: It changed since the revision `if_match`.
+        """
+
+        def plan(store: Store, now: float) -> list[Wanted]:
+            item = tenant_item(store, name, if_match)
+            record = decode_tenant(item)
+            leaving = record.with_tenancy(order(record.tenancy, Order.REMOVE, record.memory, now))
+            tombstone = msgspec.structs.replace(leaving, credentials=[])  # nobody may authenticate any more
+            return [
+                Wanted(TENANT_KIND, name, None, item.rev),
+                Wanted(TOMBSTONE_KIND, f"{name}#{record.incarnation}", encode(tombstone), 0),
+            ]
+
+        await commit(self._store_writer, plan, actor)
+
+    async def add_credential(
+        self, name: str, overlap: float, actor: str, idempotency: IdempotencyKey | None = None
+    ) -> Secret:
+        """Add a credential and return its secret, which is not kept.
+
+        Args:
+            name: The tenant.
+            overlap: Seconds for which the credential in use stays valid.
+            actor: Who asks for it.
+            idempotency: Given if the call carried an idempotency key.
+
+        Raises:
+            NotFoundError: There is no such tenant.
+        """
+        secret, credential = await trio.to_thread.run_sync(self._hasher.make, self._store_writer.clock())
+
+        def plan(store: Store, now: float) -> list[Wanted]:
+            item = tenant_item(store, name)
+            record = decode_tenant(item)
+            credentials = list(rotate(record.credentials, credential, overlap, now))
+            record = msgspec.structs.replace(record, credentials=credentials)
+            return [Wanted(TENANT_KIND, name, encode(record), item.rev)]
+
+        await commit(self._store_writer, plan, actor, idempotency, no_response)
+        return Secret(credential.ident, secret)
+
+    async def revoke_credential(self, name: str, ident: str, actor: str) -> None:
+        """End a credential at once.
+
+        Raises:
+            NotFoundError: There is no such tenant, or it has no such credential.
+        """
+
+        def alter(record: TenantRecord, now: float) -> TenantRecord:
+            try:
+                credentials = list(revoke(record.credentials, ident))
+            except KeyError as error:
+                raise NotFoundError(f"no credential {ident}") from error
+            return msgspec.structs.replace(record, credentials=credentials)
+
+        await self._alter(name, None, actor, alter)
+
+    async def _alter(self, name: str, if_match: int | None, actor: str, alter: Alteration) -> Tenant:
+        def plan(store: Store, now: float) -> list[Wanted]:
+            item = tenant_item(store, name, if_match)
+            return [Wanted(TENANT_KIND, name, encode(alter(decode_tenant(item), now)), item.rev)]
+
+        changes = await commit(self._store_writer, plan, actor)
+        return _resource_of(changes[0])
+
+
+def plan_missing_places(store: Store, now: float) -> list[Wanted]:
+    """Give a place to each tenant and tombstone that an older version stored without one."""
+    taken = _taken_places(store)
+    wanted = []
+    for kind in (TENANT_KIND, TOMBSTONE_KIND):
+        for item in store.items(kind):
+            record = decode_tenant(item)
+            if record.place == UNPLACED:
+                place = _lowest_free(taken)
+                taken.add(place)
+                record = msgspec.structs.replace(record, place=place)
+                wanted.append(Wanted(kind, item.ident, encode(record), item.rev))
+    return wanted
+
+
+def _new_tenancy(name: str, current: Item | None, last_incarnation: int, now: float) -> Tenancy:
+    try:
+        return create(name, [decode_tenant(current).tenancy] if current else [], last_incarnation, now)
+    except Refused as error:
+        raise ResourceConflictError(str(error), "name") from error
+
+
+def _new_record(new: NewTenant, tenancy: Tenancy, place: int, now: float) -> TenantRecord:
+    return TenantRecord(
+        name=new.name,
+        incarnation=tenancy.incarnation,
+        stage=tenancy.stage.value,
+        since=now,
+        marks_until=0.0,
+        clear=False,
+        share=new.share,
+        allowance=new.allowance,
+        memory=new.memory,
+        place=place,
+        traffic=new.traffic,
+        longest_wait=new.longest_wait,
+        most_value=new.most_value,
+    )
+
+
+def _allocate_place(store: Store) -> int:
+    taken = _taken_places(store)
+    if len(taken) >= MOST_TENANTS:
+        raise ResourceConflictError(f"{MOST_TENANTS} tenants stand, those that leave among them")
+    return _lowest_free(taken)
+
+
+def _taken_places(store: Store) -> set[int]:
+    """Places that are taken, also those of tombstones: a router may still hold operations of them."""
+    return {record.place for record in standing_tenants(store)} - {UNPLACED}
+
+
+def _lowest_free(taken: set[int]) -> int:
+    return next(place for place in range(len(taken) + 1) if place not in taken)
+
+
+def _resource_of(item: Item | Change) -> Tenant:
+    return tenant_resource(decode_tenant(item), item.rev)
+
+
+def _encode_tenant(changes: list[Change]) -> bytes:
+    return msgspec.json.encode(_resource_of(changes[0]))
--- a/gaugehinge/admin/types.py
+++ b/gaugehinge/admin/types.py
@@ -1,16 +1,18 @@
-"""What goes in and out of the API, as msgspec structs. The OpenAPI description is made from them."""
+"""Requests and responses of the API, as msgspec structs.
+
+The OpenAPI description is made from them: names, docstrings and field descriptions are published, and part of
+the API. Fields are named as the API names them.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-from typing import Annotated, Any, Literal
+from typing import Annotated, Any
 
 import msgspec
 from msgspec import UNSET, Meta, UnsetType
 
-from ..tenancy.credentials import Credential
-from ..tenancy.life import Stage, Tenancy
-from .route import Route
+from .caller import Role
+from .records import TenantRecord
 
 Name = Annotated[str, Meta(pattern="^[a-z][a-z0-9-]{0,62}$", description="lower case, digits and dashes")]
 Share = Annotated[float, Meta(ge=0, le=1e6, description="its weight against the others")]
@@ -21,8 +23,6 @@
     float,
     Meta(ge=0, le=7 * 86400, description="seconds that marks of its deduplicated writes are remembered"),
 ]
-
-
 Traffic = Annotated[
     dict[
         Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,64}$")],
@@ -57,43 +57,6 @@
     most_value: Value | UnsetType = UNSET
 
 
-class Kept(msgspec.Struct, frozen=True):
-    """A tenant as the store has it."""
-
-    name: str
-    incarnation: int
-    stage: str
-    since: float
-    marks_until: float
-    clear: bool
-    share: float
-    allowance: float
-    memory: float
-    credentials: list[Credential] = []
-    place: int = -1  # in the routers' tables; given at its making, or at the keeper's next start
-    traffic: dict[str, str] = {}
-    longest_wait: float = 0.0
-    most_value: int = 0
-    left_at: int = 0  # the revision of its tombstone's first row, where that is not its last one
-
-    @property
-    def tenancy(self) -> Tenancy:
-        """Its life."""
-        return Tenancy(
-            self.name, self.incarnation, Stage(self.stage), self.since, self.marks_until, self.clear
-        )
-
-    def living(self, tenancy: Tenancy) -> Kept:
-        """The same with another life."""
-        return msgspec.structs.replace(
-            self,
-            stage=tenancy.stage.value,
-            since=tenancy.since,
-            marks_until=tenancy.marks_until,
-            clear=tenancy.clear,
-        )
-
-
 class ShownCredential(msgspec.Struct, frozen=True):
     """A credential as it is shown: never its hash."""
 
@@ -145,10 +108,11 @@
     """One more who may use the API."""
 
     name: Name
-    role: Literal["reader", "tenant", "operator", "router"]
+    role: Role
     tenant: str = ""  # of role `tenant`: the only one that it sees
 
     def __post_init__(self) -> None:
+        """Check that a tenant is named for the role `tenant`, and only for it; raises ValueError."""
         if (self.role == "tenant") is not bool(self.tenant):
             raise ValueError("tenant goes with the role tenant, and only with it")
 
@@ -212,68 +176,30 @@
     field: str = ""
 
 
-def shown(kept: Kept, revision: int) -> Tenant:
-    """A tenant without its hashes."""
+def tenant_resource(record: TenantRecord, revision: int) -> Tenant:
+    """A stored tenant as the API shows it."""
     return Tenant(
-        kept.name,
-        kept.incarnation,
-        kept.stage,
-        kept.since,
-        kept.share,
-        kept.allowance,
-        kept.memory,
-        [ShownCredential(each.ident, each.made, each.ends) for each in kept.credentials],
-        revision,
-        kept.traffic,
-        kept.longest_wait,
-        kept.most_value,
+        name=record.name,
+        incarnation=record.incarnation,
+        stage=record.stage,
+        since=record.since,
+        share=record.share,
+        allowance=record.allowance,
+        memory=record.memory,
+        credentials=[ShownCredential(each.ident, each.made, each.ends) for each in record.credentials],
+        revision=revision,
+        traffic=record.traffic,
+        longest_wait=record.longest_wait,
+        most_value=record.most_value,
     )
 
 
-def without_hashes(body: bytes | None) -> Any:
-    """A stored body as the audit log may show it."""
+def redact_hashes(body: bytes | None) -> Any:
+    """A stored body, decoded, as the audit log may show it; None stays None."""
     if body is None:
         return None
     value = msgspec.json.decode(body)
     if isinstance(value, dict):
-        for each in value.get("credentials", ()):
-            each.pop("hashed", None)
+        for credential in value.get("credentials", ()):
+            credential.pop("hashed", None)
     return value
-
-
-def openapi(routes: Sequence[Route]) -> dict[str, Any]:
-    """The OpenAPI description of routes."""
-    bodies = [
-        body for route in routes for body in (route.request_type, route.response_type) if body is not None
-    ]
-    _, parts = msgspec.json.schema_components([*bodies, Problem], ref_template="#/components/schemas/{name}")
-
-    def content(kind: type, form: str = "application/json") -> dict[str, Any]:
-        return {"content": {form: {"schema": {"$ref": f"#/components/schemas/{kind.__name__}"}}}}
-
-    paths: dict[str, Any] = {}
-    for route in routes:
-        takes, gives = route.request_type, route.response_type
-        good = {"description": "done", **(content(gives) if gives else {})}
-        wrong = {"description": "a problem", **content(Problem, "application/problem+json")}
-        told: dict[str, Any] = {
-            "summary": route.summary,
-            "responses": {"2XX": good, "4XX": wrong, "503": wrong},
-        }
-        if takes is not None:
-            told["requestBody"] = {"required": True, **content(takes)}
-        names = [part[1:-1] for part in route.path.split("/") if part.startswith("{")]
-        told["parameters"] = [
-            {"name": name, "in": "path", "required": True, "schema": {"type": "string"}} for name in names
-        ]
-        paths.setdefault(route.path, {})[route.method.lower()] = told
-    return {
-        "openapi": "3.1.0",
-        "info": {"title": "gaugehinge administration", "version": "1"},
-        "components": {
-            "schemas": parts,
-            "securitySchemes": {"secret": {"type": "http", "scheme": "bearer"}},
-        },
-        "security": [{"secret": []}],
-        "paths": paths,
-    }
--- a/gaugehinge/cli/keep_command.py
+++ b/gaugehinge/cli/keep_command.py
@@ -16,12 +16,13 @@
     """
     import trio
 
-    from ..admin.keep import keep, read_keep
+    from ..admin.config import read_config
+    from ..admin.process import run_control_plane
     from ..forms.toml import BadFile
     from ..store.store import Damaged
 
     try:
-        told = read_keep(file)
+        told = read_config(file)
     except BadFile as bad:
         raise BadInput(str(bad)) from None
     parts = []
@@ -34,6 +35,6 @@
 
         parts.append(keeping(told))
     try:
-        trio.run(partial(keep, told, parts=parts))
+        trio.run(partial(run_control_plane, told, extensions=parts))
     except Damaged as bad:
         raise BadInput(str(bad)) from None
--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -1,17 +1,15 @@
-"""Limits, grants and rolls over HTTP: routes of `admin.app.Api`."""
+"""Limits, grants and rolls over HTTP: routes of the administration API."""
 
 from __future__ import annotations
 
-import hashlib
-from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING, Annotated, Any
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Annotated
 
 import msgspec
 from msgspec import Meta
 from starlette.requests import Request
 from starlette.responses import Response
 
-from ..admin.app import MOST_KEY, answer, if_match, read
 from ..admin.caller import Caller
 from ..admin.errors import (
     InvalidRequestError,
@@ -19,7 +17,10 @@
     PreconditionFailedError,
     ResourceConflictError,
 )
+from ..admin.http import if_match_revision, json_response, read_json
+from ..admin.idempotency import run_once
 from ..admin.route import Route
+from ..admin.transactions import IdempotencyKey
 from ..store.store import Store, Wanted, encode
 from .grants import Figures, figure, fits
 from .rolls import (
@@ -183,11 +184,13 @@
     async def limits(self, request: Request, caller: Caller) -> Response:
         """GET /v1/limits."""
         caller.require_role("reader")
-        return answer(LimitPage(await self.administration.keeper.call(self._limits, self._store)))
+        return json_response(
+            LimitPage(await self.administration.store_writer.call(self._limits, self._store))
+        )
 
     @property
     def _store(self) -> Store:
-        return self.administration.keeper.store
+        return self.administration.store_writer.store
 
     async def limit(self, request: Request, caller: Caller) -> Response:
         """GET /v1/limits/{store}."""
@@ -195,18 +198,18 @@
         return await self._limit(request.path_params["store"])
 
     async def _limit(self, name: str) -> Response:
-        found = await self.administration.keeper.call(self._limits, self._store)
+        found = await self.administration.store_writer.call(self._limits, self._store)
         shown = next((each for each in found if each.store == name), None)
         if shown is None:
             raise NotFoundError(f"no limit for {name}")
-        return answer(shown, etag=shown.revision)
+        return json_response(shown, etag=shown.revision)
 
     async def put_limit(self, request: Request, caller: Caller) -> Response:
         """PUT /v1/limits/{store}: for the revision that was read; 0 names a server for the first time."""
         caller.require_role("operator")
         name = request.path_params["store"]
-        told, _ = await read(request, LimitOrder)
-        expect = if_match(request)
+        told, _ = await read_json(request, LimitOrder)
+        expect = if_match_revision(request)
         if not 0 < len(name) <= MOST_NAME:
             raise InvalidRequestError(f"1 to {MOST_NAME} characters", "store")
         grants = self.part.grants
@@ -224,7 +227,7 @@
                 raise ResourceConflictError("64 limits are named", "store")
             return [Wanted(LIMIT, name, encode(told), at)]
 
-        await self.administration._change(plan, caller.name)
+        await self.administration.commit(plan, caller.name)
         self.part.news.set()
         return await self._limit(name)
 
@@ -233,7 +236,7 @@
     async def grants(self, request: Request, caller: Caller) -> Response:
         """GET /v1/grants."""
         caller.require_role("reader")
-        return answer(await self.administration.keeper.call(self._grants, self._store))
+        return json_response(await self.administration.store_writer.call(self._grants, self._store))
 
     def _grants(self, store: Store) -> GrantPage:
         part = self.part
@@ -290,12 +293,12 @@
                     raise ResourceConflictError(why, "node")
             return [Wanted(NODE, node, None, item.rev)]
 
-        await self.administration._change(plan, caller.name)
+        await self.administration.commit(plan, caller.name)
         with part.lock:
             part.grants.drop(node)
             part.lasts.pop(node, None)
         part.news.set()
-        return answer(Done(f"{node} is no more: its floor is free"))
+        return json_response(Done(f"{node} is no more: its floor is free"))
 
     async def confirm(self, request: Request, caller: Caller) -> Response:
         """POST /v1/nodes/confirm: every node that exists is known, so new ones may be admitted again."""
@@ -317,18 +320,18 @@
                     else [Wanted("drains-ground", "ground", body, item.rev if item else 0)]
                 )
 
-        await self.administration._change(plan, caller.name)
+        await self.administration.commit(plan, caller.name)
         part.news.set()
-        return answer(Done("new nodes are admitted"))
+        return json_response(Done("new nodes are admitted"))
 
     # -- rolls
 
     async def rolls(self, request: Request, caller: Caller) -> Response:
         """GET /v1/rolls."""
         caller.require_role("reader")
-        rolls, steps, _ = await self.administration.keeper.call(self.part.standing, self._store)
+        rolls, steps, _ = await self.administration.store_writer.call(self.part.standing, self._store)
         rows = sorted(rolls.values(), key=lambda row: row[1].number)
-        return answer(RollPage([shown(roll, steps[roll.ident], rev) for rev, roll in rows]))
+        return json_response(RollPage([shown(roll, steps[roll.ident], rev) for rev, roll in rows]))
 
     async def roll(self, request: Request, caller: Caller) -> Response:
         """GET /v1/rolls/{id}."""
@@ -336,8 +339,8 @@
         return await self._roll(request.path_params["id"])
 
     async def _roll(self, ident: str) -> Response:
-        found = await self.administration.keeper.call(self._one, self._store, ident)
-        return answer(found, etag=found.revision)
+        found = await self.administration.store_writer.call(self._one, self._store, ident)
+        return json_response(found, etag=found.revision)
 
     def _one(self, store: Store, ident: str) -> RollShown:
         rolls, steps, _ = self.part.standing(store)
@@ -349,7 +352,7 @@
     async def new_roll(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls."""
         caller.require_role("operator")
-        order, body = await read(request, RollOrder)
+        order, body = await read_json(request, RollOrder)
         part = self.part
         made: list[str] = []
 
@@ -362,7 +365,7 @@
                 raise InvalidRequestError(str(bad), bad.field) from None
             rolls, steps, revisions = part.standing(store)
             number = max((roll.number for _, roll in rolls.values()), default=0) + 1
-            ident = f"roll-{number:06d}-{self.administration.run_mark[:4]}"  # of a lost store's no name again
+            ident = f"roll-{number:06d}-{self.administration.run_id[:4]}"  # of a lost store's no name again
             roll = Roll(ident, number, order, who=caller.name, at=now)
             made[:] = [roll.ident]
             wanted = [Wanted(ROLL, roll.ident, encode(roll), 0)]
@@ -370,36 +373,16 @@
                 wanted.append(Wanted(STEP, f"{roll.ident}/{name}", encode(Step(name, place)), 0))
             return wanted + _room(rolls, steps, revisions)
 
-        async def make(**key: Any) -> Response:
-            await self.administration._change(plan, caller.name, **key)
+        async def make(idempotency: IdempotencyKey | None) -> Response:
+            await self.administration.commit(plan, caller.name, idempotency, lambda rows: made[0].encode())
             part.news.set()
-            found = await self.administration.keeper.call(self._one, self._store, made[0])
-            return answer(found, 201, found.revision, Location=f"/v1/rolls/{found.id}")
+            found = await self.administration.store_writer.call(self._one, self._store, made[0])
+            return json_response(found, 201, found.revision, {"Location": f"/v1/rolls/{found.id}"})
 
-        return await self._once(request, caller, body, make, made)
+        async def replay(stored: bytes) -> Response:
+            return await self._roll(stored.decode())
 
-    async def _once(
-        self,
-        request: Request,
-        caller: Caller,
-        body: bytes,
-        make: Callable[..., Awaitable[Response]],
-        made: list[str],
-    ) -> Response:
-        """A call with an idempotency key is made once; its repeat is shown what it made."""
-        key = request.headers.get("idempotency-key", "")
-        if len(key) > MOST_KEY:
-            raise InvalidRequestError(f"over {MOST_KEY} characters", "Idempotency-Key")
-        if not key:
-            return await make()
-        print_ = hashlib.sha256(f"POST {request.url.path}\n".encode() + body).digest()
-        keeper = self.administration.keeper
-        held = await keeper.call(keeper.store.answered, caller.name, key)
-        if held is None:
-            return await make(key=key, request=print_, answer=lambda rows: made[0].encode())
-        if held[0] != print_:
-            raise InvalidRequestError("another call had this key", "Idempotency-Key")
-        return await self._roll(held[1].decode())
+        return await run_once(self.administration.store_writer, request, caller, body, make, replay)
 
     async def pause(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls/{id}/pause."""
@@ -439,7 +422,7 @@
             altered = {ident: after} if after != before else {}
             return part.write(store, rolls, revisions, altered, {ident: changed}, [], restore)
 
-        await self.administration._change(plan, caller.name)
+        await self.administration.commit(plan, caller.name)
         part.news.set()
         return await self._roll(ident)
 
--- a/gaugehinge/drains/keeper.py
+++ b/gaugehinge/drains/keeper.py
@@ -12,15 +12,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from threading import Lock
-from typing import Any
 
 import msgspec
 import trio
 from loguru import logger
 
+from ..admin.config import ControlPlaneConfig, DrainsConfig
+from ..admin.control_plane import ControlPlane
 from ..admin.errors import InvalidRequestError
-from ..admin.keep import KeepDrains, KeepFile
-from ..admin.service import SERVER, TENANT, Administration
+from ..admin.records import SERVER_ORDER_KIND, TENANT_KIND
+from ..admin.route import Route
 from ..store.keeper import Overloaded
 from ..store.store import Conflict, Full, Store, Wanted, encode
 from ..tenancy.feed import Report
@@ -78,10 +79,10 @@
 
 @dataclass(slots=True, eq=False)
 class KeeperDrains:
-    """`admin.service.Part`. Nodes leave its tables as they leave those of `Grants`; servers with the list."""
+    """An `admin.extension.Extension`. Nodes leave its tables as those of `Grants`, servers with the list."""
 
-    administration: Administration
-    told: KeepDrains
+    administration: ControlPlane
+    told: DrainsConfig
     clock: Callable[[], float] = time.monotonic
     name: str = NAME
     grants: Grants = field(init=False)
@@ -109,21 +110,21 @@
         desk = self.administration
         self.grants = Grants(
             self.clock(),
-            desk.lease,
+            desk.leases.duration,
             float(told.closing),
             told.most_nodes,
             floors,
             told.reserve,
-            desk.run_mark,
-            desk.life,
+            desk.run_id,
+            desk.store_id,
             Ground(),
         )
-        self.last_word = LastWord.beside(desk.keeper.path)
+        self.last_word = LastWord.beside(desk.store_writer.path)
 
     # -- what routers say
 
-    def hear(self, report: Report, now: float) -> None:
-        """`admin.service.Part`. Raises InvalidRequestError where its part makes no sense."""
+    def on_report(self, report: Report, now: float) -> None:
+        """`admin.extension.Extension`. Raises InvalidRequestError where its part makes no sense."""
         raw = report.parts.get(NAME)
         if raw is None:
             return
@@ -173,13 +174,13 @@
 
     # -- what they are told
 
-    def feed(self, store: Store, report: Report) -> bytes | None:
-        """`admin.service.Part`."""
+    def feed_section(self, store: Store, report: Report) -> bytes | None:
+        """`admin.extension.Extension`."""
         raw = report.parts.get(NAME)
         if raw is None or not self.ready:
             return None
         said = msgspec.json.decode(raw, type=Said)
-        life = self.administration.life
+        life = self.administration.store_id
         if not self.note(store):
             return None
         item = store.get(NODE, said.node)
@@ -221,7 +222,7 @@
         not be said, and nothing may be told."""
         with self.lock:
             good = self.grants.raises(self.clock())
-        return self.last_word.say(self.administration.life, store.rev, store.mark, good, sleepless())
+        return self.last_word.say(self.administration.store_id, store.rev, store.mark, good, sleepless())
 
     def _asks_list(self, node: str, now: float) -> bool:
         if now - self.servers_at < LIST_OLD:
@@ -254,7 +255,7 @@
 
     async def _begin(self) -> None:
         """What the store has of runs before this one, and limits of the file where it has none."""
-        keeper = self.administration.keeper
+        keeper = self.administration.store_writer
         told = self.told
 
         def begin(store: Store, now: float) -> list[Wanted]:
@@ -273,7 +274,7 @@
                 self.grants.begin_with(slots)
                 # Killed on this machine and back on the file that it told by: what is held is in there.
                 self.grants.sure = not doubt and self.last_word.of(
-                    self.administration.life, store.mark, sleepless(), self.grants.unraised
+                    self.administration.store_id, store.mark, sleepless(), self.grants.unraised
                 )
             wanted = [Wanted(GROUND, "ground", encode(ground), held.rev if held else 0)]
             first = {ORIGIN: told.origin, SERVERS: told.servers, **told.limits}
@@ -299,7 +300,7 @@
         self.ready = True
 
     def _witness(self) -> str:
-        return f"{self.administration.keeper.path}.drains"
+        return f"{self.administration.store_writer.path}.drains"
 
     def _suspicion(self, empty: bool, ground: Ground) -> str:
         """Why this store may know less than was told, by what stands beside it."""
@@ -313,7 +314,7 @@
             return "no witness beside the store" if ground.admissions else ""
         except (OSError, ValueError, KeyError, TypeError) as bad:
             return f"the witness beside the store cannot be read: {type(bad).__name__}"
-        if life != self.administration.life:
+        if life != self.administration.store_id:
             return "another store stood here"
         if admissions > ground.admissions:
             return f"{admissions} nodes were admitted, this store knows of {ground.admissions}"
@@ -326,7 +327,7 @@
             return
         part = self._witness() + ".part"
         with open(part, "w", encoding="utf-8") as file:
-            json.dump({"life": self.administration.life, "admissions": admissions}, file)
+            json.dump({"life": self.administration.store_id, "admissions": admissions}, file)
             file.flush()
             os.fsync(file.fileno())
         os.replace(part, self._witness())
@@ -374,7 +375,7 @@
                 wanted.append(Wanted(GROUND, "ground", encode(ground), item.rev if item else 0))
             return wanted
 
-        keeper = self.administration.keeper
+        keeper = self.administration.store_writer
         await keeper.apply_planned(plan, "drains")
         if self.grants.ground.admissions != self.grants.witnessed:
             try:
@@ -398,7 +399,7 @@
         if rate <= 0.0:
             return 0.0
         allowed = 0.0
-        for item in store.items(TENANT, most=MOST_ITEMS):
+        for item in store.items(TENANT_KIND, most=MOST_ITEMS):
             allowed += float(msgspec.json.decode(item.body).get("allowance", 0.0))
         return allowed * used / rate
 
@@ -473,7 +474,7 @@
             self.orders = {name: order for name, order in self.orders.items() if told.get(name) == order}
             return wanted
 
-        await self.administration.keeper.apply_planned(plan, "drains")
+        await self.administration.store_writer.apply_planned(plan, "drains")
         self.orders = told  # only now that it is in the store
         for text in log:
             logger.info(text)
@@ -511,12 +512,12 @@
                 name = step_ident(ident, step.node)
                 wanted.append(Wanted(STEP, name, encode(step), revisions.get(name, 0)))
         for uid in drain:
-            if store.get(SERVER, uid) is None:
-                wanted.append(Wanted(SERVER, uid, encode("drain"), 0))
+            if store.get(SERVER_ORDER_KIND, uid) is None:
+                wanted.append(Wanted(SERVER_ORDER_KIND, uid, encode("drain"), 0))
         for uid in restore:
-            item = store.get(SERVER, uid)
+            item = store.get(SERVER_ORDER_KIND, uid)
             if item is not None:
-                wanted.append(Wanted(SERVER, uid, None, item.rev))
+                wanted.append(Wanted(SERVER_ORDER_KIND, uid, None, item.rev))
         return wanted
 
     def facts(self, store: Store, now: float) -> dict[str, dict[str, Fact]]:
@@ -560,7 +561,7 @@
 
     def _servers(self, store: Store, now: float) -> dict[str, Fact]:
         limits = self.limits(store)
-        ordered = {item.ident: item.rev for item in store.items(SERVER, most=MOST_ITEMS)}
+        ordered = {item.ident: item.rev for item in store.items(SERVER_ORDER_KIND, most=MOST_ITEMS)}
         up = [uid for uid, seen in self.servers.items() if self._listed(seen)]
         attempts = sum(last.said.legs for last in self.lasts.values() if now - last.at < self.grants.lease)
         ours = self._ours(store)
@@ -588,7 +589,7 @@
 
     def _last_of_shard(self, servers: dict[str, Fact]) -> Callable[[str, frozenset[str]], bool]:
         """Whether a server is the last that is up for some shard pinned with `only`, others being out."""
-        placement = next((part for part in self.administration.parts if part.name == "placement"), None)
+        placement = next((part for part in self.administration.extensions if part.name == "placement"), None)
         rows = placement.desk.rows.values() if placement is not None else ()
         pinned = {
             frozenset(zone for region in terms.zones for zone in region)
@@ -631,12 +632,12 @@
                 return False
         return True
 
-    def routes(self) -> list[tuple[str, str, str, Any, Any, Any]]:
-        """`admin.service.Part`."""
+    def routes(self) -> list[Route]:
+        """`admin.extension.Extension`."""
         return DrainsApi(self).routes()
 
 
-def keeping(told: KeepFile) -> Callable[[Administration], KeeperDrains]:
+def keeping(told: ControlPlaneConfig) -> Callable[[ControlPlane], KeeperDrains]:
     """What makes the keeper's part, by its file."""
     named = getattr(told.placement, "regions", {})
     regions = {zone: name for name, zones in named.items() for zone in zones}
--- a/gaugehinge/placement/build.py
+++ b/gaugehinge/placement/build.py
@@ -6,8 +6,8 @@
 
 import trio
 
-from ..admin.keep import KeepFile
-from ..admin.service import Administration
+from ..admin.config import ControlPlaneConfig
+from ..admin.control_plane import ControlPlane
 from ..hosted.follower import Follower
 from ..net.service import Service
 from .keeper import Placement
@@ -27,6 +27,6 @@
     return extend
 
 
-def keeping(told: KeepFile) -> Callable[[Administration], Placement]:
+def keeping(told: ControlPlaneConfig) -> Callable[[ControlPlane], Placement]:
     """The keeper's part."""
     return lambda administration: Placement(administration, told.placement)
--- a/gaugehinge/placement/keeper.py
+++ b/gaugehinge/placement/keeper.py
@@ -21,8 +21,9 @@
 from starlette.responses import Response
 from xxhash import xxh3_128_hexdigest
 
-from ..admin.app import answer, if_match, once, read
 from ..admin.caller import Caller
+from ..admin.config import PlacementConfig
+from ..admin.control_plane import ControlPlane
 from ..admin.errors import (
     ApiError,
     InvalidRequestError,
@@ -31,10 +32,11 @@
     PreconditionRequiredError,
     ResourceConflictError,
 )
-from ..admin.keep import KeepPlacement
+from ..admin.http import if_match_revision, json_response, read_json
+from ..admin.idempotency import run_once
+from ..admin.records import SERVER_ORDER_KIND, TENANT_KIND, TOMBSTONE_KIND, TenantRecord
 from ..admin.route import Route
-from ..admin.service import SERVER, TENANT, TOMBSTONE, Administration
-from ..admin.types import Kept
+from ..admin.transactions import IdempotencyKey
 from ..store.keeper import Overloaded
 from ..store.store import Full, Store, Wanted, encode
 from ..tenancy.feed import Report
@@ -74,17 +76,17 @@
     name = "placement"
 
     def __init__(
-        self, administration: Administration, told: KeepPlacement, clock: Callable[[], float] = time.monotonic
+        self, administration: ControlPlane, told: PlacementConfig, clock: Callable[[], float] = time.monotonic
     ) -> None:
         """`clock`: monotonic seconds, by which leases are counted."""
         self.administration = administration
-        self.keeper = administration.keeper
+        self.keeper = administration.store_writer
         self.told = told
         self.clock = clock
         self.desk = Desk()
         self.servers = Servers()
         now = clock()
-        self.near = Ledger(now, administration.lease, grace=float(told.flight))
+        self.near = Ledger(now, administration.leases.duration, grace=float(told.flight))
         self.far = Ledger(now, float(told.alone), grace=float(told.flight))
         self.doubts: dict[tuple[int, str], Doubt] = {}  # until they are written; DOUBTS_MOST of them
         self.disturbed: set[str] = set()  # zones whose servers moved, until that is written
@@ -98,18 +100,18 @@
 
     # -- routers
 
-    def hear(self, report: Report, now: float) -> None:
+    def on_report(self, report: Report, now: float) -> None:
         """A router called; its lease counts from here on, later than its question was sent."""
         now = self.clock()
         try:
             told = msgspec.json.decode(report.parts.get(self.name, b"{}"), type=RouterTold)
         except msgspec.MsgspecError as bad:
             raise InvalidRequestError(str(bad), "parts.placement") from None
-        known = bool(told.mark) and self.administration.told.get(told.have) == told.mark
+        known = bool(told.mark) and self.administration.feed.marks.was_issued(told.have, told.mark)
         revision = min(told.clear, told.have) if known else 0
         # A reader without the part follows nothing and is given nothing.
         if self.name in report.parts:
-            self.near.give(report.router, report.run, revision, self.administration.lease, now)
+            self.near.give(report.router, report.run, revision, self.administration.leases.duration, now)
             self.far.give(report.router, report.run, revision, float(self.told.alone), now)
         if told.servers is not None:
             self.disturbed |= self.servers.hear(report.router, told.servers)
@@ -119,7 +121,7 @@
         if self.desk.restless or self.doubts or self.disturbed:
             self._wake.set()
 
-    def feed(self, store: Store, report: Report) -> bytes | None:
+    def feed_section(self, store: Store, report: Report) -> bytes | None:
         """On the store's thread."""
         if self.name not in report.parts:
             return None
@@ -137,11 +139,11 @@
         return msgspec.json.encode(
             KeeperTold(
                 self.desk.rev,
-                self.administration.mark_of(self.desk.rev),
+                self.administration.feed.marks.issue(self.desk.rev),
                 whole,
                 rows,
                 gone,
-                self.administration.lease if noted else 0.0,
+                self.administration.leases.duration if noted else 0.0,
                 float(self.told.alone) if noted else 0.0,
                 self._unsure(store),
                 self.servers.digest,
@@ -394,7 +396,7 @@
             kept, _ = self._standing(self.keeper.store, name)
             return [self._shown(self.keeper.store, row, rev) for row, rev in self.desk.of(kept.incarnation)]
 
-        return answer(ShardPage(await self.keeper.call(look)))
+        return json_response(ShardPage(await self.keeper.call(look)))
 
     async def get(self, request: Request, caller: Caller) -> Response:
         """GET /v1/tenants/{name}/shards/{shard}."""
@@ -408,30 +410,36 @@
             return self._shown(self.keeper.store, *rows[shard])
 
         found = await self.keeper.call(look)
-        return answer(found, etag=found.revision)
+        return json_response(found, etag=found.revision)
 
     async def put(self, request: Request, caller: Caller) -> Response:
         """PUT /v1/tenants/{name}/shards/{shard}: If-Match with the tag of what stands, none for a new one."""
         name, shard = request.path_params["name"], request.path_params["shard"]
         caller.require_role("operator", name)
-        wanted, body = await read(request, ShardWanted)
-        match = if_match(request) if request.headers.get("if-match") else None
+        wanted, body = await read_json(request, ShardWanted)
+        match = if_match_revision(request) if request.headers.get("if-match") else None
 
-        async def make(**key: Any) -> Response:
-            made = await self.ask(name, shard, wanted, match, caller.name, **key)
-            return answer(made, 200, made.revision)
+        async def make(idempotency: IdempotencyKey | None) -> Response:
+            made = await self.ask(name, shard, wanted, match, caller.name, idempotency)
+            return json_response(made, 200, made.revision)
 
-        return await once(self.administration, request, caller, body, make)
+        return await run_once(self.administration.store_writer, request, caller, body, make)
 
     async def delete(self, request: Request, caller: Caller) -> Response:
         """DELETE /v1/tenants/{name}/shards/{shard}."""
         name, shard = request.path_params["name"], request.path_params["shard"]
         caller.require_role("operator", name)
-        await self.remove(name, shard, if_match(request), caller.name)
+        await self.remove(name, shard, if_match_revision(request), caller.name)
         return Response(status_code=204)
 
     async def ask(
-        self, name: str, shard: str, wanted: ShardWanted, match: int | None, who: str, **key: Any
+        self,
+        name: str,
+        shard: str,
+        wanted: ShardWanted,
+        match: int | None,
+        who: str,
+        idempotency: IdempotencyKey | None = None,
     ) -> ShardShown:
         """Pin a shard, or change its pin. Raises ApiError."""
 
@@ -475,7 +483,7 @@
             ident = f"{kept.incarnation}/{shard}"
             return [Wanted(SHARD, ident, encode(living(after, life, now)), rev), budget]
 
-        made = await self.administration._change(plan, who, answer=self._answered, **key)
+        made = await self.administration.commit(plan, who, idempotency, self._answered)
         self._wake.set()
         return msgspec.json.decode(self._answered(made), type=ShardShown)
 
@@ -498,25 +506,25 @@
             after = msgspec.structs.replace(after, version=store.rev + 1, former=_former(row, life))
             return [Wanted(SHARD, ident, None if life.stage is Stage.GONE else encode(after), rev), budget]
 
-        await self.administration._change(plan, who)
+        await self.administration.commit(plan, who)
         self._wake.set()
 
     def _answered(self, made: list[Any]) -> bytes:
         row = msgspec.json.decode(made[0].body, type=Pinned)
         return msgspec.json.encode(self._shown(None, row, made[0].rev))
 
-    def _standing(self, store: Store, name: str) -> tuple[Kept, dict[str, tuple[Pinned, int]]]:
-        item = store.get(TENANT, name)
+    def _standing(self, store: Store, name: str) -> tuple[TenantRecord, dict[str, tuple[Pinned, int]]]:
+        item = store.get(TENANT_KIND, name)
         if item is None:
             raise NotFoundError(f"no tenant {name}")
-        kept = msgspec.json.decode(item.body, type=Kept)
+        kept = msgspec.json.decode(item.body, type=TenantRecord)
         self.desk.refresh(store)
         return kept, {row.shard: (row, rev) for row, rev in self.desk.of(kept.incarnation)}
 
     def _ground(self, store: Store, without: str) -> Ground:
         """What pins are checked against, on the store's thread."""
         # A tenant that was removed, and that no router has anything of in hand, takes no room any more.
-        over = {stone.incarnation for stone in _all(store, TOMBSTONE, Kept) if stone.clear}
+        over = {stone.incarnation for stone in _all(store, TOMBSTONE_KIND, TenantRecord) if stone.clear}
         pinned: dict[str, float] = {}
         for ident, (row, _) in self.desk.rows.items():
             if ident != without and row.incarnation not in over:
@@ -527,7 +535,7 @@
         return Ground(self.told.regions, self._standing_servers(), bears, pinned, heard)
 
     def _hear_store(self, store: Store) -> None:
-        self.ordered = frozenset(_idents(store, SERVER))
+        self.ordered = frozenset(_idents(store, SERVER_ORDER_KIND))
         self.doubtful = {**dict(self._unsure(store)), **self.servers.unsure}
 
     def _standing_servers(self) -> list[Server]:
@@ -598,7 +606,7 @@
     return msgspec.json.decode(body, type=list[tuple[str, float]])
 
 
-def _afford(kept: Kept, rows: dict[str, tuple[Pinned, int]], shard: str, allowance: float) -> float:
+def _afford(kept: TenantRecord, rows: dict[str, tuple[Pinned, int]], shard: str, allowance: float) -> float:
     """What of its tenant's allowance a shard takes. Raises NotTaken."""
     # What its tenant let end is its own again at once; at its region it counts until routers follow.
     others = sum(row.allowance for name, (row, _) in rows.items() if name != shard and not row.ends)
@@ -673,4 +681,8 @@
 
 
 def _tenants(store: Store) -> list[tuple[int, str]]:
-    return [(kept.incarnation, kept.name) for kind in (TENANT, TOMBSTONE) for kept in _all(store, kind, Kept)]
+    return [
+        (kept.incarnation, kept.name)
+        for kind in (TENANT_KIND, TOMBSTONE_KIND)
+        for kept in _all(store, kind, TenantRecord)
+    ]
--- a/gaugehinge/rehearsal/broken.py
+++ b/gaugehinge/rehearsal/broken.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from ..admin import service
+from ..admin import tenants
 from ..net import list_update
 from ..net.dispatch import Dispatch, Exchange, busy
 from ..net.origin import OriginDialect, Talk
@@ -252,18 +252,18 @@
     """It acknowledges changes of a tenant and does not keep them."""
 
     async def change(self: Any, name: str, told: Any, if_match: int, who: str) -> Any:
-        held = await self.tenant(name)
+        held = await self.get(name)
         all_ = msgspec.structs.asdict(told)
         figures = {name: value for name, value in all_.items() if value is not msgspec.UNSET}
-        return msgspec.structs.replace(held, revision=self.keeper.rev + 1, **figures)
+        return msgspec.structs.replace(held, revision=self._store_writer.rev + 1, **figures)
 
-    service.Administration.change = change
+    tenants.Tenants.update = change
 
 
 def blind() -> None:
     """It makes changes whatever revision they were made for."""
-    right = service._expected
-    service._expected = lambda store, name, if_match: right(store, name, None)
+    right = tenants.tenant_item
+    tenants.tenant_item = lambda store, name, if_match=None: right(store, name)
 
 
 ROUTERS = {
--- a/gaugehinge/rehearsal/company.py
+++ b/gaugehinge/rehearsal/company.py
@@ -34,7 +34,7 @@
 import trio
 from loguru import logger
 
-from ..admin.service import Administration
+from ..admin.control_plane import ControlPlane
 from ..admin.types import NewTenant
 from ..drains.lastword import LastWord
 from ..emulator.link import Fault, Links, State
@@ -220,16 +220,16 @@
         files.mkdir(parents=True, exist_ok=True)
         keeper = StoreKeeper(files / "store.db")
         try:
-            desk = Administration(keeper, CHEAP, Attempts(1, keeper.clock()))
-            await desk.ready()
-            self.root = await desk.first_operator() or self.root
-            tier = await desk.new_operator("tier", "router", "", "play")
+            desk = ControlPlane(keeper, CHEAP, Attempts(1, keeper.clock()))
+            await desk.prepare()
+            self.root = await desk.operators.create_first() or self.root
+            tier = await desk.operators.create("tier", "router", "", "play")
             (self.folder / "secret").write_text(tier.secret)
             for name in self.plan.tenants:
                 new = NewTenant(name, allowance=self.plan.allowance, memory=MEMORY)
-                made = await desk.create(new, "play")
-                await desk.tell(name, Order.ACTIVATE, made.revision, "play")
-                self.secrets[name] = (await desk.new_credential(name, 0.0, "play")).secret
+                made = await desk.tenants.create(new, "play")
+                await desk.tenants.transition(name, Order.ACTIVATE, made.revision, "play")
+                self.secrets[name] = (await desk.tenants.add_credential(name, 0.0, "play")).secret
         finally:
             keeper.close()
 
--- a/gaugehinge/rehearsal/hostedplay.py
+++ b/gaugehinge/rehearsal/hostedplay.py
@@ -17,7 +17,7 @@
 from hypercorn.trio import serve
 
 from ..admin.app import Api
-from ..admin.service import Administration
+from ..admin.control_plane import ControlPlane
 from ..cluster.build import extension
 from ..emulator.directory import Directory, Entry
 from ..emulator.doors import DirectoryDoor
@@ -92,14 +92,14 @@
     root: str = ""  # the first operator's secret
     routers_secret: str = ""
     keeper: StoreKeeper | None = None
-    administration: Administration | None = None
+    administration: ControlPlane | None = None
     keeping: trio.CancelScope = field(default_factory=trio.CancelScope)
     files: list[Installation] = field(default_factory=list)
     services: list[Service] = field(default_factory=list)
     followers: list[Follower] = field(default_factory=list)
     scopes: list[trio.CancelScope] = field(default_factory=list)
     lease: float = 0.0  # seconds that the keeper gives routers; 0: none
-    parts: tuple[Callable[[Administration], Any], ...] = ()  # at the keeper
+    parts: tuple[Callable[[ControlPlane], Any], ...] = ()  # at the keeper
     dress: Callable[[Any], Any] = lambda follow: follow  # what a router has beside its following
 
     # -- the keeper
@@ -107,14 +107,14 @@
     async def keep(self) -> None:
         """Start the keeper, at the place that it had before if it had one."""
         keeper = self.keeper = StoreKeeper(self.folder / "store.db")
-        desk = self.administration = Administration(keeper, CHEAP, Attempts(1, keeper.clock()))
-        await desk.ready()
+        desk = self.administration = ControlPlane(keeper, CHEAP, Attempts(1, keeper.clock()))
+        await desk.prepare()
         if self.lease:
-            desk.give_leases(self.lease)
-        desk.parts = [part(desk) for part in self.parts]
-        self.root = await desk.first_operator() or self.root
+            desk.leases.enable(self.lease)
+        desk.extensions += [part(desk) for part in self.parts]
+        self.root = await desk.operators.create_first() or self.root
         if not self.routers_secret:
-            made = await desk.new_operator("tier", "router", "", "play")
+            made = await desk.operators.create("tier", "router", "", "play")
             self.routers_secret = made.secret
             (self.folder / "secret").write_text(made.secret)
         config = Config()
@@ -124,10 +124,10 @@
         self.keeping = trio.CancelScope()
         await self.nursery.start(self._serve, Api(desk).app(), config, desk)
 
-    async def _serve(self, app: Any, config: Config, desk: Administration, task_status: Any) -> None:
+    async def _serve(self, app: Any, config: Config, desk: ControlPlane, task_status: Any) -> None:
         with self.keeping:
             async with trio.open_nursery() as nursery:
-                for part in desk.parts:
+                for part in desk.extensions:
                     nursery.start_soon(part.run)
                 await nursery.start(partial(serve, app, config, shutdown_trigger=trio.sleep_forever))
                 task_status.started()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -15,9 +15,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gaugehinge.admin.app import BURST, MOST_BODY, Api
-from gaugehinge.admin.keep import look_at_stones
-from gaugehinge.admin.service import Administration
+from gaugehinge.admin.app import Api
+from gaugehinge.admin.control_plane import ControlPlane
+from gaugehinge.admin.http import MAX_BODY_SIZE
+from gaugehinge.admin.rate_limit import BURST
+from gaugehinge.admin.tombstones import sweep_tombstones
 from gaugehinge.cli.main import main
 from gaugehinge.emulator.ports import Ports
 from gaugehinge.store.keeper import StoreKeeper
@@ -50,8 +52,8 @@
     """A store, its API and the first operator."""
     clock = [1_000_000.0]
     keeper = StoreKeeper(path / "s.db", lambda: clock[0])
-    administration = Administration(keeper, CHEAP, Attempts(1, clock[0]))
-    secret = await administration.first_operator()
+    administration = ControlPlane(keeper, CHEAP, Attempts(1, clock[0]))
+    secret = await administration.operators.create_first()
     transport = httpx.ASGITransport(Api(administration).app())
     async with httpx.AsyncClient(transport=transport, base_url="http://admin") as client:
         desk = Desk(client, secret)
@@ -91,11 +93,11 @@
             # The name is another tenant's at once; the old one stands as a tombstone while its marks live.
             again = await desk.make("acme", memory=10.0)
             assert again.status_code == 201 and again.json()["incarnation"] > found.json()["incarnation"]
-            assert await look_at_stones(desk.administration) == 0
+            assert await sweep_tombstones(desk.administration) == 0
             desk.clock[0] += 11.0
-            assert await look_at_stones(desk.administration) == 0
+            assert await sweep_tombstones(desk.administration) == 0
             desk.clock[0] += 20.0
-            assert await look_at_stones(desk.administration) == 1
+            assert await sweep_tombstones(desk.administration) == 1
             kinds = [
                 (c["kind"], c["ident"], c["removed"])
                 for c in (await desk("GET", "/v1/audit")).json()["changes"]
@@ -109,7 +111,7 @@
 def test_a_store_made_anew_gives_no_number_that_a_lost_one_gave(tmp_path):
     async def scene():
         async with office(tmp_path) as desk:
-            desk.administration.numbers_above = 40
+            desk.administration.tenants.incarnation_floor = 40
             numbers = [(await desk.make(name)).json()["incarnation"] for name in ("acme", "bolt")]
             assert numbers == [41, 42]
 
@@ -173,9 +175,9 @@
         async with office(tmp_path) as desk:
             for name in ("acme", "birch"):
                 await desk.make(name)
-            office_of = desk.administration
-            reader = Desk(desk.client, (await office_of.new_operator("eye", "reader", "", "root")).secret)
-            mine = Desk(desk.client, (await office_of.new_operator("ann", "tenant", "acme", "root")).secret)
+            operators = desk.administration.operators
+            reader = Desk(desk.client, (await operators.create("eye", "reader", "", "root")).secret)
+            mine = Desk(desk.client, (await operators.create("ann", "tenant", "acme", "root")).secret)
             for who, path, status in (
                 (reader, "/v1/tenants", 200),
                 (reader, "/v1/audit", 200),
@@ -262,7 +264,7 @@
         (b'{"name": "a", "share": "x"}', 422, "share"),
         (b'{"name": "a", "shares": 1}', 422, ""),
         (b'{"name": "a", "allowance": 1e300}', 422, "allowance"),
-        (b'{"name": "' + b"a" * MOST_BODY + b'"}', 413, ""),
+        (b'{"name": "' + b"a" * MAX_BODY_SIZE + b'"}', 413, ""),
     ],
 )
 def test_a_bad_body_is_a_problem_that_names_the_field(tmp_path, body, status, field):
@@ -289,7 +291,7 @@
             )
             assert (await desk.make("acme")).status_code == 507
             monkeypatch.undo()
-            monkeypatch.setattr("gaugehinge.admin.app.MOST_OPEN", 0)
+            monkeypatch.setattr("gaugehinge.admin.app.MAX_OPEN_CALLS", 0)
             found = await desk.make("acme")
             assert found.status_code == 503 and found.headers["retry-after"] == "1"
             monkeypatch.undo()
@@ -436,7 +438,7 @@
 # -- as a process
 
 
-def test_the_keeper_as_a_process_serves_keeps_and_ends(tmp_path):
+def test_the_control_plane_as_a_process_serves_stores_and_ends(tmp_path):
     port = Ports(9).free(["127.0.0.1"])
     file = tmp_path / "keep.toml"
     file.write_text(f'store = "{tmp_path / "s.db"}"\nlisten = "127.0.0.1:{port}"\n')
@@ -445,7 +447,7 @@
     for turn in range(2):
         with children.child(*words, stdout=subprocess.PIPE, stderr=subprocess.PIPE) as process:
             secret = secret or process.stdout.readline().split()[-1]
-            assert "keeper of" in process.stderr.readline()
+            assert "control plane of" in process.stderr.readline()
             headers = {"Authorization": f"Bearer {secret}"}
             transport = httpx.HTTPTransport(retries=20)
             with httpx.Client(
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -17,8 +17,8 @@
 import trio
 
 from gaugehinge.admin.app import Api
-from gaugehinge.admin.keep import KeepDrains
-from gaugehinge.admin.service import Administration
+from gaugehinge.admin.config import DrainsConfig
+from gaugehinge.admin.control_plane import ControlPlane
 from gaugehinge.cli.main import main as command_line
 from gaugehinge.drains.files import NodeFile, Taken
 from gaugehinge.drains.forms import NAME, Said, ServerSaid, Told
@@ -584,12 +584,12 @@
     """A keeper with its part, and the API as `root` calls it."""
     keeper = StoreKeeper(path / "store.db")
     try:
-        admin = Administration(keeper, CHEAP, Attempts(1, keeper.clock()))
-        await admin.ready()
-        root = await admin.first_operator() or (path / "root").read_text()
+        admin = ControlPlane(keeper, CHEAP, Attempts(1, keeper.clock()))
+        await admin.prepare()
+        root = await admin.operators.create_first() or (path / "root").read_text()
         (path / "root").write_text(root)
-        admin.give_leases(5.0)
-        told = KeepDrains(
+        admin.leases.enable(5.0)
+        told = DrainsConfig(
             True,
             **{
                 "origin": 20,
@@ -601,7 +601,7 @@
             },
         )
         part = KeeperDrains(admin, told)
-        admin.parts = [part]
+        admin.extensions.append(part)
         transport = httpx.ASGITransport(app=Api(admin).app())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(part.run)
@@ -618,7 +618,7 @@
 async def report(all_, name, turn, zone="a", **said):
     """A router's call and the keeper's part of the answer."""
     body = Said(f"{name}@0123456789abcdef", 1, turn, zone=zone, ready_for=60.0, **said)
-    told = await all_.admin.feed(
+    told = await all_.admin.feed.poll(
         Report(name, f"{name}.1", parts={NAME: msgspec.Raw(msgspec.json.encode(body))})
     )
     return msgspec.json.decode(told.parts[NAME], type=Told)
@@ -711,7 +711,7 @@
             assert (await desk.post(f"/v1/rolls/{ident}/resume")).status_code == 409
 
             def leaving():
-                facts = all_.part.facts(all_.admin.keeper.store, all_.part.clock())["routers"]
+                facts = all_.part.facts(all_.admin.store_writer.store, all_.part.clock())["routers"]
                 return [name for name, fact in facts.items() if fact.drains]
 
             assert leaving() == ["r-1"], "it was told, whatever became of the roll"
@@ -731,10 +731,10 @@
             made = await all_.desk.post("/v1/rolls", json={"who": {"all": True}, "headroom": 0.0})
             await trio.sleep(0.3)
             older = (tmp_path / "store.db").parent / "older.db"
-            all_.admin.keeper.store.backup(older)
+            all_.admin.store_writer.store.backup(older)
             await follow(all_, "r-2")
         async with desk_of(tmp_path) as all_:
-            slots = {node: slot for node, (_, slot) in all_.part.slots(all_.admin.keeper.store).items()}
+            slots = {node: slot for node, (_, slot) in all_.part.slots(all_.admin.store_writer.store).items()}
             assert slots["r-1@0123456789abcdef"].number >= before.number and len(slots) == 2
             assert (await all_.desk.get(f"/v1/rolls/{made.json()['id']}")).status_code == 200
             assert not all_.part.grants.ground.doubt and all_.part.grants.settled_at > all_.part.clock()
@@ -756,7 +756,7 @@
         async with desk_of(tmp_path) as all_:
             await follow(all_, "r-1")
             older = tmp_path / "older.db"
-            all_.admin.keeper.store.backup(older)
+            all_.admin.store_writer.store.backup(older)
             await follow(all_, "r-2")
         async with desk_of(tmp_path) as all_:
             assert (await follow(all_, "r-3")).number
@@ -767,7 +767,7 @@
         for name in ("store.db-wal", "store.db-shm"):
             (tmp_path / name).unlink(missing_ok=True)
         older.rename(store)  # put back with all that lies beside it
-        (tmp_path / "store.db.drains").write_text(json.dumps({"life": all_.admin.life, "admissions": 1}))
+        (tmp_path / "store.db.drains").write_text(json.dumps({"life": all_.admin.store_id, "admissions": 1}))
         async with desk_of(tmp_path) as all_:
             assert not all_.part.grants.ground.doubt and not all_.part.grants.sure
 
@@ -824,7 +824,7 @@
                 b'{"node":"r@1","number":-1}',
             ):
                 with pytest.raises(Exception, match="missing|not this|regex") as bad:
-                    await all_.admin.feed(Report("r", "1", parts={NAME: msgspec.Raw(body)}))
+                    await all_.admin.feed.poll(Report("r", "1", parts={NAME: msgspec.Raw(body)}))
                 assert bad.value.status == 422 and bad.value.field.startswith("parts.drains")
             servers = [ServerSaid("s-1", "a", "std", True, 1.0), ServerSaid("s-2", "a", "std", True, 1.0)]
             await report(all_, "r", 1, servers=servers)
@@ -832,11 +832,11 @@
             assert made.json()["nodes"] == 2
             # One of the two is the last of a shard's zones once the other is out, whoever took it out.
             rows = {"x": (SimpleNamespace(now=Terms(True, ("r",), (("a",),)), then=None), 1)}
-            all_.admin.parts.append(SimpleNamespace(name="placement", desk=SimpleNamespace(rows=rows)))
-            facts = all_.part.facts(all_.admin.keeper.store, 1e9)["servers"]
+            all_.admin.extensions.append(SimpleNamespace(name="placement", desk=SimpleNamespace(rows=rows)))
+            facts = all_.part.facts(all_.admin.store_writer.store, 1e9)["servers"]
             last = all_.part._last_of_shard(facts)
             assert last("s-1", frozenset({"s-1", "s-2"})) and not last("s-1", frozenset({"s-1"}))
-            all_.admin.parts.pop()
+            all_.admin.extensions.pop()
 
     run(scene)
 
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gaugehinge.admin.keep import look_at_stones
+from gaugehinge.admin.tombstones import sweep_tombstones
 from gaugehinge.cli.main import main as command_line
 from gaugehinge.door.door import Door
 from gaugehinge.emulator.ports import Ports
@@ -437,18 +437,20 @@
             assert [seen.repeat for seen in made.shelves.seen if seen.write] == [False, False]
             # It is gone once routers said that they hold nothing of it and its marks are forgotten.
             clock = made.keeper.clock
-            assert await look_at_stones(made.administration) == 0
+            assert await sweep_tombstones(made.administration) == 0
             with trio.fail_after(5):
-                while made.administration.reports(1, clock())["router-0"].heard_revision < made.keeper.rev:
+                routers = made.administration.routers
+                while routers.tenancy_reports(1, clock())["router-0"].heard_revision < made.keeper.rev:
                     await trio.sleep(0.01)
             made.keeper.clock = lambda: clock() + 60.0
-            for router in made.administration.routers.values():
-                assert router.in_hand == {}
+            last_reports = made.administration.routers.last_reports
+            for router in last_reports.values():
+                assert router.in_flight == {}
             gone = 0
-            for name, heard in list(made.administration.routers.items()):
-                made.administration.routers[name] = replace(heard, at=heard.at + 60.0)
+            for name, report in list(last_reports.items()):
+                last_reports[name] = replace(report, received_at=report.received_at + 60.0)
             for _ in range(3):
-                gone += await look_at_stones(made.administration)
+                gone += await sweep_tombstones(made.administration)
                 made.keeper.clock = lambda: clock() + 120.0
             assert gone == 1
             await made.settle()
@@ -533,7 +535,7 @@
             kept, follower.client = follower.client, httpx.AsyncClient(base_url="http://127.0.0.1:9")
             for count in range(30):
                 await made.tenant(f"t{count}")
-            await made.administration.keeper.call(made.keeper.store.compact, made.keeper.rev - 3)
+            await made.administration.store_writer.call(made.keeper.store.compact, made.keeper.rev - 3)
             async with made.desk() as desk:
                 etag = (await desk.get("/v1/tenants/t7")).headers["etag"]
                 await desk.delete("/v1/tenants/t7", headers={"If-Match": etag})
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -13,7 +13,8 @@
 from loguru import logger
 from test_random import Rules
 
-from gaugehinge.admin.keep import KeepPlacement, look_at_stones, read_keep
+from gaugehinge.admin.config import PlacementConfig, read_config
+from gaugehinge.admin.tombstones import sweep_tombstones
 from gaugehinge.forms.toml import BadFile
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.installation.form import PlacementEntry
@@ -259,7 +260,7 @@
 # -- keeper and routers in one process
 
 LONG = Seconds(2.6)  # `alone`, where it has to stand out from the lease
-PLACE = KeepPlacement(
+PLACE = PlacementConfig(
     True,
     {"eu": ("a",), "us": ("b",), "ap": ("c",)},
     Rate(1000.0),
@@ -281,7 +282,7 @@
 
     @property
     def part(self) -> Placement:
-        return self.all.administration.parts[0]
+        return self.all.administration.extensions[0]
 
     async def put(self, shard, regions, status=200, match=None, key="", **more):
         headers = {**({"If-Match": match} if match else {}), **({"Idempotency-Key": key} if key else {})}
@@ -343,7 +344,7 @@
         **more,
     ) as all_:
         secret = await all_.tenant("acme", allowance=allowance)
-        made = await all_.administration.new_operator("acme-desk", "tenant", "acme", "play")
+        made = await all_.administration.operators.create("acme-desk", "tenant", "acme", "play")
         headers = {"Authorization": f"Bearer {made.secret}"}
         async with httpx.AsyncClient(base_url=all_.api, headers=headers) as desk:
             play = Play(all_, secret, desk)
@@ -434,7 +435,7 @@
             await play.put("x", ["us"], 428, prefixes=["x"])
             await play.put("x", ["us"], 412, match='"1"')
             await play.put("y", ["eu"], 409, prefixes=["x"])
-            other = await play.all.administration.new_operator("bolt-desk", "tenant", "bolt", "play")
+            other = await play.all.administration.operators.create("bolt-desk", "tenant", "bolt", "play")
             headers = {"Authorization": f"Bearer {other.secret}"}
             got = await play.desk.get("/v1/tenants/acme/shards", headers=headers)
             assert got.status_code == 403
@@ -561,7 +562,7 @@
                 body = {"regions": ["us"], "prefixes": ["1"], "allowance": 900}
                 with trio.fail_after(20):
                     while (await desk.put("/v1/tenants/acme/shards/one", json=body)).status_code != 200:
-                        await look_at_stones(play.all.administration)
+                        await sweep_tombstones(play.all.administration)
                         await trio.sleep(0.05)
 
     run(scene)
@@ -797,7 +798,7 @@
             await play.all.keep()
             # The copy goes on counting: past the number that routers had, under other marks.
             for number in range(8):
-                await play.all.administration.order_server(f"nobody-{number}", True, "play")
+                await play.all.administration.servers.set_draining(f"nobody-{number}", True, "play")
             await play.until("mine", "held")
             await play.until("new", "held")
             with trio.fail_after(10):
@@ -842,7 +843,7 @@
     path = tmp_path / "keep.toml"
     path.write_text(f"store = 's'\nlisten = '127.0.0.1:7400'\n{text}\n")
     with pytest.raises(BadFile) as bad:
-        read_keep(path)
+        read_config(path)
     assert field in str(bad.value) and "\n" not in str(bad.value)
 
 
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -18,9 +18,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
+from gaugehinge.admin.config import PlacementConfig
+from gaugehinge.admin.control_plane import ControlPlane
 from gaugehinge.admin.errors import ApiError
-from gaugehinge.admin.keep import KeepPlacement
-from gaugehinge.admin.service import Administration
 from gaugehinge.admin.types import NewTenant
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.hosted.roster import BadFeed, Roster
@@ -35,7 +35,7 @@
 from gaugehinge.terms import Attempt, Effect, Group, Listing, Operation, Presence, TrafficType
 
 LEASE, ALONE, FLIGHT, MEMORY = 2.0, 5.0, 0.5, 3.0
-PLACE = KeepPlacement(
+PLACE = PlacementConfig(
     True,
     {"eu": ("a",), "us": ("b",), "ap": ("c",)},
     Rate(1000.0),
@@ -163,16 +163,16 @@
         self.cut = set()  # routers whose calls go only by the slow way, message by message
         self.stub = StoreStub(self.path, self)
         self.keep()
-        done(self.desk.create(NewTenant("acme", allowance=1000.0), "t"))
-        done(self.desk.tell("acme", Order.ACTIVATE, None, "t"))
+        done(self.desk.tenants.create(NewTenant("acme", allowance=1000.0), "t"))
+        done(self.desk.tenants.transition("acme", Order.ACTIVATE, None, "t"))
         self.routers = [RouterStub(self, number, kind) for number in range(3)]
 
     def keep(self) -> None:
-        self.desk = Administration(self.stub, None, None)
-        done(self.desk.ready())
-        self.desk.give_leases(LEASE)
+        self.desk = ControlPlane(self.stub, None, None)
+        done(self.desk.prepare())
+        self.desk.leases.enable(LEASE)
         self.part = self.keeping(self.desk, PLACE, clock=lambda: self.now)
-        self.desk.parts = [self.part]
+        self.desk.extensions.append(self.part)
         for _, _, call in self.open:
             call.close()
         self.open.clear()
@@ -200,7 +200,7 @@
         if self.calls:
             router, report, asked_at = self.calls.pop(place % len(self.calls))
             if not lost:
-                self.open.append((router, asked_at, self.desk.feed(report)))
+                self.open.append((router, asked_at, self.desk.feed.poll(report)))
                 self.go_on_with(len(self.open) - 1)
 
     def go_on_with(self, place: int) -> None:
@@ -232,7 +232,7 @@
         router = self.routers[number]
         if router.paused or number in self.cut:
             return
-        asked_at, call = router.clock(), self.desk.feed(router.report())
+        asked_at, call = router.clock(), self.desk.feed.poll(router.report())
         while True:
             try:
                 call.send(None)
@@ -447,8 +447,8 @@
 class Trusting(Placement):
     """Takes what it told a router for what that follows."""
 
-    def hear(self, report, now) -> None:
-        super().hear(report, now)
+    def on_report(self, report, now) -> None:
+        super().on_report(report, now)
         for held in self.near.given.values():
             held.revision = self.desk.rev
 
