--- a/gaugehinge/admin/config.py
+++ b/gaugehinge/admin/config.py
@@ -110,7 +110,7 @@
 
 
 class ControlPlaneConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The configuration file of `gaugehinge keep`."""
+    """The configuration file of `gaugehinge control-plane`."""
 
     store: Annotated[str, Meta(description="path of the store's file", min_length=1)]
     listen: Annotated[str, Meta(description="address and port of the API", examples=["127.0.0.1:7400"])]
--- a/gaugehinge/cli/main.py
+++ b/gaugehinge/cli/main.py
@@ -14,19 +14,20 @@
 FORM = "{time:HH:mm:ss.SSS} {level.name} {message}"
 COMMANDS = (
     "check",
+    "control-plane",
     "demo",
     "emulate",
-    "keep",
     "load",
     "rehearse",
     "report",
+    "routers",
     "schema",
     "serve",
     "server",
     "store",
     "tenant",
-    "tier",
 )
+FORMER_NAMES = {"keep": "control-plane", "tier": "routers"}  # run, but not shown in the help
 
 
 class Exit(IntEnum):
@@ -41,12 +42,25 @@
     """Commands by name, each from a module of its own."""
 
     def list_commands(self, context: click.Context) -> list[str]:
+        """The names in the order of the help."""
         return list(COMMANDS)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
+        """A command by its name, its module imported only now; None if there is none."""
         if name not in COMMANDS:
             return None
-        return importlib.import_module(f"..{name}_command", __name__).command
+        module = f"..{name.replace('-', '_')}_command"
+        return importlib.import_module(module, __name__).command
+
+    def resolve_command(
+        self, context: click.Context, words: list[str]
+    ) -> tuple[str | None, click.Command | None, list[str]]:
+        """The command that the words name; one that goes by its former name is warned of."""
+        name = words[0]
+        if name in FORMER_NAMES:
+            click.echo(f"gaugehinge {name}: now called gaugehinge {FORMER_NAMES[name]}", err=True)
+            name = FORMER_NAMES[name]
+        return super().resolve_command(context, [name, *words[1:]])
 
 
 def set_up_log(form: str, level: str) -> None:
@@ -64,6 +78,7 @@
     exit_code = Exit.BAD_INPUT
 
     def show(self, file: object = None) -> None:
+        """Write the line to standard error."""
         click.echo(self.message, err=True)
 
 
--- a/gaugehinge/cli/server_command.py
+++ b/gaugehinge/cli/server_command.py
@@ -1,51 +1,49 @@
-"""`gaugehinge server`: orders of operators over cache servers."""
+"""`gaugehinge server`: operators' orders over cache servers."""
 
-from typing import Any
+from __future__ import annotations
 
 import click
 
-from .calling import api_options, client_of, remember, show_rows
+from .api_options import ApiOptions, api_client, api_options, pass_api, print_rows
 
 COLUMNS = ("server", "order", "revision")
 
 
 @click.group("server", epilog="Example: gaugehinge server drain c-7")
 @api_options
-@click.pass_context
-def command(context: click.Context, api: str, secret: str, as_json: bool) -> None:
-    """Take cache servers out at all routers that follow the keeper, and leave them to discovery again.
+def command() -> None:
+    """Drain cache servers at all routers that follow the control plane, and leave them to discovery again.
 
     An order stands until it is taken back, also when the server ends and returns.
     """
-    remember(context, api, secret, as_json)
 
 
 @command.command("list")
-@click.pass_obj
-def list_all(given: dict[str, Any]) -> None:
+@pass_api
+def list_all(options: ApiOptions) -> None:
     """Orders that stand."""
-    with client_of(given) as client:
-        page, _ = client.call("GET", "/v1/servers")
-    show_rows(page["servers"], COLUMNS, given["json"])
-
-
-def _order(given: dict[str, Any], server: str, order: str) -> None:
-    with client_of(given) as client:
-        made, _ = client.call("POST", f"/v1/servers/{server}/{order}")
-    show_rows([made], COLUMNS, given["json"])
+    with api_client(options) as client:
+        rows = client.call("GET", "/v1/servers").body["servers"]
+    print_rows(rows, COLUMNS, options.as_json)
 
 
 @command.command("drain")
 @click.argument("server")
-@click.pass_obj
-def drain(given: dict[str, Any], server: str) -> None:
+@pass_api
+def drain(options: ApiOptions, server: str) -> None:
     """Nothing new to it."""
-    _order(given, server, "drain")
+    _order(options, server, "drain")
 
 
 @command.command("restore")
 @click.argument("server")
-@click.pass_obj
-def restore(given: dict[str, Any], server: str) -> None:
+@pass_api
+def restore(options: ApiOptions, server: str) -> None:
     """As discovery says."""
-    _order(given, server, "restore")
+    _order(options, server, "restore")
+
+
+def _order(options: ApiOptions, server: str, order: str) -> None:
+    with api_client(options) as client:
+        made = client.call("POST", f"/v1/servers/{server}/{order}").body
+    print_rows([made], COLUMNS, options.as_json)
--- a/gaugehinge/rehearsal/company.py
+++ b/gaugehinge/rehearsal/company.py
@@ -184,7 +184,7 @@
         def shipped(name: str, command: str, zone: str = "") -> None:
             add(name, zone, ["gaugehinge.cli", command, str(self.folder / f"{name}.toml")], False)
 
-        shipped("keeper", "keep")
+        shipped("keeper", "control-plane")
         played("discovery")
         played("origin")
         for number in range(plan.servers):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -442,7 +442,7 @@
     port = Ports(9).free(["127.0.0.1"])
     file = tmp_path / "keep.toml"
     file.write_text(f'store = "{tmp_path / "s.db"}"\nlisten = "127.0.0.1:{port}"\n')
-    words = ("-m", "gaugehinge.cli", "--log", "json", "keep", str(file))
+    words = ("-m", "gaugehinge.cli", "--log", "json", "control-plane", str(file))
     secret = ""
     for turn in range(2):
         with children.child(*words, stdout=subprocess.PIPE, stderr=subprocess.PIPE) as process:
@@ -468,11 +468,34 @@
 # -- the command line
 
 
+def test_keep_still_runs_the_control_plane_and_warns_in_one_line(tmp_path):
+    port = Ports(9).free(["127.0.0.1"])
+    file = tmp_path / "keep.toml"
+    file.write_text(f'store = "{tmp_path / "s.db"}"\nlisten = "127.0.0.1:{port}"\n')
+    words = ("-m", "gaugehinge.cli", "--log", "json", "keep", str(file))
+    with children.child(*words, stdout=subprocess.PIPE, stderr=subprocess.PIPE) as process:
+        assert process.stdout.readline().startswith("operator root")
+        assert process.stderr.readline() == "gaugehinge keep: now called gaugehinge control-plane\n"
+        assert "control plane of" in process.stderr.readline()
+        process.send_signal(signal.SIGTERM)
+        process.communicate()
+        assert process.returncode == 0
+
+
+def test_tier_still_lists_routers_and_warns_in_one_line():
+    environment = {"GAUGEHINGE_API": "http://127.0.0.1:9", "GAUGEHINGE_SECRET": "gh_no_such"}
+    for words in (("--json", "routers"), ("list",), ("secret", "x", "--role", "router")):
+        told = CliRunner().invoke(main, ("tier", *words), env=environment)
+        warning, error = told.stderr.splitlines()
+        assert warning == "gaugehinge tier: now called gaugehinge routers"
+        assert told.exit_code == 1 and error.startswith("Error: http://127.0.0.1:9: ")
+
+
 def test_the_command_line_is_a_client_of_the_api(tmp_path):
     port = Ports(17).free(["127.0.0.1"])
     file = tmp_path / "keep.toml"
     file.write_text(f'store = "{tmp_path / "s.db"}"\nlisten = "127.0.0.1:{port}"\n')
-    words = ("-m", "gaugehinge.cli", "--log", "json", "keep", str(file))
+    words = ("-m", "gaugehinge.cli", "--log", "json", "control-plane", str(file))
     with children.child(*words, stdout=subprocess.PIPE, stderr=subprocess.PIPE) as process:
         secret = process.stdout.readline().split()[-1]
         with httpx.Client(transport=httpx.HTTPTransport(retries=20)) as client:
@@ -509,8 +532,8 @@
         assert "removed" in audit and json.loads(tenant("--json", "audit"))[0]["kind"] == "operator"
         assert "drain" in call("server", "drain", "c-7") and "c-7" in call("server", "list")
         assert json.loads(call("server", "--json", "restore", "c-7"))[0]["order"] == "none"
-        (tmp_path / "secret").write_text(call("tier", "secret", "tier", "--role", "router"))
-        assert "name: conflict" in call("tier", "secret", "tier", "--role", "reader", code=1)
+        (tmp_path / "secret").write_text(call("routers", "secret", "tier", "--role", "router"))
+        assert "name: conflict" in call("routers", "secret", "tier", "--role", "reader", code=1)
         client_port, none = Ports(17).free(["127.0.0.1"]), Ports(18).free(["127.0.0.1"])
         (tmp_path / "router.toml").write_text(
             f'[listen]\nclients = "127.0.0.1:{client_port}"\n[discovery]\naddress = "127.0.0.1:{none}"\n'
@@ -521,10 +544,10 @@
         words = ("-m", "gaugehinge.cli", "--log", "json", "serve", str(tmp_path / "router.toml"))
         with children.child(*words, stdout=subprocess.PIPE, stderr=subprocess.PIPE) as router:
             deadline = time.monotonic() + 30.0
-            while not (rows := json.loads(call("tier", "--json", "routers"))) or rows[0]["behind"]:
+            while not (rows := json.loads(call("routers", "--json", "list"))) or rows[0]["behind"]:
                 assert time.monotonic() < deadline and router.poll() is None
                 time.sleep(0.05)
-            assert rows[0]["name"] == "router" and "router" in call("tier", "routers")
+            assert rows[0]["name"] == "router" and "router" in call("routers", "list")
             router.send_signal(signal.SIGTERM)
             assert router.wait(30) == 0
         assert (tmp_path / "snapshot").exists()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -9,7 +9,7 @@
 import pytest
 from click.testing import CliRunner
 
-from gaugehinge.cli.main import COMMANDS, main
+from gaugehinge.cli.main import COMMANDS, FORMER_NAMES, main
 from gaugehinge.emulator.ports import Ports
 
 ROOT = Path(__file__).parent.parent
@@ -46,12 +46,18 @@
         assert f"'{name}'" not in modules, name
 
 
-@pytest.mark.parametrize("name", COMMANDS)
+@pytest.mark.parametrize("name", [*COMMANDS, *FORMER_NAMES])
 def test_every_command_has_help_with_an_example(name):
     told = run(name, "--help")
     assert told.exit_code == 0 and "Example: gaugehinge" in told.output
 
 
+def test_former_names_are_not_in_the_help():
+    listed = run("--help").output.partition("Commands:\n")[2].partition("\n\n")[0]
+    shown = [line.split()[0] for line in listed.splitlines()]
+    assert shown == list(COMMANDS) and not set(FORMER_NAMES) & set(COMMANDS)
+
+
 def test_version_and_unknown_words():
     assert run("--version").output.startswith("gaugehinge, version ")
     assert run("no-such").exit_code == 2
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -854,7 +854,7 @@
     ):
         keep.write_text(base + more)
         told = subprocess.run(
-            [sys.executable, "-m", "gaugehinge.cli", "keep", str(keep)],
+            [sys.executable, "-m", "gaugehinge.cli", "control-plane", str(keep)],
             capture_output=True,
             text=True,
             timeout=60,
