--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -10,14 +10,16 @@
     async def scenario():
         async with serve_api(tmp_path) as root:
             made = await root.create_tenant("acme", share=2.0, allowance=100.0, memory=10.0)
-            assert made.status_code == 201 and made.json()["stage"] == "created"
+            assert made.status_code == 201
+            assert made.json()["stage"] == "created"
             assert made.headers["location"] == "/v1/tenants/acme"
             active = await root("POST", "/v1/tenants/acme/activate", etag=made.headers["etag"])
             assert active.json()["stage"] == "active"
             changed = await root(
                 "PATCH", "/v1/tenants/acme", {"allowance": 50.0}, etag=active.headers["etag"]
             )
-            assert changed.json()["allowance"] == 50.0 and changed.json()["share"] == 2.0
+            assert changed.json()["allowance"] == 50.0
+            assert changed.json()["share"] == 2.0
             for name in ("suspend", "suspend", "activate"):
                 found = await root("GET", "/v1/tenants/acme")
                 assert (
@@ -28,7 +30,8 @@
             assert (await root("GET", "/v1/tenants/acme")).status_code == 404
             # The name is another tenant's at once; the old one stands as a tombstone while its marks live.
             again = await root.create_tenant("acme", memory=10.0)
-            assert again.status_code == 201 and again.json()["incarnation"] > found.json()["incarnation"]
+            assert again.status_code == 201
+            assert again.json()["incarnation"] > found.json()["incarnation"]
             assert await sweep_tombstones(root.control_plane) == 0
             root.clock[0] += 11.0
             assert await sweep_tombstones(root.control_plane) == 0
@@ -38,7 +41,8 @@
                 (c["kind"], c["ident"], c["removed"])
                 for c in (await root("GET", "/v1/audit")).json()["changes"]
             ]
-            assert ("tombstone", "acme#1", True) in kinds and ("tenant", "acme", True) in kinds
+            assert ("tombstone", "acme#1", True) in kinds
+            assert ("tenant", "acme", True) in kinds
             root.store_writer.store.verify()
 
     run_in_trio(scenario)
@@ -90,12 +94,15 @@
             body = {"name": "acme", "share": 2.0}
             first = await root("POST", "/v1/tenants", body, Idempotency_Key="k1")
             again = await root("POST", "/v1/tenants", body, Idempotency_Key="k1")
-            assert first.status_code == again.status_code == 201 and first.json() == again.json()
+            assert first.status_code == again.status_code == 201
+            assert first.json() == again.json()
             assert again.headers["idempotent-replayed"] == "true"
             other = await root("POST", "/v1/tenants", {"name": "birch"}, Idempotency_Key="k1")
-            assert other.status_code == 422 and other.json()["field"] == "Idempotency-Key"
+            assert other.status_code == 422
+            assert other.json()["field"] == "Idempotency-Key"
             made = await root("POST", "/v1/tenants/acme/credentials", {}, Idempotency_Key="k2")
-            assert made.status_code == 201 and made.json()["secret"].startswith("gh_")
+            assert made.status_code == 201
+            assert made.json()["secret"].startswith("gh_")
             assert (
                 await root("POST", "/v1/tenants/acme/credentials", {}, Idempotency_Key="k2")
             ).status_code == 409
--- a/tests/test_admin_access.py
+++ b/tests/test_admin_access.py
@@ -44,7 +44,9 @@
             path = f"/v1/tenants/acme/credentials/{made.json()['ident']}"
             assert [(await mine("DELETE", path)).status_code for _ in range(2)] == [204, 404]
             audit = json.dumps((await root("GET", "/v1/audit?limit=500")).json())
-            assert "argon2" not in audit and "hashed" not in audit and '"who": "ann"' in audit
+            assert "argon2" not in audit
+            assert "hashed" not in audit
+            assert '"who": "ann"' in audit
 
     run_in_trio(scenario)
 
@@ -65,7 +67,8 @@
             ):
                 found = await root.client.get("/v1/tenants", headers={"Authorization": header})
                 told.add((found.status_code, found.text))
-            assert len(told) == 1 and next(iter(told))[0] == 401
+            assert len(told) == 1
+            assert next(iter(told))[0] == 401
             statuses = [
                 (
                     await root.client.get("/v1/tenants", headers={"Authorization": f"Bearer gh_x{i}_y"})
@@ -79,7 +82,7 @@
 
 
 @pytest.mark.parametrize(
-    "body, status, field",
+    ("body", "status", "field"),
     [
         (b"{", 400, ""),
         (b"\xff", 400, ""),
@@ -102,7 +105,8 @@
             found = await root.client.post("/v1/tenants", content=body, headers=headers)
             assert found.status_code == status, found.text
             assert found.headers["content-type"] == "application/problem+json"
-            assert found.json().get("field", "") == field and found.json()["status"] == status
+            assert found.json().get("field", "") == field
+            assert found.json()["status"] == status
             wrong = await root.client.post(
                 "/v1/tenants", content=b"a=1", headers={**headers, "Content-Type": "text/x"}
             )
@@ -121,11 +125,13 @@
             monkeypatch.undo()
             monkeypatch.setattr("gaugehinge.admin.app.MAX_OPEN_CALLS", 0)
             found = await root.create_tenant("acme")
-            assert found.status_code == 503 and found.headers["retry-after"] == "1"
+            assert found.status_code == 503
+            assert found.headers["retry-after"] == "1"
             monkeypatch.undo()
             assert (await root("GET", "/v1/tenants")).json() == {"tenants": [], "next": None}
             statuses = [(await root("GET", "/v1/tenants")).status_code for _ in range(int(BURST) + 5)]
-            assert statuses[-1] == 429 and statuses.count(200) >= BURST - 5
+            assert statuses[-1] == 429
+            assert statuses.count(200) >= BURST - 5
 
     run_in_trio(scenario)
 
@@ -136,6 +142,7 @@
             told = (await root.client.get("/v1/openapi.json")).json()
             assert set(told["paths"]) == {route.path for route in Api(root.control_plane).routes}
             refs = set(re.findall(r"#/components/schemas/(\w+)", json.dumps(told)))
-            assert refs <= set(told["components"]["schemas"]) and {"NewTenant", "Problem"} <= refs
+            assert refs <= set(told["components"]["schemas"])
+            assert {"NewTenant", "Problem"} <= refs
 
     run_in_trio(scenario)
--- a/tests/test_admin_process.py
+++ b/tests/test_admin_process.py
@@ -37,7 +37,8 @@
     assert list(tmp_path.glob("s.db.snapshot-*"))
     file.write_text('store = "x"\nlisten = "localhost:1"\n')
     told = children.run(*words)
-    assert told.returncode == 2 and "listen" in told.stderr
+    assert told.returncode == 2
+    assert "listen" in told.stderr
 
 
 def test_keep_still_runs_with_a_warning(tmp_path):
@@ -60,7 +61,8 @@
         told = CliRunner().invoke(main, ("tier", *words), env=environment)
         warning, error = told.stderr.splitlines()
         assert warning == "gaugehinge tier: now called gaugehinge routers"
-        assert told.exit_code == 1 and error.startswith("Error: http://127.0.0.1:9: ")
+        assert told.exit_code == 1
+        assert error.startswith("Error: http://127.0.0.1:9: ")
 
 
 def test_commands_call_the_api(tmp_path):
@@ -82,27 +84,34 @@
         def tenant(*given, **more):
             return call("tenant", *given, **more)
 
-        assert "acme" in tenant("add", "acme", "--share", "2", "--active") and "active" in tenant(
-            "show", "acme"
-        )
+        assert "acme" in tenant("add", "acme", "--share", "2", "--active")
+        assert "active" in tenant("show", "acme")
         assert json.loads(tenant("--json", "resize", "acme", "--allowance", "50"))[0]["allowance"] == 50.0
-        assert "suspended" in tenant("suspend", "acme") and "active" in tenant("activate", "acme")
+        assert "suspended" in tenant("suspend", "acme")
+        assert "active" in tenant("activate", "acme")
         made = tenant("credential", "acme").strip()
-        assert made.startswith("gh_") and "ended" in tenant("revoke", "acme", made.split("_")[1])
+        assert made.startswith("gh_")
+        assert "ended" in tenant("revoke", "acme", made.split("_")[1])
         assert "name: conflict: acme is there already" in tenant("add", "acme", code=1)
         assert tenant("add", "Acme", code=2).startswith("name: invalid")
         assert "no tenant nobody" in tenant("show", "nobody", code=2)
         assert "nothing to change" in tenant("resize", "acme", code=2)
         ruled = json.loads(tenant("--json", "resize", "acme", "--traffic", "a=read", "--most-value", "9"))[0]
-        assert ruled["traffic"] == {"a": "read"} and ruled["most_value"] == 9
+        assert ruled["traffic"] == {"a": "read"}
+        assert ruled["most_value"] == 9
         assert json.loads(tenant("--json", "resize", "acme", "--traffic", "="))[0]["traffic"] == {}
         assert "OWN=TYPE" in tenant("resize", "acme", "--traffic", "a", code=2)
         tenant("remove", "acme", code=1, input="n\n")
-        assert "leaves" in tenant("remove", "acme", "--yes") and "acme" not in tenant("list")
+        assert "leaves" in tenant("remove", "acme", "--yes")
+        assert "acme" not in tenant("list")
         audit = tenant("audit", "--limit", "500")
-        assert "tombstone" in audit and "argon2" not in audit and "root" in audit
-        assert "removed" in audit and json.loads(tenant("--json", "audit"))[0]["kind"] == "operator"
-        assert "drain" in call("server", "drain", "c-7") and "c-7" in call("server", "list")
+        assert "tombstone" in audit
+        assert "argon2" not in audit
+        assert "root" in audit
+        assert "removed" in audit
+        assert json.loads(tenant("--json", "audit"))[0]["kind"] == "operator"
+        assert "drain" in call("server", "drain", "c-7")
+        assert "c-7" in call("server", "list")
         assert json.loads(call("server", "--json", "restore", "c-7"))[0]["order"] == "none"
         (tmp_path / "secret").write_text(call("routers", "secret", "tier", "--role", "router"))
         assert "name: conflict" in call("routers", "secret", "tier", "--role", "reader", code=1)
@@ -117,9 +126,11 @@
         with children.child(*words, stdout=subprocess.PIPE, stderr=subprocess.PIPE) as router:
             deadline = time.monotonic() + 30.0
             while not (rows := json.loads(call("routers", "--json", "list"))) or rows[0]["behind"]:
-                assert time.monotonic() < deadline and router.poll() is None
+                assert time.monotonic() < deadline
+                assert router.poll() is None
                 time.sleep(0.05)
-            assert rows[0]["name"] == "router" and "router" in call("routers", "list")
+            assert rows[0]["name"] == "router"
+            assert "router" in call("routers", "list")
             router.send_signal(signal.SIGTERM)
             assert router.wait(30) == 0
         assert (tmp_path / "snapshot").exists()
