--- a/gaugehinge/admin/app.py
+++ b/gaugehinge/admin/app.py
@@ -11,8 +11,8 @@
 from starlette.responses import Response
 from starlette.routing import Route as StarletteRoute
 
-from ..store.keeper import Overloaded
-from ..store.store import Full
+from ..store.async_store import StoreOverloadedError
+from ..store.store import DiskFullError
 from .control_plane import ControlPlane
 from .endpoints.audit import MAX_WAIT, AuditEndpoints
 from .endpoints.feed import FeedEndpoints
@@ -60,7 +60,7 @@
         return json_response(self._description)
 
     async def _health(self, request: Request) -> Response:
-        return json_response({"revision": self._control_plane.store_writer.rev})
+        return json_response({"revision": self._control_plane.store_writer.revision})
 
     def _guarded(self, handler: Handler) -> Callable[[Request], Awaitable[Response]]:
         """A handler within the limit of open calls."""
@@ -90,9 +90,9 @@
         except ApiError as error:
             headers = {"WWW-Authenticate": "Bearer"} if isinstance(error, UnauthorizedError) else {}
             return problem_response(error.status, error.title, error.detail, error.field, error.etag, headers)
-        except Overloaded:
+        except StoreOverloadedError:
             return _overloaded()
-        except Full:
+        except DiskFullError:
             return problem_response(507, "storage full", "nothing was changed")
         except Exception:
             logger.exception("a call of the API failed")
--- a/gaugehinge/admin/audit.py
+++ b/gaugehinge/admin/audit.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..store.keeper import StoreKeeper
+from ..store.async_store import AsyncStore
 from .errors import GoneError
 from .types import AuditEntry, redact_hashes
 
@@ -10,7 +10,7 @@
 class AuditLog:
     """The log of one store."""
 
-    def __init__(self, store_writer: StoreKeeper) -> None:
+    def __init__(self, store_writer: AsyncStore) -> None:
         self._store_writer = store_writer
 
     async def read(self, since: int, limit: int, wait: float = 0.0) -> list[AuditEntry]:
@@ -29,11 +29,11 @@
             raise GoneError("the log no longer goes back so far: take the whole state")
         return [
             AuditEntry(
-                change.rev,
-                change.at,
-                change.who,
+                change.revision,
+                change.timestamp,
+                change.actor,
                 change.kind,
-                change.ident,
+                change.item_id,
                 change.body is None,
                 redact_hashes(change.body),
             )
--- a/gaugehinge/admin/authentication.py
+++ b/gaugehinge/admin/authentication.py
@@ -7,8 +7,8 @@
 
 import trio
 
-from ..store.keeper import StoreKeeper
-from ..tenancy.credentials import Attempts, Hasher
+from ..store.async_store import AsyncStore
+from ..tenancy.credentials import AttemptLimiter, SecretHasher
 from .caller import Caller
 from .errors import TooManyAttemptsError, UnauthorizedError
 from .operators import Operators
@@ -28,7 +28,7 @@
     """Finds out whose secret it is; wrong ones are limited by source and by credential."""
 
     def __init__(
-        self, store_writer: StoreKeeper, operators: Operators, hasher: Hasher, attempts: Attempts
+        self, store_writer: AsyncStore, operators: Operators, hasher: SecretHasher, attempts: AttemptLimiter
     ) -> None:
         self._store_writer = store_writer
         self._operators = operators
@@ -58,15 +58,15 @@
 
     async def _check(self, secret: str, source: str, now: float) -> Caller:
         ident = _credential_ident(secret)
-        wait = self._attempts.wait(source, ident, now)
+        wait = self._attempts.acquire(source, ident, now)
         if wait:
             raise TooManyAttemptsError(f"again in {wait:.0f} s")
         operator = await self._operators.with_credential(ident)
         # Also hashed where nobody has such a credential: the time of the answer must not tell.
         credentials = operator.credentials if operator else ()
-        matched = await trio.to_thread.run_sync(self._hasher.check, secret, credentials, now)
+        matched = await trio.to_thread.run_sync(self._hasher.find_match, secret, credentials, now)
         if operator is None or matched is None:
-            self._attempts.wrong(source, ident, now)
+            self._attempts.record_failure(source, ident, now)
             raise UnauthorizedError
         return Caller(operator.name, operator.role, operator.tenant)
 
--- a/gaugehinge/admin/control_plane.py
+++ b/gaugehinge/admin/control_plane.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from ..store.keeper import StoreKeeper
-from ..store.store import Change, Store, Wanted, encode
-from ..tenancy.credentials import Attempts, Hasher
+from ..store.async_store import AsyncStore
+from ..store.store import Change, Mutation, Store, encode
+from ..tenancy.credentials import AttemptLimiter, SecretHasher
 from .audit import AuditLog
 from .authentication import Authenticator
 from .extension import Extension
@@ -25,7 +25,7 @@
 class ControlPlane:
     """What the administration API serves, without HTTP. Each call is one transaction of the store."""
 
-    def __init__(self, store_writer: StoreKeeper, hasher: Hasher, attempts: Attempts) -> None:
+    def __init__(self, store_writer: AsyncStore, hasher: SecretHasher, attempts: AttemptLimiter) -> None:
         self.store_writer = store_writer
         self.extensions: list[Extension] = []  # complete before the API is served
         self.operators = Operators(store_writer, hasher)
@@ -51,7 +51,7 @@
     async def prepare(self) -> None:
         """Name the store and place every tenant, where that was not done; called before the first router."""
         await self.store_writer.apply_planned(_plan_preparation, STARTUP_ACTOR)
-        self._identity.store_id = await self.store_writer.call(_read_store_id, self.store_writer.store)
+        self._identity.store_id = await self.store_writer.run_sync(_read_store_id, self.store_writer.store)
 
     async def commit(
         self,
@@ -71,8 +71,8 @@
     return msgspec.json.decode(item.body, type=str)
 
 
-def _plan_preparation(store: Store, now: float) -> list[Wanted]:
+def _plan_preparation(store: Store, now: float) -> list[Mutation]:
     wanted = plan_missing_places(store, now)
     if store.get(COUNTER_KIND, STORE_ID_COUNTER) is None:
-        wanted.insert(0, Wanted(COUNTER_KIND, STORE_ID_COUNTER, encode(secrets.token_hex(8)), 0))
+        wanted.insert(0, Mutation(COUNTER_KIND, STORE_ID_COUNTER, encode(secrets.token_hex(8)), 0))
     return wanted
--- a/gaugehinge/admin/endpoints/tenants.py
+++ b/gaugehinge/admin/endpoints/tenants.py
@@ -5,7 +5,7 @@
 from starlette.requests import Request
 from starlette.responses import Response
 
-from ...tenancy.life import Order
+from ...tenancy.lifecycle import TenantAction
 from ..caller import Caller
 from ..control_plane import ControlPlane
 from ..http import MAX_PAGE_SIZE, NO_STORE, if_match_revision, json_response, query_int, read_json
@@ -79,16 +79,16 @@
 
     async def activate(self, request: Request, caller: Caller) -> Response:
         """POST /v1/tenants/{name}/activate, with If-Match."""
-        return await self._transition(request, caller, Order.ACTIVATE)
+        return await self._transition(request, caller, TenantAction.ACTIVATE)
 
     async def suspend(self, request: Request, caller: Caller) -> Response:
         """POST /v1/tenants/{name}/suspend, with If-Match."""
-        return await self._transition(request, caller, Order.SUSPEND)
+        return await self._transition(request, caller, TenantAction.SUSPEND)
 
-    async def _transition(self, request: Request, caller: Caller, order: Order) -> Response:
+    async def _transition(self, request: Request, caller: Caller, action: TenantAction) -> Response:
         caller.require_role("operator")
         name, revision = request.path_params["name"], if_match_revision(request)
-        return _tenant_response(await self._tenants.transition(name, order, revision, caller.name))
+        return _tenant_response(await self._tenants.transition(name, action, revision, caller.name))
 
     async def add_credential(self, request: Request, caller: Caller) -> Response:
         """POST /v1/tenants/{name}/credentials, with an idempotency key if there is one."""
--- a/gaugehinge/admin/extension.py
+++ b/gaugehinge/admin/extension.py
@@ -13,7 +13,7 @@
     """A subsystem of the control plane.
 
     It keeps its state as items of kinds of its own in the store, and changes them by `ControlPlane.commit` or
-    `StoreKeeper.apply_planned` alone.
+    `AsyncStore.apply_planned` alone.
     """
 
     name: str  # of its sections in `Report.parts` and `Feed.parts`
--- a/gaugehinge/admin/feed.py
+++ b/gaugehinge/admin/feed.py
@@ -9,13 +9,13 @@
 
 import msgspec
 
-from ..store.keeper import StoreKeeper
+from ..store.async_store import AsyncStore
 from ..store.store import Change
 from ..tenancy.feed import Feed, Report, TenantRow
 from .extension import Extension
 from .leases import RouterLeases
 from .records import TENANT_KIND, TOMBSTONE_KIND, TenantRecord, decode_tenant, standing_tenants
-from .revision_marks import RevisionMarks
+from .revision_digests import RevisionDigests
 from .routers import RouterRegistry
 from .servers import draining_servers
 
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        store_writer: StoreKeeper,
+        store_writer: AsyncStore,
         identity: Identity,
         routers: RouterRegistry,
         leases: RouterLeases,
@@ -46,7 +46,7 @@
         self._routers = routers
         self._leases = leases
         self._extensions = extensions
-        self.marks = RevisionMarks(store_writer)
+        self.digests = RevisionDigests(store_writer)
 
     async def poll(self, report: Report) -> Feed:
         """What a router does not know yet, waited for as long as it asked.
@@ -56,37 +56,44 @@
         """
         self._record(report)
         if await self._has_diverged(report):
-            report = msgspec.structs.replace(report, since=0)
+            report = msgspec.structs.replace(report, known_revision=0)
         since = self._known_revision(report)
         for extension in self._extensions:
             extension.on_report(report, time.monotonic())
-        wait = report.wait if since else 0.0
+        wait = report.max_wait if since else 0.0
         changes = await self._store_writer.changes(since, MAX_CHANGES + 1, wait)
         if report.router in self._routers.last_reports:
             self._record(report)  # the call stood open: the router is there
-        feed = await self._store_writer.call(self._compose, report, self._content(since, changes))
+        feed = await self._store_writer.run_sync(self._compose, report, self._content(since, changes))
         # Counted from now on, when the answer goes: the router counts from its question, which was before.
         lease = self._leases.grant(report.router, report.run, since)
-        return msgspec.structs.replace(feed, lease=lease)
+        return msgspec.structs.replace(feed, lease_duration=lease)
 
     def _record(self, report: Report) -> None:
         self._routers.record(report, self._known_revision(report))
 
     def _known_revision(self, report: Report) -> int:
         """The revision that a router follows, 0 if it is another store's."""
-        return report.since if report.store == self._identity.store_id else 0
+        return report.known_revision if report.store_id == self._identity.store_id else 0
 
     async def _has_diverged(self, report: Report) -> bool:
         """Whether a router follows a revision that this copy of the store never had.
 
         Its number says nothing here then, though the store has gone on past it since it was restored.
         """
-        if not report.since or not report.mark or report.store != self._identity.store_id:
+        if (
+            not report.known_revision
+            or not report.revision_digest
+            or report.store_id != self._identity.store_id
+        ):
             return False
-        if self.marks.was_issued(report.since, report.mark):
+        if self.digests.was_issued(report.known_revision, report.revision_digest):
             return False
         store = self._store_writer.store
-        return await self._store_writer.call(lambda: store.mark(report.since)) != report.mark
+        return (
+            await self._store_writer.run_sync(lambda: store.revision_digest(report.known_revision))
+            != report.revision_digest
+        )
 
     def _content(self, since: int, changes: list[Change] | None) -> Callable[[], Feed]:
         """What to tell: the changes, or the full state if they are too many or no longer in the log."""
@@ -97,11 +104,13 @@
     def _compose(self, report: Report, content: Callable[[], Feed]) -> Feed:
         """The feed with all sections, read on the store's thread so that they belong to one revision."""
         feed = content()
-        mark = self.marks.issue(feed.revision)
+        digest = self.digests.issue(feed.revision)
         store = self._store_writer.store
         sections = {each.name: each.feed_section(store, report) for each in self._extensions}
         parts = {name: msgspec.Raw(body) for name, body in sections.items() if body is not None}
-        return msgspec.structs.replace(feed, mark=mark, keeper_run=self._identity.run_id, parts=parts)
+        return msgspec.structs.replace(
+            feed, revision_digest=digest, control_plane_run=self._identity.run_id, parts=parts
+        )
 
     def _incremental(self, since: int, changes: list[Change]) -> Feed:
         rows: dict[int, TenantRow] = {}
@@ -111,17 +120,17 @@
                 row = _row_of(decode_tenant(change))
                 rows[row.incarnation] = row
             elif change.kind == TOMBSTONE_KIND:
-                incarnation = int(change.ident.rpartition("#")[2])
+                incarnation = int(change.item_id.rpartition("#")[2])
                 rows.pop(incarnation, None)
                 gone.append(incarnation)
-        revision = changes[-1].rev if changes else since
+        revision = changes[-1].revision if changes else since
         drained = draining_servers(self._store_writer.store)
         return Feed(self._identity.store_id, revision, False, list(rows.values()), gone, drained)
 
     def _full_state(self) -> Feed:
         store = self._store_writer.store
         rows = [_row_of(record) for record in standing_tenants(store)]
-        return Feed(self._identity.store_id, store.rev, True, rows, [], draining_servers(store))
+        return Feed(self._identity.store_id, store.revision, True, rows, [], draining_servers(store))
 
 
 def _row_of(record: TenantRecord) -> TenantRow:
--- a/gaugehinge/admin/idempotency.py
+++ b/gaugehinge/admin/idempotency.py
@@ -8,7 +8,7 @@
 from starlette.requests import Request
 from starlette.responses import Response
 
-from ..store.keeper import StoreKeeper
+from ..store.async_store import AsyncStore
 from .caller import Caller
 from .errors import InvalidRequestError, ResourceConflictError
 from .openapi import JSON_TYPE
@@ -36,7 +36,7 @@
 
 
 async def run_once(
-    store_writer: StoreKeeper,
+    store_writer: AsyncStore,
     request: Request,
     caller: Caller,
     body: bytes,
@@ -63,7 +63,7 @@
     if not key:
         return await operation(None)
     digest = hashlib.sha256(f"{request.method} {request.url.path}\n".encode() + body).digest()
-    recorded = await store_writer.call(store_writer.store.answered, caller.name, key)
+    recorded = await store_writer.run_sync(store_writer.store.recorded_response, caller.name, key)
     if recorded is None:
         return await operation(IdempotencyKey(key, digest))
     recorded_digest, response = recorded
--- a/gaugehinge/admin/process.py
+++ b/gaugehinge/admin/process.py
@@ -11,9 +11,9 @@
 from hypercorn.trio import serve
 from loguru import logger
 
-from ..store.keeper import StoreKeeper
-from ..store.store import Full
-from ..tenancy.credentials import Attempts, Hasher
+from ..store.async_store import AsyncStore
+from ..store.store import DiskFullError
+from ..tenancy.credentials import AttemptLimiter, SecretHasher
 from .app import Api
 from .config import ControlPlaneConfig
 from .control_plane import ControlPlane
@@ -32,7 +32,9 @@
 
 
 async def run_control_plane(
-    config: ControlPlaneConfig, hasher: Hasher | None = None, extensions: Sequence[ExtensionFactory] = ()
+    config: ControlPlaneConfig,
+    hasher: SecretHasher | None = None,
+    extensions: Sequence[ExtensionFactory] = (),
 ) -> None:
     """Serve the API until the process is told to end by SIGTERM or SIGINT.
 
@@ -42,11 +44,11 @@
         extensions: Make the extensions that the configuration switched on.
 
     Raises:
-        Damaged: The store's file is not whole; nothing was served.
+        StoreUnusableError: The store's file is not whole; nothing was served.
     """
-    store_writer = StoreKeeper(config.store)
+    store_writer = AsyncStore(config.store)
     try:
-        control_plane = await _prepare(config, store_writer, hasher or Hasher(), extensions)
+        control_plane = await _prepare(config, store_writer, hasher or SecretHasher(), extensions)
         await _serve(config, control_plane)
         await _take_last_snapshot(store_writer)
     finally:
@@ -55,12 +57,12 @@
 
 async def _prepare(
     config: ControlPlaneConfig,
-    store_writer: StoreKeeper,
-    hasher: Hasher,
+    store_writer: AsyncStore,
+    hasher: SecretHasher,
     extensions: Sequence[ExtensionFactory],
 ) -> ControlPlane:
     """The control plane on its store; prints the secret of the first operator if it has just been made."""
-    control_plane = ControlPlane(store_writer, hasher, Attempts(ATTEMPTS_SEED, store_writer.clock()))
+    control_plane = ControlPlane(store_writer, hasher, AttemptLimiter(ATTEMPTS_SEED, store_writer.clock()))
     control_plane.tenants.incarnation_floor = config.numbers_above
     secret = await control_plane.operators.create_first()
     await control_plane.prepare()
@@ -83,11 +85,11 @@
                     stop.set()
 
             nursery.start_soon(stop_on_signal)
-            nursery.start_soon(control_plane.store_writer.care)
+            nursery.start_soon(control_plane.store_writer.run_maintenance)
             nursery.start_soon(run_tombstone_sweeper, control_plane)
             for extension in control_plane.extensions:
                 nursery.start_soon(extension.run)
-            revision = control_plane.store_writer.rev
+            revision = control_plane.store_writer.revision
             logger.info("control plane of {} at {}: revision {}", config.store, config.listen, revision)
             app = cast("Framework", Api(control_plane).app())
             await serve(app, _listener(config), shutdown_trigger=stop.wait)
@@ -106,8 +108,8 @@
     return listener
 
 
-async def _take_last_snapshot(store_writer: StoreKeeper) -> None:
+async def _take_last_snapshot(store_writer: AsyncStore) -> None:
     try:
-        await store_writer.snapshot()
-    except (OSError, Full) as error:  # the process still ends as ordered: the store itself is whole
+        await store_writer.take_snapshot()
+    except (OSError, DiskFullError) as error:  # the process still ends as ordered: the store itself is whole
         logger.error("no snapshot: {}", error)
--- a/gaugehinge/admin/records.py
+++ b/gaugehinge/admin/records.py
@@ -9,7 +9,7 @@
 
 from ..store.store import Change, Item, Store
 from ..tenancy.credentials import Credential
-from ..tenancy.life import Stage, Tenancy
+from ..tenancy.lifecycle import TenantIncarnation, TenantStage
 from .errors import NotFoundError, PreconditionFailedError
 
 TENANT_KIND = "tenant"  # by name
@@ -53,20 +53,20 @@
     left_at: int = 0  # the revision of its tombstone's first row, where that is not its last one
 
     @property
-    def tenancy(self) -> Tenancy:
+    def tenancy(self) -> TenantIncarnation:
         """Its lifecycle."""
-        return Tenancy(
-            self.name, self.incarnation, Stage(self.stage), self.since, self.marks_until, self.clear
+        return TenantIncarnation(
+            self.name, self.incarnation, TenantStage(self.stage), self.since, self.marks_until, self.clear
         )
 
-    def with_tenancy(self, tenancy: Tenancy) -> TenantRecord:
+    def with_tenancy(self, tenancy: TenantIncarnation) -> TenantRecord:
         """The same record at another point of its lifecycle."""
         return msgspec.structs.replace(
             self,
             stage=tenancy.stage.value,
-            since=tenancy.since,
-            marks_until=tenancy.marks_until,
-            clear=tenancy.clear,
+            since=tenancy.stage_since,
+            marks_until=tenancy.deduplication_until,
+            clear=tenancy.drained,
         )
 
 
@@ -90,8 +90,8 @@
     item = store.get(TENANT_KIND, name)
     if item is None:
         raise NotFoundError(f"no tenant {name}")
-    if if_match is not None and item.rev != if_match:
-        raise PreconditionFailedError(f"it is at revision {item.rev}", etag=item.rev)
+    if if_match is not None and item.revision != if_match:
+        raise PreconditionFailedError(f"it is at revision {item.revision}", etag=item.revision)
     return item
 
 
--- a/gaugehinge/admin/routers.py
+++ b/gaugehinge/admin/routers.py
@@ -5,10 +5,10 @@
 import time
 from dataclasses import dataclass
 
-from ..store.keeper import StoreKeeper
+from ..store.async_store import AsyncStore
 from ..tenancy.feed import Report
-from ..tenancy.life import UNHEARD
-from ..tenancy.life import Report as TenancyReport
+from ..tenancy.lifecycle import ROUTER_TIMEOUT
+from ..tenancy.lifecycle import RouterReport as TenancyReport
 from .records import standing_tenants
 from .types import RouterShown
 
@@ -28,7 +28,7 @@
 class RouterRegistry:
     """The last report of each router, in memory: a control plane that starts anew waits for new ones."""
 
-    def __init__(self, store_writer: StoreKeeper) -> None:
+    def __init__(self, store_writer: AsyncStore) -> None:
         self._store_writer = store_writer
         self.last_reports: dict[str, RouterReport] = {}  # by name
 
@@ -37,7 +37,7 @@
         reports = self.last_reports
         if report.router not in reports and len(reports) >= MAX_ROUTERS:
             del reports[min(reports, key=lambda name: reports[name].received_at)]
-        in_flight = {int(number): count for number, count in report.in_hand.items() if number.isdigit()}
+        in_flight = {int(number): count for number, count in report.in_flight.items() if number.isdigit()}
         reports[report.router] = RouterReport(time.monotonic(), report.run, revision, in_flight)
 
     def tenancy_reports(self, incarnation: int, now: float) -> dict[str, TenancyReport]:
@@ -55,13 +55,13 @@
     async def list_all(self) -> list[RouterShown]:
         """Routers that reported lately, by name, each with its operations in flight by tenant."""
         store = self._store_writer.store
-        tenants = await self._store_writer.call(lambda: standing_tenants(store))
+        tenants = await self._store_writer.run_sync(lambda: standing_tenants(store))
         tenant_names = {tenant.incarnation: tenant.name for tenant in tenants}
         now = time.monotonic()
         return [
             self._describe(name, report, tenant_names, now)
             for name, report in sorted(self.last_reports.items())
-            if now - report.received_at <= UNHEARD
+            if now - report.received_at <= ROUTER_TIMEOUT
         ]
 
     def _describe(
@@ -71,5 +71,5 @@
         for incarnation, count in report.in_flight.items():
             tenant = tenant_names.get(incarnation, f"#{incarnation}")
             in_flight[tenant] = in_flight.get(tenant, 0) + count
-        behind = max(self._store_writer.rev - report.revision, 0)
+        behind = max(self._store_writer.revision - report.revision, 0)
         return RouterShown(name, round(now - report.received_at, 3), report.revision, behind, in_flight)
--- a/gaugehinge/admin/servers.py
+++ b/gaugehinge/admin/servers.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..store.keeper import StoreKeeper
-from ..store.store import Store, Wanted, encode
+from ..store.async_store import AsyncStore
+from ..store.store import Mutation, Store, encode
 from .errors import InvalidRequestError
 from .records import SERVER_ORDER_KIND
 from .transactions import commit
@@ -16,14 +16,14 @@
 class ServerOrders:
     """The orders in the store."""
 
-    def __init__(self, store_writer: StoreKeeper) -> None:
+    def __init__(self, store_writer: AsyncStore) -> None:
         self._store_writer = store_writer
 
     async def list_all(self) -> list[ServerOrder]:
         """All orders that stand, by server name."""
         store = self._store_writer.store
-        items = await self._store_writer.call(lambda: store.items(SERVER_ORDER_KIND))
-        return [ServerOrder(item.ident, DRAIN, item.rev) for item in items]
+        items = await self._store_writer.run_sync(lambda: store.items(SERVER_ORDER_KIND))
+        return [ServerOrder(item.item_id, DRAIN, item.revision) for item in items]
 
     async def set_draining(self, name: str, draining: bool, actor: str) -> ServerOrder:
         """Order a server to drain, or take the order back. Repeating an order changes nothing.
@@ -37,21 +37,21 @@
         if not 0 < len(name) <= MAX_SERVER_NAME:
             raise InvalidRequestError(f"1 to {MAX_SERVER_NAME} characters", "server")
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             item = store.get(SERVER_ORDER_KIND, name)
             if (item is not None) is draining:
                 return []
             body = encode(DRAIN) if draining else None
-            return [Wanted(SERVER_ORDER_KIND, name, body, item.rev if item else 0)]
+            return [Mutation(SERVER_ORDER_KIND, name, body, item.revision if item else 0)]
 
         await commit(self._store_writer, plan, actor)
         store = self._store_writer.store
-        item = await self._store_writer.call(lambda: store.get(SERVER_ORDER_KIND, name))
+        item = await self._store_writer.run_sync(lambda: store.get(SERVER_ORDER_KIND, name))
         if item is None:
-            return ServerOrder(name, NO_ORDER, self._store_writer.rev)
-        return ServerOrder(name, DRAIN, item.rev)
+            return ServerOrder(name, NO_ORDER, self._store_writer.revision)
+        return ServerOrder(name, DRAIN, item.revision)
 
 
 def draining_servers(store: Store) -> list[str]:
     """The servers that operators ordered to drain, by name; called on the store's thread."""
-    return [item.ident for item in store.items(SERVER_ORDER_KIND)]
+    return [item.item_id for item in store.items(SERVER_ORDER_KIND)]
--- a/gaugehinge/admin/tenants.py
+++ b/gaugehinge/admin/tenants.py
@@ -12,11 +12,17 @@
 import msgspec
 import trio
 
-from ..store.keeper import StoreKeeper
-from ..store.store import Change, Item, Store, Wanted, encode
-from ..tenancy.credentials import Hasher, revoke, rotate
-from ..tenancy.feed import MOST_TENANTS
-from ..tenancy.life import Order, Refused, Tenancy, create, order
+from ..store.async_store import AsyncStore
+from ..store.store import Change, Item, Mutation, Store, encode
+from ..tenancy.credentials import SecretHasher, revoke, rotate
+from ..tenancy.feed import MAX_TENANTS
+from ..tenancy.lifecycle import (
+    LifecycleError,
+    TenantAction,
+    TenantIncarnation,
+    apply_action,
+    create_incarnation,
+)
 from .errors import NotFoundError, ResourceConflictError
 from .records import (
     COUNTER_KIND,
@@ -39,7 +45,7 @@
 class Tenants:
     """The tenants in the store."""
 
-    def __init__(self, store_writer: StoreKeeper, hasher: Hasher) -> None:
+    def __init__(self, store_writer: AsyncStore, hasher: SecretHasher) -> None:
         self._store_writer = store_writer
         self._hasher = hasher
         self.incarnation_floor = 0  # a new store does not know which incarnations a lost one gave: above this
@@ -47,7 +53,7 @@
     async def list_page(self, after: str, limit: int) -> Page:
         """Up to `limit` tenants whose names follow `after`, and where the next page begins."""
         store = self._store_writer.store
-        items = await self._store_writer.call(lambda: store.items(TENANT_KIND, after, limit + 1))
+        items = await self._store_writer.run_sync(lambda: store.items(TENANT_KIND, after, limit + 1))
         tenants = [_resource_of(item) for item in items[:limit]]
         return Page(tenants, tenants[-1].name if len(items) > limit else None)
 
@@ -58,7 +64,7 @@
             NotFoundError: There is none of that name.
         """
         store = self._store_writer.store
-        return _resource_of(await self._store_writer.call(lambda: tenant_item(store, name)))
+        return _resource_of(await self._store_writer.run_sync(lambda: tenant_item(store, name)))
 
     async def create(self, new: NewTenant, actor: str, idempotency: IdempotencyKey | None = None) -> Tenant:
         """Create a tenant. The name of one that was removed may be used again, for another incarnation.
@@ -67,7 +73,7 @@
             ResourceConflictError: The name is taken, or there are too many tenants.
         """
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             current = store.get(TENANT_KIND, new.name)
             counter = store.get(COUNTER_KIND, INCARNATION_COUNTER)
             # A number that a lost store gave is a key space that still has values of the one that bore it.
@@ -75,12 +81,12 @@
             tenancy = _new_tenancy(new.name, current, last, now)
             record = _new_record(new, tenancy, _allocate_place(store), now)
             return [
-                Wanted(TENANT_KIND, new.name, encode(record), current.rev if current else 0),
-                Wanted(
+                Mutation(TENANT_KIND, new.name, encode(record), current.revision if current else 0),
+                Mutation(
                     COUNTER_KIND,
                     INCARNATION_COUNTER,
                     b"%d" % tenancy.incarnation,
-                    counter.rev if counter else 0,
+                    counter.revision if counter else 0,
                 ),
             ]
 
@@ -103,7 +109,7 @@
             name, if_match, actor, lambda record, now: msgspec.structs.replace(record, **fields)
         )
 
-    async def transition(self, name: str, wanted: Order, if_match: int | None, actor: str) -> Tenant:
+    async def transition(self, name: str, action: TenantAction, if_match: int | None, actor: str) -> Tenant:
         """Activate or suspend a tenant.
 
         Raises:
@@ -114,8 +120,8 @@
 
         def alter(record: TenantRecord, now: float) -> TenantRecord:
             try:
-                return record.with_tenancy(order(record.tenancy, wanted, record.memory, now))
-            except Refused as error:
+                return record.with_tenancy(apply_action(record.tenancy, action, record.memory, now))
+            except LifecycleError as error:
                 raise ResourceConflictError(str(error)) from error
 
         return await self._alter(name, if_match, actor, alter)
@@ -128,14 +134,16 @@
             PreconditionFailedError: It changed since the revision `if_match`.
         """
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             item = tenant_item(store, name, if_match)
             record = decode_tenant(item)
-            leaving = record.with_tenancy(order(record.tenancy, Order.REMOVE, record.memory, now))
+            leaving = record.with_tenancy(
+                apply_action(record.tenancy, TenantAction.REMOVE, record.memory, now)
+            )
             tombstone = msgspec.structs.replace(leaving, credentials=[])  # nobody may authenticate any more
             return [
-                Wanted(TENANT_KIND, name, None, item.rev),
-                Wanted(TOMBSTONE_KIND, f"{name}#{record.incarnation}", encode(tombstone), 0),
+                Mutation(TENANT_KIND, name, None, item.revision),
+                Mutation(TOMBSTONE_KIND, f"{name}#{record.incarnation}", encode(tombstone), 0),
             ]
 
         await commit(self._store_writer, plan, actor)
@@ -154,17 +162,17 @@
         Raises:
             NotFoundError: There is no such tenant.
         """
-        secret, credential = await trio.to_thread.run_sync(self._hasher.make, self._store_writer.clock())
+        secret, credential = await trio.to_thread.run_sync(self._hasher.issue, self._store_writer.clock())
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             item = tenant_item(store, name)
             record = decode_tenant(item)
             credentials = list(rotate(record.credentials, credential, overlap, now))
             record = msgspec.structs.replace(record, credentials=credentials)
-            return [Wanted(TENANT_KIND, name, encode(record), item.rev)]
+            return [Mutation(TENANT_KIND, name, encode(record), item.revision)]
 
         await commit(self._store_writer, plan, actor, idempotency, no_response)
-        return Secret(credential.ident, secret)
+        return Secret(credential.credential_id, secret)
 
     async def revoke_credential(self, name: str, ident: str, actor: str) -> None:
         """End a credential at once.
@@ -183,15 +191,15 @@
         await self._alter(name, None, actor, alter)
 
     async def _alter(self, name: str, if_match: int | None, actor: str, alter: Alteration) -> Tenant:
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             item = tenant_item(store, name, if_match)
-            return [Wanted(TENANT_KIND, name, encode(alter(decode_tenant(item), now)), item.rev)]
+            return [Mutation(TENANT_KIND, name, encode(alter(decode_tenant(item), now)), item.revision)]
 
         changes = await commit(self._store_writer, plan, actor)
         return _resource_of(changes[0])
 
 
-def plan_missing_places(store: Store, now: float) -> list[Wanted]:
+def plan_missing_places(store: Store, now: float) -> list[Mutation]:
     """Give a place to each tenant and tombstone that an older version stored without one."""
     taken = _taken_places(store)
     wanted = []
@@ -202,18 +210,20 @@
                 place = _lowest_free(taken)
                 taken.add(place)
                 record = msgspec.structs.replace(record, place=place)
-                wanted.append(Wanted(kind, item.ident, encode(record), item.rev))
+                wanted.append(Mutation(kind, item.item_id, encode(record), item.revision))
     return wanted
 
 
-def _new_tenancy(name: str, current: Item | None, last_incarnation: int, now: float) -> Tenancy:
+def _new_tenancy(name: str, current: Item | None, last_incarnation: int, now: float) -> TenantIncarnation:
     try:
-        return create(name, [decode_tenant(current).tenancy] if current else [], last_incarnation, now)
-    except Refused as error:
+        return create_incarnation(
+            name, [decode_tenant(current).tenancy] if current else [], last_incarnation, now
+        )
+    except LifecycleError as error:
         raise ResourceConflictError(str(error), "name") from error
 
 
-def _new_record(new: NewTenant, tenancy: Tenancy, place: int, now: float) -> TenantRecord:
+def _new_record(new: NewTenant, tenancy: TenantIncarnation, place: int, now: float) -> TenantRecord:
     return TenantRecord(
         name=new.name,
         incarnation=tenancy.incarnation,
@@ -233,8 +243,8 @@
 
 def _allocate_place(store: Store) -> int:
     taken = _taken_places(store)
-    if len(taken) >= MOST_TENANTS:
-        raise ResourceConflictError(f"{MOST_TENANTS} tenants stand, those that leave among them")
+    if len(taken) >= MAX_TENANTS:
+        raise ResourceConflictError(f"{MAX_TENANTS} tenants stand, those that leave among them")
     return _lowest_free(taken)
 
 
@@ -248,7 +258,7 @@
 
 
 def _resource_of(item: Item | Change) -> Tenant:
-    return tenant_resource(decode_tenant(item), item.rev)
+    return tenant_resource(decode_tenant(item), item.revision)
 
 
 def _encode_tenant(changes: list[Change]) -> bytes:
--- a/gaugehinge/admin/transactions.py
+++ b/gaugehinge/admin/transactions.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..store.keeper import StoreKeeper
-from ..store.store import Change, Conflict, Store, Wanted
+from ..store.async_store import AsyncStore
+from ..store.store import Change, Mutation, RevisionConflictError, Store
 from .errors import BusyError, ResourceConflictError
 
 MAX_ATTEMPTS = 5  # of a change whose preconditions another writer changed, if the caller named no revision
 
-Plan = Callable[[Store, float], list[Wanted]]
+Plan = Callable[[Store, float], list[Mutation]]
 """Decides on the store's thread, from the store and the wall-clock time in seconds, what to change."""
 
 ResponseEncoder = Callable[[list[Change]], bytes]
@@ -33,7 +33,7 @@
 
 
 async def commit(
-    store_writer: StoreKeeper,
+    store_writer: AsyncStore,
     plan: Plan,
     actor: str,
     idempotency: IdempotencyKey | None = None,
@@ -56,9 +56,9 @@
     for _ in range(MAX_ATTEMPTS):
         try:
             return await store_writer.apply_planned(
-                plan, actor, key=key, request=request, answer=encode_response
+                plan, actor, idempotency_key=key, request=request, response=encode_response
             )
-        except Conflict:
+        except RevisionConflictError:
             continue
         except sqlite3.IntegrityError as error:
             raise ResourceConflictError("a call with this key is under way") from error
--- a/gaugehinge/admin/types.py
+++ b/gaugehinge/admin/types.py
@@ -186,7 +186,10 @@
         share=record.share,
         allowance=record.allowance,
         memory=record.memory,
-        credentials=[ShownCredential(each.ident, each.made, each.ends) for each in record.credentials],
+        credentials=[
+            ShownCredential(each.credential_id, each.created_at, each.expires_at)
+            for each in record.credentials
+        ],
         revision=revision,
         traffic=record.traffic,
         longest_wait=record.longest_wait,
--- a/gaugehinge/cli/control_plane_command.py
+++ b/gaugehinge/cli/control_plane_command.py
@@ -26,7 +26,7 @@
     from ..admin.config import read_config
     from ..admin.process import run_control_plane
     from ..forms.toml import BadFile
-    from ..store.store import Damaged
+    from ..store.store import StoreUnusableError
 
     try:
         config = read_config(file)
@@ -34,7 +34,7 @@
         raise BadInput(str(error)) from None
     try:
         trio.run(partial(run_control_plane, config, extensions=_extensions(config)))
-    except Damaged as error:
+    except StoreUnusableError as error:
         raise BadInput(str(error)) from None
 
 
--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -21,7 +21,7 @@
 from ..admin.idempotency import run_once
 from ..admin.route import Route
 from ..admin.transactions import IdempotencyKey
-from ..store.store import Store, Wanted, encode
+from ..store.store import Mutation, Store, encode
 from .grants import Figures, figure, fits
 from .rolls import (
     ENDED,
@@ -167,16 +167,16 @@
             grants, now = part.grants, part.clock()
             slots = [slot for _, slot in part.slots(store).values()]
             found = []
-            for item in store.items(LIMIT, most=100_000):
+            for item in store.items(LIMIT, limit=100_000):
                 most = msgspec.json.decode(item.body, type=LimitOrder).most
                 found.append(
                     LimitShown(
-                        item.ident,
+                        item.item_id,
                         most,
-                        grants.spent(slots, item.ident),
-                        max(grants.most_nodes * figure(grants.floors, item.ident), 1),
-                        grants.reached(slots, item.ident, most, now),
-                        item.rev,
+                        grants.spent(slots, item.item_id),
+                        max(grants.most_nodes * figure(grants.floors, item.item_id), 1),
+                        grants.reached(slots, item.item_id, most, now),
+                        item.revision,
                     )
                 )
             return found
@@ -185,7 +185,7 @@
         """GET /v1/limits."""
         caller.require_role("reader")
         return json_response(
-            LimitPage(await self.administration.store_writer.call(self._limits, self._store))
+            LimitPage(await self.administration.store_writer.run_sync(self._limits, self._store))
         )
 
     @property
@@ -198,7 +198,7 @@
         return await self._limit(request.path_params["store"])
 
     async def _limit(self, name: str) -> Response:
-        found = await self.administration.store_writer.call(self._limits, self._store)
+        found = await self.administration.store_writer.run_sync(self._limits, self._store)
         shown = next((each for each in found if each.store == name), None)
         if shown is None:
             raise NotFoundError(f"no limit for {name}")
@@ -218,14 +218,14 @@
             why = f"{told.most} is under {small[1]}, the floors of {grants.most_nodes} nodes"
             raise InvalidRequestError(why, "most")
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             held = store.get(LIMIT, name)
-            at = held.rev if held else 0
+            at = held.revision if held else 0
             if at != expect:
                 raise PreconditionFailedError(f"it is at revision {at}", etag=at)
             if held is None and len(store.items(LIMIT)) >= 64:
                 raise ResourceConflictError("64 limits are named", "store")
-            return [Wanted(LIMIT, name, encode(told), at)]
+            return [Mutation(LIMIT, name, encode(told), at)]
 
         await self.administration.commit(plan, caller.name)
         self.part.news.set()
@@ -236,7 +236,7 @@
     async def grants(self, request: Request, caller: Caller) -> Response:
         """GET /v1/grants."""
         caller.require_role("reader")
-        return json_response(await self.administration.store_writer.call(self._grants, self._store))
+        return json_response(await self.administration.store_writer.run_sync(self._grants, self._store))
 
     def _grants(self, store: Store) -> GrantPage:
         part = self.part
@@ -283,7 +283,7 @@
         node = request.path_params["node"]
         part = self.part
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             item = store.get(NODE, node)
             if item is None:
                 raise NotFoundError(f"no node {node}")
@@ -291,7 +291,7 @@
                 if not part.grants.over(node, part.clock()):
                     why = "it was heard of too lately: its connections may be open"
                     raise ResourceConflictError(why, "node")
-            return [Wanted(NODE, node, None, item.rev)]
+            return [Mutation(NODE, node, None, item.revision)]
 
         await self.administration.commit(plan, caller.name)
         with part.lock:
@@ -305,7 +305,7 @@
         caller.require_role("operator")
         part = self.part
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             with part.lock:
                 grants = part.grants
                 if part.clock() < grants.settled_at:
@@ -317,7 +317,7 @@
                 return (
                     []
                     if item and item.body == body
-                    else [Wanted("drains-ground", "ground", body, item.rev if item else 0)]
+                    else [Mutation("drains-ground", "ground", body, item.revision if item else 0)]
                 )
 
         await self.administration.commit(plan, caller.name)
@@ -329,7 +329,7 @@
     async def rolls(self, request: Request, caller: Caller) -> Response:
         """GET /v1/rolls."""
         caller.require_role("reader")
-        rolls, steps, _ = await self.administration.store_writer.call(self.part.standing, self._store)
+        rolls, steps, _ = await self.administration.store_writer.run_sync(self.part.standing, self._store)
         rows = sorted(rolls.values(), key=lambda row: row[1].number)
         return json_response(RollPage([shown(roll, steps[roll.ident], rev) for rev, roll in rows]))
 
@@ -339,7 +339,7 @@
         return await self._roll(request.path_params["id"])
 
     async def _roll(self, ident: str) -> Response:
-        found = await self.administration.store_writer.call(self._one, self._store, ident)
+        found = await self.administration.store_writer.run_sync(self._one, self._store, ident)
         return json_response(found, etag=found.revision)
 
     def _one(self, store: Store, ident: str) -> RollShown:
@@ -356,7 +356,7 @@
         part = self.part
         made: list[str] = []
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             with part.lock:
                 facts = part.facts(store, part.clock())[order.kind]
             try:
@@ -368,15 +368,15 @@
             ident = f"roll-{number:06d}-{self.administration.run_id[:4]}"  # of a lost store's no name again
             roll = Roll(ident, number, order, who=caller.name, at=now)
             made[:] = [roll.ident]
-            wanted = [Wanted(ROLL, roll.ident, encode(roll), 0)]
+            wanted = [Mutation(ROLL, roll.ident, encode(roll), 0)]
             for place, name in enumerate(names):
-                wanted.append(Wanted(STEP, f"{roll.ident}/{name}", encode(Step(name, place)), 0))
+                wanted.append(Mutation(STEP, f"{roll.ident}/{name}", encode(Step(name, place)), 0))
             return wanted + _room(rolls, steps, revisions)
 
         async def make(idempotency: IdempotencyKey | None) -> Response:
             await self.administration.commit(plan, caller.name, idempotency, lambda rows: made[0].encode())
             part.news.set()
-            found = await self.administration.store_writer.call(self._one, self._store, made[0])
+            found = await self.administration.store_writer.run_sync(self._one, self._store, made[0])
             return json_response(found, 201, found.revision, {"Location": f"/v1/rolls/{found.id}"})
 
         async def replay(stored: bytes) -> Response:
@@ -410,7 +410,7 @@
         ident = request.path_params["id"]
         part = self.part
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             rolls, steps, revisions = part.standing(store)
             if ident not in rolls:
                 raise NotFoundError(f"no roll {ident}")
@@ -429,7 +429,7 @@
 
 def _room(
     rolls: dict[str, tuple[int, Roll]], steps: dict[str, list[Step]], revisions: dict[str, int]
-) -> list[Wanted]:
+) -> list[Mutation]:
     """Room for one more: the oldest that ended go. Raises ResourceConflictError where none has."""
     ended = sorted(
         (roll.number, ident, rev) for ident, (rev, roll) in rolls.items() if Status(roll.status) in ENDED
@@ -437,11 +437,11 @@
     over = len(rolls) + 1 - MOST_ROLLS
     if over > len(ended):
         raise ResourceConflictError(f"{MOST_ROLLS} rolls stand")
-    gone: list[Wanted] = []
+    gone: list[Mutation] = []
     for _, ident, rev in ended[: max(over, 0)]:
-        gone.append(Wanted(ROLL, ident, None, rev))
+        gone.append(Mutation(ROLL, ident, None, rev))
         gone += [
-            Wanted(STEP, f"{ident}/{step.node}", None, revisions[f"{ident}/{step.node}"])
+            Mutation(STEP, f"{ident}/{step.node}", None, revisions[f"{ident}/{step.node}"])
             for step in steps[ident]
         ]
     return gone
--- a/gaugehinge/rehearsal/broken.py
+++ b/gaugehinge/rehearsal/broken.py
@@ -255,7 +255,7 @@
         held = await self.get(name)
         all_ = msgspec.structs.asdict(told)
         figures = {name: value for name, value in all_.items() if value is not msgspec.UNSET}
-        return msgspec.structs.replace(held, revision=self._store_writer.rev + 1, **figures)
+        return msgspec.structs.replace(held, revision=self._store_writer.revision + 1, **figures)
 
     tenants.Tenants.update = change
 
--- a/tests/admin_api.py
+++ b/tests/admin_api.py
@@ -7,10 +7,10 @@
 
 from gaugehinge.admin.app import Api
 from gaugehinge.admin.control_plane import ControlPlane
-from gaugehinge.store.keeper import StoreKeeper
-from gaugehinge.tenancy.credentials import Attempts, Hasher
+from gaugehinge.store.async_store import AsyncStore
+from gaugehinge.tenancy.credentials import AttemptLimiter, SecretHasher
 
-CHEAP_HASHER = Hasher(time_cost=1, memory_kib=64)
+CHEAP_HASHER = SecretHasher(time_cost=1, memory_kib=64)
 TEST_TIMEOUT = 60.0  # seconds
 
 
@@ -37,8 +37,8 @@
 async def serve_api(path):
     """The first operator as a caller, with the control plane, its store and a clock that the test sets."""
     clock = [1_000_000.0]
-    store_writer = StoreKeeper(path / "s.db", lambda: clock[0])
-    control_plane = ControlPlane(store_writer, CHEAP_HASHER, Attempts(1, clock[0]))
+    store_writer = AsyncStore(path / "s.db", lambda: clock[0])
+    control_plane = ControlPlane(store_writer, CHEAP_HASHER, AttemptLimiter(1, clock[0]))
     secret = await control_plane.operators.create_first()
     transport = httpx.ASGITransport(Api(control_plane).app())
     async with httpx.AsyncClient(transport=transport, base_url="http://admin") as client:
--- a/tests/test_admin_access.py
+++ b/tests/test_admin_access.py
@@ -9,8 +9,8 @@
 from gaugehinge.admin.app import Api
 from gaugehinge.admin.http import MAX_BODY_SIZE
 from gaugehinge.admin.rate_limit import BURST
-from gaugehinge.store.store import Full
-from gaugehinge.tenancy.credentials import BURST as WRONG_SECRET_BURST
+from gaugehinge.store.store import DiskFullError
+from gaugehinge.tenancy.credentials import FAILURE_BURST as WRONG_SECRET_BURST
 
 
 def test_roles_limit_access(tmp_path):
@@ -119,7 +119,7 @@
     async def scenario():
         async with serve_api(tmp_path) as root:
             monkeypatch.setattr(
-                root.store_writer.store, "apply", lambda *a, **k: (_ for _ in ()).throw(Full("disk"))
+                root.store_writer.store, "apply", lambda *a, **k: (_ for _ in ()).throw(DiskFullError("disk"))
             )
             assert (await root.create_tenant("acme")).status_code == 507
             monkeypatch.undo()
