--- a/gaugehinge/admin/authentication.py
+++ b/gaugehinge/admin/authentication.py
@@ -62,7 +62,7 @@
         if wait:
             raise TooManyAttemptsError(f"again in {wait:.0f} s")
         operator = await self._operators.with_credential(ident)
-        # Also hashed where nobody has such a credential: the time of the answer must not tell.
+        # Hashed even if the credential does not exist: the response time must not reveal that.
         credentials = operator.credentials if operator else ()
         matched = await trio.to_thread.run_sync(self._hasher.find_match, secret, credentials, now)
         if operator is None or matched is None:
--- a/gaugehinge/admin/client.py
+++ b/gaugehinge/admin/client.py
@@ -47,7 +47,7 @@
         self._http.close()
 
     def call(self, method: str, path: str, body: Any = None, **headers: str) -> ApiResponse:
-        """Make a call; it is retried where that cannot carry it out twice."""
+        """Make a call; it is retried on connection failures if that cannot carry it out twice."""
         response = self._request(method, path, body, headers)
         if not response.is_success:
             raise _rejection(response)
--- a/gaugehinge/admin/feed.py
+++ b/gaugehinge/admin/feed.py
@@ -1,4 +1,4 @@
-"""The feed that routers follow: what changed since the revision that they know, for their reports."""
+"""The feed that routers poll: what changed since the revision they know, in return for their reports."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from .routers import RouterRegistry
 from .servers import draining_servers
 
-MAX_CHANGES = 500  # told one by one; a router that is further behind gets the full state
+MAX_CHANGES = 500  # sent one by one; a router that is further behind gets the full state
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
         self.digests = RevisionDigests(store_writer)
 
     async def poll(self, report: Report) -> Feed:
-        """What a router does not know yet, waited for as long as it asked.
+        """The changes that a router does not know yet; waits for one as long as the router asked.
 
         Raises:
             ApiError: An extension's section of the report makes no sense.
@@ -63,9 +63,9 @@
         wait = report.max_wait if since else 0.0
         changes = await self._store_writer.changes(since, MAX_CHANGES + 1, wait)
         if report.router in self._routers.last_reports:
-            self._record(report)  # the call stood open: the router is there
+            self._record(report)  # the call was open until now, so the router is alive
         feed = await self._store_writer.run_sync(self._compose, report, self._content(since, changes))
-        # Counted from now on, when the answer goes: the router counts from its question, which was before.
+        # Here a lease counts from the response, at the router from its earlier request: it ends there first.
         lease = self._leases.grant(report.router, report.run, since)
         return msgspec.structs.replace(feed, lease_duration=lease)
 
@@ -96,7 +96,7 @@
         )
 
     def _content(self, since: int, changes: list[Change] | None) -> Callable[[], Feed]:
-        """What to tell: the changes, or the full state if they are too many or no longer in the log."""
+        """What to send: the changes, or the full state if they are too many or no longer in the log."""
         if not since or changes is None or len(changes) > MAX_CHANGES:
             return self._full_state
         return lambda: self._incremental(since, changes)
--- a/gaugehinge/admin/process.py
+++ b/gaugehinge/admin/process.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from hypercorn.typing import Framework
 
-SHUTDOWN_GRACE = 5.0  # seconds for calls under way, once the process was told to end
+SHUTDOWN_GRACE = 5.0  # seconds for calls in progress, once the process was asked to stop
 MAX_HEAD_SIZE = 16 * 1024  # bytes of a request's head, and of a frame of HTTP/2
 ATTEMPTS_SEED = 1
 
@@ -36,7 +36,7 @@
     hasher: SecretHasher | None = None,
     extensions: Sequence[ExtensionFactory] = (),
 ) -> None:
-    """Serve the API until the process is told to end by SIGTERM or SIGINT.
+    """Serve the API until the process gets SIGTERM or SIGINT.
 
     Args:
         config: The configuration file.
@@ -111,5 +111,8 @@
 async def _take_last_snapshot(store_writer: AsyncStore) -> None:
     try:
         await store_writer.take_snapshot()
-    except (OSError, DiskFullError) as error:  # the process still ends as ordered: the store itself is whole
+    except (
+        OSError,
+        DiskFullError,
+    ) as error:  # the process still stops in order: the store is complete
         logger.error("no snapshot: {}", error)
--- a/gaugehinge/admin/routers.py
+++ b/gaugehinge/admin/routers.py
@@ -7,8 +7,7 @@
 
 from ..store.async_store import AsyncStore
 from ..tenancy.feed import Report
-from ..tenancy.lifecycle import ROUTER_TIMEOUT
-from ..tenancy.lifecycle import RouterReport as TenancyReport
+from ..tenancy.lifecycle import ROUTER_TIMEOUT, RouterReport
 from .records import standing_tenants
 from .types import RouterShown
 
@@ -16,8 +15,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RouterReport:
-    """A router's last report."""
+class RouterStatus:
+    """What a router reported last."""
 
     received_at: float  # seconds, by the monotonic clock
     run: str  # new with each start of the router
@@ -30,7 +29,7 @@
 
     def __init__(self, store_writer: AsyncStore) -> None:
         self._store_writer = store_writer
-        self.last_reports: dict[str, RouterReport] = {}  # by name
+        self.last_reports: dict[str, RouterStatus] = {}  # by name
 
     def record(self, report: Report, revision: int) -> None:
         """Note a report of a router that follows a revision of this store (0: of another one)."""
@@ -38,13 +37,13 @@
         if report.router not in reports and len(reports) >= MAX_ROUTERS:
             del reports[min(reports, key=lambda name: reports[name].received_at)]
         in_flight = {int(number): count for number, count in report.in_flight.items() if number.isdigit()}
-        reports[report.router] = RouterReport(time.monotonic(), report.run, revision, in_flight)
+        reports[report.router] = RouterStatus(time.monotonic(), report.run, revision, in_flight)
 
-    def tenancy_reports(self, incarnation: int, now: float) -> dict[str, TenancyReport]:
+    def reports_on(self, incarnation: int, now: float) -> dict[str, RouterReport]:
         """What routers reported last of one incarnation of a tenant; `now`: by the store's clock."""
         monotonic_now = time.monotonic()
         return {
-            name: TenancyReport(
+            name: RouterReport(
                 now - (monotonic_now - report.received_at),
                 report.in_flight.get(incarnation, 0),
                 report.revision,
@@ -65,7 +64,7 @@
         ]
 
     def _describe(
-        self, name: str, report: RouterReport, tenant_names: dict[int, str], now: float
+        self, name: str, report: RouterStatus, tenant_names: dict[int, str], now: float
     ) -> RouterShown:
         in_flight: dict[str, int] = {}
         for incarnation, count in report.in_flight.items():
--- a/gaugehinge/admin/tombstones.py
+++ b/gaugehinge/admin/tombstones.py
@@ -17,7 +17,7 @@
 
 
 async def sweep_tombstones(control_plane: ControlPlane) -> int:
-    """Bring each tombstone on by what routers reported, and delete those that are done; how many those were.
+    """Advance each tombstone by the routers' reports, and delete those that are done; returns how many.
 
     Raises:
         StoreOverloadedError: Too many calls wait for the store.
@@ -45,7 +45,7 @@
 
 def _advance(control_plane: ControlPlane, item: Item, record: TenantRecord) -> TenantRecord:
     now = control_plane.store_writer.clock()
-    reports = control_plane.routers.tenancy_reports(record.incarnation, now)
+    reports = control_plane.routers.reports_on(record.incarnation, now)
     removed_at = record.left_at or item.revision
     return record.with_tenancy(finish_removal(record.tenancy, reports, removed_at, record.memory, now))
 
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -440,7 +440,7 @@
             assert await sweep_tombstones(made.administration) == 0
             with trio.fail_after(5):
                 routers = made.administration.routers
-                while routers.tenancy_reports(1, clock())["router-0"].revision < made.keeper.revision:
+                while routers.reports_on(1, clock())["router-0"].revision < made.keeper.revision:
                     await trio.sleep(0.01)
             made.keeper.clock = lambda: clock() + 60.0
             last_reports = made.administration.routers.last_reports
