--- a/gaugehinge/admin/control_plane.py
+++ b/gaugehinge/admin/control_plane.py
@@ -15,10 +15,11 @@
 from .feed import Identity, RouterFeed
 from .leases import RouterLeases
 from .operators import STARTUP_ACTOR, Operators
+from .places import plan_missing_places
 from .records import COUNTER_KIND, STORE_ID_COUNTER
 from .routers import RouterRegistry
 from .servers import ServerOrders
-from .tenants import Tenants, plan_missing_places
+from .tenants import Tenants
 from .transactions import IdempotencyKey, Plan, ResponseEncoder, commit, no_response
 
 
--- /dev/null
+++ b/gaugehinge/admin/places.py
@@ -0,0 +1,46 @@
+"""Places of tenants in the routers' tables: the same at all routers, free once a tombstone is deleted."""
+
+from __future__ import annotations
+
+import msgspec
+
+from ..store.store import Mutation, Store, encode
+from ..tenancy.feed import MAX_TENANTS
+from .errors import ResourceConflictError
+from .records import TENANT_KIND, TOMBSTONE_KIND, UNPLACED, decode_tenant, standing_tenants
+
+
+def allocate_place(store: Store) -> int:
+    """The lowest place that is free.
+
+    Raises:
+        ResourceConflictError: All places are taken.
+    """
+    taken = _taken_places(store)
+    if len(taken) >= MAX_TENANTS:
+        raise ResourceConflictError(f"{MAX_TENANTS} tenants stand, those that leave among them")
+    return _lowest_free(taken)
+
+
+def plan_missing_places(store: Store, now: float) -> list[Mutation]:
+    """Give a place to each tenant and tombstone that an older version stored without one."""
+    taken = _taken_places(store)
+    wanted = []
+    for kind in (TENANT_KIND, TOMBSTONE_KIND):
+        for item in store.items(kind):
+            record = decode_tenant(item)
+            if record.place == UNPLACED:
+                place = _lowest_free(taken)
+                taken.add(place)
+                record = msgspec.structs.replace(record, place=place)
+                wanted.append(Mutation(kind, item.item_id, encode(record), item.revision))
+    return wanted
+
+
+def _taken_places(store: Store) -> set[int]:
+    """Places that are taken, also those of tombstones: a router may still hold operations of them."""
+    return {record.place for record in standing_tenants(store)} - {UNPLACED}
+
+
+def _lowest_free(taken: set[int]) -> int:
+    return next(place for place in range(len(taken) + 1) if place not in taken)
--- a/gaugehinge/admin/tenants.py
+++ b/gaugehinge/admin/tenants.py
@@ -15,7 +15,6 @@
 from ..store.async_store import AsyncStore
 from ..store.store import Change, Item, Mutation, Store, encode
 from ..tenancy.credentials import SecretHasher, revoke, rotate
-from ..tenancy.feed import MAX_TENANTS
 from ..tenancy.lifecycle import (
     LifecycleError,
     TenantAction,
@@ -24,15 +23,14 @@
     create_incarnation,
 )
 from .errors import NotFoundError, ResourceConflictError
+from .places import allocate_place
 from .records import (
     COUNTER_KIND,
     INCARNATION_COUNTER,
     TENANT_KIND,
     TOMBSTONE_KIND,
-    UNPLACED,
     TenantRecord,
     decode_tenant,
-    standing_tenants,
     tenant_item,
 )
 from .transactions import IdempotencyKey, commit, no_response
@@ -79,7 +77,7 @@
             # A number that a lost store gave is a key space that still has values of the one that bore it.
             last = max(int(counter.body) if counter else 0, self.incarnation_floor)
             tenancy = _new_tenancy(new.name, current, last, now)
-            record = _new_record(new, tenancy, _allocate_place(store), now)
+            record = _new_record(new, tenancy, allocate_place(store), now)
             return [
                 Mutation(TENANT_KIND, new.name, encode(record), current.revision if current else 0),
                 Mutation(
@@ -199,21 +197,6 @@
         return _resource_of(changes[0])
 
 
-def plan_missing_places(store: Store, now: float) -> list[Mutation]:
-    """Give a place to each tenant and tombstone that an older version stored without one."""
-    taken = _taken_places(store)
-    wanted = []
-    for kind in (TENANT_KIND, TOMBSTONE_KIND):
-        for item in store.items(kind):
-            record = decode_tenant(item)
-            if record.place == UNPLACED:
-                place = _lowest_free(taken)
-                taken.add(place)
-                record = msgspec.structs.replace(record, place=place)
-                wanted.append(Mutation(kind, item.item_id, encode(record), item.revision))
-    return wanted
-
-
 def _new_tenancy(name: str, current: Item | None, last_incarnation: int, now: float) -> TenantIncarnation:
     try:
         return create_incarnation(
@@ -241,22 +224,6 @@
     )
 
 
-def _allocate_place(store: Store) -> int:
-    taken = _taken_places(store)
-    if len(taken) >= MAX_TENANTS:
-        raise ResourceConflictError(f"{MAX_TENANTS} tenants stand, those that leave among them")
-    return _lowest_free(taken)
-
-
-def _taken_places(store: Store) -> set[int]:
-    """Places that are taken, also those of tombstones: a router may still hold operations of them."""
-    return {record.place for record in standing_tenants(store)} - {UNPLACED}
-
-
-def _lowest_free(taken: set[int]) -> int:
-    return next(place for place in range(len(taken) + 1) if place not in taken)
-
-
 def _resource_of(item: Item | Change) -> Tenant:
     return tenant_resource(decode_tenant(item), item.revision)
 
