--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -1,18 +1,26 @@
-"""Limits, grants and rolls over HTTP: rows for the table of `admin.app.Api`."""
+"""Limits, grants and rolls over HTTP: routes of the administration API."""
 
 from __future__ import annotations
 
-import hashlib
-from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING, Annotated, Any
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Annotated
 
 import msgspec
 from msgspec import Meta
 from starlette.requests import Request
 from starlette.responses import Response
 
-from ..admin.app import MOST_KEY, answer, if_match, read
-from ..admin.service import Caller, Wrong
+from ..admin.caller import Caller
+from ..admin.errors import (
+    InvalidRequestError,
+    NotFoundError,
+    PreconditionFailedError,
+    ResourceConflictError,
+)
+from ..admin.http import if_match_revision, json_response, read_json
+from ..admin.idempotency import run_once
+from ..admin.route import Route
+from ..admin.transactions import IdempotencyKey
 from ..store.records import Mutation, encode
 from ..store.store import Store
 from .grants import Figures, figure, fits
@@ -133,22 +141,22 @@
         self.part = part
         self.administration = part.administration
 
-    def routes(self) -> list[tuple[str, str, str, Any, Any, Any]]:
-        """method, path, what, form in, form out, handler."""
+    def routes(self) -> list[Route]:
+        """The routes of limits, grants, nodes and rolls."""
         return [
-            ("GET", "/v1/limits", "limits on connections", None, LimitPage, self.limits),
-            ("GET", "/v1/limits/{store}", "one limit", None, LimitShown, self.limit),
-            ("PUT", "/v1/limits/{store}", "change a limit", LimitOrder, LimitShown, self.put_limit),
-            ("GET", "/v1/grants", "who may have how many open", None, GrantPage, self.grants),
-            ("POST", "/v1/nodes/{node}/gone", "a node that is no more", None, Done, self.gone),
-            ("POST", "/v1/nodes/confirm", "all nodes there are, are known", None, Done, self.confirm),
-            ("GET", "/v1/rolls", "rolls that stand or stood", None, RollPage, self.rolls),
-            ("POST", "/v1/rolls", "roll nodes", RollOrder, RollShown, self.new_roll),
-            ("GET", "/v1/rolls/{id}", "one roll", None, RollShown, self.roll),
-            ("POST", "/v1/rolls/{id}/pause", "tell nobody more", None, RollShown, self.pause),
-            ("POST", "/v1/rolls/{id}/resume", "go on", None, RollShown, self.resume),
-            ("POST", "/v1/rolls/{id}/cancel", "end it as it stands", None, RollShown, self.cancel),
-            ("POST", "/v1/rolls/{id}/back", "take back what was done", None, RollShown, self.back),
+            Route("GET", "/v1/limits", "limits on connections", None, LimitPage, self.limits),
+            Route("GET", "/v1/limits/{store}", "one limit", None, LimitShown, self.limit),
+            Route("PUT", "/v1/limits/{store}", "change a limit", LimitOrder, LimitShown, self.put_limit),
+            Route("GET", "/v1/grants", "who may have how many open", None, GrantPage, self.grants),
+            Route("POST", "/v1/nodes/{node}/gone", "a node that is no more", None, Done, self.gone),
+            Route("POST", "/v1/nodes/confirm", "all nodes there are, are known", None, Done, self.confirm),
+            Route("GET", "/v1/rolls", "rolls that stand or stood", None, RollPage, self.rolls),
+            Route("POST", "/v1/rolls", "roll nodes", RollOrder, RollShown, self.new_roll),
+            Route("GET", "/v1/rolls/{id}", "one roll", None, RollShown, self.roll),
+            Route("POST", "/v1/rolls/{id}/pause", "tell nobody more", None, RollShown, self.pause),
+            Route("POST", "/v1/rolls/{id}/resume", "go on", None, RollShown, self.resume),
+            Route("POST", "/v1/rolls/{id}/cancel", "end it as it stands", None, RollShown, self.cancel),
+            Route("POST", "/v1/rolls/{id}/back", "take back what was done", None, RollShown, self.back),
         ]
 
     # -- limits
@@ -176,49 +184,51 @@
 
     async def limits(self, request: Request, caller: Caller) -> Response:
         """GET /v1/limits."""
-        caller.need("reader")
-        return answer(LimitPage(await self.administration.keeper.run_sync(self._limits, self._store)))
+        caller.require_role("reader")
+        return json_response(
+            LimitPage(await self.administration.store_writer.run_sync(self._limits, self._store))
+        )
 
     @property
     def _store(self) -> Store:
-        return self.administration.keeper.store
+        return self.administration.store_writer.store
 
     async def limit(self, request: Request, caller: Caller) -> Response:
         """GET /v1/limits/{store}."""
-        caller.need("reader")
+        caller.require_role("reader")
         return await self._limit(request.path_params["store"])
 
     async def _limit(self, name: str) -> Response:
-        found = await self.administration.keeper.run_sync(self._limits, self._store)
+        found = await self.administration.store_writer.run_sync(self._limits, self._store)
         shown = next((each for each in found if each.store == name), None)
         if shown is None:
-            raise Wrong(404, "not found", f"no limit for {name}")
-        return answer(shown, etag=shown.revision)
+            raise NotFoundError(f"no limit for {name}")
+        return json_response(shown, etag=shown.revision)
 
     async def put_limit(self, request: Request, caller: Caller) -> Response:
         """PUT /v1/limits/{store}: for the revision that was read; 0 names a server for the first time."""
-        caller.need("operator")
+        caller.require_role("operator")
         name = request.path_params["store"]
-        told, _ = await read(request, LimitOrder)
-        expect = if_match(request)
+        told, _ = await read_json(request, LimitOrder)
+        expect = if_match_revision(request)
         if not 0 < len(name) <= MOST_NAME:
-            raise Wrong(422, "invalid", f"1 to {MOST_NAME} characters", "store")
+            raise InvalidRequestError(f"1 to {MOST_NAME} characters", "store")
         grants = self.part.grants
         small = fits({name: told.most}, grants.floors, grants.most_nodes)
         if small is not None:
             why = f"{told.most} is under {small[1]}, the floors of {grants.most_nodes} nodes"
-            raise Wrong(422, "invalid", why, "most")
+            raise InvalidRequestError(why, "most")
 
         def plan(store: Store, now: float) -> list[Mutation]:
             held = store.get(LIMIT, name)
             at = held.revision if held else 0
             if at != expect:
-                raise Wrong(412, "precondition failed", f"it is at revision {at}", etag=at)
+                raise PreconditionFailedError(f"it is at revision {at}", etag=at)
             if held is None and len(store.items(LIMIT)) >= 64:
-                raise Wrong(409, "conflict", "64 limits are named", "store")
+                raise ResourceConflictError("64 limits are named", "store")
             return [Mutation(LIMIT, name, encode(told), at)]
 
-        await self.administration._change(plan, caller.name)
+        await self.administration.commit(plan, caller.name)
         self.part.news.set()
         return await self._limit(name)
 
@@ -226,8 +236,8 @@
 
     async def grants(self, request: Request, caller: Caller) -> Response:
         """GET /v1/grants."""
-        caller.need("reader")
-        return answer(await self.administration.keeper.run_sync(self._grants, self._store))
+        caller.require_role("reader")
+        return json_response(await self.administration.store_writer.run_sync(self._grants, self._store))
 
     def _grants(self, store: Store) -> GrantPage:
         part = self.part
@@ -270,30 +280,30 @@
 
     async def gone(self, request: Request, caller: Caller) -> Response:
         """POST /v1/nodes/{node}/gone: its machine and its files are no more. It has to be lost already."""
-        caller.need("operator")
+        caller.require_role("operator")
         node = request.path_params["node"]
         part = self.part
 
         def plan(store: Store, now: float) -> list[Mutation]:
             item = store.get(NODE, node)
             if item is None:
-                raise Wrong(404, "not found", f"no node {node}")
+                raise NotFoundError(f"no node {node}")
             with part.lock:
                 if not part.grants.over(node, part.clock()):
                     why = "it was heard of too lately: its connections may be open"
-                    raise Wrong(409, "conflict", why, "node")
+                    raise ResourceConflictError(why, "node")
             return [Mutation(NODE, node, None, item.revision)]
 
-        await self.administration._change(plan, caller.name)
+        await self.administration.commit(plan, caller.name)
         with part.lock:
             part.grants.drop(node)
             part.lasts.pop(node, None)
         part.news.set()
-        return answer(Done(f"{node} is no more: its floor is free"))
+        return json_response(Done(f"{node} is no more: its floor is free"))
 
     async def confirm(self, request: Request, caller: Caller) -> Response:
         """POST /v1/nodes/confirm: every node that exists is known, so new ones may be admitted again."""
-        caller.need("operator")
+        caller.require_role("operator")
         part = self.part
 
         def plan(store: Store, now: float) -> list[Mutation]:
@@ -301,7 +311,7 @@
                 grants = part.grants
                 if part.clock() < grants.settled_at:
                     why = "this keeper has just started: nodes may come that it does not know"
-                    raise Wrong(409, "conflict", why)
+                    raise ResourceConflictError(why)
                 grants.ground = msgspec.structs.replace(grants.ground, doubt="")
                 item = store.get("drains-ground", "ground")
                 body = encode(grants.ground)
@@ -311,39 +321,39 @@
                     else [Mutation("drains-ground", "ground", body, item.revision if item else 0)]
                 )
 
-        await self.administration._change(plan, caller.name)
+        await self.administration.commit(plan, caller.name)
         part.news.set()
-        return answer(Done("new nodes are admitted"))
+        return json_response(Done("new nodes are admitted"))
 
     # -- rolls
 
     async def rolls(self, request: Request, caller: Caller) -> Response:
         """GET /v1/rolls."""
-        caller.need("reader")
-        rolls, steps, _ = await self.administration.keeper.run_sync(self.part.standing, self._store)
+        caller.require_role("reader")
+        rolls, steps, _ = await self.administration.store_writer.run_sync(self.part.standing, self._store)
         rows = sorted(rolls.values(), key=lambda row: row[1].number)
-        return answer(RollPage([shown(roll, steps[roll.ident], rev) for rev, roll in rows]))
+        return json_response(RollPage([shown(roll, steps[roll.ident], rev) for rev, roll in rows]))
 
     async def roll(self, request: Request, caller: Caller) -> Response:
         """GET /v1/rolls/{id}."""
-        caller.need("reader")
+        caller.require_role("reader")
         return await self._roll(request.path_params["id"])
 
     async def _roll(self, ident: str) -> Response:
-        found = await self.administration.keeper.run_sync(self._one, self._store, ident)
-        return answer(found, etag=found.revision)
+        found = await self.administration.store_writer.run_sync(self._one, self._store, ident)
+        return json_response(found, etag=found.revision)
 
     def _one(self, store: Store, ident: str) -> RollShown:
         rolls, steps, _ = self.part.standing(store)
         if ident not in rolls:
-            raise Wrong(404, "not found", f"no roll {ident}")
+            raise NotFoundError(f"no roll {ident}")
         rev, roll = rolls[ident]
         return shown(roll, steps[ident], rev, True)
 
     async def new_roll(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls."""
-        caller.need("operator")
-        order, body = await read(request, RollOrder)
+        caller.require_role("operator")
+        order, body = await read_json(request, RollOrder)
         part = self.part
         made: list[str] = []
 
@@ -353,10 +363,10 @@
             try:
                 names = chosen(order, facts.values())
             except Refused as bad:
-                raise Wrong(422, "invalid", str(bad), bad.field) from None
+                raise InvalidRequestError(str(bad), bad.field) from None
             rolls, steps, revisions = part.standing(store)
             number = max((roll.number for _, roll in rolls.values()), default=0) + 1
-            ident = f"roll-{number:06d}-{self.administration.run_mark[:4]}"  # of a lost store's no name again
+            ident = f"roll-{number:06d}-{self.administration.run_id[:4]}"  # of a lost store's no name again
             roll = Roll(ident, number, order, who=caller.name, at=now)
             made[:] = [roll.ident]
             wanted = [Mutation(ROLL, roll.ident, encode(roll), 0)]
@@ -364,36 +374,16 @@
                 wanted.append(Mutation(STEP, f"{roll.ident}/{name}", encode(Step(name, place)), 0))
             return wanted + _room(rolls, steps, revisions)
 
-        async def make(**key: Any) -> Response:
-            await self.administration._change(plan, caller.name, **key)
+        async def make(idempotency: IdempotencyKey | None) -> Response:
+            await self.administration.commit(plan, caller.name, idempotency, lambda rows: made[0].encode())
             part.news.set()
-            found = await self.administration.keeper.run_sync(self._one, self._store, made[0])
-            return answer(found, 201, found.revision, Location=f"/v1/rolls/{found.id}")
+            found = await self.administration.store_writer.run_sync(self._one, self._store, made[0])
+            return json_response(found, 201, found.revision, {"Location": f"/v1/rolls/{found.id}"})
 
-        return await self._once(request, caller, body, make, made)
+        async def replay(stored: bytes) -> Response:
+            return await self._roll(stored.decode())
 
-    async def _once(
-        self,
-        request: Request,
-        caller: Caller,
-        body: bytes,
-        make: Callable[..., Awaitable[Response]],
-        made: list[str],
-    ) -> Response:
-        """A call with an idempotency key is made once; its repeat is shown what it made."""
-        key = request.headers.get("idempotency-key", "")
-        if len(key) > MOST_KEY:
-            raise Wrong(422, "invalid", f"over {MOST_KEY} characters", "Idempotency-Key")
-        if not key:
-            return await make()
-        print_ = hashlib.sha256(f"POST {request.url.path}\n".encode() + body).digest()
-        keeper = self.administration.keeper
-        held = await keeper.run_sync(keeper.store.recorded_response, caller.name, key)
-        if held is None:
-            return await make(key=key, request=print_, answer=lambda rows: made[0].encode())
-        if held[0] != print_:
-            raise Wrong(422, "invalid", "another call had this key", "Idempotency-Key")
-        return await self._roll(held[1].decode())
+        return await run_once(self.administration.store_writer, request, caller, body, make, replay)
 
     async def pause(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls/{id}/pause."""
@@ -417,23 +407,23 @@
         caller: Caller,
         alter: Callable[[Roll, list[Step]], tuple[Roll, list[Step], list[str]]],
     ) -> Response:
-        caller.need("operator")
+        caller.require_role("operator")
         ident = request.path_params["id"]
         part = self.part
 
         def plan(store: Store, now: float) -> list[Mutation]:
             rolls, steps, revisions = part.standing(store)
             if ident not in rolls:
-                raise Wrong(404, "not found", f"no roll {ident}")
+                raise NotFoundError(f"no roll {ident}")
             before = rolls[ident][1]
             try:
                 after, changed, restore = alter(before, steps[ident])
             except Refused as bad:
-                raise Wrong(409, "conflict", str(bad), bad.field) from None
+                raise ResourceConflictError(str(bad), bad.field) from None
             altered = {ident: after} if after != before else {}
             return part.write(store, rolls, revisions, altered, {ident: changed}, [], restore)
 
-        await self.administration._change(plan, caller.name)
+        await self.administration.commit(plan, caller.name)
         part.news.set()
         return await self._roll(ident)
 
@@ -441,13 +431,13 @@
 def _room(
     rolls: dict[str, tuple[int, Roll]], steps: dict[str, list[Step]], revisions: dict[str, int]
 ) -> list[Mutation]:
-    """Room for one more: the oldest that ended go. Raises Wrong where none has."""
+    """Room for one more: the oldest that ended go. Raises ResourceConflictError where none has."""
     ended = sorted(
         (roll.number, ident, rev) for ident, (rev, roll) in rolls.items() if Status(roll.status) in ENDED
     )
     over = len(rolls) + 1 - MOST_ROLLS
     if over > len(ended):
-        raise Wrong(409, "conflict", f"{MOST_ROLLS} rolls stand")
+        raise ResourceConflictError(f"{MOST_ROLLS} rolls stand")
     gone: list[Mutation] = []
     for _, ident, rev in ended[: max(over, 0)]:
         gone.append(Mutation(ROLL, ident, None, rev))
--- a/gaugehinge/placement/keeper.py
+++ b/gaugehinge/placement/keeper.py
@@ -21,10 +21,22 @@
 from starlette.responses import Response
 from xxhash import xxh3_128_hexdigest
 
-from ..admin.app import answer, if_match, once, read
-from ..admin.keep import KeepPlacement
-from ..admin.service import SERVER, TENANT, TOMBSTONE, Administration, Caller, Wrong
-from ..admin.types import Kept
+from ..admin.caller import Caller
+from ..admin.config import PlacementConfig
+from ..admin.control_plane import ControlPlane
+from ..admin.errors import (
+    ApiError,
+    InvalidRequestError,
+    NotFoundError,
+    PreconditionFailedError,
+    PreconditionRequiredError,
+    ResourceConflictError,
+)
+from ..admin.http import if_match_revision, json_response, read_json
+from ..admin.idempotency import run_once
+from ..admin.records import SERVER_ORDER_KIND, TENANT_KIND, TOMBSTONE_KIND, TenantRecord
+from ..admin.route import Route
+from ..admin.transactions import IdempotencyKey
 from ..store.errors import DiskFullError, StoreOverloadedError
 from ..store.records import Mutation, encode
 from ..store.store import Store
@@ -65,17 +77,17 @@
     name = "placement"
 
     def __init__(
-        self, administration: Administration, told: KeepPlacement, clock: Callable[[], float] = time.monotonic
+        self, administration: ControlPlane, told: PlacementConfig, clock: Callable[[], float] = time.monotonic
     ) -> None:
         """`clock`: monotonic seconds, by which leases are counted."""
         self.administration = administration
-        self.keeper = administration.keeper
+        self.keeper = administration.store_writer
         self.told = told
         self.clock = clock
         self.desk = Desk()
         self.servers = Servers()
         now = clock()
-        self.near = LeaseTable(now, administration.lease, in_flight_grace=float(told.flight))
+        self.near = LeaseTable(now, administration.leases.duration, in_flight_grace=float(told.flight))
         self.far = LeaseTable(now, float(told.alone), in_flight_grace=float(told.flight))
         self.doubts: dict[tuple[int, str], Doubt] = {}  # until they are written; DOUBTS_MOST of them
         self.disturbed: set[str] = set()  # zones whose servers moved, until that is written
@@ -89,18 +101,18 @@
 
     # -- routers
 
-    def hear(self, report: Report, now: float) -> None:
+    def on_report(self, report: Report, now: float) -> None:
         """A router called; its lease counts from here on, later than its question was sent."""
         now = self.clock()
         try:
             told = msgspec.json.decode(report.parts.get(self.name, b"{}"), type=RouterTold)
         except msgspec.MsgspecError as bad:
-            raise Wrong(422, "invalid", str(bad), "parts.placement") from None
-        known = bool(told.mark) and self.administration.told.get(told.have) == told.mark
+            raise InvalidRequestError(str(bad), "parts.placement") from None
+        known = bool(told.mark) and self.administration.feed.digests.was_issued(told.have, told.mark)
         revision = min(told.clear, told.have) if known else 0
         # A reader without the part follows nothing and is given nothing.
         if self.name in report.parts:
-            self.near.grant(report.router, report.run, revision, self.administration.lease, now)
+            self.near.grant(report.router, report.run, revision, self.administration.leases.duration, now)
             self.far.grant(report.router, report.run, revision, float(self.told.alone), now)
         if told.servers is not None:
             self.disturbed |= self.servers.hear(report.router, told.servers)
@@ -110,7 +122,7 @@
         if self.desk.restless or self.doubts or self.disturbed:
             self._wake.set()
 
-    def feed(self, store: Store, report: Report) -> bytes | None:
+    def feed_section(self, store: Store, report: Report) -> bytes | None:
         """On the store's thread."""
         if self.name not in report.parts:
             return None
@@ -128,11 +140,11 @@
         return msgspec.json.encode(
             KeeperTold(
                 self.desk.rev,
-                self.administration.mark_of(self.desk.rev),
+                self.administration.feed.digests.issue(self.desk.rev),
                 whole,
                 rows,
                 gone,
-                self.administration.lease if noted else 0.0,
+                self.administration.leases.duration if noted else 0.0,
                 float(self.told.alone) if noted else 0.0,
                 self._unsure(store),
                 self.servers.digest,
@@ -366,65 +378,71 @@
 
     # -- tenants
 
-    def routes(self) -> list[tuple[str, str, str, Any, Any, Any]]:
-        """Rows of the API's table."""
+    def routes(self) -> list[Route]:
+        """The routes of shards."""
         path = "/v1/tenants/{name}/shards"
         return [
-            ("GET", path, "a tenant's shards", None, ShardPage, self.shards),
-            ("GET", path + "/{shard}", "one shard", None, ShardShown, self.get),
-            ("PUT", path + "/{shard}", "pin it to regions", ShardWanted, ShardShown, self.put),
-            ("DELETE", path + "/{shard}", "let its pin end", None, None, self.delete),
+            Route("GET", path, "a tenant's shards", None, ShardPage, self.shards),
+            Route("GET", path + "/{shard}", "one shard", None, ShardShown, self.get),
+            Route("PUT", path + "/{shard}", "pin it to regions", ShardWanted, ShardShown, self.put),
+            Route("DELETE", path + "/{shard}", "let its pin end", None, None, self.delete),
         ]
 
     async def shards(self, request: Request, caller: Caller) -> Response:
         """GET /v1/tenants/{name}/shards."""
         name = request.path_params["name"]
-        caller.need("reader", name)
+        caller.require_role("reader", name)
 
         def look() -> list[ShardShown]:
             kept, _ = self._standing(self.keeper.store, name)
             return [self._shown(self.keeper.store, row, rev) for row, rev in self.desk.of(kept.incarnation)]
 
-        return answer(ShardPage(await self.keeper.run_sync(look)))
+        return json_response(ShardPage(await self.keeper.run_sync(look)))
 
     async def get(self, request: Request, caller: Caller) -> Response:
         """GET /v1/tenants/{name}/shards/{shard}."""
         name, shard = request.path_params["name"], request.path_params["shard"]
-        caller.need("reader", name)
+        caller.require_role("reader", name)
 
         def look() -> ShardShown:
             kept, rows = self._standing(self.keeper.store, name)
             if shard not in rows or rows[shard][0].ends:
-                raise Wrong(404, "not found", f"no shard {shard}")
+                raise NotFoundError(f"no shard {shard}")
             return self._shown(self.keeper.store, *rows[shard])
 
         found = await self.keeper.run_sync(look)
-        return answer(found, etag=found.revision)
+        return json_response(found, etag=found.revision)
 
     async def put(self, request: Request, caller: Caller) -> Response:
         """PUT /v1/tenants/{name}/shards/{shard}: If-Match with the tag of what stands, none for a new one."""
         name, shard = request.path_params["name"], request.path_params["shard"]
-        caller.need("operator", name)
-        wanted, body = await read(request, ShardWanted)
-        match = if_match(request) if request.headers.get("if-match") else None
+        caller.require_role("operator", name)
+        wanted, body = await read_json(request, ShardWanted)
+        match = if_match_revision(request) if request.headers.get("if-match") else None
 
-        async def make(**key: Any) -> Response:
-            made = await self.ask(name, shard, wanted, match, caller.name, **key)
-            return answer(made, 200, made.revision)
+        async def make(idempotency: IdempotencyKey | None) -> Response:
+            made = await self.ask(name, shard, wanted, match, caller.name, idempotency)
+            return json_response(made, 200, made.revision)
 
-        return await once(self.administration, request, caller, body, make)
+        return await run_once(self.administration.store_writer, request, caller, body, make)
 
     async def delete(self, request: Request, caller: Caller) -> Response:
         """DELETE /v1/tenants/{name}/shards/{shard}."""
         name, shard = request.path_params["name"], request.path_params["shard"]
-        caller.need("operator", name)
-        await self.remove(name, shard, if_match(request), caller.name)
+        caller.require_role("operator", name)
+        await self.remove(name, shard, if_match_revision(request), caller.name)
         return Response(status_code=204)
 
     async def ask(
-        self, name: str, shard: str, wanted: ShardWanted, match: int | None, who: str, **key: Any
+        self,
+        name: str,
+        shard: str,
+        wanted: ShardWanted,
+        match: int | None,
+        who: str,
+        idempotency: IdempotencyKey | None = None,
     ) -> ShardShown:
-        """Pin a shard, or change its pin. Raises Wrong."""
+        """Pin a shard, or change its pin. Raises ApiError."""
 
         def plan(store: Store, now: float) -> list[Mutation]:
             kept, rows = self._standing(store, name)
@@ -443,9 +461,9 @@
                 event = Event.LATER if wanted.at > now else Event.ASK
                 life = step(life_of(row) if row else None, event, terms, wanted.at)
             except NotTaken as bad:
-                raise Wrong(bad.status, bad.what, bad.detail, bad.field) from None
+                raise ApiError(bad.status, bad.what, bad.detail, bad.field) from None
             except Refused as bad:
-                raise Wrong(409, "conflict", str(bad)) from None
+                raise ResourceConflictError(str(bad)) from None
             after = Pinned(
                 kept.incarnation,
                 name,
@@ -466,48 +484,48 @@
             ident = f"{kept.incarnation}/{shard}"
             return [Mutation(SHARD, ident, encode(living(after, life, now)), rev), budget]
 
-        made = await self.administration._change(plan, who, answer=self._answered, **key)
+        made = await self.administration.commit(plan, who, idempotency, self._answered)
         self._wake.set()
         return msgspec.json.decode(self._answered(made), type=ShardShown)
 
     async def remove(self, name: str, shard: str, match: int, who: str) -> None:
-        """Let a pin end. Raises Wrong."""
+        """Let a pin end. Raises ApiError."""
 
         def plan(store: Store, now: float) -> list[Mutation]:
             kept, rows = self._standing(store, name)
             row, rev = rows.get(shard, (None, 0))
             if row is None or row.ends:
-                raise Wrong(404, "not found", f"no shard {shard}")
+                raise NotFoundError(f"no shard {shard}")
             _match(row, match, shard)
             ident = f"{kept.incarnation}/{shard}"
             try:
                 budget = self._spend(store, kept.incarnation, now)
                 life = step(life_of(row), Event.REMOVE)
             except NotTaken as bad:
-                raise Wrong(bad.status, bad.what, bad.detail, bad.field) from None
+                raise ApiError(bad.status, bad.what, bad.detail, bad.field) from None
             after = living(row, life, now)
             after = msgspec.structs.replace(after, version=store.revision + 1, former=_former(row, life))
             return [Mutation(SHARD, ident, None if life.stage is Stage.GONE else encode(after), rev), budget]
 
-        await self.administration._change(plan, who)
+        await self.administration.commit(plan, who)
         self._wake.set()
 
     def _answered(self, made: list[Any]) -> bytes:
         row = msgspec.json.decode(made[0].body, type=Pinned)
         return msgspec.json.encode(self._shown(None, row, made[0].revision))
 
-    def _standing(self, store: Store, name: str) -> tuple[Kept, dict[str, tuple[Pinned, int]]]:
-        item = store.get(TENANT, name)
+    def _standing(self, store: Store, name: str) -> tuple[TenantRecord, dict[str, tuple[Pinned, int]]]:
+        item = store.get(TENANT_KIND, name)
         if item is None:
-            raise Wrong(404, "not found", f"no tenant {name}")
-        kept = msgspec.json.decode(item.body, type=Kept)
+            raise NotFoundError(f"no tenant {name}")
+        kept = msgspec.json.decode(item.body, type=TenantRecord)
         self.desk.refresh(store)
         return kept, {row.shard: (row, rev) for row, rev in self.desk.of(kept.incarnation)}
 
     def _ground(self, store: Store, without: str) -> Ground:
         """What pins are checked against, on the store's thread."""
         # A tenant that was removed, and that no router has anything of in hand, takes no room any more.
-        over = {stone.incarnation for stone in _all(store, TOMBSTONE, Kept) if stone.clear}
+        over = {stone.incarnation for stone in _all(store, TOMBSTONE_KIND, TenantRecord) if stone.clear}
         pinned: dict[str, float] = {}
         for ident, (row, _) in self.desk.rows.items():
             if ident != without and row.incarnation not in over:
@@ -518,7 +536,7 @@
         return Ground(self.told.regions, self._standing_servers(), bears, pinned, heard)
 
     def _hear_store(self, store: Store) -> None:
-        self.ordered = frozenset(_idents(store, SERVER))
+        self.ordered = frozenset(_idents(store, SERVER_ORDER_KIND))
         self.doubtful = {**dict(self._unsure(store)), **self.servers.unsure}
 
     def _standing_servers(self) -> list[Server]:
@@ -591,7 +609,7 @@
     return msgspec.json.decode(body, type=list[tuple[str, float]])
 
 
-def _afford(kept: Kept, rows: dict[str, tuple[Pinned, int]], shard: str, allowance: float) -> float:
+def _afford(kept: TenantRecord, rows: dict[str, tuple[Pinned, int]], shard: str, allowance: float) -> float:
     """What of its tenant's allowance a shard takes. Raises NotTaken."""
     # What its tenant let end is its own again at once; at its region it counts until routers follow.
     others = sum(row.allowance for name, (row, _) in rows.items() if name != shard and not row.ends)
@@ -612,32 +630,32 @@
 def _match(row: Pinned | None, match: int | None, shard: str) -> None:
     row = None if row is not None and row.ends else row
     if row is None and match is not None:
-        raise Wrong(412, "precondition failed", f"no shard {shard}")
+        raise PreconditionFailedError(f"no shard {shard}")
     if row is not None and match is None:
-        raise Wrong(428, "precondition required", "it stands: send its ETag as If-Match", etag=row.version)
+        raise PreconditionRequiredError("it stands: send its ETag as If-Match", etag=row.version)
     if row is not None and row.version != match:
-        raise Wrong(412, "precondition failed", f"it is at revision {row.version}", etag=row.version)
+        raise PreconditionFailedError(f"it is at revision {row.version}", etag=row.version)
 
 
 def _prefixes(
     shard: str, wanted: ShardWanted, row: Pinned | None, rows: dict[str, tuple[Pinned, int]]
 ) -> tuple[str, ...]:
-    """The prefixes of a shard, once and for all. Raises Wrong."""
+    """The prefixes of a shard, once and for all. Raises ApiError."""
     prefixes = tuple(wanted.prefixes)
     if len(set(prefixes)) < len(prefixes):
-        raise Wrong(422, "invalid", "one is told twice", "prefixes")
+        raise InvalidRequestError("one is told twice", "prefixes")
     if row is not None:
         if (prefixes or row.ends) and set(prefixes) != set(row.prefixes):
-            raise Wrong(409, "conflict", "prefixes stay as they were made until it is gone", "prefixes")
+            raise ResourceConflictError("prefixes stay as they were made until it is gone", "prefixes")
         return row.prefixes
     if not NAME.fullmatch(shard):
-        raise Wrong(422, "invalid", "a shard's name is of lower case letters, digits and dashes", "shard")
+        raise InvalidRequestError("a shard's name is of lower case letters, digits and dashes", "shard")
     if (shard == DEFAULT) is bool(prefixes):
-        raise Wrong(422, "invalid", "every shard but `default` has prefixes, and only these", "prefixes")
+        raise InvalidRequestError("every shard but `default` has prefixes, and only these", "prefixes")
     for other, (held, _) in rows.items():
         taken = sorted(set(held.prefixes) & set(prefixes))
         if taken:
-            raise Wrong(409, "conflict", f"{taken[0]!r} is shard {other}'s", "prefixes")
+            raise ResourceConflictError(f"{taken[0]!r} is shard {other}'s", "prefixes")
     return prefixes
 
 
@@ -666,4 +684,8 @@
 
 
 def _tenants(store: Store) -> list[tuple[int, str]]:
-    return [(kept.incarnation, kept.name) for kind in (TENANT, TOMBSTONE) for kept in _all(store, kind, Kept)]
+    return [
+        (kept.incarnation, kept.name)
+        for kind in (TENANT_KIND, TOMBSTONE_KIND)
+        for kept in _all(store, kind, TenantRecord)
+    ]
