--- a/gaugehinge/drains/lease_service.py
+++ b/gaugehinge/drains/lease_service.py
@@ -13,8 +13,9 @@
 import msgspec
 from loguru import logger
 
-from ..admin.keep import KeepDrains
-from ..admin.service import TENANT, Administration
+from ..admin.config import DrainsConfig
+from ..admin.control_plane import ControlPlane
+from ..admin.records import TENANT_KIND
 from ..store.records import Mutation, encode
 from ..store.store import Store
 from .admission_record import AdmissionRecord
@@ -47,8 +48,8 @@
 class LeaseService:
     """The lease manager of one control plane run with its store and files."""
 
-    administration: Administration
-    settings: KeepDrains
+    control_plane: ControlPlane
+    settings: DrainsConfig
     clock: Callable[[], float]
     manager: LeaseManager
     fleet: FleetView
@@ -67,9 +68,9 @@
         Raises RevisionConflictError, DiskFullError, StoreOverloadedError or OSError where the store or its
         disk does not take it now.
         """
-        keeper = self.administration.keeper
-        await keeper.apply_planned(self._plan_start, AUTHOR)
-        await keeper.run_sync(self._record_admissions)
+        store_writer = self.control_plane.store_writer
+        await store_writer.apply_planned(self._plan_start, AUTHOR)
+        await store_writer.run_sync(self._record_admissions)
         self._log_start()
         manager = self.manager
         with self.lock:
@@ -87,7 +88,7 @@
             self.manager.adopt_floors(records)
             # Killed on this machine and back on the store that it issued by: all that is held is in there.
             self.manager.store_is_current = not state.suspension_reason and self.mark_file.covers(
-                self.administration.life, store.revision_digest, boot_clock(), self.manager.startup_hold
+                self.control_plane.store_id, store.revision_digest, boot_clock(), self.manager.startup_hold
             )
         revision = held.revision if held is not None else 0
         return [Mutation(STATE, STATE_IDENT, encode(state), revision), *self._missing_limits(store)]
@@ -95,7 +96,7 @@
     def _initial_state(self, held: Stored[DurableState] | None) -> DurableState:
         before = held.record if held is not None else DurableState()
         suspicion = before.suspension_reason or self.admission_record.suspicion(
-            self.administration.life,
+            self.control_plane.store_id,
             before,
             store_is_empty=held is None,
             new_installation=self.settings.new_installation,
@@ -135,7 +136,7 @@
         admissions = self.manager.state.admissions
         if admissions == self.manager.recorded_admissions and admissions:
             return
-        self.admission_record.write(self.administration.life, admissions)
+        self.admission_record.write(self.control_plane.store_id, admissions)
         self.manager.recorded_admissions = admissions
 
     # -- plans
@@ -152,11 +153,11 @@
             changed.update(self._planned(store, held, limits, now))
             return [*node_changes(held, changed), *state_changes(store, self.manager.state)]
 
-        keeper = self.administration.keeper
-        await keeper.apply_planned(plan, AUTHOR)
+        store_writer = self.control_plane.store_writer
+        await store_writer.apply_planned(plan, AUTHOR)
         if self.manager.state.admissions != self.manager.recorded_admissions:
             try:
-                await keeper.run_sync(self._record_admissions)
+                await store_writer.run_sync(self._record_admissions)
             except OSError as error:
                 logger.error("drains: admission record not written, new nodes wait: {}", error)
         self.log.log_changes(changed, self.manager)
@@ -180,7 +181,7 @@
         if usage.operation_rate <= 0.0:
             return 0.0
         allowed = 0.0
-        for item in store.items(TENANT, limit=MAX_ITEMS):
+        for item in store.items(TENANT_KIND, limit=MAX_ITEMS):
             allowed += float(msgspec.json.decode(item.body).get("allowance", 0.0))
         return allowed * usage.connections / usage.operation_rate
 
@@ -191,5 +192,5 @@
         with self.lock:
             may_raise = self.manager.may_raise(self.clock())
         return self.mark_file.advance(
-            self.administration.life, store.revision, store.revision_digest, may_raise, boot_clock()
+            self.control_plane.store_id, store.revision, store.revision_digest, may_raise, boot_clock()
         )
--- a/gaugehinge/drains/leases_api.py
+++ b/gaugehinge/drains/leases_api.py
@@ -6,8 +6,9 @@
 from starlette.requests import Request
 from starlette.responses import Response
 
-from ..admin.app import answer
-from ..admin.service import Caller, Wrong
+from ..admin.caller import Caller
+from ..admin.errors import NotFoundError, ResourceConflictError
+from ..admin.http import json_response
 from ..store.records import Mutation
 from ..store.store import Store
 from .api_types import ChangeResult, LeasePage, NodeStage, NodeView
@@ -24,40 +25,40 @@
         """The controller whose leases are shown."""
         self.controller = controller
         self.leases = controller.leases
-        self.administration = controller.leases.administration
+        self.control_plane = controller.leases.control_plane
 
     async def list_leases(self, request: Request, caller: Caller) -> Response:
         """GET /v1/grants."""
-        caller.need("reader")
-        keeper = self.administration.keeper
-        return answer(await keeper.run_sync(self._page, keeper.store))
+        caller.require_role("reader")
+        store_writer = self.control_plane.store_writer
+        return json_response(await store_writer.run_sync(self._page, store_writer.store))
 
     async def remove_node(self, request: Request, caller: Caller) -> Response:
         """POST /v1/nodes/{node}/gone: its machine and its files are gone. It has to be lost already."""
-        caller.need("operator")
+        caller.require_role("operator")
         node = request.path_params["node"]
         leases = self.leases
 
         def plan(store: Store, now: float) -> list[Mutation]:
             item = store.get(NODE, node)
             if item is None:
-                raise Wrong(404, "not found", f"no node {node}")
+                raise NotFoundError(f"no node {node}")
             with leases.lock:
                 if not leases.manager.has_expired(node, leases.clock()):
                     detail = "it was heard of too lately: its connections may be open"
-                    raise Wrong(409, "conflict", detail, "node")
+                    raise ResourceConflictError(detail, "node")
             return [Mutation(NODE, node, None, item.revision)]
 
-        await self.administration._change(plan, caller.name)
+        await self.control_plane.commit(plan, caller.name)
         with leases.lock:
             leases.manager.forget_node(node)
             leases.fleet.forget_node(node)
         self.controller.request_plan()
-        return answer(ChangeResult(f"{node} is no more: its floor is free"))
+        return json_response(ChangeResult(f"{node} is no more: its floor is free"))
 
     async def confirm(self, request: Request, caller: Caller) -> Response:
         """POST /v1/nodes/confirm: every node that exists is known, so new ones may be admitted again."""
-        caller.need("operator")
+        caller.require_role("operator")
         leases = self.leases
 
         def plan(store: Store, now: float) -> list[Mutation]:
@@ -65,13 +66,13 @@
                 manager = leases.manager
                 if leases.clock() < manager.former_leases_end:
                     detail = "this keeper has just started: nodes may come that it does not know"
-                    raise Wrong(409, "conflict", detail)
+                    raise ResourceConflictError(detail)
                 manager.state = msgspec.structs.replace(manager.state, suspension_reason="")
                 return state_changes(store, manager.state)
 
-        await self.administration._change(plan, caller.name)
+        await self.control_plane.commit(plan, caller.name)
         self.controller.request_plan()
-        return answer(ChangeResult("new nodes are admitted"))
+        return json_response(ChangeResult("new nodes are admitted"))
 
     def _page(self, store: Store) -> LeasePage:
         leases = self.leases
--- a/gaugehinge/drains/repository.py
+++ b/gaugehinge/drains/repository.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..admin.service import SERVER
+from ..admin.records import SERVER_ORDER_KIND
 from ..store.records import Mutation, encode
 from ..store.store import Store
 from .connection_counts import ConnectionCounts
@@ -62,12 +62,12 @@
                 name = step_ident(ident, step.node)
                 rows.append(Mutation(STEP, name, encode(step), self.step_revisions.get(name, 0)))
         for uid in plan.servers_to_drain:
-            if store.get(SERVER, uid) is None:
-                rows.append(Mutation(SERVER, uid, encode("drain"), 0))
+            if store.get(SERVER_ORDER_KIND, uid) is None:
+                rows.append(Mutation(SERVER_ORDER_KIND, uid, encode("drain"), 0))
         for uid in plan.servers_to_restore:
-            item = store.get(SERVER, uid)
+            item = store.get(SERVER_ORDER_KIND, uid)
             if item is not None:
-                rows.append(Mutation(SERVER, uid, None, item.revision))
+                rows.append(Mutation(SERVER_ORDER_KIND, uid, None, item.revision))
         return rows
 
     def _revision(self, ident: str) -> int:
--- a/gaugehinge/drains/shard_pinning.py
+++ b/gaugehinge/drains/shard_pinning.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ..admin.service import Administration
+from ..admin.control_plane import ControlPlane
 from .restart_batch import LastOfShard
 from .restart_types import NodeStatus
 
 
-def pinned_zones(administration: Administration) -> Iterable[frozenset[str]]:
+def pinned_zones(control_plane: ControlPlane) -> Iterable[frozenset[str]]:
     """The zones of each shard that may be served nowhere else, as placement has them."""
-    placement: Any = next((part for part in administration.parts if part.name == "placement"), None)
+    placement: Any = next((part for part in control_plane.extensions if part.name == "placement"), None)
     rows = placement.desk.rows.values() if placement is not None else ()
     return {
         frozenset(zone for region in terms.zones for zone in region)
--- a/gaugehinge/placement/build.py
+++ b/gaugehinge/placement/build.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from ..admin.keep import KeepFile
-from ..admin.service import Administration
+from ..admin.config import ControlPlaneConfig
+from ..admin.control_plane import ControlPlane
 from ..hosted.control_plane_watch import ControlPlaneWatch
 from ..net.service import Service
 from .keeper import Placement
@@ -19,6 +19,6 @@
     return part
 
 
-def keeping(told: KeepFile) -> Callable[[Administration], Placement]:
+def keeping(told: ControlPlaneConfig) -> Callable[[ControlPlane], Placement]:
     """The keeper's part."""
     return lambda administration: Placement(administration, told.placement)
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -18,8 +18,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from gaugehinge.admin.keep import KeepPlacement
-from gaugehinge.admin.service import Administration, Wrong
+from gaugehinge.admin.config import PlacementConfig
+from gaugehinge.admin.control_plane import ControlPlane
+from gaugehinge.admin.errors import ApiError
 from gaugehinge.admin.types import NewTenant
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.hosted.errors import FeedError
@@ -44,7 +45,7 @@
 from gaugehinge.tenancy.lifecycle import TenantAction
 
 LEASE, ALONE, FLIGHT, MEMORY = 2.0, 5.0, 0.5, 3.0
-PLACE = KeepPlacement(
+PLACE = PlacementConfig(
     True,
     {"eu": ("a",), "us": ("b",), "ap": ("c",)},
     Rate(1000.0),
@@ -178,16 +179,16 @@
         self.cut = set()  # routers whose calls go only by the slow way, message by message
         self.stub = StoreStub(self.path, self)
         self.keep()
-        done(self.desk.create(NewTenant("acme", allowance=1000.0), "t"))
-        done(self.desk.tell("acme", TenantAction.ACTIVATE, None, "t"))
+        done(self.desk.tenants.create(NewTenant("acme", allowance=1000.0), "t"))
+        done(self.desk.tenants.transition("acme", TenantAction.ACTIVATE, None, "t"))
         self.routers = [RouterStub(self, number, kind) for number in range(3)]
 
     def keep(self) -> None:
-        self.desk = Administration(self.stub, None, None)
-        done(self.desk.ready())
-        self.desk.give_leases(LEASE)
+        self.desk = ControlPlane(self.stub, None, None)
+        done(self.desk.prepare())
+        self.desk.leases.enable(LEASE)
         self.part = self.keeping(self.desk, PLACE, clock=lambda: self.now)
-        self.desk.parts = [self.part]
+        self.desk.extensions.append(self.part)
         for _, _, call in self.open:
             call.close()
         self.open.clear()
@@ -215,7 +216,7 @@
         if self.calls:
             router, report, asked_at = self.calls.pop(place % len(self.calls))
             if not lost:
-                self.open.append((router, asked_at, self.desk.feed(report)))
+                self.open.append((router, asked_at, self.desk.feed.poll(report)))
                 self.go_on_with(len(self.open) - 1)
 
     def go_on_with(self, place: int) -> None:
@@ -247,7 +248,7 @@
         router = self.routers[number]
         if router.paused or number in self.cut:
             return
-        asked_at, call = router.clock(), self.desk.feed(router.report())
+        asked_at, call = router.clock(), self.desk.feed.poll(router.report())
         while True:
             try:
                 call.send(None)
@@ -270,7 +271,7 @@
             done(self.part.look())
 
     def put(self, shard: str, regions: tuple[str, ...], hold: str) -> None:
-        with suppress(Wrong):
+        with suppress(ApiError):
             held = self.part.desk.rows.get(f"1/{shard}")
             match = held[0].version if held and not held[0].ends else None
             wanted = ShardWanted(regions, (SHARDS[shard],), hold, 1.0)
@@ -279,7 +280,7 @@
     def remove(self, shard: str) -> None:
         held = self.part.desk.rows.get(f"1/{shard}")
         if held:
-            with suppress(Wrong):
+            with suppress(ApiError):
                 done(self.part.remove("acme", shard, held[0].version, "t"))
 
     def begin(self, number: int, key: int) -> None:
@@ -462,8 +463,8 @@
 class Trusting(Placement):
     """Takes what it told a router for what that follows."""
 
-    def hear(self, report, now) -> None:
-        super().hear(report, now)
+    def on_report(self, report, now) -> None:
+        super().on_report(report, now)
         for held in self.near.granted.values():
             held.revision = self.desk.rev
 
