--- a/tests/test_drains_control_plane.py
+++ b/tests/test_drains_control_plane.py
@@ -11,10 +11,10 @@
 import pytest
 import trio
 from drains_support import run, until
-from gaugehinge.admin.config import DrainsConfig
-from gaugehinge.admin.control_plane import ControlPlane
 
 from gaugehinge.admin.app import Api
+from gaugehinge.admin.config import DrainsConfig
+from gaugehinge.admin.control_plane import ControlPlane
 from gaugehinge.cli.main import main as command_line
 from gaugehinge.drains.connection_counts import ORIGIN
 from gaugehinge.drains.high_water_mark import HighWaterMarkFile
