--- a/gaugehinge/cli/serve_extensions.py
+++ b/gaugehinge/cli/serve_extensions.py
@@ -123,9 +123,9 @@
 ) -> Callable[[Service, trio.Nursery, ControlPlaneWatch | None], Recovery] | None:
     if not installation.recovery.on:
         return None
-    from ..recovery.build import BadKey, recovery_builder
+    from ..recovery.build import RecoveryKeyError, recovery_builder
 
     try:
         return recovery_builder(installation)
-    except BadKey as error:
+    except RecoveryKeyError as error:
         raise BadInput(f"{file}: recovery.key_file: {error}") from error
--- a/gaugehinge/hosted/control_plane_watch.py
+++ b/gaugehinge/hosted/control_plane_watch.py
@@ -180,7 +180,7 @@
             self.unreachable_since = trio.current_time()
             what = str(error) or type(error).__name__
             state = f"revision {self.registry.revision}, {len(self.registry.by_incarnation)} tenants"
-            logger.warning("keeper away: {}; serving on by {}", what, state)
+            logger.warning("control plane unreachable: {}; serving on by {}", what, state)
         self._failures += 1
         chance = crc32(f"{self.run_mark} {self._failures}".encode()) / 0x100000000
         backoff = FIRST_BACKOFF * 2.0 ** min(self._failures - 1, MOST_DOUBLINGS)
@@ -190,7 +190,9 @@
         revision = self.registry.revision
         if self.unreachable_since:
             away = trio.current_time() - self.unreachable_since
-            logger.info("keeper back after {:.1f} s: revision {} to {}", away, former_revision, revision)
+            logger.info(
+                "control plane back after {:.1f} s: revision {} to {}", away, former_revision, revision
+            )
         self.unreachable_since, self._failures, self.answered = 0.0, 0, True
         if revision != former_revision:
             self._changed.set()
--- a/gaugehinge/hosted/endpoint_overrides.py
+++ b/gaugehinge/hosted/endpoint_overrides.py
@@ -14,6 +14,7 @@
     """The list as discovery told it, and as the decisions are to see it. As long as the list."""
 
     def __init__(self) -> None:
+        """No list and no order yet."""
         self.drained: frozenset[str] = frozenset()  # by the list's names
         self.log: list[str] = []  # emptied by the driver
         self._discovered: dict[str, EndpointTarget] = {}  # by the list's names, without those that are gone
--- a/gaugehinge/net/configuration.py
+++ b/gaugehinge/net/configuration.py
@@ -1,4 +1,4 @@
-"""Where a router lies: its addresses, limits and first list, as the platform's configuration tells them."""
+"""A router's addresses, limits and first endpoint list, as the platform's configuration has them."""
 
 from __future__ import annotations
 
@@ -13,25 +13,31 @@
 Address = tuple[str, int]
 
 LEAST_SOCKETS = 64  # with fewer there is no room for clients beside the attempts
+LEAST_MEMORY_MB = 32
+MAX_PORT = 65535
+MEGABYTE = 1 << 20
 
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """Told once, at the start."""
+    """One reading of the configuration; SIGHUP brings another."""
 
     name: str
-    listen: Address
+    listen: Address  # of the platform's clients
     discovery: Address
     settings: Settings
     memory: int  # bytes
-    sockets: int
-    peer_listen: Address | None
+    sockets: int  # descriptors that the process may use
+    peer_listen: Address | None  # of gossip; None: there is none
     peers: tuple[Address, ...]
-    known: Any  # the list as last had, in discovery's form, or None
+    known: Any  # the endpoint list of before, in discovery's form, or None
 
 
 def address(text: Any, field: str) -> Address:
-    """`10.0.0.4:6379` or `[::1]:6379`: numbers only, since there is no DNS."""
+    """Read `10.0.0.4:6379` or `[::1]:6379`: numbers only, since there is no DNS.
+
+    Raises SettingsError, which names `field`.
+    """
     try:
         host, _, port = text.rpartition(":")
         host = host.removeprefix("[").removesuffix("]")
@@ -39,32 +45,35 @@
         number = int(port)
     except (AttributeError, ValueError):
         raise SettingsError(f"{field}: not an address and port") from None
-    if not 0 < number < 65536:
+    if not 0 < number <= MAX_PORT:
         raise SettingsError(f"{field}: no such port")
     return host, number
 
 
 def read_configuration(environment: Mapping[str, str]) -> Configuration:
-    """The configuration that LB_CONFIG names; the other variables stand in for what it leaves out."""
+    """Read the file that LB_CONFIG names.
+
+    LB_NAME, LB_LISTEN and LB_DISCOVERY stand in for what it leaves out. Raises SettingsError.
+    """
     path = environment.get("LB_CONFIG")
     if not path:
         raise SettingsError("LB_CONFIG: missing")
     try:
         text = Path(path).read_text(encoding="utf-8")
-    except (OSError, UnicodeDecodeError) as bad:
-        raise SettingsError(f"LB_CONFIG: cannot read {path}: {type(bad).__name__}") from None
+    except (OSError, UnicodeDecodeError) as error:
+        raise SettingsError(f"LB_CONFIG: cannot read {path}: {type(error).__name__}") from error
     page = SettingsReader(parse_json(text))
     limits = page.page("limits", {})
-    told = read_settings(_seed(page), page.page("settings").values, "settings")
+    settings = read_settings(_seed(page), page.page("settings").values, "settings")
     # Over HTTP nothing comes unasked, whatever the bench does for this deployment.
-    told = replace(told, deployment=replace(told.deployment, must_poll=True))
+    settings = replace(settings, deployment=replace(settings.deployment, must_poll=True))
     peer_listen = page.text("peer_listen", "")
     return Configuration(
         name=page.text("name", environment.get("LB_NAME", "router")),
         listen=address(page.text("listen", environment.get("LB_LISTEN")), "listen"),
         discovery=address(page.text("discovery", environment.get("LB_DISCOVERY")), "discovery"),
-        settings=told,
-        memory=limits.count("memory_mb", 2048, least=32) << 20,
+        settings=settings,
+        memory=limits.count("memory_mb", 2048, least=LEAST_MEMORY_MB) * MEGABYTE,
         sockets=limits.count("sockets", 4096, least=LEAST_SOCKETS),
         peer_listen=address(peer_listen, "peer_listen") if peer_listen else None,
         peers=tuple(address(peer, f"peers[{i}]") for i, peer in enumerate(page.row("peers", []))),
@@ -72,8 +81,8 @@
     )
 
 
-def lasting(old: Configuration, new: Configuration) -> list[str]:
-    """The fields that differ and cannot change in service."""
+def restart_only_changes(old: Configuration, new: Configuration) -> list[str]:
+    """Return the names of fields that differ and cannot change in service."""
     deployment = replace(new.settings.deployment, seed=old.settings.deployment.seed)
     return [
         name
--- a/gaugehinge/net/dispatcher.py
+++ b/gaugehinge/net/dispatcher.py
@@ -60,7 +60,8 @@
         self.timers = timers
         self.clock = timers.clock
         self.router = Router(deployment, self.clock())
-        # An entry stays until it is answered and all its attempts have ended.
+        # An entry stays until it is answered and all its attempts have ended. The handle is written into
+        # `Operation.ident`, which the simulator's operations have as text: hence the ignored types below.
         self.pending_operations: HandleTable[PendingOperation] = HandleTable()
         self.server_codec: Codec = RespCodec()
         self.origin_codec = OriginCodec()
@@ -128,7 +129,7 @@
 
     def reject(self, operation: Operation, reply: bytes) -> None:
         """Give a pending operation its final reply, past the routing decisions."""
-        pending = self.pending_operations.get(operation.ident)
+        pending = self.pending_operations.get(operation.ident)  # type: ignore[arg-type]
         if pending is not None and not pending.answered:
             self._reply(pending, reply)
             self._release(pending)
@@ -151,12 +152,13 @@
         load_report: bytes = b"",
     ) -> None:
         """Take an attempt's outcome, `elapsed` seconds after its start; the first value ends it."""
-        pending = self.pending_operations.get(attempt.operation.ident)
+        pending = self.pending_operations.get(attempt.operation.ident)  # type: ignore[arg-type]
         if value is not None and outcome is not Outcome.SUCCEEDED:
             for observer in self.redirect_observers:
                 observer.on_redirect(attempt, outcome, value)
         over = attempt.operation.finished or outcome is Outcome.SUCCEEDED
-        if pending is not None and outcome is Outcome.SUCCEEDED and not attempt.operation.finished:
+        succeeded = outcome is Outcome.SUCCEEDED and not attempt.operation.finished
+        if pending is not None and value is not None and succeeded:
             self._reply(pending, value)
         try:
             load = read_reported_load(load_report.decode("latin-1"), "=") if self.reports_load else None
@@ -166,7 +168,7 @@
             attempt.in_flight = False
             steps = [Step(attempt.operation, Decision(Action.FAIL))]
         for operation, decision in steps:
-            self._carry_out(self.pending_operations.get(operation.ident), decision)
+            self._carry_out(self.pending_operations.get(operation.ident), decision)  # type: ignore[arg-type]
         if pending is not None:
             self._release(pending)
         self._flush_log()
@@ -221,7 +223,7 @@
         if pending is None:
             return
         action, attempt = decision.action, decision.attempt
-        if action is Action.SEND:
+        if action is Action.SEND and attempt is not None:
             codec = self.origin_codec if attempt.endpoint.origin else self.server_codec
             self.pool.send(attempt, pending.payload, decision.timeout, codec)
         elif action is Action.WAIT:
@@ -253,7 +255,7 @@
         operation = pending.operation
         if not operation.finished or any(attempt in self.pool.pending for attempt in operation.attempts):
             return
-        if self.pending_operations.remove(operation.ident) is None:
+        if self.pending_operations.remove(operation.ident) is None:  # type: ignore[arg-type]
             return
         # Operation and attempts know each other: left so, they stay until the collector's rare full pass.
         operation.attempts.clear()
--- a/gaugehinge/net/reload.py
+++ b/gaugehinge/net/reload.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from ..settings import SettingsError
-from .configuration import lasting
+from .configuration import restart_only_changes
 from .resource_limits import divide_resources
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
     except SettingsError as error:
         logger.warning("configuration not taken: {}", error)
         return
-    for field in lasting(old, new):
+    for field in restart_only_changes(old, new):
         logger.warning("configuration: {} changes at the next start only", field)
     service.configuration = replace(
         old, discovery=new.discovery, peers=new.peers, memory=new.memory, sockets=new.sockets
--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -203,7 +203,7 @@
                 # it forwarded to servers that were to drain.
                 self.reload()
             else:
-                logger.info("told again to leave by signal {}", number)
+                logger.info("ordered to end once more by signal {}", number)
 
 
 def _send_nothing(peers: tuple[int, ...], payload: bytes) -> None:
--- a/gaugehinge/net/signals.py
+++ b/gaugehinge/net/signals.py
@@ -19,6 +19,7 @@
     __slots__ = ("came",)
 
     def __init__(self) -> None:
+        """Nothing came yet."""
         self.came = False
 
     def listen(self) -> EarlyHangup:
@@ -45,6 +46,7 @@
     __slots__ = ("came",)
 
     def __init__(self) -> None:
+        """Nothing came yet."""
         self.came = False
 
     @contextmanager
--- a/gaugehinge/net/startup.py
+++ b/gaugehinge/net/startup.py
@@ -25,7 +25,7 @@
     try:
         return read_endpoint_list(configuration.known)
     except SettingsError as error:
-        logger.warning("known list not used: {}", error)
+        logger.warning("cached endpoint list not used: {}", error)
         return None
 
 
@@ -64,9 +64,7 @@
 
     def _serve_without_agent(self) -> None:
         if self.cached is not None and self.service.lifecycle.phase is Phase.STARTING:
-            logger.warning(
-                "no word of the agent: serving by the list kept before, version {}", self.cached.rev
-            )
+            logger.warning("agent does not answer: serving by the cached list, version {}", self.cached.rev)
             self.service.dispatcher.on_endpoints_changed(self.cached, cached=True)
         self.become_ready()
 
--- a/gaugehinge/recovery/build.py
+++ b/gaugehinge/recovery/build.py
@@ -15,25 +15,25 @@
 LEAST_KEY = 16  # bytes
 
 
-class BadKey(ValueError):
+class RecoveryKeyError(ValueError):
     """The file with the key cannot be used."""
 
 
 def read_key(path: str) -> bytes:
-    """The key, without the line's end. Raises BadKey."""
+    """The key, without the line's end. Raises RecoveryKeyError."""
     try:
         key = Path(path).read_bytes().strip()
-    except OSError as bad:
-        raise BadKey(f"cannot read {path}: {type(bad).__name__}") from None
+    except OSError as error:
+        raise RecoveryKeyError(f"cannot read {path}: {type(error).__name__}") from error
     if len(key) < LEAST_KEY:
-        raise BadKey(f"{path}: under {LEAST_KEY} bytes")
+        raise RecoveryKeyError(f"{path}: under {LEAST_KEY} bytes")
     return key
 
 
 def recovery_builder(
     installation: Installation,
 ) -> Callable[[Service, trio.Nursery, ControlPlaneWatch | None], Recovery]:
-    """What makes a service recover; built behind all else that follows a keeper. Raises BadKey."""
+    """What makes a service recover; built behind all else that follows a keeper. Raises RecoveryKeyError."""
     key = read_key(installation.recovery.key_file)
 
     def build(service: Service, nursery: trio.Nursery, follower: ControlPlaneWatch | None) -> Recovery:
--- a/gaugehinge/recovery/list_transformers.py
+++ b/gaugehinge/recovery/list_transformers.py
@@ -16,6 +16,7 @@
     """Holds lists back until the router has decided how much was lost."""
 
     def __init__(self, gate: Callable[[EndpointListUpdate, bool], EndpointListUpdate | None]) -> None:
+        """`gate`: what `transform` is to do."""
         self._gate = gate
 
     def transform(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate | None:
@@ -27,6 +28,7 @@
     """Puts the times at which servers are believed to have started in place of those that were told."""
 
     def __init__(self, believe: Callable[[EndpointListUpdate, bool], EndpointListUpdate]) -> None:
+        """`believe`: what `transform` is to do."""
         self._believe = believe
 
     def transform(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
