--- a/gaugehinge/cli/serve_extensions.py
+++ b/gaugehinge/cli/serve_extensions.py
@@ -12,7 +12,7 @@
     import trio
 
     from ..cluster.fleet import SlotFleet
-    from ..drains.router import RouterDrains
+    from ..drains.router import DrainsAgent
     from ..hosted.control_plane_watch import ControlPlaneWatch
     from ..installation.form import Installation
     from ..net.client_server import AdmissionControl, ClientServer
@@ -107,14 +107,14 @@
 
 def _drains_builder(
     installation: Installation, file: str
-) -> Callable[[Service, trio.Nursery, ControlPlaneWatch], RouterDrains] | None:
+) -> Callable[[Service, trio.Nursery, ControlPlaneWatch], DrainsAgent] | None:
     if not (installation.follow.keeper and installation.drains.on):
         return None
-    from ..drains.build import Taken, drains_builder
+    from ..drains.build import NodeFileLockedError, drains_builder
 
     try:
         return drains_builder(installation)
-    except Taken as error:
+    except NodeFileLockedError as error:
         raise BadInput(f"{file}: drains.file: {error}") from error
 
 
--- a/gaugehinge/drains/build.py
+++ b/gaugehinge/drains/build.py
@@ -1,4 +1,4 @@
-"""The installation file's `drains` to a part of a router that follows. The keeper's is made in keeper.py."""
+"""The router's side of the subsystem, by the installation file."""
 
 from __future__ import annotations
 
@@ -9,27 +9,29 @@
 from ..hosted.control_plane_watch import ControlPlaneWatch
 from ..installation.form import Installation
 from ..net.service import Service
-from .files import NodeFile, Taken
-from .router import RouterDrains
+from .node_file import NodeFile, NodeFileLockedError
+from .router import DrainsAgent
 
 
 def drains_builder(
     installation: Installation,
-) -> Callable[[Service, trio.Nursery, ControlPlaneWatch], RouterDrains]:
-    """What adds drains to a router that follows a keeper, as a further part of the feed.
+) -> Callable[[Service, trio.Nursery, ControlPlaneWatch], DrainsAgent]:
+    """What adds drains to a router that follows a control plane; this run is counted on its state file now.
 
-    This run is counted on its file now. Raises Taken.
+    Raises NodeFileLockedError.
     """
-    entry, zone = installation.drains, installation.tier.zone
-    files = NodeFile(entry.file)
+    entry = installation.drains
+    node_file = NodeFile(entry.file)
 
-    def build(service: Service, nursery: trio.Nursery, follower: ControlPlaneWatch) -> RouterDrains:
-        part = RouterDrains(service, follower, files, nursery, zone, entry.build, entry.labels)
-        follower.add_part(part)
-        nursery.start_soon(part.run)
-        return part
+    def build(service: Service, nursery: trio.Nursery, follower: ControlPlaneWatch) -> DrainsAgent:
+        agent = DrainsAgent(
+            service, nursery, follower, node_file, installation.tier.zone, entry.build, entry.labels
+        )
+        follower.add_part(agent)
+        nursery.start_soon(agent.run)
+        return agent
 
     return build
 
 
-__all__ = ["Taken", "drains_builder"]
+__all__ = ["NodeFileLockedError", "drains_builder"]
--- a/gaugehinge/subsystems.py
+++ b/gaugehinge/subsystems.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from .cluster.fleet import SlotFleet
-    from .drains.router import RouterDrains
+    from .drains.router import DrainsAgent
     from .hosted.control_plane_watch import ControlPlaneWatch
     from .placement.router import Placing
     from .recovery.driver import Recovery
@@ -28,7 +28,7 @@
     slot_fleet: SlotFleet | None = None
     watch: ControlPlaneWatch | None = None
     placement: Placing | None = None
-    drains: RouterDrains | None = None
+    drains: DrainsAgent | None = None
     recovery: Recovery | None = None
 
     def extensions(self) -> Extensions:
