--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -20,15 +20,15 @@
 
 from helper import READ, Bench, Outcome, origin_row, row  # noqa: E402
 
-from gaugehinge.placement.desk import Desk  # noqa: E402
-from gaugehinge.placement.forms import Pinned  # noqa: E402
-from gaugehinge.placement.shards import Row, Table, Terms  # noqa: E402
+from gaugehinge.placement.messages import ShardRecord  # noqa: E402
+from gaugehinge.placement.shard_index import ShardIndex  # noqa: E402
+from gaugehinge.placement.shard_table import RegionAffinity, ShardAssignment, ShardTable  # noqa: E402
 
 TENANT_SHARDS = 64
 ROUNDS, EACH = 7, 20_000
 
 
-def rows(count: int) -> list[Row]:
+def rows(count: int) -> list[ShardAssignment]:
     draw = random.Random(count)
     made = []
     for n in range(count):
@@ -36,11 +36,11 @@
         names = tuple(f"region-{z[0]}" for z in zones)
         prefix = f"shard-{n % TENANT_SHARDS}/" + "x" * draw.randrange(8)
         made.append(
-            Row(
+            ShardAssignment(
                 1 + n // TENANT_SHARDS,
                 f"s{n % TENANT_SHARDS}",
                 (prefix,),
-                Terms(True, names, zones),
+                RegionAffinity(True, names, zones),
                 False,
                 n + 1,
             )
@@ -64,7 +64,7 @@
     it takes over the whole, and one row."""
     told = rows(count)
     tracemalloc.start()
-    table = Table()
+    table = ShardTable()
     table.change(told, [], whole=True)
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -115,14 +115,14 @@
 
 def keeper(count: int) -> tuple[float, float, int]:
     """Of the keeper's table: milliseconds of telling the whole, and nothing new; bytes of the whole."""
-    desk = Desk(rev=count + 1)
+    desk = ShardIndex(rev=count + 1)
     for told in rows(count):
         terms = told.terms
         desk._take(
             f"{told.incarnation}/{told.shard}",
             told.rev,
             msgspec.json.encode(
-                Pinned(
+                ShardRecord(
                     told.incarnation, "t", told.shard, told.prefixes, 1.0, told.rev, "confined", 0.0, terms
                 )
             ),
--- a/gaugehinge/cli/keep_command.py
+++ b/gaugehinge/cli/keep_command.py
@@ -26,9 +26,9 @@
         raise BadInput(str(bad)) from None
     parts = []
     if told.placement.on:
-        from ..placement.build import keeping as placing
+        from ..placement.build import control_plane_factory
 
-        parts.append(placing(told))
+        parts.append(control_plane_factory(told))
     if told.drains.on:
         from ..drains.keeper import keeping
 
--- a/gaugehinge/cli/serve_command.py
+++ b/gaugehinge/cli/serve_command.py
@@ -58,9 +58,9 @@
         except BadSecret as bad:
             raise BadInput(f"{file}: follow.secret_file: {bad}") from None
         if told.placement.on:
-            from ..placement.build import placed
+            from ..placement.build import with_placement
 
-            follow = placed(follow)
+            follow = with_placement(follow)
         if told.drains.on:
             from ..drains.build import Taken, draining
 
--- a/gaugehinge/placement/admission.py
+++ b/gaugehinge/placement/admission.py
@@ -23,7 +23,7 @@
     up: bool  # takes something new
 
 
-class Refused(Exception):
+class AdmissionError(Exception):
     """A pin that is not taken: the field, why, and what would be."""
 
     def __init__(self, status: int, what: str, detail: str, field: str) -> None:
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ground:
+class RegionCapacity:
     """What pins are checked against."""
 
     regions: Mapping[str, Sequence[str]]  # name to zones
@@ -64,22 +64,22 @@
 
     def check(self, asked: Sequence[str], allowance: float, held: float = 0.0) -> None:
         """A pin to regions in order; its load counts at the first one. `held`: operations a second for which
-        this shard counts there already. Raises Refused."""
+        this shard counts there already. Raises AdmissionError."""
         for place, name in enumerate(asked):
             if name not in self.regions:
                 detail = f"{name!r} is none; accepted: {', '.join(sorted(self.regions))}"
-                raise Refused(422, "unknown region", detail, f"regions[{place}]")
+                raise AdmissionError(422, "unknown region", detail, f"regions[{place}]")
             if name in asked[:place]:
-                raise Refused(422, "invalid", f"{name!r} is named twice", f"regions[{place}]")
+                raise AdmissionError(422, "invalid", f"{name!r} is named twice", f"regions[{place}]")
         if not self.heard:
             # Not that there is no server: a caller who is told that would give up.
             detail = "no router has told of its servers since the keeper's start; ask again in a moment"
-            raise Refused(503, "servers not known yet", detail, "regions")
+            raise AdmissionError(503, "servers not known yet", detail, "regions")
         for place, name in enumerate(asked):
             if not self.staffed(name):
                 others = ", ".join(each for each in sorted(self.regions) if self.staffed(each)) or "none"
                 detail = f"no server stands in {name!r}; accepted: {others}"
-                raise Refused(409, "no server there", detail, f"regions[{place}]")
+                raise AdmissionError(409, "no server there", detail, f"regions[{place}]")
         first = asked[0]
         room = self.room(first)
         # Where servers were lost behind a pin, no room is left: its own tenant may still take less of it, or
@@ -92,26 +92,28 @@
                 f"{self.pinned.get(first, 0.0):.1f} are pinned there; "
                 f"accepted: an allowance up to {max(room, held):.1f}, or first in {told}"
             )
-            raise Refused(409, "region full", detail, "regions[0]")
+            raise AdmissionError(409, "region full", detail, "regions[0]")
 
 
 @dataclass(slots=True, frozen=True)
-class Budget:
+class ChangeBudget:
     """Changes that a tenant may still make: a bucket that fills again over an hour."""
 
     left: float
     at: float  # Unix seconds
 
-    def take(self, most: int, now: float) -> Budget:
-        """One change less. Raises Refused where none is left."""
+    def take(self, most: int, now: float) -> ChangeBudget:
+        """One change less. Raises AdmissionError where none is left."""
         left = min(self.left + max(now - self.at, 0.0) * most / 3600.0, float(most))
         if left < 1.0:
             wait = (1.0 - left) * 3600.0 / most
-            raise Refused(429, "too many changes", f"{most} an hour; accepted again in {wait:.0f} s", "")
-        return Budget(left - 1.0, max(now, self.at))
+            raise AdmissionError(
+                429, "too many changes", f"{most} an hour; accepted again in {wait:.0f} s", ""
+            )
+        return ChangeBudget(left - 1.0, max(now, self.at))
 
 
-def check_count(standing: int, most: int) -> None:
-    """One more shard of a tenant. Raises Refused."""
+def check_shard_count(standing: int, most: int) -> None:
+    """One more shard of a tenant. Raises AdmissionError."""
     if standing >= most:
-        raise Refused(409, "too many shards", f"{standing} stand; accepted: {most} at most", "")
+        raise AdmissionError(409, "too many shards", f"{standing} stand; accepted: {most} at most", "")
--- a/gaugehinge/placement/build.py
+++ b/gaugehinge/placement/build.py
@@ -10,23 +10,23 @@
 from ..admin.service import Administration
 from ..hosted.follower import Follower
 from ..net.service import Service
-from .keeper import Placement
-from .router import placing
+from .control_plane import PlacementControlPlane
+from .router import attach_placement
 
 Extension = Callable[[Service, trio.Nursery], Follower]
 
 
-def placed(follow: Extension) -> Extension:
+def with_placement(follow: Extension) -> Extension:
     """A router that follows, and holds to what it is told of shards."""
 
     def extend(service: Service, nursery: trio.Nursery) -> Follower:
         follower = follow(service, nursery)
-        placing(service, follower)
+        attach_placement(service, follower)
         return follower
 
     return extend
 
 
-def keeping(told: KeepFile) -> Callable[[Administration], Placement]:
+def control_plane_factory(told: KeepFile) -> Callable[[Administration], PlacementControlPlane]:
     """The keeper's part."""
-    return lambda administration: Placement(administration, told.placement)
+    return lambda administration: PlacementControlPlane(administration, told.placement)
--- a/gaugehinge/placement/keeper.py
+++ b/gaugehinge/placement/control_plane.py
@@ -29,36 +29,35 @@
 from ..store.store import Full, Store, Wanted, encode
 from ..tenancy.feed import Report
 from ..tenancy.lease import Ledger
-from .admission import Budget, Ground, Server, check_count
-from .admission import Refused as NotTaken
-from .desk import SHARD, Desk, life_of, living
-from .forms import (
+from .admission import AdmissionError, ChangeBudget, RegionCapacity, Server, check_shard_count
+from .lifecycle import SETTLED_STAGES, Event, InvalidTransitionError, Lifecycle, Stage, transition
+from .messages import (
+    ControlPlaneUpdate,
     Copy,
-    Doubt,
-    KeeperTold,
-    Pinned,
-    RouterTold,
+    LostPin,
+    RouterReport,
     ShardPage,
+    ShardRecord,
     ShardShown,
     ShardWanted,
     TermsShown,
 )
-from .life import REST, Event, Life, Refused, Stage, step
-from .servers import Servers
-from .shards import DEFAULT, Terms
+from .server_inventory import ServerInventory
+from .shard_index import SHARD, ShardIndex, lifecycle_of, with_lifecycle
+from .shard_table import DEFAULT_SHARD, RegionAffinity
 
-NAME = re.compile("[a-z][a-z0-9-]{0,62}")
+SHARD_NAME = re.compile("[a-z][a-z0-9-]{0,62}")
 BUDGET, CROWD, NOTE = "shard-budget", "shard-crowd", "shard-note"
 UNSURE = "unsure"
-TICK = 0.1  # seconds between two looks while a shard is on its way
-REST_TICK = 2.0  # while none is
-SWEEP_EVERY, SWEPT = 10.0, 10_000  # seconds; things of a kind looked at
-DOUBTS_MOST = 1024
-FORMER = "a former run of the keeper"
-UNDER_WAY = (Stage.SPREADING.value, Stage.MOVING.value, Stage.LEAVING.value)
+RECONCILE_INTERVAL = 0.1  # seconds between two looks while a shard is on its way
+IDLE_INTERVAL = 2.0  # while none is
+SWEEP_INTERVAL, SWEEP_LIMIT = 10.0, 10_000  # seconds; things of a kind looked at
+MAX_PENDING_LOST_PINS = 1024
+PREVIOUS_RUN = "a former run of the keeper"
+UNDER_WAY = (Stage.PREPARING.value, Stage.MIGRATING.value, Stage.REMOVING.value)
 
 
-class Placement:
+class PlacementControlPlane:
     """The part of the administration."""
 
     name = "placement"
@@ -71,12 +70,14 @@
         self.keeper = administration.keeper
         self.told = told
         self.clock = clock
-        self.desk = Desk()
-        self.servers = Servers()
+        self.desk = ShardIndex()
+        self.servers = ServerInventory()
         now = clock()
         self.near = Ledger(now, administration.lease, grace=float(told.flight))
         self.far = Ledger(now, float(told.alone), grace=float(told.flight))
-        self.doubts: dict[tuple[int, str], Doubt] = {}  # until they are written; DOUBTS_MOST of them
+        self.doubts: dict[
+            tuple[int, str], LostPin
+        ] = {}  # until they are written; MAX_PENDING_LOST_PINS of them
         self.disturbed: set[str] = set()  # zones whose servers moved, until that is written
         self.back = False  # a router acts by a history that this copy of the store does not have
         self.since: dict[tuple[str, int], float] = {}  # when a condition was first seen; follows the work
@@ -92,7 +93,7 @@
         """A router called; its lease counts from here on, later than its question was sent."""
         now = self.clock()
         try:
-            told = msgspec.json.decode(report.parts.get(self.name, b"{}"), type=RouterTold)
+            told = msgspec.json.decode(report.parts.get(self.name, b"{}"), type=RouterReport)
         except msgspec.MsgspecError as bad:
             raise Wrong(422, "invalid", str(bad), "parts.placement") from None
         known = bool(told.mark) and self.administration.told.get(told.have) == told.mark
@@ -104,16 +105,16 @@
         if told.servers is not None:
             self.disturbed |= self.servers.hear(report.router, told.servers)
         for doubt in told.doubts:
-            if len(self.doubts) < DOUBTS_MOST:
+            if len(self.doubts) < MAX_PENDING_LOST_PINS:
                 self.doubts[doubt.incarnation, doubt.shard] = doubt
-        if self.desk.restless or self.doubts or self.disturbed:
+        if self.desk.needs_work or self.doubts or self.disturbed:
             self._wake.set()
 
     def feed(self, store: Store, report: Report) -> bytes | None:
         """On the store's thread."""
         if self.name not in report.parts:
             return None
-        told = msgspec.json.decode(report.parts[self.name], type=RouterTold)
+        told = msgspec.json.decode(report.parts[self.name], type=RouterReport)
         self.desk.refresh(store)
         held = store.mark(told.have) if told.have else ""
         back = bool(told.have) and held != told.mark and (told.have > store.rev or bool(held))
@@ -125,7 +126,7 @@
         who = (report.router, report.run)
         noted = who in self.near.given and who in self.far.given
         return msgspec.json.encode(
-            KeeperTold(
+            ControlPlaneUpdate(
                 self.desk.rev,
                 self.administration.mark_of(self.desk.rev),
                 whole,
@@ -148,10 +149,10 @@
     def acting(self, revision: int, far: bool) -> list[str]:
         """Who may still act by a state older than a revision."""
         ledger, now = self.far if far else self.near, self.clock()
-        former = [] if ledger.settled(now) else [FORMER]
+        former = [] if ledger.settled(now) else [PREVIOUS_RUN]
         return former + sorted({router for router, _ in ledger.acting_before(revision, now)})
 
-    def claims(self, row: Pinned) -> bool:
+    def claims(self, row: ShardRecord) -> bool:
         """Whether a shard may be called confined now.
 
         After a start of the keeper its store may be an older copy: routers then act by terms that it does
@@ -174,7 +175,7 @@
         """Bring shards on their way, until cancelled."""
         rezoned, next_sweep = False, 0.0
         while True:
-            tick = REST_TICK
+            tick = IDLE_INTERVAL
             try:
                 if not rezoned:
                     await self._change(self._rezone, "keeper")
@@ -183,14 +184,14 @@
                     await self._change(self._sweep, "keeper")
                     self.near.sweep(self.clock())
                     self.far.sweep(self.clock())
-                    next_sweep = self.clock() + SWEEP_EVERY
+                    next_sweep = self.clock() + SWEEP_INTERVAL
                 tick = await self.look()
             except (Overloaded, Full) as bad:
                 logger.warning("placement not looked at: {}", bad)
             self._wake = trio.Event()
             with trio.move_on_after(tick):
                 await self._wake.wait()
-                await trio.sleep(TICK / 4)  # several reports at once are one look
+                await trio.sleep(RECONCILE_INTERVAL / 4)  # several reports at once are one look
 
     async def look(self) -> float:
         """One look; seconds until the next one, if nothing comes before."""
@@ -211,30 +212,38 @@
         if events:
             await self._change(lambda store, now: self._carry_out(store, now, events), "keeper")
         under_way = any(row.stage in UNDER_WAY for _, row, _ in work)
-        due = min((row.at - self.keeper.clock() for _, row, _ in work if row.at), default=REST_TICK)
-        return TICK if under_way else min(max(due, TICK), REST_TICK)
+        due = min((row.at - self.keeper.clock() for _, row, _ in work if row.at), default=IDLE_INTERVAL)
+        return RECONCILE_INTERVAL if under_way else min(max(due, RECONCILE_INTERVAL), IDLE_INTERVAL)
 
     async def _change(self, plan: Callable[[Store, float], list[Wanted]], who: str) -> None:
         """Conditional on what stands there: what changed meanwhile is left out, and seen at the next look."""
         await self.keeper.apply_planned(plan, who)
 
-    def _work(self) -> list[tuple[str, Pinned, int]]:
+    def _work(self) -> list[tuple[str, ShardRecord, int]]:
         self.desk.refresh(self.keeper.store)
         self._hear_store(self.keeper.store)
-        return [(ident, *self.desk.rows[ident]) for ident in sorted(self.desk.restless)]
+        return [(ident, *self.desk.rows[ident]) for ident in sorted(self.desk.needs_work)]
 
-    def _event(self, ident: str, row: Pinned, rev: int) -> Event | None:
+    def _event(self, ident: str, row: ShardRecord, rev: int) -> Event | None:
         stage, wall = Stage(row.stage), self.keeper.clock()
-        if row.at and wall >= row.at and stage in (Stage.ASKED, *REST):
+        if row.at and wall >= row.at and stage in (Stage.SCHEDULED, *SETTLED_STAGES):
             stands = {server.zone for server in self._standing_servers() if server.up}
-            return Event.DUE if row.then and stands & {z for zones in row.then.zones for z in zones} else None
-        if stage is Stage.SPREADING:
-            return None if self.acting(rev, False) else Event.FOLLOW
-        if stage is Stage.MOVING or (stage is Stage.LEAVING and not row.left):
+            return (
+                Event.SCHEDULE_DUE
+                if row.then and stands & {z for zones in row.then.zones for z in zones}
+                else None
+            )
+        if stage is Stage.PREPARING:
+            return None if self.acting(rev, False) else Event.ROUTERS_CAUGHT_UP
+        if stage is Stage.MIGRATING or (stage is Stage.REMOVING and not row.left):
             waits = self.acting(rev, row.far)
-            return Event.FOLLOW if self._for(ident, rev, not waits, float(self.told.flight)) else None
-        if row.held and stage in (*REST, Stage.LEAVING):
-            return Event.FORGOTTEN if self._for(ident, rev, True, float(self.told.memory)) else None
+            return (
+                Event.ROUTERS_CAUGHT_UP if self._for(ident, rev, not waits, float(self.told.flight)) else None
+            )
+        if row.held and stage in (*SETTLED_STAGES, Stage.REMOVING):
+            return (
+                Event.DEDUPLICATION_EXPIRED if self._for(ident, rev, True, float(self.told.memory)) else None
+            )
         return None
 
     def _for(self, ident: str, rev: int, true: bool, span: float) -> bool:
@@ -251,23 +260,23 @@
             row, stands = self.desk.rows.get(ident, (None, 0))
             if row is None or stands != rev:
                 continue
-            before = life_of(row)
-            life = step(before, event)
-            if life.stage is Stage.GONE:
+            before = lifecycle_of(row)
+            life = transition(before, event)
+            if life.stage is Stage.REMOVED:
                 wanted.append(Wanted(SHARD, ident, None, rev))
                 logger.info("shard {} of {} gone", row.shard, row.tenant)
                 continue
-            after = living(row, life, now)
-            if life.stage in REST or life.left:
+            after = with_lifecycle(row, life, now)
+            if life.stage in SETTLED_STAGES or life.left:
                 after = msgspec.structs.replace(after, former=_former(row, life))
-            if event is Event.FOLLOW and life.now is not None and life.now.only:
+            if event is Event.ROUTERS_CAUGHT_UP and life.now is not None and life.now.only:
                 after = self._note_copies(store, after, wanted, now)
             if life.stage is not before.stage:
                 logger.info("shard {} of {} {}", row.shard, row.tenant, life.stage.value)
             wanted.append(Wanted(SHARD, ident, encode(after), rev))
         return wanted
 
-    def _note_copies(self, store: Store, row: Pinned, wanted: list[Wanted], now: float) -> Pinned:
+    def _note_copies(self, store: Store, row: ShardRecord, wanted: list[Wanted], now: float) -> ShardRecord:
         """Who stands when a shard is told to move, and who when it is confined: copies may be left there."""
         crowd = {tuple(each) for each in self._crowd(store, row.crowd)} | set(self.servers.crowd())
         body = encode(sorted(crowd))
@@ -286,17 +295,17 @@
         self.desk.refresh(store)
         wanted = []
         for ident, (row, rev) in self.desk.rows.items():
-            life = life_of(row)
+            life = lifecycle_of(row)
             aim = life.then if life.then is not None else life.now
             if aim is None or life.end or not aim.regions or set(aim.regions) - set(self.told.regions):
                 continue
             terms = self._terms(aim.regions, aim.only)
             if terms == aim:
                 continue
-            event = Event.LATER if life.at else Event.ASK
-            life = step(life, event, terms, life.at)
+            event = Event.CHANGE_SCHEDULED if life.at else Event.CHANGE_REQUESTED
+            life = transition(life, event, terms, life.at)
             logger.info("shard {} of {}: its regions have other zones", row.shard, row.tenant)
-            wanted.append(Wanted(SHARD, ident, encode(living(row, life, now)), rev))
+            wanted.append(Wanted(SHARD, ident, encode(with_lifecycle(row, life, now)), rev))
         return wanted
 
     def _sweep(self, store: Store, now: float) -> list[Wanted]:
@@ -307,9 +316,9 @@
         gone = [each for each in self.desk.rows.items() if each[1][0].incarnation not in stands]
         used = {row.crowd for row, _ in self.desk.rows.values()}
         wanted = [Wanted(SHARD, ident, None, rev) for ident, (_, rev) in gone]
-        left = [item for item in store.items(BUDGET, "", SWEPT) if int(item.ident) not in stands]
+        left = [item for item in store.items(BUDGET, "", SWEEP_LIMIT) if int(item.ident) not in stands]
         wanted += [Wanted(BUDGET, item.ident, None, item.rev) for item in left]
-        left = [item for item in store.items(CROWD, "", SWEPT) if item.ident not in used]
+        left = [item for item in store.items(CROWD, "", SWEEP_LIMIT) if item.ident not in used]
         return wanted + [Wanted(CROWD, item.ident, None, item.rev) for item in left]
 
     def _look_at_room(self, store: Store) -> None:
@@ -333,20 +342,22 @@
             self.crammed ^= {region}
 
     def _alarms(
-        self, store: Store, now: float, doubts: dict[tuple[int, str], Doubt], disturbed: set[str]
+        self, store: Store, now: float, doubts: dict[tuple[int, str], LostPin], disturbed: set[str]
     ) -> list[Wanted]:
         self.desk.refresh(store)
         wanted, names = [], dict(_tenants(store))
         for (incarnation, shard), doubt in doubts.items():
             ident = f"{incarnation}/{shard}"
             row, rev = self.desk.rows.get(ident, (None, 0))
-            if incarnation not in names or (row and (rev > doubt.since or row.stage == Stage.HELD.value)):
+            if incarnation not in names or (
+                row and (rev > doubt.since or row.stage == Stage.QUARANTINED.value)
+            ):
                 continue
-            life = step(life_of(row) if row else None, Event.LOST)
-            blank = Pinned(
+            life = transition(lifecycle_of(row) if row else None, Event.PIN_LOST)
+            blank = ShardRecord(
                 incarnation, names[incarnation], shard, doubt.prefixes, 0.0, store.rev + 1, "", now
             )
-            after = living(row or blank, life, now)
+            after = with_lifecycle(row or blank, life, now)
             after = msgspec.structs.replace(after, version=store.rev + 1)
             logger.warning("shard {} of {} held: a newer pin of it was lost", shard, names[incarnation])
             wanted.append(Wanted(SHARD, ident, encode(after), rev))
@@ -358,8 +369,8 @@
             wanted.append(Wanted(NOTE, UNSURE, encode(unsure), held.rev if held else 0))
             for ident, (row, rev) in self.desk.rows.items():
                 zones = {zone for each in row.now.zones for zone in each} if row.now else set()
-                if row.stage in (Stage.CONFINED.value, Stage.MOVING.value) and zones & disturbed:
-                    after = living(row, step(life_of(row), Event.DISTURBED), now)
+                if row.stage in (Stage.CONFINED.value, Stage.MIGRATING.value) and zones & disturbed:
+                    after = with_lifecycle(row, transition(lifecycle_of(row), Event.ZONES_CHANGED), now)
                     wanted.append(Wanted(SHARD, ident, encode(after), rev))
         return wanted
 
@@ -432,20 +443,20 @@
             try:
                 prefixes = _prefixes(shard, wanted, row, rows)
                 if row is None:
-                    check_count(len(rows), self.told.shards)
+                    check_shard_count(len(rows), self.told.shards)
                 allowance = _afford(kept, rows, shard, wanted.allowance)
                 held = row.counted.get(wanted.regions[0], 0.0) if row else 0.0
                 ground = self._ground(store, f"{kept.incarnation}/{shard}")
                 ground.check(wanted.regions, allowance, held)
                 budget = self._spend(store, kept.incarnation, now)
                 terms = self._terms(wanted.regions, wanted.hold == "only")
-                event = Event.LATER if wanted.at > now else Event.ASK
-                life = step(life_of(row) if row else None, event, terms, wanted.at)
-            except NotTaken as bad:
+                event = Event.CHANGE_SCHEDULED if wanted.at > now else Event.CHANGE_REQUESTED
+                life = transition(lifecycle_of(row) if row else None, event, terms, wanted.at)
+            except AdmissionError as bad:
                 raise Wrong(bad.status, bad.what, bad.detail, bad.field) from None
-            except Refused as bad:
+            except InvalidTransitionError as bad:
                 raise Wrong(409, "conflict", str(bad)) from None
-            after = Pinned(
+            after = ShardRecord(
                 kept.incarnation,
                 name,
                 shard,
@@ -463,7 +474,7 @@
                 former=_former(row, life),
             )
             ident = f"{kept.incarnation}/{shard}"
-            return [Wanted(SHARD, ident, encode(living(after, life, now)), rev), budget]
+            return [Wanted(SHARD, ident, encode(with_lifecycle(after, life, now)), rev), budget]
 
         made = await self.administration._change(plan, who, answer=self._answered, **key)
         self._wake.set()
@@ -481,21 +492,21 @@
             ident = f"{kept.incarnation}/{shard}"
             try:
                 budget = self._spend(store, kept.incarnation, now)
-                life = step(life_of(row), Event.REMOVE)
-            except NotTaken as bad:
+                life = transition(lifecycle_of(row), Event.REMOVAL_REQUESTED)
+            except AdmissionError as bad:
                 raise Wrong(bad.status, bad.what, bad.detail, bad.field) from None
-            after = living(row, life, now)
+            after = with_lifecycle(row, life, now)
             after = msgspec.structs.replace(after, version=store.rev + 1, former=_former(row, life))
-            return [Wanted(SHARD, ident, None if life.stage is Stage.GONE else encode(after), rev), budget]
+            return [Wanted(SHARD, ident, None if life.stage is Stage.REMOVED else encode(after), rev), budget]
 
         await self.administration._change(plan, who)
         self._wake.set()
 
     def _answered(self, made: list[Any]) -> bytes:
-        row = msgspec.json.decode(made[0].body, type=Pinned)
+        row = msgspec.json.decode(made[0].body, type=ShardRecord)
         return msgspec.json.encode(self._shown(None, row, made[0].rev))
 
-    def _standing(self, store: Store, name: str) -> tuple[Kept, dict[str, tuple[Pinned, int]]]:
+    def _standing(self, store: Store, name: str) -> tuple[Kept, dict[str, tuple[ShardRecord, int]]]:
         item = store.get(TENANT, name)
         if item is None:
             raise Wrong(404, "not found", f"no tenant {name}")
@@ -503,7 +514,7 @@
         self.desk.refresh(store)
         return kept, {row.shard: (row, rev) for row, rev in self.desk.of(kept.incarnation)}
 
-    def _ground(self, store: Store, without: str) -> Ground:
+    def _ground(self, store: Store, without: str) -> RegionCapacity:
         """What pins are checked against, on the store's thread."""
         # A tenant that was removed, and that no router has anything of in hand, takes no room any more.
         over = {stone.incarnation for stone in _all(store, TOMBSTONE, Kept) if stone.clear}
@@ -514,7 +525,7 @@
                     pinned[region] = pinned.get(region, 0.0) + counted
         self._hear_store(store)
         bears, heard = float(self.told.bears), bool(self.servers.digest)
-        return Ground(self.told.regions, self._standing_servers(), bears, pinned, heard)
+        return RegionCapacity(self.told.regions, self._standing_servers(), bears, pinned, heard)
 
     def _hear_store(self, store: Store) -> None:
         self.ordered = frozenset(_idents(store, SERVER))
@@ -534,19 +545,19 @@
         held = store.get(BUDGET, str(incarnation))
         most = self.told.changes
         left, at = msgspec.json.decode(held.body, type=tuple[float, float]) if held else (most, now)
-        budget = Budget(left, at).take(most, now)
+        budget = ChangeBudget(left, at).take(most, now)
         return Wanted(BUDGET, str(incarnation), encode((budget.left, budget.at)), held.rev if held else 0)
 
-    def _terms(self, regions: tuple[str, ...], only: bool) -> Terms:
-        return Terms(only, tuple(regions), tuple(tuple(self.told.regions[name]) for name in regions))
+    def _terms(self, regions: tuple[str, ...], only: bool) -> RegionAffinity:
+        return RegionAffinity(only, tuple(regions), tuple(tuple(self.told.regions[name]) for name in regions))
 
-    def _shown(self, store: Store | None, row: Pinned, rev: int) -> ShardShown:
-        life = life_of(row)
+    def _shown(self, store: Store | None, row: ShardRecord, rev: int) -> ShardShown:
+        life = lifecycle_of(row)
         stage, waits = row.stage, []
         if stage == Stage.CONFINED.value and not self.claims(row):
-            stage, waits = Stage.MOVING.value, [FORMER]
-        elif life.stage in (Stage.SPREADING, Stage.MOVING, Stage.LEAVING) and not life.left:
-            waits = self.acting(rev, life.far and life.stage is not Stage.SPREADING)
+            stage, waits = Stage.MIGRATING.value, [PREVIOUS_RUN]
+        elif life.stage in (Stage.PREPARING, Stage.MIGRATING, Stage.REMOVING) and not life.left:
+            waits = self.acting(rev, life.far and life.stage is not Stage.PREPARING)
         until = row.confined_at + float(self.told.retention) if self.told.retention else 0.0
         copies = self._copies(store, row, life) if store is not None and row.crowd else []
         if until and self.keeper.clock() >= until:
@@ -572,7 +583,7 @@
             until,
         )
 
-    def _copies(self, store: Store, row: Pinned, life: Life) -> list[Copy]:
+    def _copies(self, store: Store, row: ShardRecord, life: Lifecycle) -> list[Copy]:
         if life.now is None or not life.now.only:
             return []
         inside = {zone for zones in life.now.zones for zone in zones}
@@ -588,25 +599,25 @@
     return msgspec.json.decode(body, type=list[tuple[str, float]])
 
 
-def _afford(kept: Kept, rows: dict[str, tuple[Pinned, int]], shard: str, allowance: float) -> float:
-    """What of its tenant's allowance a shard takes. Raises NotTaken."""
+def _afford(kept: Kept, rows: dict[str, tuple[ShardRecord, int]], shard: str, allowance: float) -> float:
+    """What of its tenant's allowance a shard takes. Raises AdmissionError."""
     # What its tenant let end is its own again at once; at its region it counts until routers follow.
     others = sum(row.allowance for name, (row, _) in rows.items() if name != shard and not row.ends)
     room = max(kept.allowance - others, 0.0)
     if allowance > room + 1e-9:
         detail = f"of {kept.allowance:.1f} the other shards have {others:.1f}; accepted: up to {room:.1f}"
-        raise NotTaken(409, "beyond the tenant's allowance", detail, "allowance")
+        raise AdmissionError(409, "beyond the tenant's allowance", detail, "allowance")
     return allowance or room
 
 
-def _terms_shown(terms: Terms | None) -> TermsShown | None:
+def _terms_shown(terms: RegionAffinity | None) -> TermsShown | None:
     if terms is None:
         return None
     zones = tuple(zone for each in terms.zones for zone in each)
     return TermsShown("only" if terms.only else "prefer", terms.regions, zones)
 
 
-def _match(row: Pinned | None, match: int | None, shard: str) -> None:
+def _match(row: ShardRecord | None, match: int | None, shard: str) -> None:
     row = None if row is not None and row.ends else row
     if row is None and match is not None:
         raise Wrong(412, "precondition failed", f"no shard {shard}")
@@ -617,7 +628,7 @@
 
 
 def _prefixes(
-    shard: str, wanted: ShardWanted, row: Pinned | None, rows: dict[str, tuple[Pinned, int]]
+    shard: str, wanted: ShardWanted, row: ShardRecord | None, rows: dict[str, tuple[ShardRecord, int]]
 ) -> tuple[str, ...]:
     """The prefixes of a shard, once and for all. Raises Wrong."""
     prefixes = tuple(wanted.prefixes)
@@ -627,9 +638,9 @@
         if (prefixes or row.ends) and set(prefixes) != set(row.prefixes):
             raise Wrong(409, "conflict", "prefixes stay as they were made until it is gone", "prefixes")
         return row.prefixes
-    if not NAME.fullmatch(shard):
+    if not SHARD_NAME.fullmatch(shard):
         raise Wrong(422, "invalid", "a shard's name is of lower case letters, digits and dashes", "shard")
-    if (shard == DEFAULT) is bool(prefixes):
+    if (shard == DEFAULT_SHARD) is bool(prefixes):
         raise Wrong(422, "invalid", "every shard but `default` has prefixes, and only these", "prefixes")
     for other, (held, _) in rows.items():
         taken = sorted(set(held.prefixes) & set(prefixes))
@@ -638,10 +649,10 @@
     return prefixes
 
 
-def _former(row: Pinned | None, life: Life) -> dict[str, float]:
+def _former(row: ShardRecord | None, life: Lifecycle) -> dict[str, float]:
     """What a shard counts for at regions that routers may still act by: from when it is asked for something
     else until all follow. Else another tenant is given room that is still used."""
-    if row is None or life.left or (life.stage in REST and life.then is None):
+    if row is None or life.left or (life.stage in SETTLED_STAGES and life.then is None):
         return {}
     first = row.now.regions[0] if row.now is not None and row.now.regions else ""
     return {**row.former, first: row.counted[first]} if first else row.former
--- a/gaugehinge/placement/forms.py
+++ b/gaugehinge/placement/messages.py
@@ -8,50 +8,52 @@
 from msgspec import Meta
 
 from ..admin.types import Name
-from .shards import MOST_PREFIXES, MOST_REGIONS, Prefix, Row, Terms
+from .shard_table import MAX_PREFIXES, MAX_REGIONS, Prefix, RegionAffinity, ShardAssignment
 
-MOST_SLICE = 200  # servers told in one report: a body of the API takes no more
-MOST_SERVERS = 4096
-MOST_DOUBTS = 64  # told in one report; the rest follows
+MAX_CHUNK_SERVERS = 200  # servers told in one report: a body of the API takes no more
+MAX_SERVERS = 4096
+MAX_LOST_PINS = 64  # told in one report; the rest follows
 
-Told = tuple[str, str, float, float, bool]  # uid, zone, weight, started, whether it takes something new
+ReportedServer = tuple[
+    str, str, float, float, bool
+]  # uid, zone, weight, started, whether it takes something new
 
 
-class Slice(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ServerListChunk(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A part of a router's list of servers."""
 
     digest: Annotated[str, Meta(max_length=32, description="of the whole list")]
-    count: Annotated[int, Meta(ge=0, le=MOST_SERVERS)]
+    count: Annotated[int, Meta(ge=0, le=MAX_SERVERS)]
     first: Annotated[int, Meta(ge=0)]
-    servers: Annotated[list[Told], Meta(max_length=MOST_SLICE)]
+    servers: Annotated[list[ReportedServer], Meta(max_length=MAX_CHUNK_SERVERS)]
 
 
-class Doubt(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LostPin(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A pin that a router acted by and that the keeper's store, an older copy, does not have."""
 
     incarnation: int
     shard: Name
-    prefixes: Annotated[tuple[str, ...], Meta(max_length=MOST_PREFIXES)]
+    prefixes: Annotated[tuple[str, ...], Meta(max_length=MAX_PREFIXES)]
     since: Annotated[int, Meta(description="revision of the copy when the router first heard it")]
 
 
-class RouterTold(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RouterReport(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A router's part of its report."""
 
     have: Annotated[int, Meta(ge=0)] = 0  # revision of its table
     mark: Annotated[str, Meta(max_length=32)] = ""  # of that revision
     clear: Annotated[int, Meta(ge=0)] = 0  # no attempt is out that a table of this revision would not send
-    servers: Slice | None = None
-    doubts: Annotated[tuple[Doubt, ...], Meta(max_length=MOST_DOUBTS)] = ()
+    servers: ServerListChunk | None = None
+    doubts: Annotated[tuple[LostPin, ...], Meta(max_length=MAX_LOST_PINS)] = ()
 
 
-class KeeperTold(msgspec.Struct, frozen=True):
+class ControlPlaneUpdate(msgspec.Struct, frozen=True):
     """The keeper's part of the feed."""
 
     revision: int
     mark: str
     whole: bool
-    rows: list[Row]
+    rows: list[ShardAssignment]
     gone: list[tuple[int, str]]
     lease: float  # seconds, counted from when the router sent its call; 0: none
     alone: float  # seconds after which a router that is cut off serves no tenant at all
@@ -60,7 +62,7 @@
     back: bool = False  # this router's table is of a history that the store does not have
 
 
-class Pinned(msgspec.Struct, frozen=True):
+class ShardRecord(msgspec.Struct, frozen=True):
     """One shard as the store has it."""
 
     incarnation: int
@@ -71,8 +73,8 @@
     version: int  # of what its tenant asked: the entity tag
     stage: str
     since: float  # Unix seconds
-    now: Terms | None = None
-    then: Terms | None = None
+    now: RegionAffinity | None = None
+    then: RegionAffinity | None = None
     at: float = 0.0
     end: bool = False
     held: bool = False
@@ -108,11 +110,11 @@
 
     regions: Annotated[
         tuple[Annotated[str, Meta(min_length=1, max_length=64)], ...],
-        Meta(min_length=1, max_length=MOST_REGIONS, description="in order: the next where one cannot"),
+        Meta(min_length=1, max_length=MAX_REGIONS, description="in order: the next where one cannot"),
     ]
     prefixes: Annotated[
         tuple[Prefix, ...],
-        Meta(max_length=MOST_PREFIXES, description="what its keys begin with; none for the shard `default`"),
+        Meta(max_length=MAX_PREFIXES, description="what its keys begin with; none for the shard `default`"),
     ] = ()
     hold: Annotated[
         Literal["only", "prefer"], Meta(description="only: bounced rather than served elsewhere")
@@ -132,7 +134,7 @@
 
 
 class TermsShown(msgspec.Struct, frozen=True):
-    """Terms as they are shown."""
+    """RegionAffinity as they are shown."""
 
     hold: str
     regions: tuple[str, ...]
--- a/gaugehinge/placement/router.py
+++ b/gaugehinge/placement/router.py
@@ -25,18 +25,26 @@
 from ..tenancy.feed import WAIT, Feed
 from ..tenancy.lease import Held
 from ..terms import Attempt, Effect, Operation, Presence
-from .forms import MOST_DOUBTS, MOST_SERVERS, Doubt, KeeperTold, RouterTold, Slice, Told
-from .servers import digest_of, slices
-from .shards import ANYWHERE, NOWHERE, Pin, Row, Table
-
-LEAST_WAIT = 0.2  # seconds that a call to the keeper stands open at least
-LEAST_SLACK = 0.5  # and so much longer until it counts as failed
-WAITS = 3.0  # calls in the time of a lease
-LIST_AGAIN = 10.0  # seconds after which a list that the keeper does not have is told again
-AWAY = 1.0  # seconds that clients of a shard that is not served stay away, about
-
-
-class Placing:
+from .messages import (
+    MAX_LOST_PINS,
+    MAX_SERVERS,
+    ControlPlaneUpdate,
+    LostPin,
+    ReportedServer,
+    RouterReport,
+    ServerListChunk,
+)
+from .server_inventory import server_list_digest, split_server_list
+from .shard_table import ANYWHERE, NOWHERE, KeyPlacement, ShardAssignment, ShardTable
+
+MIN_POLL_WAIT = 0.2  # seconds that a call to the keeper stands open at least
+MIN_POLL_SLACK = 0.5  # and so much longer until it counts as failed
+POLLS_PER_LEASE = 3.0  # calls in the time of a lease
+LIST_RESEND_INTERVAL = 10.0  # seconds after which a list that the keeper does not have is told again
+REJECT_RETRY_AFTER = 1.0  # seconds that clients of a shard that is not served stay away, about
+
+
+class RouterPlacement:
     """The part of the follower."""
 
     name = "placement"
@@ -46,21 +54,23 @@
     ) -> None:
         """`clock`: the follower's, by which it says when a call was sent."""
         self.service, self.follower, self.clock = service, follower, clock
-        self.table = Table()
+        self.table = ShardTable()
         self.lease, self.alone = Held(), Held()
         self.store = ""
         self.have, self.mark = 0, ""
         self.asked_at = 0.0  # the question whose answer was heard last
         self.clear = 0
         self.strays: set[Attempt] = set()  # out by an older table to where this one would not send them
-        self.doubts: dict[tuple[int, str], Row] = {}  # acted by, and unknown to an older copy of the store
+        self.doubts: dict[
+            tuple[int, str], ShardAssignment
+        ] = {}  # acted by, and unknown to an older copy of the store
         self.doubts_since = 0
         self.unsure: dict[str, float] = {}  # by the keeper's word
         self.relabelled: dict[str, float] = {}  # by what the list told here; follows the list
-        self.servers: dict[str, Told] = {}  # follows the list
-        self.left: dict[str, Told] = {}  # as they were when they left it; MOST_SERVERS of them
+        self.servers: dict[str, ReportedServer] = {}  # follows the list
+        self.left: dict[str, ReportedServer] = {}  # as they were when they left it; MAX_SERVERS of them
         self.zones: dict[int, tuple[str, str, float]] = {}  # by the module's number: uid, zone, started
-        self.slices: list[Slice] = []  # still to be told
+        self.pending_chunks: list[ServerListChunk] = []  # still to be told
         self.told_digest, self.told_list_at = "", 0.0
         self.listed = False  # discovery was heard; before that there is no list to tell, not an empty one
         self.cut_off = False
@@ -104,7 +114,7 @@
         told = self.servers.pop(uid, None)
         if told is not None:
             self.left[uid] = told
-            while len(self.left) > MOST_SERVERS:
+            while len(self.left) > MAX_SERVERS:
                 del self.left[next(iter(self.left))]
 
     # -- the keeper
@@ -116,18 +126,18 @@
         if not self.strays:
             self.clear = self.have
         doubts = tuple(
-            Doubt(row.incarnation, row.shard, row.prefixes, self.doubts_since)
-            for row in list(self.doubts.values())[:MOST_DOUBTS]
+            LostPin(row.incarnation, row.shard, row.prefixes, self.doubts_since)
+            for row in list(self.doubts.values())[:MAX_LOST_PINS]
         )
-        part = self.slices.pop(0) if self.slices else None
-        return msgspec.json.encode(RouterTold(self.have, self.mark, self.clear, part, doubts))
+        part = self.pending_chunks.pop(0) if self.pending_chunks else None
+        return msgspec.json.encode(RouterReport(self.have, self.mark, self.clear, part, doubts))
 
     def hear(self, feed: Feed, asked_at: float) -> None:
         """The keeper told. Raises BadFeed."""
         body = feed.parts.get(self.name)
         if body is None:
             raise BadFeed("the keeper has no placement")
-        told = msgspec.json.decode(body, type=KeeperTold)
+        told = msgspec.json.decode(body, type=ControlPlaneUpdate)
         if asked_at < self.asked_at:
             raise BadFeed("placement: the answer to an older question than one that was answered")
         if not told.whole and (feed.store != self.store or told.revision < self.have):
@@ -163,20 +173,22 @@
 
     def _keep_pace(self, lease: float) -> None:
         if lease:
-            self.follower.wait = min(self.follower.wait, max(min(WAIT, lease / WAITS), LEAST_WAIT))
-            self.follower.slack = min(self.follower.slack, max(lease / WAITS, LEAST_SLACK))
+            self.follower.wait = min(
+                self.follower.wait, max(min(WAIT, lease / POLLS_PER_LEASE), MIN_POLL_WAIT)
+            )
+            self.follower.slack = min(self.follower.slack, max(lease / POLLS_PER_LEASE, MIN_POLL_SLACK))
 
     def _list_to_tell(self, keepers: str) -> None:
-        if not self.listed or self.slices or len(self.servers) > MOST_SERVERS:
+        if not self.listed or self.pending_chunks or len(self.servers) > MAX_SERVERS:
             return
         servers = [told for _, told in sorted(self.servers.items())]
-        digest = digest_of(servers)
-        again = not keepers or self.clock() > self.told_list_at + LIST_AGAIN
+        digest = server_list_digest(servers)
+        again = not keepers or self.clock() > self.told_list_at + LIST_RESEND_INTERVAL
         if digest != keepers and (digest != self.told_digest or again):
-            self.slices, self.told_digest = slices(servers), digest
+            self.pending_chunks, self.told_digest = split_server_list(servers), digest
             self.told_list_at = self.clock()
 
-    def _doubt(self, told: KeeperTold) -> None:
+    def _doubt(self, told: ControlPlaneUpdate) -> None:
         """The store is an older copy. What was pinned here by `only`, and differs there, is held by nobody's
         word: it is served nowhere until its tenant has spoken anew."""
         theirs = {row.ident: row for row in told.rows}
@@ -190,7 +202,7 @@
         self.doubts_since = told.revision
         logger.warning("placement: the keeper's store is an older copy, {} pins in doubt", len(self.doubts))
 
-    def _settles(self, row: Row) -> bool:
+    def _settles(self, row: ShardAssignment) -> bool:
         """Whether a row counts: one that is newer than the doubt of its shard ends that."""
         if row.ident not in self.doubts:
             return True
@@ -256,7 +268,7 @@
         pin = self.table.find(attempt.operation.key)
         return pin is None or attempt.server.origin or self._inside(attempt, pin.regions or (frozenset(),))
 
-    def _cut_off(self, operation: Operation, pin: Pin | None, again: bool) -> bytes | None:
+    def _cut_off(self, operation: Operation, pin: KeyPlacement | None, again: bool) -> bytes | None:
         """Without a lease: the answer of what cannot be served safely, None for the rest."""
         if not self.cut_off:
             self.cut_off = True
@@ -277,15 +289,15 @@
         """A bounce with a time, spread: all that wait for one thing must not come back at once."""
         longest = self.service.configuration.charter.deployment.longest_come_back
         draw = crc32(b"%d" % next(self._draws)) / 0x100000000
-        return busy(min(AWAY * (0.5 + draw), longest) if longest else 0.0)
+        return busy(min(REJECT_RETRY_AFTER * (0.5 + draw), longest) if longest else 0.0)
 
 
 def _marked(operation: Operation) -> bool:
     return operation.write and operation.traffic.effect is Effect.DEDUPLICATED
 
 
-def placing(service: Service, follower: Follower, **more: Any) -> Placing:
+def attach_placement(service: Service, follower: Follower, **more: Any) -> RouterPlacement:
     """Switch placement on at a router that follows a keeper."""
-    part = Placing(service, follower, **more)
+    part = RouterPlacement(service, follower, **more)
     follower.parts.append(part)
     return part
--- a/gaugehinge/placement/servers.py
+++ b/gaugehinge/placement/server_inventory.py
@@ -9,45 +9,45 @@
 from xxhash import xxh3_64_hexdigest
 
 from .admission import Server
-from .forms import MOST_SERVERS, MOST_SLICE, Slice, Told
+from .messages import MAX_CHUNK_SERVERS, MAX_SERVERS, ReportedServer, ServerListChunk
 
-ASSEMBLIES = 16  # lists that are being put together from their slices; the oldest goes first
+MAX_PARTIAL_LISTS = 16  # lists that are being put together from their chunks; the oldest goes first
 
 
-def digest_of(servers: list[Told]) -> str:
+def server_list_digest(servers: list[ReportedServer]) -> str:
     """Of a whole list, in the order of its names."""
     return xxh3_64_hexdigest(msgspec.json.encode(servers))
 
 
-def slices(servers: list[Told]) -> list[Slice]:
+def split_server_list(servers: list[ReportedServer]) -> list[ServerListChunk]:
     """A list as it is reported, in parts."""
-    digest = digest_of(servers)
-    starts = range(0, max(len(servers), 1), MOST_SLICE)
-    return [Slice(digest, len(servers), at, servers[at : at + MOST_SLICE]) for at in starts]
+    digest = server_list_digest(servers)
+    starts = range(0, max(len(servers), 1), MAX_CHUNK_SERVERS)
+    return [ServerListChunk(digest, len(servers), at, servers[at : at + MAX_CHUNK_SERVERS]) for at in starts]
 
 
 @dataclass(slots=True)
-class Servers:
+class ServerInventory:
     """The newest whole list that any router told, and servers that left it."""
 
     digest: str = ""
     known: dict[str, Server] = field(default_factory=dict)  # of the newest list
-    left: dict[str, Server] = field(default_factory=dict)  # MOST_SERVERS of them
+    left: dict[str, Server] = field(default_factory=dict)  # MAX_SERVERS of them
     unsure: dict[str, float] = field(default_factory=dict)  # zone changed without a start: when it started
-    _parts: dict[tuple[str, str], dict[int, list[Told]]] = field(default_factory=dict)
+    _parts: dict[tuple[str, str], dict[int, list[ReportedServer]]] = field(default_factory=dict)
 
-    def hear(self, router: str, told: Slice) -> set[str]:
+    def hear(self, router: str, told: ServerListChunk) -> set[str]:
         """A slice came; the zones whose servers changed places without a start, empty for most."""
         key = (router, told.digest)
         parts = self._parts.setdefault(key, {})
         parts[told.first] = told.servers
-        while len(self._parts) > ASSEMBLIES:
+        while len(self._parts) > MAX_PARTIAL_LISTS:
             del self._parts[next(iter(self._parts))]
         whole = [each for first in sorted(parts) for each in parts[first]]
         if len(whole) < told.count:
             return set()
         del self._parts[key]
-        if digest_of(whole) != told.digest or told.digest == self.digest:
+        if server_list_digest(whole) != told.digest or told.digest == self.digest:
             return set()
         return self._take(told.digest, [Server(*each) for each in whole])
 
@@ -68,7 +68,7 @@
         for uid, server in before.items():
             if uid not in self.known:
                 self.left[uid] = server
-        while len(self.left) > MOST_SERVERS:
+        while len(self.left) > MAX_SERVERS:
             del self.left[next(iter(self.left))]
         self.digest = digest
         return disturbed
--- a/gaugehinge/placement/desk.py
+++ b/gaugehinge/placement/shard_index.py
@@ -8,21 +8,23 @@
 import msgspec
 
 from ..store.store import Store
-from .forms import Pinned
-from .life import REST, Life, Stage
-from .shards import Row
+from .lifecycle import SETTLED_STAGES, Lifecycle, Stage
+from .messages import ShardRecord
+from .shard_table import ShardAssignment
 
 SHARD = "shard"
 REMOVED_KEPT = 4096  # removals that a router may be behind; one further behind gets the whole
 CHANGES_MOST = 5000  # rows of the log read at a time
 
 
-def life_of(row: Pinned) -> Life:
+def lifecycle_of(row: ShardRecord) -> Lifecycle:
     """Its life, as the decisions want it."""
-    return Life(Stage(row.stage), row.now, row.then, row.at, row.end, row.held, row.known, row.far, row.left)
+    return Lifecycle(
+        Stage(row.stage), row.now, row.then, row.at, row.end, row.held, row.known, row.far, row.left
+    )
 
 
-def living(row: Pinned, life: Life, now: float) -> Pinned:
+def with_lifecycle(row: ShardRecord, life: Lifecycle, now: float) -> ShardRecord:
     """The same with another life, at `now` (Unix seconds)."""
     since = now if life.stage.value != row.stage else row.since
     return msgspec.structs.replace(
@@ -40,22 +42,22 @@
     )
 
 
-def restless(row: Pinned) -> bool:
+def needs_work(row: ShardRecord) -> bool:
     """Whether the keeper has something to do for it by itself."""
     return (
-        Stage(row.stage) not in (*REST, Stage.HELD)
+        Stage(row.stage) not in (*SETTLED_STAGES, Stage.QUARANTINED)
         or bool(row.at)
-        or (row.held and row.stage != Stage.HELD.value)
+        or (row.held and row.stage != Stage.QUARANTINED.value)
     )
 
 
 @dataclass(slots=True)
-class Desk:
+class ShardIndex:
     """Rows by ident, and what was removed of late."""
 
     rev: int = 0
-    rows: dict[str, tuple[Pinned, int]] = field(default_factory=dict)  # what changed last stands last
-    restless: set[str] = field(default_factory=set)
+    rows: dict[str, tuple[ShardRecord, int]] = field(default_factory=dict)  # what changed last stands last
+    needs_work: set[str] = field(default_factory=set)
     removed: deque[tuple[int, str]] = field(default_factory=lambda: deque(maxlen=REMOVED_KEPT))
     whole_below: int = 0  # a table older than this cannot be brought up to date by changes
     newest: int = 0  # revision of the row changed last
@@ -73,7 +75,7 @@
 
     def _load(self, store: Store) -> None:
         self.rows.clear()
-        self.restless.clear()
+        self.needs_work.clear()
         self.removed.clear()
         after, found = "", []
         while items := store.items(SHARD, after):
@@ -85,7 +87,7 @@
 
     def _take(self, ident: str, rev: int, body: bytes | None) -> None:
         self.newest = max(self.newest, rev)
-        self.restless.discard(ident)
+        self.needs_work.discard(ident)
         before = self.rows.pop(ident, None)
         if body is None:
             if before is not None:
@@ -93,17 +95,17 @@
                     self.whole_below = self.removed[0][0]
                 self.removed.append((rev, ident))
             return
-        row = msgspec.json.decode(body, type=Pinned)
+        row = msgspec.json.decode(body, type=ShardRecord)
         self.rows[ident] = row, rev
-        if restless(row):
-            self.restless.add(ident)
+        if needs_work(row):
+            self.needs_work.add(ident)
 
-    def of(self, incarnation: int) -> list[tuple[Pinned, int]]:
+    def of(self, incarnation: int) -> list[tuple[ShardRecord, int]]:
         """The shards of one incarnation."""
         head = f"{incarnation}/"
         return [row for ident, row in self.rows.items() if ident.startswith(head)]
 
-    def told(self, since: int) -> tuple[bool, list[Row], list[tuple[int, str]]]:
+    def told(self, since: int) -> tuple[bool, list[ShardAssignment], list[tuple[int, str]]]:
         """Whether it is the whole, the rows and what is gone, for a router whose table is of a revision."""
         whole = not since or since < self.whole_below
         if not whole and since >= self.newest:
@@ -112,10 +114,10 @@
         for row, rev in reversed(self.rows.values()):
             if not whole and rev <= since:
                 break
-            if row.stage == Stage.ASKED.value:
+            if row.stage == Stage.SCHEDULED.value:
                 gone.append((row.incarnation, row.shard))  # told once, it may have been taken back
             else:
-                rows.append(Row(row.incarnation, row.shard, row.prefixes, row.now, row.held, rev))
+                rows.append(ShardAssignment(row.incarnation, row.shard, row.prefixes, row.now, row.held, rev))
         if not whole:
             for rev, ident in self.removed:
                 number, _, shard = ident.partition("/")
--- a/gaugehinge/placement/shards.py
+++ b/gaugehinge/placement/shard_table.py
@@ -14,40 +14,42 @@
 import msgspec
 from msgspec import Meta
 
-MOST_PREFIXES = 16  # of one shard
-MOST_LENGTH = 64  # bytes of a prefix
-MOST_REGIONS = 8  # that one pin names, in order
-DEFAULT = "default"  # the shard whose only prefix is empty
+MAX_PREFIXES = 16  # of one shard
+MAX_PREFIX_LENGTH = 64  # bytes of a prefix
+MAX_REGIONS = 8  # that one pin names, in order
+DEFAULT_SHARD = "default"  # the shard whose only prefix is empty
 
 Zones = frozenset[str]
 ANYWHERE: tuple[Zones | None, ...] = (None,)
 
-Prefix = Annotated[str, Meta(pattern=f"^[!-~]{{1,{MOST_LENGTH}}}$", description="what its keys begin with")]
+Prefix = Annotated[
+    str, Meta(pattern=f"^[!-~]{{1,{MAX_PREFIX_LENGTH}}}$", description="what its keys begin with")
+]
 
 
-class Terms(msgspec.Struct, frozen=True):
+class RegionAffinity(msgspec.Struct, frozen=True):
     """Where the keys of a shard go."""
 
     only: bool  # bounced rather than served elsewhere
     regions: tuple[str, ...]  # in order
     zones: tuple[tuple[str, ...], ...]  # of each region, as the keeper's file had them
 
-    def walked(self) -> tuple[Zones | None, ...]:
+    def search_order(self) -> tuple[Zones | None, ...]:
         """As an operation carries it."""
         told: tuple[Zones | None, ...] = tuple(frozenset(zones) for zones in self.zones)
         return told if self.only else (*told, None)
 
 
-NOWHERE = Terms(True, (), ())
+NOWHERE = RegionAffinity(True, (), ())
 
 
-class Row(msgspec.Struct, frozen=True):
+class ShardAssignment(msgspec.Struct, frozen=True):
     """One shard as routers are told of it."""
 
     incarnation: int
     shard: str
     prefixes: tuple[str, ...]
-    terms: Terms | None  # None: as its keys would go without it
+    terms: RegionAffinity | None  # None: as its keys would go without it
     held: bool  # repeats of deduplicated writes get a final answer
     rev: int  # of the store, at which this was decided
 
@@ -58,7 +60,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pin:
+class KeyPlacement:
     """What a key's shard means for an operation."""
 
     shard: str
@@ -72,13 +74,13 @@
 
 
 @dataclass(slots=True)
-class Rules:
+class PrefixRules:
     """One incarnation's prefixes."""
 
-    pins: dict[bytes, Pin]
+    pins: dict[bytes, KeyPlacement]
     lengths: tuple[int, ...]  # longest first
 
-    def find(self, key: bytes) -> Pin | None:
+    def find(self, key: bytes) -> KeyPlacement | None:
         """Of a key without its tenant's space."""
         for length in self.lengths:
             pin = self.pins.get(key[:length])
@@ -87,41 +89,43 @@
         return None
 
 
-def rules(rows: Iterable[Row]) -> Rules:
+def build_prefix_rules(rows: Iterable[ShardAssignment]) -> PrefixRules:
     """The rules of one incarnation. A shard with no terms of its own goes as the next shorter prefix does."""
     told = sorted((prefix.encode(), row) for row in rows for prefix in row.prefixes or ("",))
-    pins: dict[bytes, Pin] = {}
-    walks: dict[Terms, tuple[Zones | None, ...]] = {}
+    pins: dict[bytes, KeyPlacement] = {}
+    walks: dict[RegionAffinity, tuple[Zones | None, ...]] = {}
     for prefix, row in sorted(told, key=lambda each: len(each[0])):
         if row.terms is None:
-            above = Rules(pins, _lengths(pins)).find(prefix)
-            only, walked = (above.only, above.regions) if above else (False, ANYWHERE)
+            above = PrefixRules(pins, _lengths(pins)).find(prefix)
+            only, search_order = (above.only, above.regions) if above else (False, ANYWHERE)
             held = row.held or bool(above and above.held)
         else:
             only, held = row.terms.only, row.held
-            walked = walks.setdefault(row.terms, row.terms.walked())
-        pins[prefix] = Pin(row.shard, only, walked, held)
-    return Rules(pins, _lengths(pins))
+            search_order = walks.setdefault(row.terms, row.terms.search_order())
+        pins[prefix] = KeyPlacement(row.shard, only, search_order, held)
+    return PrefixRules(pins, _lengths(pins))
 
 
-def _lengths(pins: dict[bytes, Pin]) -> tuple[int, ...]:
+def _lengths(pins: dict[bytes, KeyPlacement]) -> tuple[int, ...]:
     return tuple(sorted({len(prefix) for prefix in pins}, reverse=True))
 
 
 @dataclass(slots=True)
-class Table:
+class ShardTable:
     """All shards that a router was told of. As long as the keeper's list of them."""
 
-    rows: dict[tuple[int, str], Row] = field(default_factory=dict)
-    by_tenant: dict[bytes, Rules] = field(default_factory=dict)  # by the head of their keys
+    rows: dict[tuple[int, str], ShardAssignment] = field(default_factory=dict)
+    by_tenant: dict[bytes, PrefixRules] = field(default_factory=dict)  # by the head of their keys
 
-    def find(self, key: bytes) -> Pin | None:
+    def find(self, key: bytes) -> KeyPlacement | None:
         """The pin of a key as servers see it, None where it has none."""
         head, _, own = key.partition(b"/")
         told = self.by_tenant.get(head)
         return told.find(own) if told is not None else None
 
-    def change(self, rows: Iterable[Row], gone: Iterable[tuple[int, str]], whole: bool = False) -> None:
+    def change(
+        self, rows: Iterable[ShardAssignment], gone: Iterable[tuple[int, str]], whole: bool = False
+    ) -> None:
         """Take over what changed, or the whole."""
         touched = {incarnation for incarnation, _ in self.rows} if whole else set()
         if whole:
@@ -132,12 +136,12 @@
         for row in rows:
             self.rows[row.ident] = row
             touched.add(row.incarnation)
-        mine: dict[int, list[Row]] = {incarnation: [] for incarnation in touched}
+        mine: dict[int, list[ShardAssignment]] = {incarnation: [] for incarnation in touched}
         for row in self.rows.values():
             if row.incarnation in mine:
                 mine[row.incarnation].append(row)
         for incarnation, theirs in mine.items():
             if theirs:
-                self.by_tenant[b"%x" % incarnation] = rules(theirs)
+                self.by_tenant[b"%x" % incarnation] = build_prefix_rules(theirs)
             else:
                 self.by_tenant.pop(b"%x" % incarnation, None)
--- a/gaugehinge/rehearsal/broken.py
+++ b/gaugehinge/rehearsal/broken.py
@@ -216,10 +216,10 @@
 
 def wanders() -> None:
     """It sends keys of pinned shards anywhere, and tells the keeper that it follows."""
-    from ..placement.router import Placing
+    from ..placement.router import RouterPlacement
 
-    Placing.place = lambda self, operation: None
-    Placing.guard = lambda self, attempt: True
+    RouterPlacement.place = lambda self, operation: None
+    RouterPlacement.guard = lambda self, attempt: True
 
 
 def opens() -> None:
--- a/gaugehinge/rehearsal/misplaced.py
+++ b/gaugehinge/rehearsal/misplaced.py
@@ -10,7 +10,7 @@
 import sys
 from typing import Any
 
-from ..placement import admission, keeper, router, shards
+from ..placement import admission, control_plane, router, shard_table
 from ..tenancy.lease import Held
 
 FINDS = {
@@ -33,54 +33,54 @@
 def believes() -> None:
     """It takes a server to stand where it takes it to stand, whatever was told of it since."""
 
-    def inside(self: router.Placing, attempt: Any, regions: tuple) -> bool:
+    def inside(self: router.RouterPlacement, attempt: Any, regions: tuple) -> bool:
         return any(region is None or attempt.server.zone in region for region in regions)
 
-    router.Placing._inside = inside
+    router.RouterPlacement._inside = inside
 
 
 def inherits() -> None:
     """A tenant that is made again has the pins of whoever was there before."""
-    right = shards.Table.find
+    right = shard_table.ShardTable.find
 
-    def find(self: shards.Table, key: bytes) -> shards.Pin | None:
+    def find(self: shard_table.ShardTable, key: bytes) -> shard_table.KeyPlacement | None:
         head, _, own = key.partition(b"/")
         if head not in self.by_tenant and self.by_tenant:
             return self.by_tenant[min(self.by_tenant)].find(own)
         return right(self, key)
 
-    shards.Table.find = find
+    shard_table.ShardTable.find = find
 
 
 def strays() -> None:
     """It takes `only` for `prefer`, and goes on elsewhere where no server is left."""
-    shards.Terms.walked = lambda self: (*(frozenset(zones) for zones in self.zones), None)
+    shard_table.RegionAffinity.search_order = lambda self: (*(frozenset(zones) for zones in self.zones), None)
 
 
 def revives() -> None:
     """It serves anywhere what the keeper holds."""
-    right = shards.Terms.walked
-    shards.Terms.walked = lambda self: right(self) or (None,)
+    right = shard_table.RegionAffinity.search_order
+    shard_table.RegionAffinity.search_order = lambda self: right(self) or (None,)
 
 
 def shortens() -> None:
     """Of several prefixes the shortest wins."""
 
-    def find(self: shards.Rules, key: bytes) -> shards.Pin | None:
+    def find(self: shard_table.PrefixRules, key: bytes) -> shard_table.KeyPlacement | None:
         fits = (self.pins.get(key[:length]) for length in reversed(self.lengths))
         return next((pin for pin in fits if pin is not None), None)
 
-    shards.Rules.find = find
+    shard_table.PrefixRules.find = find
 
 
 def crams() -> None:
     """A keeper for which a region is never full."""
-    admission.Ground.room = lambda self, region: 1e9
+    admission.RegionCapacity.room = lambda self, region: 1e9
 
 
 def overruns() -> None:
     """A keeper that makes changes whatever revision they were made for."""
-    keeper._match = lambda row, match, shard: None
+    control_plane._match = lambda row, match, shard: None
 
 
 ROUTERS = {each.__name__: each for each in (dozes, believes, inherits, strays, revives, shortens)}
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -43,7 +43,7 @@
 from gaugehinge.net.deadlines import Clock, Deadlines
 from gaugehinge.net.list_update import ListUpdate, Target
 from gaugehinge.net.pool import Cargo, Pool, RespDialect
-from gaugehinge.placement.shards import Terms
+from gaugehinge.placement.shard_table import RegionAffinity
 from gaugehinge.rehearsal.drainsplay import woken, written_ago
 from gaugehinge.rehearsal.hostedplay import CHEAP
 from gaugehinge.rehearsal.plays import run_many
@@ -831,7 +831,7 @@
             made = await all_.desk.post("/v1/rolls", json={"who": {"all": True}, "kind": "servers"})
             assert made.json()["nodes"] == 2
             # One of the two is the last of a shard's zones once the other is out, whoever took it out.
-            rows = {"x": (SimpleNamespace(now=Terms(True, ("r",), (("a",),)), then=None), 1)}
+            rows = {"x": (SimpleNamespace(now=RegionAffinity(True, ("r",), (("a",),)), then=None), 1)}
             all_.admin.parts.append(SimpleNamespace(name="placement", desk=SimpleNamespace(rows=rows)))
             facts = all_.part.facts(all_.admin.keeper.store, 1e9)["servers"]
             last = all_.part._last_of_shard(facts)
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -13,8 +13,8 @@
 from gaugehinge.installation.form import RecoveryEntry
 from gaugehinge.net.list_update import read_list_update
 from gaugehinge.net.phase import Phase
-from gaugehinge.placement.forms import KeeperTold, RouterTold
-from gaugehinge.placement.router import placing
+from gaugehinge.placement.messages import ControlPlaneUpdate, RouterReport
+from gaugehinge.placement.router import attach_placement
 from gaugehinge.recovery.driver import Recovery
 from gaugehinge.recovery.evidence import Verdict
 from gaugehinge.recovery.opening import Stage
@@ -42,7 +42,7 @@
         client = httpx.AsyncClient(base_url="http://keeper", transport=httpx.MockTransport(self.keeper))
         self.follower = Follower(service, Roster(), Overlay(), client, None, 8)
         self.follower.begin()
-        self.placing = placing(service, self.follower)
+        self.placing = attach_placement(service, self.follower)
         nursery.start_soon(self.follower.run)
         self.recovery = Recovery(service, self.entry, KEY, self.follower)
         self.recovery.begin(nursery)
@@ -54,12 +54,12 @@
             return httpx.Response(401)
         report = msgspec.json.decode(request.content, type=Report)
         self.waits.append(report.wait)
-        said = msgspec.json.decode(report.parts["placement"], type=RouterTold)
+        said = msgspec.json.decode(report.parts["placement"], type=RouterReport)
         self.lists += [said.servers.servers] if said.servers is not None else []
         if len(self.waits) == 3:
             self.fed.set()
         await trio.sleep(min(report.wait, 0.05))
-        told = KeeperTold(1, "mark", report.since == 0, [], [], LEASE, 2 * LEASE, [], "")
+        told = ControlPlaneUpdate(1, "mark", report.since == 0, [], [], LEASE, 2 * LEASE, [], "")
         feed = Feed("store", 1, True, [], parts={"placement": msgspec.Raw(msgspec.json.encode(told))})
         return httpx.Response(200, content=msgspec.json.encode(feed))
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -17,18 +17,24 @@
 from gaugehinge.forms.toml import BadFile
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.installation.form import PlacementEntry
-from gaugehinge.placement.admission import Budget, Ground, Refused, Server
-from gaugehinge.placement.build import placed
-from gaugehinge.placement.keeper import Placement
-from gaugehinge.placement.life import NEXT, Event, Life, Stage, step
-from gaugehinge.placement.life import Refused as NotNow
-from gaugehinge.placement.servers import Servers, slices
-from gaugehinge.placement.shards import Row, Table, Terms
+from gaugehinge.placement.admission import AdmissionError, ChangeBudget, RegionCapacity, Server
+from gaugehinge.placement.build import with_placement
+from gaugehinge.placement.control_plane import PlacementControlPlane
+from gaugehinge.placement.lifecycle import (
+    TRANSITIONS,
+    Event,
+    InvalidTransitionError,
+    Lifecycle,
+    Stage,
+    transition,
+)
+from gaugehinge.placement.server_inventory import ServerInventory, split_server_list
+from gaugehinge.placement.shard_table import RegionAffinity, ShardAssignment, ShardTable
 from gaugehinge.policy import Router
 from gaugehinge.rehearsal.hostedplay import hosting
 
-EU, US = Terms(True, ("eu",), (("a",),)), Terms(True, ("us",), (("b",),))
-NEAR_EU = Terms(False, ("eu", "us"), (("a",), ("b",)))
+EU, US = RegionAffinity(True, ("eu",), (("a",),)), RegionAffinity(True, ("us",), (("b",),))
+NEAR_EU = RegionAffinity(False, ("eu", "us"), (("a",), ("b",)))
 
 
 # -- the table
@@ -41,11 +47,13 @@
 )
 def test_the_longest_prefix_wins_however_they_were_told(rules, keys):
     by_prefix = dict(rules)
-    rows = [Row(7, f"s{i}", (p,), terms, False, i) for i, (p, terms) in enumerate(by_prefix.items())]
-    table = Table()
+    rows = [
+        ShardAssignment(7, f"s{i}", (p,), terms, False, i) for i, (p, terms) in enumerate(by_prefix.items())
+    ]
+    table = ShardTable()
     for each in rows:
         table.change([each], [])
-    anew = Table()
+    anew = ShardTable()
     anew.change(reversed(rows), [], whole=True)
     for key in keys:
         fits = sorted((p for p in by_prefix if key.startswith(p)), key=len, reverse=True)
@@ -54,7 +62,7 @@
             found = each.find(b"7/" + key.encode())
             assert (found is None) is (not fits)
             if found is not None:
-                assert found.regions == (terms.walked() if terms else (None,))
+                assert found.regions == (terms.search_order() if terms else (None,))
                 assert found.only is bool(terms and terms.only)
         assert table.find(b"8/" + key.encode()) is None
     table.change([], [each.ident for each in rows])
@@ -63,7 +71,7 @@
 
 # -- admission
 
-GROUND = Ground(
+GROUND = RegionCapacity(
     {"eu": ("a", "b"), "us": ("c",), "ap": ("d",)},
     [
         Server("1", "a", 2.0, 0.0, True),
@@ -88,7 +96,7 @@
         (("eu",), 40.1, 409, "regions[0]", "up to 40.0, or first in us"),
         (("us",), 500.0, 409, "regions[0]", "up to 100.0, or first in no other region"),
     ]:
-        with pytest.raises(Refused) as bad:
+        with pytest.raises(AdmissionError) as bad:
             GROUND.check(asked, allowance)
         assert (bad.value.status, bad.value.field) == (status, field) and word in bad.value.detail
 
@@ -97,20 +105,20 @@
     shrunk = replace(GROUND, pinned={"eu": 300.0})
     shrunk.check(("eu",), 250.0, held=250.0)  # as it stands, and in other terms
     shrunk.check(("eu",), 80.0, held=250.0)
-    with pytest.raises(Refused) as bad:
+    with pytest.raises(AdmissionError) as bad:
         shrunk.check(("eu",), 250.1, held=250.0)
     assert bad.value.status == 409 and "up to 250.0" in bad.value.detail
-    with pytest.raises(Refused):
+    with pytest.raises(AdmissionError):
         shrunk.check(("eu",), 1.0)
-    with pytest.raises(Refused) as bad:
+    with pytest.raises(AdmissionError) as bad:
         replace(GROUND, servers=[], heard=False).check(("eu",), 1.0)
     assert bad.value.status == 503 and "again" in bad.value.detail
 
 
 def test_changes_of_a_tenant_fill_again_over_an_hour():
-    budget = Budget(2.0, 0.0)
+    budget = ChangeBudget(2.0, 0.0)
     budget = budget.take(2, 0.0).take(2, 0.0)
-    with pytest.raises(Refused) as bad:
+    with pytest.raises(AdmissionError) as bad:
         budget.take(2, 10.0)
     assert "1790 s" in bad.value.detail
     assert budget.take(2, 1800.0).left == pytest.approx(0.0)
@@ -119,24 +127,24 @@
 
 def test_a_list_of_servers_comes_in_slices_and_a_move_without_a_start_is_seen():
     told = [(f"s{i:03}", "a", 1.0, 5.0, True) for i in range(450)]
-    servers = Servers()
-    parts = slices(told)
+    servers = ServerInventory()
+    parts = split_server_list(told)
     assert len(parts) == 3
     assert not any(servers.hear("r", part) for part in (parts[2], parts[0])) and not servers.known
     servers.hear("r", parts[1])
     assert len(servers.known) == 450
     told[3] = ("s003", "b", 1.0, 5.0, True)
     told[4] = ("s004", "b", 1.0, 6.0, True)
-    found = [servers.hear("q", part) for part in slices(told[:-1])]
+    found = [servers.hear("q", part) for part in split_server_list(told[:-1])]
     assert found[-1] == {"a", "b"} and set(servers.unsure) == {"s003"}
     assert set(servers.left) == {"s449"} and ("s449", "a", 5.0) in servers.crowd()
-    servers.hear("r", slices([("s003", "b", 1.0, 7.0, True)])[0])
+    servers.hear("r", split_server_list([("s003", "b", 1.0, 7.0, True)])[0])
     assert not servers.unsure
     # A list of before: what it says of the zone is of a former start, whose address it may not be any more.
-    assert servers.hear("r", slices([("s003", "a", 1.0, 5.0, True)])[0]) == {"a", "b"}
+    assert servers.hear("r", split_server_list([("s003", "a", 1.0, 5.0, True)])[0]) == {"a", "b"}
     assert servers.unsure == {"s003": 5.0}
     for zone in "ba":  # routers that do not agree on it
-        assert not servers.hear("r", slices([("s003", zone, 1.0, 5.0, True)])[0])
+        assert not servers.hear("r", split_server_list([("s003", zone, 1.0, 5.0, True)])[0])
 
 
 # -- life
@@ -150,23 +158,31 @@
         following = set()
         for life in front:
             for event in Event:
-                terms = {Event.ASK: US, Event.LATER: EU}.get(event)
-                for wanted in [EU, US, NEAR_EU] if event is Event.ASK else [terms]:
+                terms = {Event.CHANGE_REQUESTED: US, Event.CHANGE_SCHEDULED: EU}.get(event)
+                for wanted in [EU, US, NEAR_EU] if event is Event.CHANGE_REQUESTED else [terms]:
                     try:
-                        after = step(life, event, wanted, 9.0 if event is Event.LATER else 0.0)
-                    except NotNow:
-                        assert life is not None or event not in (Event.ASK, Event.LATER, Event.LOST)
-                        assert life is None or (life.stage, event) not in NEXT or not life.left
+                        after = transition(
+                            life, event, wanted, 9.0 if event is Event.CHANGE_SCHEDULED else 0.0
+                        )
+                    except InvalidTransitionError:
+                        assert life is not None or event not in (
+                            Event.CHANGE_REQUESTED,
+                            Event.CHANGE_SCHEDULED,
+                            Event.PIN_LOST,
+                        )
+                        assert life is None or (life.stage, event) not in TRANSITIONS or not life.left
                         continue
                     before = life.now if life else None
-                    if after.now != before and event is not Event.LOST:
-                        assert life.stage is Stage.SPREADING and event is Event.FOLLOW and life.held
-                        assert after.held and after.stage in (Stage.MOVING, Stage.LEAVING)
+                    if after.now != before and event is not Event.PIN_LOST:
+                        assert (
+                            life.stage is Stage.PREPARING and event is Event.ROUTERS_CAUGHT_UP and life.held
+                        )
+                        assert after.held and after.stage in (Stage.MIGRATING, Stage.REMOVING)
                     if after.stage is Stage.CONFINED:
                         assert after.now.only and after.known
                     if after.known:
                         assert after.now is not None and after.now.only
-                    if after.stage in (Stage.MOVING, Stage.LEAVING) and life.stage is Stage.SPREADING:
+                    if after.stage in (Stage.MIGRATING, Stage.REMOVING) and life.stage is Stage.PREPARING:
                         assert after.far is not life.known
                     following.add(after)
         front = following - seen
@@ -175,13 +191,19 @@
 
 
 def test_a_pin_that_ends_is_gone_only_when_all_follow_and_marks_are_forgotten():
-    life = step(step(step(None, Event.ASK, EU), Event.FOLLOW), Event.FOLLOW)
-    assert life == Life(Stage.CONFINED, EU, held=True, known=True)
-    life = step(step(life, Event.REMOVE), Event.FOLLOW)
-    assert life.stage is Stage.LEAVING and life.now is None and not life.far
-    with pytest.raises(NotNow):
-        step(life, Event.FORGOTTEN)
-    assert step(step(life, Event.FOLLOW), Event.FORGOTTEN).stage is Stage.GONE
+    life = transition(
+        transition(transition(None, Event.CHANGE_REQUESTED, EU), Event.ROUTERS_CAUGHT_UP),
+        Event.ROUTERS_CAUGHT_UP,
+    )
+    assert life == Lifecycle(Stage.CONFINED, EU, held=True, known=True)
+    life = transition(transition(life, Event.REMOVAL_REQUESTED), Event.ROUTERS_CAUGHT_UP)
+    assert life.stage is Stage.REMOVING and life.now is None and not life.far
+    with pytest.raises(InvalidTransitionError):
+        transition(life, Event.DEDUPLICATION_EXPIRED)
+    assert (
+        transition(transition(life, Event.ROUTERS_CAUGHT_UP), Event.DEDUPLICATION_EXPIRED).stage
+        is Stage.REMOVED
+    )
 
 
 # -- the walk
@@ -280,7 +302,7 @@
         self.count = 0
 
     @property
-    def part(self) -> Placement:
+    def part(self) -> PlacementControlPlane:
         return self.all.administration.parts[0]
 
     async def put(self, shard, regions, status=200, match=None, key="", **more):
@@ -337,8 +359,8 @@
         servers=6,
         zones=("a", "b", "c"),
         lease=lease,
-        dress=placed,
-        parts=(lambda administration: Placement(administration, told),),
+        dress=with_placement,
+        parts=(lambda administration: PlacementControlPlane(administration, told),),
         placement=PlacementEntry(True),
         **more,
     ) as all_:
@@ -467,7 +489,9 @@
                 got = await desk.put("/v1/tenants/bolt/shards/b", json={**body, "allowance": 400})
                 assert got.status_code == 200
                 told, part = [], play.part
-                number = logger.add(lambda line: told.append(str(line)), filter="gaugehinge.placement.keeper")
+                number = logger.add(
+                    lambda line: told.append(str(line)), filter="gaugehinge.placement.control_plane"
+                )
                 try:
                     for state, word in (("gone", "less than"), ("ready", "again")):
                         play.all.directory.change("c-0", state=state)
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -24,9 +24,9 @@
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.hosted.roster import BadFeed, Roster
 from gaugehinge.net.list_update import ListUpdate, Target
-from gaugehinge.placement.forms import ShardWanted
-from gaugehinge.placement.keeper import Placement
-from gaugehinge.placement.router import Placing
+from gaugehinge.placement.control_plane import PlacementControlPlane
+from gaugehinge.placement.messages import ShardWanted
+from gaugehinge.placement.router import RouterPlacement
 from gaugehinge.store.store import Conflict, Store
 from gaugehinge.tenancy.feed import Report
 from gaugehinge.tenancy.lease import Held, Ledger
@@ -150,7 +150,9 @@
 class World:
     """All that plays, and its rules."""
 
-    def __init__(self, folder, kind=Placing, keeping=Placement, rates=(1.0, 1.0, 1.0)) -> None:
+    def __init__(
+        self, folder, kind=RouterPlacement, keeping=PlacementControlPlane, rates=(1.0, 1.0, 1.0)
+    ) -> None:
         self.now, self.runs, self.rates = 0.0, count(1), rates
         self.kind, self.keeping, self.path = kind, keeping, folder / "store.db"
         self.calls = []  # on their way to the keeper: router, report, when it was sent
@@ -406,14 +408,14 @@
     assert claimed > 2000, "little was claimed, and little shown"
 
 
-class Eager(Placing):
+class Eager(RouterPlacement):
     """Counts its lease from when the answer came."""
 
     def hear(self, feed, asked_at) -> None:
         super().hear(feed, self.clock())
 
 
-class Sleepy(Placing):
+class Sleepy(RouterPlacement):
     """Looks at its lease at the door alone."""
 
     def guard(self, attempt) -> bool:
@@ -424,7 +426,7 @@
             self.lease = held
 
 
-class Careless(Placing):
+class Careless(RouterPlacement):
     """Sends what is in hand by the placement that it came under."""
 
     def guard(self, attempt) -> bool:
@@ -435,7 +437,7 @@
         )
 
 
-class Forgetful(Placing):
+class Forgetful(RouterPlacement):
     """Repeats of deduplicated writes go as any operation."""
 
     def place(self, operation):
@@ -443,7 +445,7 @@
         return super().place(operation)
 
 
-class Trusting(Placement):
+class Trusting(PlacementControlPlane):
     """Takes what it told a router for what that follows."""
 
     def hear(self, report, now) -> None:
@@ -452,7 +454,7 @@
             held.revision = self.desk.rev
 
 
-class Hasty(Placement):
+class Hasty(PlacementControlPlane):
     """Knows of no leases that a former run gave."""
 
     def __init__(self, *given, **more) -> None:
@@ -460,14 +462,14 @@
         self.near.began = self.far.began = -1e9
 
 
-class Near(Placement):
+class Near(PlacementControlPlane):
     """Waits for leases alone where routers may act without one."""
 
     def acting(self, revision, far):
         return super().acting(revision, False)
 
 
-class Once(Placement):
+class Once(PlacementControlPlane):
     """Tells new terms at once, and holds repeats no longer than that takes."""
 
     def _for(self, ident, rev, true, span):
@@ -476,7 +478,7 @@
 
 @pytest.mark.parametrize("mutant", [Eager, Sleepy, Careless, Forgetful, Trusting, Hasty, Near, Once])
 def test_each_mutant_is_found(folder, mutant):
-    more = {"kind": mutant} if issubclass(mutant, Placing) else {"keeping": mutant}
+    more = {"kind": mutant} if issubclass(mutant, RouterPlacement) else {"keeping": mutant}
     for seed in range(150):
         try:
             played(folder / str(seed), seed, 250, **more)
