--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -115,22 +115,30 @@
 
 def keeper(count: int) -> tuple[float, float, int]:
     """Of the keeper's table: milliseconds of telling the whole, and nothing new; bytes of the whole."""
-    desk = ShardIndex(rev=count + 1)
+    index = ShardIndex(revision=count + 1)
     for told in rows(count):
-        terms = told.terms
-        desk._take(
+        terms = told.affinity
+        index._apply(
             f"{told.incarnation}/{told.shard}",
-            told.rev,
+            told.revision,
             msgspec.json.encode(
                 ShardRecord(
-                    told.incarnation, "t", told.shard, told.prefixes, 1.0, told.rev, "confined", 0.0, terms
+                    told.incarnation,
+                    "t",
+                    told.shard,
+                    told.prefixes,
+                    1.0,
+                    told.revision,
+                    "confined",
+                    0.0,
+                    terms,
                 )
             ),
         )
     began = time.process_time()
-    body = msgspec.json.encode(desk.told(0)[1])
+    body = msgspec.json.encode(index.changes_since(0)[1])
     whole = time.process_time() - began
-    nothing = each(lambda n: desk.told(count + 1), 200) / 1e3
+    nothing = each(lambda n: index.changes_since(count + 1), 200) / 1e3
     return 1e3 * whole, nothing, len(body)
 
 
--- a/gaugehinge/drains/keeper.py
+++ b/gaugehinge/drains/keeper.py
@@ -588,12 +588,12 @@
     def _last_of_shard(self, servers: dict[str, Fact]) -> Callable[[str, frozenset[str]], bool]:
         """Whether a server is the last that is up for some shard pinned with `only`, others being out."""
         placement = next((part for part in self.administration.parts if part.name == "placement"), None)
-        rows = placement.desk.rows.values() if placement is not None else ()
+        rows = placement.index.shards.values() if placement is not None else ()
         pinned = {
             frozenset(zone for region in terms.zones for zone in region)
             for row, _ in rows
-            for terms in (row.now, row.then)
-            if terms and terms.only
+            for terms in (row.current, row.target)
+            if terms and terms.required
         }
 
         def last(name: str, out: frozenset[str]) -> bool:
--- a/gaugehinge/placement/admission.py
+++ b/gaugehinge/placement/admission.py
@@ -19,8 +19,8 @@
     uid: str
     zone: str
     weight: float  # beside the others; 0: none is told, it counts as 1
-    started: float  # as discovery says; a server started anew has another one
-    up: bool  # takes something new
+    started_at: float  # as discovery says; a server started anew has another one
+    accepts_new: bool  # takes something new
 
 
 class AdmissionError(Exception):
@@ -37,60 +37,62 @@
 
     regions: Mapping[str, Sequence[str]]  # name to zones
     servers: Sequence[Server]
-    each: float  # operations a second that a server of weight 1 bears
-    pinned: Mapping[str, float]  # operations a second, by region, without the shard that is asked for
-    heard: bool = True  # whether any router has told of its list since the keeper's start
+    rate_per_weight: float  # operations a second that a server of weight 1 bears
+    reserved: Mapping[str, float]  # operations a second, by region, without the shard that is asked for
+    servers_known: bool = True  # whether any router has told of its list since the keeper's start
 
-    def bears(self, region: str) -> float:
+    def capacity(self, region: str) -> float:
         """Operations a second that a region bears with its heaviest zone or server lost."""
         weights: dict[str, list[float]] = defaultdict(list)
         for server in self.servers:
-            if server.up and server.zone in self.regions[region]:
+            if server.accepts_new and server.zone in self.regions[region]:
                 weights[server.zone].append(server.weight or 1.0)
         if not weights:
             return 0.0
         lost = max(max(zone) for zone in weights.values())
         if len(weights) > 1:
             lost = max(lost, *(sum(zone) for zone in weights.values()))
-        return self.each * (sum(sum(zone) for zone in weights.values()) - lost)
+        return self.rate_per_weight * (sum(sum(zone) for zone in weights.values()) - lost)
 
-    def room(self, region: str) -> float:
+    def available(self, region: str) -> float:
         """Operations a second that may still be pinned there."""
-        return max(self.bears(region) - self.pinned.get(region, 0.0), 0.0)
+        return max(self.capacity(region) - self.reserved.get(region, 0.0), 0.0)
 
-    def staffed(self, region: str) -> bool:
+    def has_servers(self, region: str) -> bool:
         """Whether a server stands there."""
-        return any(server.up and server.zone in self.regions[region] for server in self.servers)
+        return any(server.accepts_new and server.zone in self.regions[region] for server in self.servers)
 
-    def check(self, asked: Sequence[str], allowance: float, held: float = 0.0) -> None:
-        """A pin to regions in order; its load counts at the first one. `held`: operations a second for which
-        this shard counts there already. Raises AdmissionError."""
-        for place, name in enumerate(asked):
+    def check(self, regions: Sequence[str], allowance: float, already_reserved: float = 0.0) -> None:
+        """A pin to regions in order; its load counts at the first one. `already_reserved`: operations a
+        second for which this shard counts there already. Raises AdmissionError."""
+        for place, name in enumerate(regions):
             if name not in self.regions:
                 detail = f"{name!r} is none; accepted: {', '.join(sorted(self.regions))}"
                 raise AdmissionError(422, "unknown region", detail, f"regions[{place}]")
-            if name in asked[:place]:
+            if name in regions[:place]:
                 raise AdmissionError(422, "invalid", f"{name!r} is named twice", f"regions[{place}]")
-        if not self.heard:
+        if not self.servers_known:
             # Not that there is no server: a caller who is told that would give up.
             detail = "no router has told of its servers since the keeper's start; ask again in a moment"
             raise AdmissionError(503, "servers not known yet", detail, "regions")
-        for place, name in enumerate(asked):
-            if not self.staffed(name):
-                others = ", ".join(each for each in sorted(self.regions) if self.staffed(each)) or "none"
+        for place, name in enumerate(regions):
+            if not self.has_servers(name):
+                others = ", ".join(each for each in sorted(self.regions) if self.has_servers(each)) or "none"
                 detail = f"no server stands in {name!r}; accepted: {others}"
                 raise AdmissionError(409, "no server there", detail, f"regions[{place}]")
-        first = asked[0]
-        room = self.room(first)
+        first = regions[0]
+        room = self.available(first)
         # Where servers were lost behind a pin, no room is left: its own tenant may still take less of it, or
         # change its other terms.
-        if allowance > max(room, held) + 1e-9:
-            others = [each for each in sorted(self.regions) if each != first and self.room(each) >= allowance]
+        if allowance > max(room, already_reserved) + 1e-9:
+            others = [
+                each for each in sorted(self.regions) if each != first and self.available(each) >= allowance
+            ]
             told = ", ".join(others) or "no other region"
             detail = (
-                f"{first!r} bears {self.bears(first):.1f} operations a second with a zone or server lost, "
-                f"{self.pinned.get(first, 0.0):.1f} are pinned there; "
-                f"accepted: an allowance up to {max(room, held):.1f}, or first in {told}"
+                f"{first!r} bears {self.capacity(first):.1f} operations a second with a zone or server lost, "
+                f"{self.reserved.get(first, 0.0):.1f} are pinned there; "
+                f"accepted: an allowance up to {max(room, already_reserved):.1f}, or first in {told}"
             )
             raise AdmissionError(409, "region full", detail, "regions[0]")
 
@@ -99,18 +101,18 @@
 class ChangeBudget:
     """Changes that a tenant may still make: a bucket that fills again over an hour."""
 
-    left: float
-    at: float  # Unix seconds
+    remaining: float
+    updated_at: float  # Unix seconds
 
     def take(self, most: int, now: float) -> ChangeBudget:
         """One change less. Raises AdmissionError where none is left."""
-        left = min(self.left + max(now - self.at, 0.0) * most / 3600.0, float(most))
+        left = min(self.remaining + max(now - self.updated_at, 0.0) * most / 3600.0, float(most))
         if left < 1.0:
             wait = (1.0 - left) * 3600.0 / most
             raise AdmissionError(
                 429, "too many changes", f"{most} an hour; accepted again in {wait:.0f} s", ""
             )
-        return ChangeBudget(left - 1.0, max(now, self.at))
+        return ChangeBudget(left - 1.0, max(now, self.updated_at))
 
 
 def check_shard_count(standing: int, most: int) -> None:
--- a/gaugehinge/placement/control_plane.py
+++ b/gaugehinge/placement/control_plane.py
@@ -47,14 +47,14 @@
 from .shard_table import DEFAULT_SHARD, RegionAffinity
 
 SHARD_NAME = re.compile("[a-z][a-z0-9-]{0,62}")
-BUDGET, CROWD, NOTE = "shard-budget", "shard-crowd", "shard-note"
-UNSURE = "unsure"
+BUDGET, SERVER_SNAPSHOT, NOTE = "shard-budget", "shard-crowd", "shard-note"
+RELABELLED = "unsure"
 RECONCILE_INTERVAL = 0.1  # seconds between two looks while a shard is on its way
 IDLE_INTERVAL = 2.0  # while none is
 SWEEP_INTERVAL, SWEEP_LIMIT = 10.0, 10_000  # seconds; things of a kind looked at
 MAX_PENDING_LOST_PINS = 1024
 PREVIOUS_RUN = "a former run of the keeper"
-UNDER_WAY = (Stage.PREPARING.value, Stage.MIGRATING.value, Stage.REMOVING.value)
+IN_PROGRESS = (Stage.PREPARING.value, Stage.MIGRATING.value, Stage.REMOVING.value)
 
 
 class PlacementControlPlane:
@@ -70,22 +70,24 @@
         self.keeper = administration.keeper
         self.told = told
         self.clock = clock
-        self.desk = ShardIndex()
-        self.servers = ServerInventory()
+        self.index = ShardIndex()
+        self.inventory = ServerInventory()
         now = clock()
-        self.near = Ledger(now, administration.lease, grace=float(told.flight))
-        self.far = Ledger(now, float(told.alone), grace=float(told.flight))
-        self.doubts: dict[
+        self.leases = Ledger(now, administration.lease, grace=float(told.flight))
+        self.isolation_leases = Ledger(now, float(told.alone), grace=float(told.flight))
+        self.lost_pins: dict[
             tuple[int, str], LostPin
         ] = {}  # until they are written; MAX_PENDING_LOST_PINS of them
-        self.disturbed: set[str] = set()  # zones whose servers moved, until that is written
-        self.back = False  # a router acts by a history that this copy of the store does not have
-        self.since: dict[tuple[str, int], float] = {}  # when a condition was first seen; follows the work
-        self.ordered: frozenset[str] = frozenset()  # servers that operators let drain; follows the store
-        self.doubtful: dict[str, float] = {}  # servers whose zone changed without a start; likewise
-        self.crammed: set[str] = set()  # regions where more is pinned than they bear now
+        self.rezoned: set[str] = set()  # zones whose servers moved, until that is written
+        self.history_lost = False  # a router acts by a history that this copy of the store does not have
+        self.condition_since: dict[
+            tuple[str, int], float
+        ] = {}  # when a condition was first seen; follows the work
+        self.drained: frozenset[str] = frozenset()  # servers that operators let drain; follows the store
+        self.relabelled: dict[str, float] = {}  # servers whose zone changed without a start; likewise
+        self.overcommitted: set[str] = set()  # regions where more is pinned than they bear now
         self._wake = trio.Event()
-        self._note: tuple[int, list[tuple[str, float]]] = (0, [])
+        self._relabelled_cache: tuple[int, list[tuple[str, float]]] = (0, [])
 
     # -- routers
 
@@ -96,18 +98,21 @@
             told = msgspec.json.decode(report.parts.get(self.name, b"{}"), type=RouterReport)
         except msgspec.MsgspecError as bad:
             raise Wrong(422, "invalid", str(bad), "parts.placement") from None
-        known = bool(told.mark) and self.administration.told.get(told.have) == told.mark
-        revision = min(told.clear, told.have) if known else 0
+        known = (
+            bool(told.revision_digest)
+            and self.administration.told.get(told.table_revision) == told.revision_digest
+        )
+        revision = min(told.effective_revision, told.table_revision) if known else 0
         # A reader without the part follows nothing and is given nothing.
         if self.name in report.parts:
-            self.near.give(report.router, report.run, revision, self.administration.lease, now)
-            self.far.give(report.router, report.run, revision, float(self.told.alone), now)
-        if told.servers is not None:
-            self.disturbed |= self.servers.hear(report.router, told.servers)
-        for doubt in told.doubts:
-            if len(self.doubts) < MAX_PENDING_LOST_PINS:
-                self.doubts[doubt.incarnation, doubt.shard] = doubt
-        if self.desk.needs_work or self.doubts or self.disturbed:
+            self.leases.give(report.router, report.run, revision, self.administration.lease, now)
+            self.isolation_leases.give(report.router, report.run, revision, float(self.told.alone), now)
+        if told.server_chunk is not None:
+            self.rezoned |= self.inventory.add_chunk(report.router, told.server_chunk)
+        for doubt in told.lost_pins:
+            if len(self.lost_pins) < MAX_PENDING_LOST_PINS:
+                self.lost_pins[doubt.incarnation, doubt.shard] = doubt
+        if self.index.needs_work or self.lost_pins or self.rezoned:
             self._wake.set()
 
     def feed(self, store: Store, report: Report) -> bytes | None:
@@ -115,58 +120,62 @@
         if self.name not in report.parts:
             return None
         told = msgspec.json.decode(report.parts[self.name], type=RouterReport)
-        self.desk.refresh(store)
-        held = store.mark(told.have) if told.have else ""
-        back = bool(told.have) and held != told.mark and (told.have > store.rev or bool(held))
-        if back and not self.back:
-            self.back = True
+        self.index.refresh(store)
+        held = store.mark(told.table_revision) if told.table_revision else ""
+        back = (
+            bool(told.table_revision)
+            and held != told.revision_digest
+            and (told.table_revision > store.rev or bool(held))
+        )
+        if back and not self.history_lost:
+            self.history_lost = True
             logger.warning("placement: {} follows a history that this store does not have", report.router)
-        since = told.have if held and held == told.mark else 0
-        whole, rows, gone = self.desk.told(since)
+        since = told.table_revision if held and held == told.revision_digest else 0
+        whole, rows, gone = self.index.changes_since(since)
         who = (report.router, report.run)
-        noted = who in self.near.given and who in self.far.given
+        noted = who in self.leases.given and who in self.isolation_leases.given
         return msgspec.json.encode(
             ControlPlaneUpdate(
-                self.desk.rev,
-                self.administration.mark_of(self.desk.rev),
+                self.index.revision,
+                self.administration.mark_of(self.index.revision),
                 whole,
                 rows,
                 gone,
                 self.administration.lease if noted else 0.0,
                 float(self.told.alone) if noted else 0.0,
-                self._unsure(store),
-                self.servers.digest,
+                self._relabelled_servers(store),
+                self.inventory.digest,
                 back,
             )
         )
 
-    def _unsure(self, store: Store) -> list[tuple[str, float]]:
-        if self._note[0] != store.rev:
-            item = store.get(NOTE, UNSURE)
-            self._note = store.rev, _pairs(item.body) if item else []
-        return self._note[1]
+    def _relabelled_servers(self, store: Store) -> list[tuple[str, float]]:
+        if self._relabelled_cache[0] != store.rev:
+            item = store.get(NOTE, RELABELLED)
+            self._relabelled_cache = store.rev, _pairs(item.body) if item else []
+        return self._relabelled_cache[1]
 
-    def acting(self, revision: int, far: bool) -> list[str]:
+    def routers_behind(self, revision: int, without_lease: bool) -> list[str]:
         """Who may still act by a state older than a revision."""
-        ledger, now = self.far if far else self.near, self.clock()
+        ledger, now = self.isolation_leases if without_lease else self.leases, self.clock()
         former = [] if ledger.settled(now) else [PREVIOUS_RUN]
         return former + sorted({router for router, _ in ledger.acting_before(revision, now)})
 
-    def claims(self, row: ShardRecord) -> bool:
+    def is_confined(self, row: ShardRecord) -> bool:
         """Whether a shard may be called confined now.
 
         After a start of the keeper its store may be an older copy: routers then act by terms that it does
         not know, for as long as the leases of the run before last. Where one was seen to, also those count
         that act without a lease.
         """
-        ledger = self.far if self.back else self.near
+        ledger = self.isolation_leases if self.history_lost else self.leases
         return row.stage == Stage.CONFINED.value and ledger.settled(self.clock())
 
-    def grounds(self) -> set[frozenset[str]]:
+    def required_zone_sets(self) -> set[frozenset[str]]:
         """The zones of each `only` shard, now and after its move: whoever takes servers out leaves at least
         one that is up in each of these sets."""
-        rows = [row for row, _ in list(self.desk.rows.values())]
-        told = [terms for row in rows for terms in (row.now, row.then) if terms and terms.only]
+        rows = [row for row, _ in list(self.index.shards.values())]
+        told = [terms for row in rows for terms in (row.current, row.target) if terms and terms.required]
         return {frozenset(zone for zones in terms.zones for zone in zones) for terms in told if terms.zones}
 
     # -- what it does by itself
@@ -178,14 +187,14 @@
             tick = IDLE_INTERVAL
             try:
                 if not rezoned:
-                    await self._change(self._rezone, "keeper")
+                    await self._change(self._update_zones, "keeper")
                     rezoned = True
                 if self.clock() >= next_sweep:
                     await self._change(self._sweep, "keeper")
-                    self.near.sweep(self.clock())
-                    self.far.sweep(self.clock())
+                    self.leases.sweep(self.clock())
+                    self.isolation_leases.sweep(self.clock())
                     next_sweep = self.clock() + SWEEP_INTERVAL
-                tick = await self.look()
+                tick = await self.reconcile()
             except (Overloaded, Full) as bad:
                 logger.warning("placement not looked at: {}", bad)
             self._wake = trio.Event()
@@ -193,71 +202,80 @@
                 await self._wake.wait()
                 await trio.sleep(RECONCILE_INTERVAL / 4)  # several reports at once are one look
 
-    async def look(self) -> float:
+    async def reconcile(self) -> float:
         """One look; seconds until the next one, if nothing comes before."""
-        if self.doubts or self.disturbed:
-            doubts, disturbed = dict(self.doubts), set(self.disturbed)
-            await self._change(lambda store, now: self._alarms(store, now, doubts, disturbed), "keeper")
+        if self.lost_pins or self.rezoned:
+            doubts, disturbed = dict(self.lost_pins), set(self.rezoned)
+            await self._change(
+                lambda store, now: self._record_alarms(store, now, doubts, disturbed), "keeper"
+            )
             for ident in doubts:
-                self.doubts.pop(ident, None)
-            self.disturbed -= disturbed
-        work = await self.keeper.call(self._work)
+                self.lost_pins.pop(ident, None)
+            self.rezoned -= disturbed
+        work = await self.keeper.call(self._pending_shards)
         known = {(ident, rev) for ident, _, rev in work}
-        self.since = {each: at for each, at in self.since.items() if each in known}
+        self.condition_since = {each: at for each, at in self.condition_since.items() if each in known}
         events = {}
         for ident, row, rev in work:
-            event = self._event(ident, row, rev)
+            event = self._next_event(ident, row, rev)
             if event is not None:
                 events[ident] = event, rev
         if events:
-            await self._change(lambda store, now: self._carry_out(store, now, events), "keeper")
-        under_way = any(row.stage in UNDER_WAY for _, row, _ in work)
-        due = min((row.at - self.keeper.clock() for _, row, _ in work if row.at), default=IDLE_INTERVAL)
+            await self._change(lambda store, now: self._apply_events(store, now, events), "keeper")
+        under_way = any(row.stage in IN_PROGRESS for _, row, _ in work)
+        due = min(
+            (row.scheduled_at - self.keeper.clock() for _, row, _ in work if row.scheduled_at),
+            default=IDLE_INTERVAL,
+        )
         return RECONCILE_INTERVAL if under_way else min(max(due, RECONCILE_INTERVAL), IDLE_INTERVAL)
 
     async def _change(self, plan: Callable[[Store, float], list[Wanted]], who: str) -> None:
         """Conditional on what stands there: what changed meanwhile is left out, and seen at the next look."""
         await self.keeper.apply_planned(plan, who)
 
-    def _work(self) -> list[tuple[str, ShardRecord, int]]:
-        self.desk.refresh(self.keeper.store)
-        self._hear_store(self.keeper.store)
-        return [(ident, *self.desk.rows[ident]) for ident in sorted(self.desk.needs_work)]
+    def _pending_shards(self) -> list[tuple[str, ShardRecord, int]]:
+        self.index.refresh(self.keeper.store)
+        self._refresh_servers(self.keeper.store)
+        return [(ident, *self.index.shards[ident]) for ident in sorted(self.index.needs_work)]
 
-    def _event(self, ident: str, row: ShardRecord, rev: int) -> Event | None:
+    def _next_event(self, ident: str, row: ShardRecord, rev: int) -> Event | None:
         stage, wall = Stage(row.stage), self.keeper.clock()
-        if row.at and wall >= row.at and stage in (Stage.SCHEDULED, *SETTLED_STAGES):
-            stands = {server.zone for server in self._standing_servers() if server.up}
+        if row.scheduled_at and wall >= row.scheduled_at and stage in (Stage.SCHEDULED, *SETTLED_STAGES):
+            stands = {server.zone for server in self._placeable_servers() if server.accepts_new}
             return (
                 Event.SCHEDULE_DUE
-                if row.then and stands & {z for zones in row.then.zones for z in zones}
+                if row.target and stands & {z for zones in row.target.zones for z in zones}
                 else None
             )
         if stage is Stage.PREPARING:
-            return None if self.acting(rev, False) else Event.ROUTERS_CAUGHT_UP
-        if stage is Stage.MIGRATING or (stage is Stage.REMOVING and not row.left):
-            waits = self.acting(rev, row.far)
+            return None if self.routers_behind(rev, False) else Event.ROUTERS_CAUGHT_UP
+        if stage is Stage.MIGRATING or (stage is Stage.REMOVING and not row.removal_acknowledged):
+            waits = self.routers_behind(rev, row.may_serve_without_lease)
             return (
-                Event.ROUTERS_CAUGHT_UP if self._for(ident, rev, not waits, float(self.told.flight)) else None
+                Event.ROUTERS_CAUGHT_UP
+                if self._has_held_for(ident, rev, not waits, float(self.told.flight))
+                else None
             )
-        if row.held and stage in (*SETTLED_STAGES, Stage.REMOVING):
+        if row.retries_blocked and stage in (*SETTLED_STAGES, Stage.REMOVING):
             return (
-                Event.DEDUPLICATION_EXPIRED if self._for(ident, rev, True, float(self.told.memory)) else None
+                Event.DEDUPLICATION_EXPIRED
+                if self._has_held_for(ident, rev, True, float(self.told.memory))
+                else None
             )
         return None
 
-    def _for(self, ident: str, rev: int, true: bool, span: float) -> bool:
+    def _has_held_for(self, ident: str, rev: int, true: bool, span: float) -> bool:
         """Whether something has been true for so many seconds on end."""
         if not true:
-            self.since.pop((ident, rev), None)
+            self.condition_since.pop((ident, rev), None)
             return False
-        return self.clock() - self.since.setdefault((ident, rev), self.clock()) >= span
+        return self.clock() - self.condition_since.setdefault((ident, rev), self.clock()) >= span
 
-    def _carry_out(self, store: Store, now: float, events: dict[str, tuple[Event, int]]) -> list[Wanted]:
-        self.desk.refresh(store)
+    def _apply_events(self, store: Store, now: float, events: dict[str, tuple[Event, int]]) -> list[Wanted]:
+        self.index.refresh(store)
         wanted: list[Wanted] = []
         for ident, (event, rev) in events.items():
-            row, stands = self.desk.rows.get(ident, (None, 0))
+            row, stands = self.index.shards.get(ident, (None, 0))
             if row is None or stands != rev:
                 continue
             before = lifecycle_of(row)
@@ -267,68 +285,77 @@
                 logger.info("shard {} of {} gone", row.shard, row.tenant)
                 continue
             after = with_lifecycle(row, life, now)
-            if life.stage in SETTLED_STAGES or life.left:
-                after = msgspec.structs.replace(after, former=_former(row, life))
-            if event is Event.ROUTERS_CAUGHT_UP and life.now is not None and life.now.only:
-                after = self._note_copies(store, after, wanted, now)
+            if life.stage in SETTLED_STAGES or life.removal_acknowledged:
+                after = msgspec.structs.replace(after, former_rates=_former_rates(row, life))
+            if event is Event.ROUTERS_CAUGHT_UP and life.current is not None and life.current.required:
+                after = self._record_servers(store, after, wanted, now)
             if life.stage is not before.stage:
                 logger.info("shard {} of {} {}", row.shard, row.tenant, life.stage.value)
             wanted.append(Wanted(SHARD, ident, encode(after), rev))
         return wanted
 
-    def _note_copies(self, store: Store, row: ShardRecord, wanted: list[Wanted], now: float) -> ShardRecord:
+    def _record_servers(
+        self, store: Store, row: ShardRecord, wanted: list[Wanted], now: float
+    ) -> ShardRecord:
         """Who stands when a shard is told to move, and who when it is confined: copies may be left there."""
-        crowd = {tuple(each) for each in self._crowd(store, row.crowd)} | set(self.servers.crowd())
+        crowd = {tuple(each) for each in self._server_snapshot(store, row.server_snapshot)} | set(
+            self.inventory.snapshot()
+        )
         body = encode(sorted(crowd))
         name = xxh3_128_hexdigest(body)
-        if store.get(CROWD, name) is None and all(each.ident != name for each in wanted):
-            wanted.append(Wanted(CROWD, name, body, 0))
-        return msgspec.structs.replace(row, crowd=name, confined_at=now)
+        if store.get(SERVER_SNAPSHOT, name) is None and all(each.ident != name for each in wanted):
+            wanted.append(Wanted(SERVER_SNAPSHOT, name, body, 0))
+        return msgspec.structs.replace(row, server_snapshot=name, confined_at=now)
 
     @staticmethod
-    def _crowd(store: Store, name: str) -> list[tuple[str, str, float]]:
-        item = store.get(CROWD, name) if name else None
+    def _server_snapshot(store: Store, name: str) -> list[tuple[str, str, float]]:
+        item = store.get(SERVER_SNAPSHOT, name) if name else None
         return msgspec.json.decode(item.body, type=list[tuple[str, str, float]]) if item else []
 
-    def _rezone(self, store: Store, now: float) -> list[Wanted]:
+    def _update_zones(self, store: Store, now: float) -> list[Wanted]:
         """The keeper's file may name other zones for a region than when a shard was pinned to it."""
-        self.desk.refresh(store)
+        self.index.refresh(store)
         wanted = []
-        for ident, (row, rev) in self.desk.rows.items():
+        for ident, (row, rev) in self.index.shards.items():
             life = lifecycle_of(row)
-            aim = life.then if life.then is not None else life.now
-            if aim is None or life.end or not aim.regions or set(aim.regions) - set(self.told.regions):
+            aim = life.target if life.target is not None else life.current
+            if (
+                aim is None
+                or life.removal_requested
+                or not aim.regions
+                or set(aim.regions) - set(self.told.regions)
+            ):
                 continue
-            terms = self._terms(aim.regions, aim.only)
+            terms = self._affinity(aim.regions, aim.required)
             if terms == aim:
                 continue
-            event = Event.CHANGE_SCHEDULED if life.at else Event.CHANGE_REQUESTED
-            life = transition(life, event, terms, life.at)
+            event = Event.CHANGE_SCHEDULED if life.scheduled_at else Event.CHANGE_REQUESTED
+            life = transition(life, event, terms, life.scheduled_at)
             logger.info("shard {} of {}: its regions have other zones", row.shard, row.tenant)
             wanted.append(Wanted(SHARD, ident, encode(with_lifecycle(row, life, now)), rev))
         return wanted
 
     def _sweep(self, store: Store, now: float) -> list[Wanted]:
         """What belongs to tenants that are gone, and lists of servers that no shard names any more."""
-        self.desk.refresh(store)
-        self._look_at_room(store)
+        self.index.refresh(store)
+        self._check_capacity(store)
         stands = {number for number, _ in _tenants(store)}
-        gone = [each for each in self.desk.rows.items() if each[1][0].incarnation not in stands]
-        used = {row.crowd for row, _ in self.desk.rows.values()}
+        gone = [each for each in self.index.shards.items() if each[1][0].incarnation not in stands]
+        used = {row.server_snapshot for row, _ in self.index.shards.values()}
         wanted = [Wanted(SHARD, ident, None, rev) for ident, (_, rev) in gone]
         left = [item for item in store.items(BUDGET, "", SWEEP_LIMIT) if int(item.ident) not in stands]
         wanted += [Wanted(BUDGET, item.ident, None, item.rev) for item in left]
-        left = [item for item in store.items(CROWD, "", SWEEP_LIMIT) if item.ident not in used]
-        return wanted + [Wanted(CROWD, item.ident, None, item.rev) for item in left]
+        left = [item for item in store.items(SERVER_SNAPSHOT, "", SWEEP_LIMIT) if item.ident not in used]
+        return wanted + [Wanted(SERVER_SNAPSHOT, item.ident, None, item.rev) for item in left]
 
-    def _look_at_room(self, store: Store) -> None:
+    def _check_capacity(self, store: Store) -> None:
         """Pins stay where servers are lost behind them: that there is too little for them is told once."""
-        if not self.servers.digest:
+        if not self.inventory.digest:
             return
-        ground = self._ground(store, "")
+        ground = self._region_capacity(store, "")
         for region in self.told.regions:
-            bears, pinned = ground.bears(region), ground.pinned.get(region, 0.0)
-            if (pinned > bears) is (region in self.crammed):
+            bears, pinned = ground.capacity(region), ground.reserved.get(region, 0.0)
+            if (pinned > bears) is (region in self.overcommitted):
                 continue
             told = "less than" if pinned > bears else "again"
             logger.log(
@@ -339,18 +366,18 @@
                 bears,
                 pinned,
             )
-            self.crammed ^= {region}
+            self.overcommitted ^= {region}
 
-    def _alarms(
+    def _record_alarms(
         self, store: Store, now: float, doubts: dict[tuple[int, str], LostPin], disturbed: set[str]
     ) -> list[Wanted]:
-        self.desk.refresh(store)
+        self.index.refresh(store)
         wanted, names = [], dict(_tenants(store))
         for (incarnation, shard), doubt in doubts.items():
             ident = f"{incarnation}/{shard}"
-            row, rev = self.desk.rows.get(ident, (None, 0))
+            row, rev = self.index.shards.get(ident, (None, 0))
             if incarnation not in names or (
-                row and (rev > doubt.since or row.stage == Stage.QUARANTINED.value)
+                row and (rev > doubt.store_revision or row.stage == Stage.QUARANTINED.value)
             ):
                 continue
             life = transition(lifecycle_of(row) if row else None, Event.PIN_LOST)
@@ -362,13 +389,13 @@
             logger.warning("shard {} of {} held: a newer pin of it was lost", shard, names[incarnation])
             wanted.append(Wanted(SHARD, ident, encode(after), rev))
         if disturbed:
-            held = store.get(NOTE, UNSURE)
-            stand = {each.uid: each.started for each in self.servers.known.values()}
-            noted = dict(self._unsure(store)) | self.servers.unsure
+            held = store.get(NOTE, RELABELLED)
+            stand = {each.uid: each.started_at for each in self.inventory.current.values()}
+            noted = dict(self._relabelled_servers(store)) | self.inventory.relabelled
             unsure = [(uid, at) for uid, at in sorted(noted.items()) if stand.get(uid, at) == at]
-            wanted.append(Wanted(NOTE, UNSURE, encode(unsure), held.rev if held else 0))
-            for ident, (row, rev) in self.desk.rows.items():
-                zones = {zone for each in row.now.zones for zone in each} if row.now else set()
+            wanted.append(Wanted(NOTE, RELABELLED, encode(unsure), held.rev if held else 0))
+            for ident, (row, rev) in self.index.shards.items():
+                zones = {zone for each in row.current.zones for zone in each} if row.current else set()
                 if row.stage in (Stage.CONFINED.value, Stage.MIGRATING.value) and zones & disturbed:
                     after = with_lifecycle(row, transition(lifecycle_of(row), Event.ZONES_CHANGED), now)
                     wanted.append(Wanted(SHARD, ident, encode(after), rev))
@@ -392,8 +419,11 @@
         caller.need("reader", name)
 
         def look() -> list[ShardShown]:
-            kept, _ = self._standing(self.keeper.store, name)
-            return [self._shown(self.keeper.store, row, rev) for row, rev in self.desk.of(kept.incarnation)]
+            kept, _ = self._tenant_shards(self.keeper.store, name)
+            return [
+                self._view(self.keeper.store, row, rev)
+                for row, rev in self.index.for_incarnation(kept.incarnation)
+            ]
 
         return answer(ShardPage(await self.keeper.call(look)))
 
@@ -403,10 +433,10 @@
         caller.need("reader", name)
 
         def look() -> ShardShown:
-            kept, rows = self._standing(self.keeper.store, name)
-            if shard not in rows or rows[shard][0].ends:
+            kept, rows = self._tenant_shards(self.keeper.store, name)
+            if shard not in rows or rows[shard][0].is_ending:
                 raise Wrong(404, "not found", f"no shard {shard}")
-            return self._shown(self.keeper.store, *rows[shard])
+            return self._view(self.keeper.store, *rows[shard])
 
         found = await self.keeper.call(look)
         return answer(found, etag=found.revision)
@@ -419,7 +449,7 @@
         match = if_match(request) if request.headers.get("if-match") else None
 
         async def make(**key: Any) -> Response:
-            made = await self.ask(name, shard, wanted, match, caller.name, **key)
+            made = await self.put_shard(name, shard, wanted, match, caller.name, **key)
             return answer(made, 200, made.revision)
 
         return await once(self.administration, request, caller, body, make)
@@ -428,28 +458,28 @@
         """DELETE /v1/tenants/{name}/shards/{shard}."""
         name, shard = request.path_params["name"], request.path_params["shard"]
         caller.need("operator", name)
-        await self.remove(name, shard, if_match(request), caller.name)
+        await self.remove_shard(name, shard, if_match(request), caller.name)
         return Response(status_code=204)
 
-    async def ask(
+    async def put_shard(
         self, name: str, shard: str, wanted: ShardWanted, match: int | None, who: str, **key: Any
     ) -> ShardShown:
         """Pin a shard, or change its pin. Raises Wrong."""
 
         def plan(store: Store, now: float) -> list[Wanted]:
-            kept, rows = self._standing(store, name)
+            kept, rows = self._tenant_shards(store, name)
             row, rev = rows.get(shard, (None, 0))
-            _match(row, match, shard)
+            _check_revision(row, match, shard)
             try:
-                prefixes = _prefixes(shard, wanted, row, rows)
+                prefixes = _check_prefixes(shard, wanted, row, rows)
                 if row is None:
                     check_shard_count(len(rows), self.told.shards)
-                allowance = _afford(kept, rows, shard, wanted.allowance)
-                held = row.counted.get(wanted.regions[0], 0.0) if row else 0.0
-                ground = self._ground(store, f"{kept.incarnation}/{shard}")
+                allowance = _allocate_rate(kept, rows, shard, wanted.allowance)
+                held = row.rate_by_region.get(wanted.regions[0], 0.0) if row else 0.0
+                ground = self._region_capacity(store, f"{kept.incarnation}/{shard}")
                 ground.check(wanted.regions, allowance, held)
-                budget = self._spend(store, kept.incarnation, now)
-                terms = self._terms(wanted.regions, wanted.hold == "only")
+                budget = self._charge_budget(store, kept.incarnation, now)
+                terms = self._affinity(wanted.regions, wanted.hold == "only")
                 event = Event.CHANGE_SCHEDULED if wanted.at > now else Event.CHANGE_REQUESTED
                 life = transition(lifecycle_of(row) if row else None, event, terms, wanted.at)
             except AdmissionError as bad:
@@ -465,101 +495,109 @@
                 store.rev + 1,
                 life.stage.value,
                 now,
-                regions=wanted.regions,
-                hold=wanted.hold,
-                asked_allowance=wanted.allowance,
-                asked_at=wanted.at,
-                crowd=row.crowd if row else "",
+                requested_regions=wanted.regions,
+                requested_mode=wanted.hold,
+                requested_rate=wanted.allowance,
+                requested_start=wanted.at,
+                server_snapshot=row.server_snapshot if row else "",
                 confined_at=row.confined_at if row else 0.0,
-                former=_former(row, life),
+                former_rates=_former_rates(row, life),
             )
             ident = f"{kept.incarnation}/{shard}"
             return [Wanted(SHARD, ident, encode(with_lifecycle(after, life, now)), rev), budget]
 
-        made = await self.administration._change(plan, who, answer=self._answered, **key)
+        made = await self.administration._change(plan, who, answer=self._response_body, **key)
         self._wake.set()
-        return msgspec.json.decode(self._answered(made), type=ShardShown)
+        return msgspec.json.decode(self._response_body(made), type=ShardShown)
 
-    async def remove(self, name: str, shard: str, match: int, who: str) -> None:
+    async def remove_shard(self, name: str, shard: str, match: int, who: str) -> None:
         """Let a pin end. Raises Wrong."""
 
         def plan(store: Store, now: float) -> list[Wanted]:
-            kept, rows = self._standing(store, name)
+            kept, rows = self._tenant_shards(store, name)
             row, rev = rows.get(shard, (None, 0))
-            if row is None or row.ends:
+            if row is None or row.is_ending:
                 raise Wrong(404, "not found", f"no shard {shard}")
-            _match(row, match, shard)
+            _check_revision(row, match, shard)
             ident = f"{kept.incarnation}/{shard}"
             try:
-                budget = self._spend(store, kept.incarnation, now)
+                budget = self._charge_budget(store, kept.incarnation, now)
                 life = transition(lifecycle_of(row), Event.REMOVAL_REQUESTED)
             except AdmissionError as bad:
                 raise Wrong(bad.status, bad.what, bad.detail, bad.field) from None
             after = with_lifecycle(row, life, now)
-            after = msgspec.structs.replace(after, version=store.rev + 1, former=_former(row, life))
+            after = msgspec.structs.replace(
+                after, version=store.rev + 1, former_rates=_former_rates(row, life)
+            )
             return [Wanted(SHARD, ident, None if life.stage is Stage.REMOVED else encode(after), rev), budget]
 
         await self.administration._change(plan, who)
         self._wake.set()
 
-    def _answered(self, made: list[Any]) -> bytes:
+    def _response_body(self, made: list[Any]) -> bytes:
         row = msgspec.json.decode(made[0].body, type=ShardRecord)
-        return msgspec.json.encode(self._shown(None, row, made[0].rev))
+        return msgspec.json.encode(self._view(None, row, made[0].rev))
 
-    def _standing(self, store: Store, name: str) -> tuple[Kept, dict[str, tuple[ShardRecord, int]]]:
+    def _tenant_shards(self, store: Store, name: str) -> tuple[Kept, dict[str, tuple[ShardRecord, int]]]:
         item = store.get(TENANT, name)
         if item is None:
             raise Wrong(404, "not found", f"no tenant {name}")
         kept = msgspec.json.decode(item.body, type=Kept)
-        self.desk.refresh(store)
-        return kept, {row.shard: (row, rev) for row, rev in self.desk.of(kept.incarnation)}
+        self.index.refresh(store)
+        return kept, {row.shard: (row, rev) for row, rev in self.index.for_incarnation(kept.incarnation)}
 
-    def _ground(self, store: Store, without: str) -> RegionCapacity:
+    def _region_capacity(self, store: Store, without: str) -> RegionCapacity:
         """What pins are checked against, on the store's thread."""
         # A tenant that was removed, and that no router has anything of in hand, takes no room any more.
         over = {stone.incarnation for stone in _all(store, TOMBSTONE, Kept) if stone.clear}
         pinned: dict[str, float] = {}
-        for ident, (row, _) in self.desk.rows.items():
+        for ident, (row, _) in self.index.shards.items():
             if ident != without and row.incarnation not in over:
-                for region, counted in row.counted.items():
+                for region, counted in row.rate_by_region.items():
                     pinned[region] = pinned.get(region, 0.0) + counted
-        self._hear_store(store)
-        bears, heard = float(self.told.bears), bool(self.servers.digest)
-        return RegionCapacity(self.told.regions, self._standing_servers(), bears, pinned, heard)
+        self._refresh_servers(store)
+        bears, heard = float(self.told.bears), bool(self.inventory.digest)
+        return RegionCapacity(self.told.regions, self._placeable_servers(), bears, pinned, heard)
 
-    def _hear_store(self, store: Store) -> None:
-        self.ordered = frozenset(_idents(store, SERVER))
-        self.doubtful = {**dict(self._unsure(store)), **self.servers.unsure}
+    def _refresh_servers(self, store: Store) -> None:
+        self.drained = frozenset(_idents(store, SERVER))
+        self.relabelled = {**dict(self._relabelled_servers(store)), **self.inventory.relabelled}
 
-    def _standing_servers(self) -> list[Server]:
+    def _placeable_servers(self) -> list[Server]:
         """As routers told. What operators let drain takes nothing, and what changed zones without a start no
         key of an `only` shard: neither is room to pin to."""
         return [
-            replace(each, up=False)
-            if each.uid in self.ordered or self.doubtful.get(each.uid) == each.started
+            replace(each, accepts_new=False)
+            if each.uid in self.drained or self.relabelled.get(each.uid) == each.started_at
             else each
-            for each in list(self.servers.known.values())
+            for each in list(self.inventory.current.values())
         ]
 
-    def _spend(self, store: Store, incarnation: int, now: float) -> Wanted:
+    def _charge_budget(self, store: Store, incarnation: int, now: float) -> Wanted:
         held = store.get(BUDGET, str(incarnation))
         most = self.told.changes
         left, at = msgspec.json.decode(held.body, type=tuple[float, float]) if held else (most, now)
         budget = ChangeBudget(left, at).take(most, now)
-        return Wanted(BUDGET, str(incarnation), encode((budget.left, budget.at)), held.rev if held else 0)
+        return Wanted(
+            BUDGET, str(incarnation), encode((budget.remaining, budget.updated_at)), held.rev if held else 0
+        )
 
-    def _terms(self, regions: tuple[str, ...], only: bool) -> RegionAffinity:
+    def _affinity(self, regions: tuple[str, ...], only: bool) -> RegionAffinity:
         return RegionAffinity(only, tuple(regions), tuple(tuple(self.told.regions[name]) for name in regions))
 
-    def _shown(self, store: Store | None, row: ShardRecord, rev: int) -> ShardShown:
+    def _view(self, store: Store | None, row: ShardRecord, rev: int) -> ShardShown:
         life = lifecycle_of(row)
         stage, waits = row.stage, []
-        if stage == Stage.CONFINED.value and not self.claims(row):
+        if stage == Stage.CONFINED.value and not self.is_confined(row):
             stage, waits = Stage.MIGRATING.value, [PREVIOUS_RUN]
-        elif life.stage in (Stage.PREPARING, Stage.MIGRATING, Stage.REMOVING) and not life.left:
-            waits = self.acting(rev, life.far and life.stage is not Stage.PREPARING)
+        elif (
+            life.stage in (Stage.PREPARING, Stage.MIGRATING, Stage.REMOVING) and not life.removal_acknowledged
+        ):
+            waits = self.routers_behind(
+                rev, life.may_serve_without_lease and life.stage is not Stage.PREPARING
+            )
         until = row.confined_at + float(self.told.retention) if self.told.retention else 0.0
-        copies = self._copies(store, row, life) if store is not None and row.crowd else []
+        copies = self._copies(store, row, life) if store is not None and row.server_snapshot else []
         if until and self.keeper.clock() >= until:
             copies = []
         return ShardShown(
@@ -567,30 +605,30 @@
             row.incarnation,
             row.shard,
             row.prefixes,
-            row.regions,
-            row.hold,
-            row.asked_allowance,
-            row.asked_at,
-            row.allowance,
+            row.requested_regions,
+            row.requested_mode,
+            row.requested_rate,
+            row.requested_start,
+            row.reserved_rate,
             stage,
-            row.since,
+            row.stage_since,
             row.version,
-            _terms_shown(life.now),
-            _terms_shown(life.then),
-            row.held,
+            _terms_view(life.current),
+            _terms_view(life.target),
+            row.retries_blocked,
             waits[:20],
             copies,
             until,
         )
 
     def _copies(self, store: Store, row: ShardRecord, life: Lifecycle) -> list[Copy]:
-        if life.now is None or not life.now.only:
+        if life.current is None or not life.current.required:
             return []
-        inside = {zone for zones in life.now.zones for zone in zones}
-        anew = {uid: server.started for uid, server in self.servers.known.items()}
+        inside = {zone for zones in life.current.zones for zone in zones}
+        anew = {uid: server.started_at for uid, server in self.inventory.current.items()}
         return [
             Copy(uid, zone, started)
-            for uid, zone, started in self._crowd(store, row.crowd)
+            for uid, zone, started in self._server_snapshot(store, row.server_snapshot)
             if zone not in inside and anew.get(uid, started) == started
         ]
 
@@ -599,10 +637,12 @@
     return msgspec.json.decode(body, type=list[tuple[str, float]])
 
 
-def _afford(kept: Kept, rows: dict[str, tuple[ShardRecord, int]], shard: str, allowance: float) -> float:
+def _allocate_rate(
+    kept: Kept, rows: dict[str, tuple[ShardRecord, int]], shard: str, allowance: float
+) -> float:
     """What of its tenant's allowance a shard takes. Raises AdmissionError."""
     # What its tenant let end is its own again at once; at its region it counts until routers follow.
-    others = sum(row.allowance for name, (row, _) in rows.items() if name != shard and not row.ends)
+    others = sum(row.reserved_rate for name, (row, _) in rows.items() if name != shard and not row.is_ending)
     room = max(kept.allowance - others, 0.0)
     if allowance > room + 1e-9:
         detail = f"of {kept.allowance:.1f} the other shards have {others:.1f}; accepted: up to {room:.1f}"
@@ -610,15 +650,15 @@
     return allowance or room
 
 
-def _terms_shown(terms: RegionAffinity | None) -> TermsShown | None:
+def _terms_view(terms: RegionAffinity | None) -> TermsShown | None:
     if terms is None:
         return None
     zones = tuple(zone for each in terms.zones for zone in each)
-    return TermsShown("only" if terms.only else "prefer", terms.regions, zones)
+    return TermsShown("only" if terms.required else "prefer", terms.regions, zones)
 
 
-def _match(row: ShardRecord | None, match: int | None, shard: str) -> None:
-    row = None if row is not None and row.ends else row
+def _check_revision(row: ShardRecord | None, match: int | None, shard: str) -> None:
+    row = None if row is not None and row.is_ending else row
     if row is None and match is not None:
         raise Wrong(412, "precondition failed", f"no shard {shard}")
     if row is not None and match is None:
@@ -627,7 +667,7 @@
         raise Wrong(412, "precondition failed", f"it is at revision {row.version}", etag=row.version)
 
 
-def _prefixes(
+def _check_prefixes(
     shard: str, wanted: ShardWanted, row: ShardRecord | None, rows: dict[str, tuple[ShardRecord, int]]
 ) -> tuple[str, ...]:
     """The prefixes of a shard, once and for all. Raises Wrong."""
@@ -635,7 +675,7 @@
     if len(set(prefixes)) < len(prefixes):
         raise Wrong(422, "invalid", "one is told twice", "prefixes")
     if row is not None:
-        if (prefixes or row.ends) and set(prefixes) != set(row.prefixes):
+        if (prefixes or row.is_ending) and set(prefixes) != set(row.prefixes):
             raise Wrong(409, "conflict", "prefixes stay as they were made until it is gone", "prefixes")
         return row.prefixes
     if not SHARD_NAME.fullmatch(shard):
@@ -649,13 +689,13 @@
     return prefixes
 
 
-def _former(row: ShardRecord | None, life: Lifecycle) -> dict[str, float]:
+def _former_rates(row: ShardRecord | None, life: Lifecycle) -> dict[str, float]:
     """What a shard counts for at regions that routers may still act by: from when it is asked for something
     else until all follow. Else another tenant is given room that is still used."""
-    if row is None or life.left or (life.stage in SETTLED_STAGES and life.then is None):
+    if row is None or life.removal_acknowledged or (life.stage in SETTLED_STAGES and life.target is None):
         return {}
-    first = row.now.regions[0] if row.now is not None and row.now.regions else ""
-    return {**row.former, first: row.counted[first]} if first else row.former
+    first = row.current.regions[0] if row.current is not None and row.current.regions else ""
+    return {**row.former_rates, first: row.rate_by_region[first]} if first else row.former_rates
 
 
 def _all(store: Store, kind: str, form: type[Any]) -> Iterator[Any]:
--- a/gaugehinge/placement/lifecycle.py
+++ b/gaugehinge/placement/lifecycle.py
@@ -102,14 +102,16 @@
     """Of one shard."""
 
     stage: Stage
-    now: RegionAffinity | None = None  # that routers are told; None: as if there were no such shard
-    then: RegionAffinity | None = None  # that it goes to, or will go to at `at`
-    at: float = 0.0  # Unix seconds; 0: nothing is asked for a time
-    end: bool = False  # spreading towards its end
-    held: bool = False  # repeats are held
-    known: bool = False  # every router that may act knows its keys as `only`: cut off, it bounces them
-    far: bool = False  # some router may act by terms that let it serve on without a lease
-    left: bool = False  # leaving, and every router follows
+    current: RegionAffinity | None = None  # that routers are told; None: as if there were no such shard
+    target: RegionAffinity | None = None  # that it goes to, or will go to at `scheduled_at`
+    scheduled_at: float = 0.0  # Unix seconds; 0: nothing is asked for a time
+    removal_requested: bool = False  # spreading towards its end
+    retries_blocked: bool = False  # repeats are held
+    required_everywhere: bool = (
+        False  # every router that may act knows its keys as `only`: cut off, it bounces them
+    )
+    may_serve_without_lease: bool = False  # some router may act by terms that let it serve on without a lease
+    removal_acknowledged: bool = False  # leaving, and every router follows
 
 
 def transition(
@@ -122,34 +124,59 @@
         raise InvalidTransitionError(f"it is {stands}: that cannot be asked for now ({event.value})")
     life = life or Lifecycle(stage)
     if event is Event.PIN_LOST:
-        return Lifecycle(Stage.QUARANTINED, NOWHERE, held=True)
+        return Lifecycle(Stage.QUARANTINED, NOWHERE, retries_blocked=True)
     if event is Event.CHANGE_SCHEDULED:
-        return replace(life, stage=stage, then=terms, at=at)
+        return replace(life, stage=stage, target=terms, scheduled_at=at)
     if event is Event.CHANGE_REQUESTED:
-        if life.stage in SETTLED_STAGES and terms == life.now:
-            return replace(life, then=None, at=0.0)
-        return replace(life, stage=stage, then=terms, at=0.0, end=False, held=True, left=False)
+        if life.stage in SETTLED_STAGES and terms == life.current:
+            return replace(life, target=None, scheduled_at=0.0)
+        return replace(
+            life,
+            stage=stage,
+            target=terms,
+            scheduled_at=0.0,
+            removal_requested=False,
+            retries_blocked=True,
+            removal_acknowledged=False,
+        )
     if event is Event.SCHEDULE_DUE:
-        return replace(life, stage=stage, at=0.0, held=True)
+        return replace(life, stage=stage, scheduled_at=0.0, retries_blocked=True)
     if event is Event.REMOVAL_REQUESTED:
         if life.stage is Stage.REMOVING:
             return life
-        return replace(life, stage=stage, then=None, at=0.0, end=True, held=True)
+        return replace(
+            life, stage=stage, target=None, scheduled_at=0.0, removal_requested=True, retries_blocked=True
+        )
     if event is Event.ZONES_CHANGED:
         return replace(life, stage=stage)
     if event is Event.DEDUPLICATION_EXPIRED:
-        if life.stage is Stage.REMOVING and not life.left:
+        if life.stage is Stage.REMOVING and not life.removal_acknowledged:
             raise InvalidTransitionError("not every router follows yet")
-        return replace(life, stage=stage, held=False)
+        return replace(life, stage=stage, retries_blocked=False)
     return _followed(life, stage)
 
 
 def _followed(life: Lifecycle, stage: Stage) -> Lifecycle:
     if life.stage is Stage.PREPARING:
-        only = life.then is not None and life.then.only
-        told = replace(life, stage=Stage.REMOVING if life.end else stage, now=life.then, then=None, end=False)
-        return replace(told, far=not life.known, known=life.known and only)
+        only = life.target is not None and life.target.required
+        told = replace(
+            life,
+            stage=Stage.REMOVING if life.removal_requested else stage,
+            current=life.target,
+            target=None,
+            removal_requested=False,
+        )
+        return replace(
+            told,
+            may_serve_without_lease=not life.required_everywhere,
+            required_everywhere=life.required_everywhere and only,
+        )
     if life.stage is Stage.REMOVING:
-        return replace(life, left=True)
-    only = life.now is not None and life.now.only
-    return replace(life, stage=Stage.CONFINED if only else Stage.APPLIED, known=only, far=False)
+        return replace(life, removal_acknowledged=True)
+    only = life.current is not None and life.current.required
+    return replace(
+        life,
+        stage=Stage.CONFINED if only else Stage.APPLIED,
+        required_everywhere=only,
+        may_serve_without_lease=False,
+    )
--- a/gaugehinge/placement/messages.py
+++ b/gaugehinge/placement/messages.py
@@ -19,90 +19,139 @@
 ]  # uid, zone, weight, started, whether it takes something new
 
 
-class ServerListChunk(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ServerListChunk(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"offset": "first"}):
     """A part of a router's list of servers."""
 
     digest: Annotated[str, Meta(max_length=32, description="of the whole list")]
     count: Annotated[int, Meta(ge=0, le=MAX_SERVERS)]
-    first: Annotated[int, Meta(ge=0)]
+    offset: Annotated[int, Meta(ge=0)]
     servers: Annotated[list[ReportedServer], Meta(max_length=MAX_CHUNK_SERVERS)]
 
 
-class LostPin(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LostPin(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"store_revision": "since"}):
     """A pin that a router acted by and that the keeper's store, an older copy, does not have."""
 
     incarnation: int
     shard: Name
     prefixes: Annotated[tuple[str, ...], Meta(max_length=MAX_PREFIXES)]
-    since: Annotated[int, Meta(description="revision of the copy when the router first heard it")]
-
-
-class RouterReport(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    store_revision: Annotated[int, Meta(description="revision of the copy when the router first heard it")]
+
+
+class RouterReport(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={
+        "table_revision": "have",
+        "revision_digest": "mark",
+        "effective_revision": "clear",
+        "server_chunk": "servers",
+        "lost_pins": "doubts",
+    },
+):
     """A router's part of its report."""
 
-    have: Annotated[int, Meta(ge=0)] = 0  # revision of its table
-    mark: Annotated[str, Meta(max_length=32)] = ""  # of that revision
-    clear: Annotated[int, Meta(ge=0)] = 0  # no attempt is out that a table of this revision would not send
-    servers: ServerListChunk | None = None
-    doubts: Annotated[tuple[LostPin, ...], Meta(max_length=MAX_LOST_PINS)] = ()
-
-
-class ControlPlaneUpdate(msgspec.Struct, frozen=True):
+    table_revision: Annotated[int, Meta(ge=0)] = 0  # revision of its table
+    revision_digest: Annotated[str, Meta(max_length=32)] = ""  # of that revision
+    effective_revision: Annotated[int, Meta(ge=0)] = (
+        0  # no attempt is out that a table of this revision would not send
+    )
+    server_chunk: ServerListChunk | None = None
+    lost_pins: Annotated[tuple[LostPin, ...], Meta(max_length=MAX_LOST_PINS)] = ()
+
+
+class ControlPlaneUpdate(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "revision_digest": "mark",
+        "is_complete": "whole",
+        "assignments": "rows",
+        "removed": "gone",
+        "isolation_limit": "alone",
+        "relabelled": "unsure",
+        "server_list_digest": "servers",
+        "history_lost": "back",
+    },
+):
     """The keeper's part of the feed."""
 
     revision: int
-    mark: str
-    whole: bool
-    rows: list[ShardAssignment]
-    gone: list[tuple[int, str]]
+    revision_digest: str
+    is_complete: bool
+    assignments: list[ShardAssignment]
+    removed: list[tuple[int, str]]
     lease: float  # seconds, counted from when the router sent its call; 0: none
-    alone: float  # seconds after which a router that is cut off serves no tenant at all
-    unsure: list[tuple[str, float]]  # servers whose zone changed without a start, and when they started
-    servers: str  # digest of the list of servers that the keeper has; empty: none
-    back: bool = False  # this router's table is of a history that the store does not have
-
-
-class ShardRecord(msgspec.Struct, frozen=True):
+    isolation_limit: float  # seconds after which a router that is cut off serves no tenant at all
+    relabelled: list[tuple[str, float]]  # servers whose zone changed without a start, and when they started
+    server_list_digest: str  # digest of the list of servers that the keeper has; empty: none
+    history_lost: bool = False  # this router's table is of a history that the store does not have
+
+
+class ShardRecord(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "reserved_rate": "allowance",
+        "stage_since": "since",
+        "current": "now",
+        "target": "then",
+        "scheduled_at": "at",
+        "removal_requested": "end",
+        "retries_blocked": "held",
+        "required_everywhere": "known",
+        "may_serve_without_lease": "far",
+        "removal_acknowledged": "left",
+        "requested_regions": "regions",
+        "requested_mode": "hold",
+        "requested_rate": "asked_allowance",
+        "requested_start": "asked_at",
+        "server_snapshot": "crowd",
+        "former_rates": "former",
+    },
+):
     """One shard as the store has it."""
 
     incarnation: int
     tenant: str
     shard: str
     prefixes: tuple[str, ...]
-    allowance: float  # operations a second that count at its region
+    reserved_rate: float  # operations a second that count at its region
     version: int  # of what its tenant asked: the entity tag
     stage: str
-    since: float  # Unix seconds
-    now: RegionAffinity | None = None
-    then: RegionAffinity | None = None
-    at: float = 0.0
-    end: bool = False
-    held: bool = False
-    known: bool = False
-    far: bool = False
-    left: bool = False
-    regions: tuple[str, ...] = ()  # these four as its tenant asked for them last
-    hold: str = ""
-    asked_allowance: float = 0.0
-    asked_at: float = 0.0
-    crowd: str = ""  # servers that stood when it was confined: copies may be left there
+    stage_since: float  # Unix seconds
+    current: RegionAffinity | None = None
+    target: RegionAffinity | None = None
+    scheduled_at: float = 0.0
+    removal_requested: bool = False
+    retries_blocked: bool = False
+    required_everywhere: bool = False
+    may_serve_without_lease: bool = False
+    removal_acknowledged: bool = False
+    requested_regions: tuple[str, ...] = ()  # these four as its tenant asked for them last
+    requested_mode: str = ""
+    requested_rate: float = 0.0
+    requested_start: float = 0.0
+    server_snapshot: str = ""  # servers that stood when it was confined: copies may be left there
     confined_at: float = 0.0
-    former: dict[str, float] = {}  # on its way: operations a second at regions that routers may still act by
+    former_rates: dict[
+        str, float
+    ] = {}  # on its way: operations a second at regions that routers may still act by
 
     @property
-    def counted(self) -> dict[str, float]:
+    def rate_by_region(self) -> dict[str, float]:
         """Operations a second that count at regions: where it is, goes to, and may still be."""
-        found = dict(self.former)
-        for terms in (self.now, self.then):
+        found = dict(self.former_rates)
+        for terms in (self.current, self.target):
             if terms is not None and terms.regions:
                 first = terms.regions[0]
-                found[first] = max(found.get(first, 0.0), self.allowance)
+                found[first] = max(found.get(first, 0.0), self.reserved_rate)
         return found
 
     @property
-    def ends(self) -> bool:
+    def is_ending(self) -> bool:
         """Whether its tenant has let it end: by its name it is not there any more."""
-        return self.end or self.stage == "leaving"
+        return self.removal_requested or self.stage == "leaving"
 
 
 class ShardWanted(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/gaugehinge/placement/server_inventory.py
+++ b/gaugehinge/placement/server_inventory.py
@@ -31,49 +31,51 @@
     """The newest whole list that any router told, and servers that left it."""
 
     digest: str = ""
-    known: dict[str, Server] = field(default_factory=dict)  # of the newest list
-    left: dict[str, Server] = field(default_factory=dict)  # MAX_SERVERS of them
-    unsure: dict[str, float] = field(default_factory=dict)  # zone changed without a start: when it started
-    _parts: dict[tuple[str, str], dict[int, list[ReportedServer]]] = field(default_factory=dict)
+    current: dict[str, Server] = field(default_factory=dict)  # of the newest list
+    departed: dict[str, Server] = field(default_factory=dict)  # MAX_SERVERS of them
+    relabelled: dict[str, float] = field(
+        default_factory=dict
+    )  # zone changed without a start: when it started
+    _partial: dict[tuple[str, str], dict[int, list[ReportedServer]]] = field(default_factory=dict)
 
-    def hear(self, router: str, told: ServerListChunk) -> set[str]:
+    def add_chunk(self, router: str, told: ServerListChunk) -> set[str]:
         """A slice came; the zones whose servers changed places without a start, empty for most."""
         key = (router, told.digest)
-        parts = self._parts.setdefault(key, {})
-        parts[told.first] = told.servers
-        while len(self._parts) > MAX_PARTIAL_LISTS:
-            del self._parts[next(iter(self._parts))]
+        parts = self._partial.setdefault(key, {})
+        parts[told.offset] = told.servers
+        while len(self._partial) > MAX_PARTIAL_LISTS:
+            del self._partial[next(iter(self._partial))]
         whole = [each for first in sorted(parts) for each in parts[first]]
         if len(whole) < told.count:
             return set()
-        del self._parts[key]
+        del self._partial[key]
         if server_list_digest(whole) != told.digest or told.digest == self.digest:
             return set()
-        return self._take(told.digest, [Server(*each) for each in whole])
+        return self._replace(told.digest, [Server(*each) for each in whole])
 
-    def _take(self, digest: str, servers: Iterable[Server]) -> set[str]:
-        before, self.known = self.known, {server.uid: server for server in servers}
+    def _replace(self, digest: str, servers: Iterable[Server]) -> set[str]:
+        before, self.current = self.current, {server.uid: server for server in servers}
         disturbed: set[str] = set()
-        for uid, server in self.known.items():
-            old = before.get(uid) or self.left.pop(uid, None)
-            if uid in self.unsure and self.unsure[uid] != server.started:
-                del self.unsure[uid]
-            if old is None or old.zone == server.zone or server.started > old.started:
+        for uid, server in self.current.items():
+            old = before.get(uid) or self.departed.pop(uid, None)
+            if uid in self.relabelled and self.relabelled[uid] != server.started_at:
+                del self.relabelled[uid]
+            if old is None or old.zone == server.zone or server.started_at > old.started_at:
                 continue
             # Routers whose lists differ tell of one change again and again: what no key goes to any more
             # disturbs nobody a second time.
-            if self.unsure.get(uid) != server.started:
-                self.unsure[uid] = server.started
+            if self.relabelled.get(uid) != server.started_at:
+                self.relabelled[uid] = server.started_at
                 disturbed |= {old.zone, server.zone}
         for uid, server in before.items():
-            if uid not in self.known:
-                self.left[uid] = server
-        while len(self.left) > MAX_SERVERS:
-            del self.left[next(iter(self.left))]
+            if uid not in self.current:
+                self.departed[uid] = server
+        while len(self.departed) > MAX_SERVERS:
+            del self.departed[next(iter(self.departed))]
         self.digest = digest
         return disturbed
 
-    def crowd(self) -> list[tuple[str, str, float]]:
+    def snapshot(self) -> list[tuple[str, str, float]]:
         """Everything that may hold a copy now: uid, zone, started."""
-        stand = {**self.left, **self.known}
-        return [(each.uid, each.zone, each.started) for _, each in sorted(stand.items())]
+        stand = {**self.departed, **self.current}
+        return [(each.uid, each.zone, each.started_at) for _, each in sorted(stand.items())]
--- a/gaugehinge/placement/shard_table.py
+++ b/gaugehinge/placement/shard_table.py
@@ -27,34 +27,38 @@
 ]
 
 
-class RegionAffinity(msgspec.Struct, frozen=True):
+class RegionAffinity(msgspec.Struct, frozen=True, rename={"required": "only"}):
     """Where the keys of a shard go."""
 
-    only: bool  # bounced rather than served elsewhere
+    required: bool  # rejected rather than served elsewhere
     regions: tuple[str, ...]  # in order
     zones: tuple[tuple[str, ...], ...]  # of each region, as the keeper's file had them
 
     def search_order(self) -> tuple[Zones | None, ...]:
         """As an operation carries it."""
         told: tuple[Zones | None, ...] = tuple(frozenset(zones) for zones in self.zones)
-        return told if self.only else (*told, None)
+        return told if self.required else (*told, None)
 
 
 NOWHERE = RegionAffinity(True, (), ())
 
 
-class ShardAssignment(msgspec.Struct, frozen=True):
+class ShardAssignment(
+    msgspec.Struct,
+    frozen=True,
+    rename={"affinity": "terms", "retries_blocked": "held", "revision": "rev"},
+):
     """One shard as routers are told of it."""
 
     incarnation: int
     shard: str
     prefixes: tuple[str, ...]
-    terms: RegionAffinity | None  # None: as its keys would go without it
-    held: bool  # repeats of deduplicated writes get a final answer
-    rev: int  # of the store, at which this was decided
+    affinity: RegionAffinity | None  # None: as its keys would go without it
+    retries_blocked: bool  # repeats of deduplicated writes get a final answer
+    revision: int  # of the store, at which this was decided
 
     @property
-    def ident(self) -> tuple[int, str]:
+    def key(self) -> tuple[int, str]:
         """Its key in tables."""
         return self.incarnation, self.shard
 
@@ -64,9 +68,9 @@
     """What a key's shard means for an operation."""
 
     shard: str
-    only: bool
+    required: bool
     regions: tuple[Zones | None, ...]  # as `Operation.regions`
-    held: bool
+    retries_blocked: bool
 
     def allows(self, zone: str) -> bool:
         """Whether a server of this zone may be sent one of its keys."""
@@ -95,13 +99,13 @@
     pins: dict[bytes, KeyPlacement] = {}
     walks: dict[RegionAffinity, tuple[Zones | None, ...]] = {}
     for prefix, row in sorted(told, key=lambda each: len(each[0])):
-        if row.terms is None:
+        if row.affinity is None:
             above = PrefixRules(pins, _lengths(pins)).find(prefix)
-            only, search_order = (above.only, above.regions) if above else (False, ANYWHERE)
-            held = row.held or bool(above and above.held)
+            only, search_order = (above.required, above.regions) if above else (False, ANYWHERE)
+            held = row.retries_blocked or bool(above and above.retries_blocked)
         else:
-            only, held = row.terms.only, row.held
-            search_order = walks.setdefault(row.terms, row.terms.search_order())
+            only, held = row.affinity.required, row.retries_blocked
+            search_order = walks.setdefault(row.affinity, row.affinity.search_order())
         pins[prefix] = KeyPlacement(row.shard, only, search_order, held)
     return PrefixRules(pins, _lengths(pins))
 
@@ -134,7 +138,7 @@
             if self.rows.pop(ident, None) is not None:
                 touched.add(ident[0])
         for row in rows:
-            self.rows[row.ident] = row
+            self.rows[row.key] = row
             touched.add(row.incarnation)
         mine: dict[int, list[ShardAssignment]] = {incarnation: [] for incarnation in touched}
         for row in self.rows.values():
--- a/gaugehinge/rehearsal/misplaced.py
+++ b/gaugehinge/rehearsal/misplaced.py
@@ -75,12 +75,12 @@
 
 def crams() -> None:
     """A keeper for which a region is never full."""
-    admission.RegionCapacity.room = lambda self, region: 1e9
+    admission.RegionCapacity.available = lambda self, region: 1e9
 
 
 def overruns() -> None:
     """A keeper that makes changes whatever revision they were made for."""
-    control_plane._match = lambda row, match, shard: None
+    control_plane._check_revision = lambda row, match, shard: None
 
 
 ROUTERS = {each.__name__: each for each in (dozes, believes, inherits, strays, revives, shortens)}
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -831,8 +831,8 @@
             made = await all_.desk.post("/v1/rolls", json={"who": {"all": True}, "kind": "servers"})
             assert made.json()["nodes"] == 2
             # One of the two is the last of a shard's zones once the other is out, whoever took it out.
-            rows = {"x": (SimpleNamespace(now=RegionAffinity(True, ("r",), (("a",),)), then=None), 1)}
-            all_.admin.parts.append(SimpleNamespace(name="placement", desk=SimpleNamespace(rows=rows)))
+            rows = {"x": (SimpleNamespace(current=RegionAffinity(True, ("r",), (("a",),)), target=None), 1)}
+            all_.admin.parts.append(SimpleNamespace(name="placement", index=SimpleNamespace(shards=rows)))
             facts = all_.part.facts(all_.admin.keeper.store, 1e9)["servers"]
             last = all_.part._last_of_shard(facts)
             assert last("s-1", frozenset({"s-1", "s-2"})) and not last("s-1", frozenset({"s-1"}))
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -55,7 +55,7 @@
         report = msgspec.json.decode(request.content, type=Report)
         self.waits.append(report.wait)
         said = msgspec.json.decode(report.parts["placement"], type=RouterReport)
-        self.lists += [said.servers.servers] if said.servers is not None else []
+        self.lists += [said.server_chunk.servers] if said.server_chunk is not None else []
         if len(self.waits) == 3:
             self.fed.set()
         await trio.sleep(min(report.wait, 0.05))
@@ -110,7 +110,7 @@
         assert recovery.uptime() >= 1.0 and Stage.PARTS.value in recovery.order.missing
         failed = recovery.opening.writes.failed
         client = await all_.client()
-        while made.placing.bounced < 3:
+        while made.placing.rejected < 3:
             assert (await client.put()).startswith(b"-BUSY")
         assert recovery.opening.writes.failed == failed == 0
         made.placing.lease.renew(trio.current_time(), 60.0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -63,9 +63,9 @@
             assert (found is None) is (not fits)
             if found is not None:
                 assert found.regions == (terms.search_order() if terms else (None,))
-                assert found.only is bool(terms and terms.only)
+                assert found.required is bool(terms and terms.required)
         assert table.find(b"8/" + key.encode()) is None
-    table.change([], [each.ident for each in rows])
+    table.change([], [each.key for each in rows])
     assert not table.by_tenant and not table.rows
 
 
@@ -87,7 +87,7 @@
 
 
 def test_a_region_bears_what_is_left_with_its_heaviest_zone_or_server_lost():
-    assert GROUND.bears("eu") == 100.0 and GROUND.bears("us") == 100.0 and GROUND.bears("ap") == 0.0
+    assert GROUND.capacity("eu") == 100.0 and GROUND.capacity("us") == 100.0 and GROUND.capacity("ap") == 0.0
     GROUND.check(("eu", "us"), 40.0)
     for asked, allowance, status, field, word in [
         (("mars",), 1.0, 422, "regions[0]", "ap, eu, us"),
@@ -102,16 +102,16 @@
 
 
 def test_a_pin_that_outgrew_its_region_may_shrink_there_and_a_keeper_that_heard_nothing_says_so():
-    shrunk = replace(GROUND, pinned={"eu": 300.0})
-    shrunk.check(("eu",), 250.0, held=250.0)  # as it stands, and in other terms
-    shrunk.check(("eu",), 80.0, held=250.0)
+    shrunk = replace(GROUND, reserved={"eu": 300.0})
+    shrunk.check(("eu",), 250.0, already_reserved=250.0)  # as it stands, and in other terms
+    shrunk.check(("eu",), 80.0, already_reserved=250.0)
     with pytest.raises(AdmissionError) as bad:
-        shrunk.check(("eu",), 250.1, held=250.0)
+        shrunk.check(("eu",), 250.1, already_reserved=250.0)
     assert bad.value.status == 409 and "up to 250.0" in bad.value.detail
     with pytest.raises(AdmissionError):
         shrunk.check(("eu",), 1.0)
     with pytest.raises(AdmissionError) as bad:
-        replace(GROUND, servers=[], heard=False).check(("eu",), 1.0)
+        replace(GROUND, servers=[], servers_known=False).check(("eu",), 1.0)
     assert bad.value.status == 503 and "again" in bad.value.detail
 
 
@@ -121,8 +121,8 @@
     with pytest.raises(AdmissionError) as bad:
         budget.take(2, 10.0)
     assert "1790 s" in bad.value.detail
-    assert budget.take(2, 1800.0).left == pytest.approx(0.0)
-    assert budget.take(2, -50.0 + 3600.0).left == pytest.approx(0.972, abs=0.01)
+    assert budget.take(2, 1800.0).remaining == pytest.approx(0.0)
+    assert budget.take(2, -50.0 + 3600.0).remaining == pytest.approx(0.972, abs=0.01)
 
 
 def test_a_list_of_servers_comes_in_slices_and_a_move_without_a_start_is_seen():
@@ -130,21 +130,21 @@
     servers = ServerInventory()
     parts = split_server_list(told)
     assert len(parts) == 3
-    assert not any(servers.hear("r", part) for part in (parts[2], parts[0])) and not servers.known
-    servers.hear("r", parts[1])
-    assert len(servers.known) == 450
+    assert not any(servers.add_chunk("r", part) for part in (parts[2], parts[0])) and not servers.current
+    servers.add_chunk("r", parts[1])
+    assert len(servers.current) == 450
     told[3] = ("s003", "b", 1.0, 5.0, True)
     told[4] = ("s004", "b", 1.0, 6.0, True)
-    found = [servers.hear("q", part) for part in split_server_list(told[:-1])]
-    assert found[-1] == {"a", "b"} and set(servers.unsure) == {"s003"}
-    assert set(servers.left) == {"s449"} and ("s449", "a", 5.0) in servers.crowd()
-    servers.hear("r", split_server_list([("s003", "b", 1.0, 7.0, True)])[0])
-    assert not servers.unsure
+    found = [servers.add_chunk("q", part) for part in split_server_list(told[:-1])]
+    assert found[-1] == {"a", "b"} and set(servers.relabelled) == {"s003"}
+    assert set(servers.departed) == {"s449"} and ("s449", "a", 5.0) in servers.snapshot()
+    servers.add_chunk("r", split_server_list([("s003", "b", 1.0, 7.0, True)])[0])
+    assert not servers.relabelled
     # A list of before: what it says of the zone is of a former start, whose address it may not be any more.
-    assert servers.hear("r", split_server_list([("s003", "a", 1.0, 5.0, True)])[0]) == {"a", "b"}
-    assert servers.unsure == {"s003": 5.0}
+    assert servers.add_chunk("r", split_server_list([("s003", "a", 1.0, 5.0, True)])[0]) == {"a", "b"}
+    assert servers.relabelled == {"s003": 5.0}
     for zone in "ba":  # routers that do not agree on it
-        assert not servers.hear("r", split_server_list([("s003", zone, 1.0, 5.0, True)])[0])
+        assert not servers.add_chunk("r", split_server_list([("s003", zone, 1.0, 5.0, True)])[0])
 
 
 # -- life
@@ -170,20 +170,26 @@
                             Event.CHANGE_SCHEDULED,
                             Event.PIN_LOST,
                         )
-                        assert life is None or (life.stage, event) not in TRANSITIONS or not life.left
+                        assert (
+                            life is None
+                            or (life.stage, event) not in TRANSITIONS
+                            or not life.removal_acknowledged
+                        )
                         continue
-                    before = life.now if life else None
-                    if after.now != before and event is not Event.PIN_LOST:
+                    before = life.current if life else None
+                    if after.current != before and event is not Event.PIN_LOST:
                         assert (
-                            life.stage is Stage.PREPARING and event is Event.ROUTERS_CAUGHT_UP and life.held
+                            life.stage is Stage.PREPARING
+                            and event is Event.ROUTERS_CAUGHT_UP
+                            and life.retries_blocked
                         )
-                        assert after.held and after.stage in (Stage.MIGRATING, Stage.REMOVING)
+                        assert after.retries_blocked and after.stage in (Stage.MIGRATING, Stage.REMOVING)
                     if after.stage is Stage.CONFINED:
-                        assert after.now.only and after.known
-                    if after.known:
-                        assert after.now is not None and after.now.only
+                        assert after.current.required and after.required_everywhere
+                    if after.required_everywhere:
+                        assert after.current is not None and after.current.required
                     if after.stage in (Stage.MIGRATING, Stage.REMOVING) and life.stage is Stage.PREPARING:
-                        assert after.far is not life.known
+                        assert after.may_serve_without_lease is not life.required_everywhere
                     following.add(after)
         front = following - seen
         seen |= following
@@ -195,9 +201,9 @@
         transition(transition(None, Event.CHANGE_REQUESTED, EU), Event.ROUTERS_CAUGHT_UP),
         Event.ROUTERS_CAUGHT_UP,
     )
-    assert life == Lifecycle(Stage.CONFINED, EU, held=True, known=True)
+    assert life == Lifecycle(Stage.CONFINED, EU, retries_blocked=True, required_everywhere=True)
     life = transition(transition(life, Event.REMOVAL_REQUESTED), Event.ROUTERS_CAUGHT_UP)
-    assert life.stage is Stage.REMOVING and life.now is None and not life.far
+    assert life.stage is Stage.REMOVING and life.current is None and not life.may_serve_without_lease
     with pytest.raises(InvalidTransitionError):
         transition(life, Event.DEDUPLICATION_EXPIRED)
     assert (
@@ -370,7 +376,7 @@
         async with httpx.AsyncClient(base_url=all_.api, headers=headers) as desk:
             play = Play(all_, secret, desk)
             with trio.fail_after(20):
-                while not play.part.servers.known or not all(
+                while not play.part.inventory.current or not all(
                     f.parts[0].lease.good(trio.current_time()) and f.roster.by_credential
                     for f in all_.followers
                 ):
@@ -401,7 +407,7 @@
             made = await play.put("mine", ["eu"], prefixes=["eu/"], allowance=100)
             shown = await play.until("mine", "confined")
             assert shown["now"] == {"hold": "only", "regions": ["eu"], "zones": ["a"]}
-            assert play.part.grounds() == {frozenset("a")}
+            assert play.part.required_zone_sets() == {frozenset("a")}
             assert {copy["server"] for copy in shown["copies"]} == {"c-1", "c-2", "c-4", "c-5"}
             play.forget()
             for router in (0, 1):
@@ -496,10 +502,10 @@
                     for state, word in (("gone", "less than"), ("ready", "again")):
                         play.all.directory.change("c-0", state=state)
                         with trio.fail_after(10):
-                            while ("c-0" in part.servers.known) is (state == "gone"):
+                            while ("c-0" in part.inventory.current) is (state == "gone"):
                                 await trio.sleep(0.02)
                         for _ in range(2):
-                            await part.keeper.call(lambda: part._look_at_room(part.keeper.store))
+                            await part.keeper.call(lambda: part._check_capacity(part.keeper.store))
                         assert [word in line for line in told if "region eu bears" in line][-1:] == [True]
                         if state == "gone":
                             tag = {"If-Match": got.headers["etag"]}
@@ -574,7 +580,7 @@
                     play.all.directory.change(uid, zone="c")
                 await play.put("two", ["ap"], prefixes=["2"], allowance=1)
                 with trio.fail_after(20):
-                    while len(play.part.servers.unsure) < 2:
+                    while len(play.part.inventory.relabelled) < 2:
                         await trio.sleep(0.02)
                 got = await play.put("three", ["ap"], 409, prefixes=["3"], allowance=1001)
                 assert "'ap' bears 1000.0" in got.json()["detail"], "of four there two take no key"
@@ -601,7 +607,7 @@
             with trio.fail_after(10):
                 while "c-0" in part.servers:
                     await trio.sleep(0.02)
-            part.unsure = {}
+            part.reported_relabelled = {}
             play.all.directory.change("c-0", state="ready", zone="b")
             with trio.fail_after(10):
                 while "c-0" not in part.servers:
@@ -747,7 +753,7 @@
             served(await play.read(0, *soft))
             assert play.zones(*soft) == {"b"} and not play.zones(*KEYS)
             with trio.fail_after(10):
-                while any(server.zone == "a" for server in play.part.servers.known.values()):
+                while any(server.zone == "a" for server in play.part.inventory.current.values()):
                     await trio.sleep(0.02)
             got = await play.put("late", ["eu"], 409, prefixes=["late"], allowance=1)
             assert "accepted: ap, us" in got.json()["detail"]
@@ -762,7 +768,7 @@
             await play.until("mine", "confined")
             play.all.directory.change("c-0", zone="b")
             with trio.fail_after(10):
-                while not all(f.parts[0].unsure for f in play.all.followers):
+                while not all(f.parts[0].reported_relabelled for f in play.all.followers):
                     await trio.sleep(0.02)
             await play.until("mine", "confined")
             play.forget()
@@ -879,16 +885,16 @@
                     body = {"router": "r", "run": "x", "parts": {"placement": part}}
                     got = await router.post("/v1/feed", json=body)
                     assert got.status_code == 422 and got.json()["field"] == "parts.placement"
-                assert ("r", "x") not in play.part.near.given
+                assert ("r", "x") not in play.part.leases.given
                 # one that does not speak of placement is told nothing of it, and holds nobody up
                 got = await router.post("/v1/feed", json={"router": "r", "run": "x"})
                 assert got.status_code == 200 and got.json()["parts"] == {}
-                assert ("r", "x") not in play.part.near.given
+                assert ("r", "x") not in play.part.leases.given
                 # a table of marks that nobody told counts as none
                 told = {"have": 5, "mark": "ff" * 16, "clear": 5}
                 body = {"router": "r", "run": "x", "parts": {"placement": told}}
                 got = await router.post("/v1/feed", json=body)
                 assert got.json()["parts"]["placement"]["whole"] is True
-                assert play.part.near.given["r", "x"].revision == 0
+                assert play.part.leases.given["r", "x"].revision == 0
 
     run(scene)
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -253,20 +253,20 @@
 
     def look(self) -> None:
         with suppress(Conflict):
-            done(self.part.look())
+            done(self.part.reconcile())
 
     def put(self, shard: str, regions: tuple[str, ...], hold: str) -> None:
         with suppress(Wrong):
-            held = self.part.desk.rows.get(f"1/{shard}")
-            match = held[0].version if held and not held[0].ends else None
+            held = self.part.index.shards.get(f"1/{shard}")
+            match = held[0].version if held and not held[0].is_ending else None
             wanted = ShardWanted(regions, (SHARDS[shard],), hold, 1.0)
-            done(self.part.ask("acme", shard, wanted, match, "t"))
+            done(self.part.put_shard("acme", shard, wanted, match, "t"))
 
     def remove(self, shard: str) -> None:
-        held = self.part.desk.rows.get(f"1/{shard}")
+        held = self.part.index.shards.get(f"1/{shard}")
         if held:
             with suppress(Wrong):
-                done(self.part.remove("acme", shard, held[0].version, "t"))
+                done(self.part.remove_shard("acme", shard, held[0].version, "t"))
 
     def begin(self, number: int, key: int) -> None:
         """An operation comes in, and is in hand."""
@@ -302,13 +302,13 @@
     def claims(self) -> dict[bytes, set[str]]:
         """Zones that keys are said to be confined to, by the rows as they stand."""
         found = {}
-        self.part.desk.refresh(self.stub.store)
-        rows = [row for row, _ in self.part.desk.rows.values() if row.stage != "asked"]
+        self.part.index.refresh(self.stub.store)
+        rows = [row for row, _ in self.part.index.shards.values() if row.stage != "asked"]
         for key in KEYS:
             fits = [r for r in rows if key[2:].decode().startswith(r.prefixes[0])]
             row = max(fits, key=lambda r: len(r.prefixes[0]), default=None)
-            if row is not None and self.part.claims(row):
-                found[key] = {zone for zones in row.now.zones for zone in zones}
+            if row is not None and self.part.is_confined(row):
+                found[key] = {zone for zones in row.current.zones for zone in zones}
         self.claimed += len(found)
         return found
 
@@ -380,7 +380,7 @@
             world.talk(number)
         world.look()
         world.advance(0.4)
-    assert "confined" in {row.stage for row, _ in world.part.desk.rows.values()}
+    assert "confined" in {row.stage for row, _ in world.part.index.shards.values()}
 
 
 def played(folder, seed: int, steps: int, rates=(), **mutant) -> World:
@@ -450,8 +450,8 @@
 
     def hear(self, report, now) -> None:
         super().hear(report, now)
-        for held in self.near.given.values():
-            held.revision = self.desk.rev
+        for held in self.leases.given.values():
+            held.revision = self.index.revision
 
 
 class Hasty(PlacementControlPlane):
@@ -459,21 +459,21 @@
 
     def __init__(self, *given, **more) -> None:
         super().__init__(*given, **more)
-        self.near.began = self.far.began = -1e9
+        self.leases.began = self.isolation_leases.began = -1e9
 
 
 class Near(PlacementControlPlane):
     """Waits for leases alone where routers may act without one."""
 
-    def acting(self, revision, far):
-        return super().acting(revision, False)
+    def routers_behind(self, revision, without_lease):
+        return super().routers_behind(revision, False)
 
 
 class Once(PlacementControlPlane):
     """Tells new terms at once, and holds repeats no longer than that takes."""
 
-    def _for(self, ident, rev, true, span):
-        return super()._for(ident, rev, true, 0.0)
+    def _has_held_for(self, ident, rev, true, span):
+        return super()._has_held_for(ident, rev, true, 0.0)
 
 
 @pytest.mark.parametrize("mutant", [Eager, Sleepy, Careless, Forgetful, Trusting, Hasty, Near, Once])
