--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -20,9 +20,10 @@
 
 from helper import READ, Bench, Outcome, origin_row, row  # noqa: E402
 
-from gaugehinge.placement.messages import ShardRecord  # noqa: E402
+from gaugehinge.placement.affinity import RegionAffinity  # noqa: E402
+from gaugehinge.placement.records import ShardRecord  # noqa: E402
 from gaugehinge.placement.shard_index import ShardIndex  # noqa: E402
-from gaugehinge.placement.shard_table import RegionAffinity, ShardAssignment, ShardTable  # noqa: E402
+from gaugehinge.placement.shard_table import ShardAssignment, ShardTable  # noqa: E402
 
 TENANT_SHARDS = 64
 ROUNDS, EACH = 7, 20_000
--- a/gaugehinge/placement/admission.py
+++ b/gaugehinge/placement/admission.py
@@ -95,27 +95,3 @@
                 f"accepted: an allowance up to {max(room, already_reserved):.1f}, or first in {told}"
             )
             raise AdmissionError(409, "region full", detail, "regions[0]")
-
-
-@dataclass(slots=True, frozen=True)
-class ChangeBudget:
-    """Changes that a tenant may still make: a bucket that fills again over an hour."""
-
-    remaining: float
-    updated_at: float  # Unix seconds
-
-    def take(self, most: int, now: float) -> ChangeBudget:
-        """One change less. Raises AdmissionError where none is left."""
-        left = min(self.remaining + max(now - self.updated_at, 0.0) * most / 3600.0, float(most))
-        if left < 1.0:
-            wait = (1.0 - left) * 3600.0 / most
-            raise AdmissionError(
-                429, "too many changes", f"{most} an hour; accepted again in {wait:.0f} s", ""
-            )
-        return ChangeBudget(left - 1.0, max(now, self.updated_at))
-
-
-def check_shard_count(standing: int, most: int) -> None:
-    """One more shard of a tenant. Raises AdmissionError."""
-    if standing >= most:
-        raise AdmissionError(409, "too many shards", f"{standing} stand; accepted: {most} at most", "")
--- a/gaugehinge/placement/lifecycle.py
+++ b/gaugehinge/placement/lifecycle.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from .shard_table import NOWHERE, RegionAffinity
+from .affinity import NOWHERE, RegionAffinity
 
 
 class Stage(Enum):
--- /dev/null
+++ b/gaugehinge/placement/quarantine.py
@@ -0,0 +1,46 @@
+"""Pins that a store put back to an older copy has lost, as routers report them."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from loguru import logger
+from msgspec.structs import replace
+
+from ..store.store import Store, Wanted, encode
+from .lifecycle import Event, Stage, transition
+from .messages import LostPin
+from .records import SHARD, ShardRecord, lifecycle_of, record_id, with_lifecycle
+from .shard_index import ShardIndex
+from .store_reader import tenant_names
+
+
+def quarantine_changes(
+    store: Store, index: ShardIndex, lost_pins: Mapping[tuple[int, str], LostPin], now: float
+) -> list[Wanted]:
+    """Changes that quarantine each shard whose newer pin was lost; its tenant has to ask anew.
+
+    Left out are pins of tenants that do not exist, shards that were changed after the router first heard of
+    the older copy, and shards that are quarantined already. `now`: Unix seconds. On the store's thread.
+    """
+    names = tenant_names(store)
+    changes = []
+    for (incarnation, shard), lost in lost_pins.items():
+        found, revision = index.shards.get(record_id(incarnation, shard), (None, 0))
+        if incarnation not in names or (found is not None and _is_settled(found, revision, lost)):
+            continue
+        record = found or _empty_record(store, names[incarnation], lost, now)
+        lifecycle = transition(lifecycle_of(found) if found else None, Event.PIN_LOST)
+        after = replace(with_lifecycle(record, lifecycle, now), version=store.rev + 1)
+        logger.warning("shard {} of {} held: a newer pin of it was lost", shard, names[incarnation])
+        changes.append(Wanted(SHARD, record_id(incarnation, shard), encode(after), revision))
+    return changes
+
+
+def _is_settled(record: ShardRecord, revision: int, lost: LostPin) -> bool:
+    return revision > lost.store_revision or record.stage == Stage.QUARANTINED.value
+
+
+def _empty_record(store: Store, tenant: str, lost: LostPin, now: float) -> ShardRecord:
+    """A record of a shard that this copy of the store never had; its stage is set by the transition."""
+    return ShardRecord(lost.incarnation, tenant, lost.shard, lost.prefixes, 0.0, store.rev + 1, "", now)
--- /dev/null
+++ b/gaugehinge/placement/reconciler.py
@@ -0,0 +1,209 @@
+"""Brings shards on from one stage of their lifecycle to the next, as routers follow and time passes."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Hashable, Mapping
+from dataclasses import dataclass
+
+import msgspec
+from loguru import logger
+
+from ..admin.keep import KeepPlacement
+from ..store.keeper import StoreKeeper
+from ..store.store import Store, Wanted, encode
+from .lease_tracker import LeaseTracker
+from .lifecycle import SETTLED_STAGES, Event, Stage, transition
+from .messages import LostPin
+from .quarantine import quarantine_changes
+from .records import SHARD, ShardRecord, former_rates, lifecycle_of, with_lifecycle
+from .server_availability import ServerAvailability
+from .server_snapshots import add_present_servers
+from .shard_index import ShardIndex
+from .zone_changes import relabelled_changes
+
+RECONCILE_INTERVAL = 0.1  # seconds between two passes while a shard is in progress
+IDLE_INTERVAL = 2.0  # seconds between two passes while none is
+MAX_PENDING_LOST_PINS = 1024
+IN_PROGRESS = (Stage.PREPARING.value, Stage.MIGRATING.value, Stage.REMOVING.value)
+AUTHOR = "keeper"  # of the control plane's own changes, in the audit log
+
+
+@dataclass(slots=True, frozen=True)
+class PendingShard:
+    """A shard that the control plane has to bring on, as it is at a revision of the store."""
+
+    record_id: str
+    record: ShardRecord
+    revision: int
+
+
+class ConditionTimer:
+    """Since when conditions have held without a break."""
+
+    def __init__(self, clock: Callable[[], float]) -> None:
+        """`clock`: monotonic seconds."""
+        self.clock = clock
+        self._since: dict[Hashable, float] = {}
+
+    def has_lasted(self, key: Hashable, holds: bool, seconds: float) -> bool:
+        """Whether a condition holds and has done so for that long. To be asked again and again."""
+        if not holds:
+            self._since.pop(key, None)
+            return False
+        return self.clock() - self._since.setdefault(key, self.clock()) >= seconds
+
+    def keep_only(self, keys: set[Hashable]) -> None:
+        """Forget all other conditions."""
+        self._since = {key: since for key, since in self._since.items() if key in keys}
+
+
+class Reconciler:
+    """Decides which shards go on, and writes that down before routers are told."""
+
+    def __init__(
+        self,
+        keeper: StoreKeeper,
+        index: ShardIndex,
+        servers: ServerAvailability,
+        leases: LeaseTracker,
+        settings: KeepPlacement,
+        clock: Callable[[], float],
+    ) -> None:
+        """`settings`: times of flight and of deduplication; `clock`: monotonic seconds."""
+        self.keeper = keeper
+        self.index = index
+        self.servers = servers
+        self.leases = leases
+        self.flight_time = float(settings.flight)
+        self.deduplication_window = float(settings.memory)
+        self.timer = ConditionTimer(clock)
+        self.lost_pins: dict[tuple[int, str], LostPin] = {}  # not yet written; MAX_PENDING_LOST_PINS of them
+        self.relabelled_zones: set[str] = set()  # whose servers changed zones; not yet written
+
+    @property
+    def has_work(self) -> bool:
+        """Whether a pass would have something to do."""
+        return bool(self.index.needs_work or self.lost_pins or self.relabelled_zones)
+
+    def report_lost_pin(self, lost: LostPin) -> None:
+        """Note a pin that a router acted by and the store does not have."""
+        if len(self.lost_pins) < MAX_PENDING_LOST_PINS:
+            self.lost_pins[lost.incarnation, lost.shard] = lost
+
+    async def reconcile(self) -> float:
+        """One pass; returns the seconds until the next one.
+
+        Raises Conflict where a shard was changed meanwhile, Overloaded and Full as the store does.
+        """
+        await self._record_reports()
+        pending = await self.keeper.call(self._pending_shards)
+        self.timer.keep_only({(shard.record_id, shard.revision) for shard in pending})
+        events = {shard.record_id: (event, shard.revision) for shard, event in self._due_events(pending)}
+        if events:
+            await self.keeper.apply_planned(lambda store, now: self._apply(store, now, events), AUTHOR)
+        return self._time_to_next(pending)
+
+    async def _record_reports(self) -> None:
+        """Write down what routers reported of lost pins and relabelled servers."""
+        if not (self.lost_pins or self.relabelled_zones):
+            return
+        lost_pins, zones = dict(self.lost_pins), set(self.relabelled_zones)
+        await self.keeper.apply_planned(
+            lambda store, now: self._report_changes(store, now, lost_pins, zones), AUTHOR
+        )
+        for key in lost_pins:
+            self.lost_pins.pop(key, None)
+        self.relabelled_zones -= zones
+
+    def _report_changes(
+        self, store: Store, now: float, lost_pins: Mapping[tuple[int, str], LostPin], zones: set[str]
+    ) -> list[Wanted]:
+        self.index.refresh(store)
+        changes = quarantine_changes(store, self.index, lost_pins, now)
+        if zones:
+            changes.append(self.servers.relabelled_change(store))
+            changes += relabelled_changes(self.index, zones, now)
+        return changes
+
+    def _pending_shards(self) -> list[PendingShard]:
+        """On the store's thread."""
+        self.index.refresh(self.keeper.store)
+        self.servers.refresh(self.keeper.store)
+        return [
+            PendingShard(record_id, *self.index.shards[record_id])
+            for record_id in sorted(self.index.needs_work)
+        ]
+
+    def _time_to_next(self, pending: list[PendingShard]) -> float:
+        if any(shard.record.stage in IN_PROGRESS for shard in pending):
+            return RECONCILE_INTERVAL
+        scheduled = [shard.record.scheduled_at for shard in pending if shard.record.scheduled_at]
+        due = min((at - self.keeper.clock() for at in scheduled), default=IDLE_INTERVAL)
+        return min(max(due, RECONCILE_INTERVAL), IDLE_INTERVAL)
+
+    # -- which event is due
+
+    def _due_events(self, pending: list[PendingShard]) -> list[tuple[PendingShard, Event]]:
+        found = [(shard, self._due_event(shard)) for shard in pending]
+        return [(shard, event) for shard, event in found if event is not None]
+
+    def _due_event(self, shard: PendingShard) -> Event | None:
+        record, stage = shard.record, Stage(shard.record.stage)
+        if self._is_schedule_due(record, stage):
+            return Event.SCHEDULE_DUE if self._target_has_servers(record) else None
+        if stage is Stage.PREPARING:
+            behind = self.leases.routers_behind(shard.revision, without_lease=False)
+            return None if behind else Event.ROUTERS_CAUGHT_UP
+        if stage is Stage.MIGRATING or (stage is Stage.REMOVING and not record.removal_acknowledged):
+            return Event.ROUTERS_CAUGHT_UP if self._have_caught_up(shard) else None
+        if record.retries_blocked and stage in (*SETTLED_STAGES, Stage.REMOVING):
+            key = shard.record_id, shard.revision
+            expired = self.timer.has_lasted(key, True, self.deduplication_window)
+            return Event.DEDUPLICATION_EXPIRED if expired else None
+        return None
+
+    def _is_schedule_due(self, record: ShardRecord, stage: Stage) -> bool:
+        due = bool(record.scheduled_at) and self.keeper.clock() >= record.scheduled_at
+        return due and stage in (Stage.SCHEDULED, *SETTLED_STAGES)
+
+    def _target_has_servers(self, record: ShardRecord) -> bool:
+        if record.target is None:
+            return False
+        return not self.servers.zones().isdisjoint(zone for region in record.target.zones for zone in region)
+
+    def _have_caught_up(self, shard: PendingShard) -> bool:
+        """Whether all routers follow, and what they sent before has arrived."""
+        behind = self.leases.routers_behind(shard.revision, shard.record.may_serve_without_lease)
+        return self.timer.has_lasted((shard.record_id, shard.revision), not behind, self.flight_time)
+
+    # -- carrying events out
+
+    def _apply(self, store: Store, now: float, events: Mapping[str, tuple[Event, int]]) -> list[Wanted]:
+        """Changes that carry events out; a shard that changed meanwhile waits for the next pass."""
+        self.index.refresh(store)
+        changes: list[Wanted] = []
+        for record_id, (event, expected_revision) in events.items():
+            record, revision = self.index.shards.get(record_id, (None, 0))
+            if record is None or revision != expected_revision:
+                continue
+            after = self._advance(store, now, record, event, changes)
+            changes.append(Wanted(SHARD, record_id, encode(after) if after else None, revision))
+        return changes
+
+    def _advance(
+        self, store: Store, now: float, record: ShardRecord, event: Event, changes: list[Wanted]
+    ) -> ShardRecord | None:
+        """The record after an event, None where the shard is removed; may append to `changes`."""
+        lifecycle = transition(lifecycle_of(record), event)
+        if lifecycle.stage is Stage.REMOVED:
+            logger.info("shard {} of {} gone", record.shard, record.tenant)
+            return None
+        after = with_lifecycle(record, lifecycle, now)
+        if lifecycle.stage in SETTLED_STAGES or lifecycle.removal_acknowledged:
+            after = msgspec.structs.replace(after, former_rates=former_rates(record, lifecycle))
+        required = lifecycle.current is not None and lifecycle.current.required
+        if event is Event.ROUTERS_CAUGHT_UP and required:
+            after = add_present_servers(store, after, self.servers.inventory, changes, now)
+        if after.stage != record.stage:
+            logger.info("shard {} of {} {}", record.shard, record.tenant, after.stage)
+        return after
--- /dev/null
+++ b/gaugehinge/placement/records.py
@@ -0,0 +1,145 @@
+"""What placement keeps in the store: shard records, and the kinds of items beside them. No I/O.
+
+The names of kinds and of encoded fields are a format on disk; `rename` maps each field to its encoded name.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from .affinity import RegionAffinity
+from .lifecycle import SETTLED_STAGES, Lifecycle, Stage
+
+SHARD = "shard"  # a ShardRecord, by "<incarnation>/<shard>"
+CHANGE_BUDGET = "shard-budget"  # of a tenant, by its incarnation
+SERVER_SNAPSHOT = "shard-crowd"  # servers that may hold copies, by the digest of the body
+NOTE = "shard-note"
+RELABELLED_NOTE = "unsure"  # the only note: servers whose zone changed without a restart
+
+
+class ShardRecord(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "reserved_rate": "allowance",
+        "stage_since": "since",
+        "current": "now",
+        "target": "then",
+        "scheduled_at": "at",
+        "removal_requested": "end",
+        "retries_blocked": "held",
+        "required_everywhere": "known",
+        "may_serve_without_lease": "far",
+        "removal_acknowledged": "left",
+        "requested_regions": "regions",
+        "requested_mode": "hold",
+        "requested_rate": "asked_allowance",
+        "requested_start": "asked_at",
+        "server_snapshot": "crowd",
+        "former_rates": "former",
+    },
+):
+    """One shard as the store has it.
+
+    From `current` to `removal_acknowledged` the fields are those of its `Lifecycle`.
+    """
+
+    incarnation: int
+    tenant: str
+    shard: str
+    prefixes: tuple[str, ...]
+    reserved_rate: float  # operations a second that count at its first region
+    version: int  # revision of the tenant's last change: the entity tag
+    stage: str
+    stage_since: float  # Unix seconds
+    current: RegionAffinity | None = None
+    target: RegionAffinity | None = None
+    scheduled_at: float = 0.0
+    removal_requested: bool = False
+    retries_blocked: bool = False
+    required_everywhere: bool = False
+    may_serve_without_lease: bool = False
+    removal_acknowledged: bool = False
+    requested_regions: tuple[str, ...] = ()  # these four as the tenant requested them last
+    requested_mode: str = ""  # "only" or "prefer"
+    requested_rate: float = 0.0
+    requested_start: float = 0.0  # Unix seconds; 0: at once
+    server_snapshot: str = ""  # the servers present when it was confined: copies may be left there
+    confined_at: float = 0.0  # Unix seconds
+    former_rates: dict[str, float] = {}  # operations a second at regions that routers may still serve it from
+
+    @property
+    def rate_by_region(self) -> dict[str, float]:
+        """Operations a second that it reserves, by region: where it is, goes to, and may still be served."""
+        rates = dict(self.former_rates)
+        for affinity in (self.current, self.target):
+            if affinity is not None and affinity.regions:
+                first = affinity.regions[0]
+                rates[first] = max(rates.get(first, 0.0), self.reserved_rate)
+        return rates
+
+    @property
+    def is_ending(self) -> bool:
+        """Whether its tenant has removed it: by its name it does not exist any more."""
+        return self.removal_requested or self.stage == Stage.REMOVING.value
+
+
+def record_id(incarnation: int, shard: str) -> str:
+    """The store's id of a shard record."""
+    return f"{incarnation}/{shard}"
+
+
+def lifecycle_of(record: ShardRecord) -> Lifecycle:
+    """The lifecycle fields of a record."""
+    return Lifecycle(
+        Stage(record.stage),
+        record.current,
+        record.target,
+        record.scheduled_at,
+        record.removal_requested,
+        record.retries_blocked,
+        record.required_everywhere,
+        record.may_serve_without_lease,
+        record.removal_acknowledged,
+    )
+
+
+def with_lifecycle(record: ShardRecord, lifecycle: Lifecycle, now: float) -> ShardRecord:
+    """A copy of a record in another state, entered at `now` (Unix seconds)."""
+    stage = lifecycle.stage.value
+    return msgspec.structs.replace(
+        record,
+        stage=stage,
+        stage_since=now if stage != record.stage else record.stage_since,
+        current=lifecycle.current,
+        target=lifecycle.target,
+        scheduled_at=lifecycle.scheduled_at,
+        removal_requested=lifecycle.removal_requested,
+        retries_blocked=lifecycle.retries_blocked,
+        required_everywhere=lifecycle.required_everywhere,
+        may_serve_without_lease=lifecycle.may_serve_without_lease,
+        removal_acknowledged=lifecycle.removal_acknowledged,
+    )
+
+
+def needs_work(record: ShardRecord) -> bool:
+    """Whether the control plane has to bring the shard on by itself."""
+    stage = Stage(record.stage)
+    if stage is Stage.QUARANTINED:
+        return bool(record.scheduled_at)
+    return stage not in SETTLED_STAGES or bool(record.scheduled_at) or record.retries_blocked
+
+
+def former_rates(record: ShardRecord | None, lifecycle: Lifecycle) -> dict[str, float]:
+    """What a shard that enters `lifecycle` still reserves at regions that routers may serve it from.
+
+    From the tenant's change until all routers follow it: otherwise another tenant would be given capacity
+    that is still used.
+    """
+    settled = lifecycle.stage in SETTLED_STAGES and lifecycle.target is None
+    if record is None or lifecycle.removal_acknowledged or settled:
+        return {}
+    if record.current is None or not record.current.regions:
+        return record.former_rates
+    first = record.current.regions[0]
+    return {**record.former_rates, first: record.rate_by_region[first]}
--- a/gaugehinge/placement/router.py
+++ b/gaugehinge/placement/router.py
@@ -25,6 +25,7 @@
 from ..tenancy.feed import WAIT, Feed
 from ..tenancy.lease import Held
 from ..terms import Attempt, Effect, Operation, Presence
+from .affinity import ANYWHERE, NOWHERE
 from .messages import (
     MAX_LOST_PINS,
     MAX_SERVERS,
@@ -35,7 +36,7 @@
     ServerListChunk,
 )
 from .server_inventory import server_list_digest, split_server_list
-from .shard_table import ANYWHERE, NOWHERE, KeyPlacement, ShardAssignment, ShardTable
+from .shard_table import KeyPlacement, ShardAssignment, ShardTable
 
 MIN_POLL_WAIT = 0.2  # seconds that a call to the keeper stands open at least
 MIN_POLL_SLACK = 0.5  # and so much longer until it counts as failed
--- /dev/null
+++ b/gaugehinge/placement/server_snapshots.py
@@ -0,0 +1,46 @@
+"""Servers that were present when a shard was confined: copies of its values may be left at them."""
+
+from __future__ import annotations
+
+import msgspec
+from xxhash import xxh3_128_hexdigest
+
+from ..store.store import Store, Wanted, encode
+from .api_types import Copy
+from .records import SERVER_SNAPSHOT, ShardRecord
+from .server_inventory import ServerInventory
+
+
+def read_snapshot(store: Store, snapshot_id: str) -> list[tuple[str, str, float]]:
+    """Name, zone and start of each server of a snapshot; none where there is no such snapshot."""
+    item = store.get(SERVER_SNAPSHOT, snapshot_id) if snapshot_id else None
+    return msgspec.json.decode(item.body, type=list[tuple[str, str, float]]) if item else []
+
+
+def add_present_servers(
+    store: Store, record: ShardRecord, inventory: ServerInventory, changes: list[Wanted], now: float
+) -> ShardRecord:
+    """A copy of a record that also names the servers present now, at `now` (Unix seconds).
+
+    A snapshot that the store does not have is appended to `changes`.
+    """
+    servers = {tuple(server) for server in read_snapshot(store, record.server_snapshot)}
+    body = encode(sorted(servers | set(inventory.snapshot())))
+    snapshot_id = xxh3_128_hexdigest(body)
+    is_new = store.get(SERVER_SNAPSHOT, snapshot_id) is None
+    if is_new and all(change.ident != snapshot_id for change in changes):
+        changes.append(Wanted(SERVER_SNAPSHOT, snapshot_id, body, 0))
+    return msgspec.structs.replace(record, server_snapshot=snapshot_id, confined_at=now)
+
+
+def stale_copies(store: Store, record: ShardRecord, inventory: ServerInventory) -> list[Copy]:
+    """Servers outside a required shard's zones that have not restarted since it was confined."""
+    if record.current is None or not record.current.required:
+        return []
+    inside = {zone for zones in record.current.zones for zone in zones}
+    started = {uid: server.started_at for uid, server in inventory.current.items()}
+    return [
+        Copy(uid, zone, started_at)
+        for uid, zone, started_at in read_snapshot(store, record.server_snapshot)
+        if zone not in inside and started.get(uid, started_at) == started_at
+    ]
--- /dev/null
+++ b/gaugehinge/placement/shard_changes.py
@@ -0,0 +1,249 @@
+"""Changes that tenants make to their shards: each one is checked and written in one transaction."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable, Iterator, Mapping
+from contextlib import contextmanager
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from ..admin.keep import KeepPlacement
+from ..admin.service import TENANT, Administration, Wrong
+from ..admin.types import Kept
+from ..store.store import Change, Store, Wanted, encode
+from .admission import AdmissionError
+from .affinity import affinity_to
+from .api_types import ShardShown, ShardWanted
+from .capacity import CapacityPlanner
+from .lifecycle import Event, InvalidTransitionError, Lifecycle, Stage, transition
+from .quotas import ChangeBudget, allocate_rate, check_shard_count
+from .records import (
+    CHANGE_BUDGET,
+    SHARD,
+    ShardRecord,
+    former_rates,
+    lifecycle_of,
+    record_id,
+    with_lifecycle,
+)
+from .shard_index import ShardIndex
+from .shard_table import DEFAULT_SHARD
+from .shard_view import ShardPresenter
+
+SHARD_NAME = re.compile("[a-z][a-z0-9-]{0,62}")
+
+
+@dataclass(slots=True, frozen=True)
+class TenantShards:
+    """A tenant with its shards by name, each with the revision of its record."""
+
+    tenant: Kept
+    shards: Mapping[str, tuple[ShardRecord, int]]
+
+    def rate_of_others(self, shard: str) -> float:
+        """Operations a second that the tenant's other shards have.
+
+        What the tenant removed is its own again at once; at its region it counts until routers follow.
+        """
+        return sum(
+            record.reserved_rate
+            for name, (record, _) in self.shards.items()
+            if name != shard and not record.is_ending
+        )
+
+
+class ShardChanges:
+    """Pins, moves and removes shards for tenants."""
+
+    def __init__(
+        self,
+        administration: Administration,
+        index: ShardIndex,
+        capacity: CapacityPlanner,
+        presenter: ShardPresenter,
+        settings: KeepPlacement,
+        on_change: Callable[[], None],
+    ) -> None:
+        """`on_change`: called after each change that was made."""
+        self.administration = administration
+        self.index = index
+        self.capacity = capacity
+        self.presenter = presenter
+        self.settings = settings
+        self.on_change = on_change
+
+    def tenant_shards(self, store: Store, name: str) -> TenantShards:
+        """A tenant and its shards, on the store's thread. Raises Wrong where there is no such tenant."""
+        item = store.get(TENANT, name)
+        if item is None:
+            raise Wrong(404, "not found", f"no tenant {name}")
+        tenant = msgspec.json.decode(item.body, type=Kept)
+        self.index.refresh(store)
+        found = self.index.for_incarnation(tenant.incarnation)
+        return TenantShards(tenant, {record.shard: (record, revision) for record, revision in found})
+
+    async def put(
+        self,
+        tenant: str,
+        shard: str,
+        wanted: ShardWanted,
+        expected_version: int | None,
+        caller: str,
+        **idempotency: Any,
+    ) -> ShardShown:
+        """Pin a shard, or change its pin. Raises Wrong where it is refused.
+
+        `expected_version`: the entity tag that the caller read, None for a new shard; `idempotency`: as
+        `Store.apply` takes it.
+        """
+
+        def plan(store: Store, now: float) -> list[Wanted]:
+            with _api_errors():
+                return self._plan_put(store, now, tenant, shard, wanted, expected_version)
+
+        made = await self.administration._change(plan, caller, answer=self._response_body, **idempotency)
+        self.on_change()
+        return msgspec.json.decode(self._response_body(made), type=ShardShown)
+
+    def _plan_put(
+        self,
+        store: Store,
+        now: float,
+        tenant_name: str,
+        shard: str,
+        wanted: ShardWanted,
+        expected_version: int | None,
+    ) -> list[Wanted]:
+        found = self.tenant_shards(store, tenant_name)
+        incarnation = found.tenant.incarnation
+        record, revision = found.shards.get(shard, (None, 0))
+        check_version(record, expected_version, shard)
+        prefixes = _check_prefixes(shard, wanted, record, found.shards)
+        if record is None:
+            check_shard_count(len(found.shards), self.settings.shards)
+        rate = allocate_rate(found.tenant.allowance, found.rate_of_others(shard), wanted.allowance)
+        already_reserved = record.rate_by_region.get(wanted.regions[0], 0.0) if record else 0.0
+        capacity = self.capacity.regions(store, record_id(incarnation, shard))
+        capacity.check(wanted.regions, rate, already_reserved)
+        budget = self._charge_budget(store, incarnation, now)
+        lifecycle = self._requested_lifecycle(record, wanted, now)
+        after = ShardRecord(
+            incarnation,
+            tenant_name,
+            shard,
+            prefixes,
+            rate,
+            store.rev + 1,
+            lifecycle.stage.value,
+            now,
+            requested_regions=wanted.regions,
+            requested_mode=wanted.hold,
+            requested_rate=wanted.allowance,
+            requested_start=wanted.at,
+            server_snapshot=record.server_snapshot if record else "",
+            confined_at=record.confined_at if record else 0.0,
+            former_rates=former_rates(record, lifecycle),
+        )
+        body = encode(with_lifecycle(after, lifecycle, now))
+        return [Wanted(SHARD, record_id(incarnation, shard), body, revision), budget]
+
+    def _requested_lifecycle(self, record: ShardRecord | None, wanted: ShardWanted, now: float) -> Lifecycle:
+        affinity = affinity_to(wanted.regions, self.settings.regions, required=wanted.hold == "only")
+        event = Event.CHANGE_SCHEDULED if wanted.at > now else Event.CHANGE_REQUESTED
+        return transition(lifecycle_of(record) if record else None, event, affinity, wanted.at)
+
+    async def remove(self, tenant: str, shard: str, expected_version: int, caller: str) -> None:
+        """Remove the pin of a shard. Raises Wrong where it is refused."""
+
+        def plan(store: Store, now: float) -> list[Wanted]:
+            with _api_errors():
+                return self._plan_remove(store, now, tenant, shard, expected_version)
+
+        await self.administration._change(plan, caller)
+        self.on_change()
+
+    def _plan_remove(
+        self, store: Store, now: float, tenant_name: str, shard: str, expected_version: int
+    ) -> list[Wanted]:
+        found = self.tenant_shards(store, tenant_name)
+        incarnation = found.tenant.incarnation
+        record, revision = found.shards.get(shard, (None, 0))
+        if record is None or record.is_ending:
+            raise Wrong(404, "not found", f"no shard {shard}")
+        check_version(record, expected_version, shard)
+        budget = self._charge_budget(store, incarnation, now)
+        lifecycle = transition(lifecycle_of(record), Event.REMOVAL_REQUESTED)
+        after = msgspec.structs.replace(
+            with_lifecycle(record, lifecycle, now),
+            version=store.rev + 1,
+            former_rates=former_rates(record, lifecycle),
+        )
+        body = None if lifecycle.stage is Stage.REMOVED else encode(after)
+        return [Wanted(SHARD, record_id(incarnation, shard), body, revision), budget]
+
+    def _charge_budget(self, store: Store, incarnation: int, now: float) -> Wanted:
+        """The change that takes one off a tenant's budget of changes. Raises AdmissionError."""
+        stored = store.get(CHANGE_BUDGET, str(incarnation))
+        per_hour = self.settings.changes
+        remaining, updated_at = (
+            msgspec.json.decode(stored.body, type=tuple[float, float]) if stored else (per_hour, now)
+        )
+        budget = ChangeBudget(remaining, updated_at).take(per_hour, now)
+        body = encode((budget.remaining, budget.updated_at))
+        return Wanted(CHANGE_BUDGET, str(incarnation), body, stored.rev if stored else 0)
+
+    def _response_body(self, made: list[Change]) -> bytes:
+        """The answer to a call, from the changes that it made: the record is the first."""
+        record = msgspec.json.decode(made[0].body or b"", type=ShardRecord)
+        return msgspec.json.encode(self.presenter.view(None, record, made[0].rev))
+
+
+@contextmanager
+def _api_errors() -> Iterator[None]:
+    """Errors of decisions as the API tells them. Raises Wrong."""
+    try:
+        yield
+    except AdmissionError as error:
+        raise Wrong(error.status, error.what, error.detail, error.field) from error
+    except InvalidTransitionError as error:
+        raise Wrong(409, "conflict", str(error)) from error
+
+
+def check_version(record: ShardRecord | None, expected_version: int | None, shard: str) -> None:
+    """Check that a change was made for the version that exists. Raises Wrong."""
+    record = None if record is not None and record.is_ending else record
+    if record is None and expected_version is not None:
+        raise Wrong(412, "precondition failed", f"no shard {shard}")
+    if record is not None and expected_version is None:
+        raise Wrong(428, "precondition required", "it stands: send its ETag as If-Match", etag=record.version)
+    if record is not None and record.version != expected_version:
+        detail = f"it is at revision {record.version}"
+        raise Wrong(412, "precondition failed", detail, etag=record.version)
+
+
+def _check_prefixes(
+    shard: str,
+    wanted: ShardWanted,
+    record: ShardRecord | None,
+    shards: Mapping[str, tuple[ShardRecord, int]],
+) -> tuple[str, ...]:
+    """The prefixes of a shard: they stay as it was made with. Raises Wrong."""
+    prefixes = tuple(wanted.prefixes)
+    if len(set(prefixes)) < len(prefixes):
+        raise Wrong(422, "invalid", "one is told twice", "prefixes")
+    if record is not None:
+        if (prefixes or record.is_ending) and set(prefixes) != set(record.prefixes):
+            raise Wrong(409, "conflict", "prefixes stay as they were made until it is gone", "prefixes")
+        return record.prefixes
+    if not SHARD_NAME.fullmatch(shard):
+        raise Wrong(422, "invalid", "a shard's name is of lower case letters, digits and dashes", "shard")
+    if (shard == DEFAULT_SHARD) is bool(prefixes):
+        raise Wrong(422, "invalid", "every shard but `default` has prefixes, and only these", "prefixes")
+    for other, (existing, _) in shards.items():
+        taken = sorted(set(existing.prefixes) & set(prefixes))
+        if taken:
+            raise Wrong(409, "conflict", f"{taken[0]!r} is shard {other}'s", "prefixes")
+    return prefixes
--- a/gaugehinge/placement/shard_index.py
+++ b/gaugehinge/placement/shard_index.py
@@ -8,57 +8,14 @@
 import msgspec
 
 from ..store.store import Store
-from .lifecycle import SETTLED_STAGES, Lifecycle, Stage
-from .messages import ShardRecord
+from .lifecycle import Stage
+from .records import SHARD, ShardRecord, needs_work
 from .shard_table import ShardAssignment
 
-SHARD = "shard"
 MAX_REMEMBERED_REMOVALS = 4096  # removals that a router may be behind; one further behind gets the whole
 CHANGES_PER_READ = 5000  # rows of the log read at a time
 
 
-def lifecycle_of(row: ShardRecord) -> Lifecycle:
-    """Its life, as the decisions want it."""
-    return Lifecycle(
-        Stage(row.stage),
-        row.current,
-        row.target,
-        row.scheduled_at,
-        row.removal_requested,
-        row.retries_blocked,
-        row.required_everywhere,
-        row.may_serve_without_lease,
-        row.removal_acknowledged,
-    )
-
-
-def with_lifecycle(row: ShardRecord, life: Lifecycle, now: float) -> ShardRecord:
-    """The same with another life, at `now` (Unix seconds)."""
-    since = now if life.stage.value != row.stage else row.stage_since
-    return msgspec.structs.replace(
-        row,
-        stage=life.stage.value,
-        stage_since=since,
-        current=life.current,
-        target=life.target,
-        scheduled_at=life.scheduled_at,
-        removal_requested=life.removal_requested,
-        retries_blocked=life.retries_blocked,
-        required_everywhere=life.required_everywhere,
-        may_serve_without_lease=life.may_serve_without_lease,
-        removal_acknowledged=life.removal_acknowledged,
-    )
-
-
-def needs_work(row: ShardRecord) -> bool:
-    """Whether the keeper has something to do for it by itself."""
-    return (
-        Stage(row.stage) not in (*SETTLED_STAGES, Stage.QUARANTINED)
-        or bool(row.scheduled_at)
-        or (row.retries_blocked and row.stage != Stage.QUARANTINED.value)
-    )
-
-
 @dataclass(slots=True)
 class ShardIndex:
     """Rows by ident, and what was removed of late."""
--- a/gaugehinge/placement/shard_table.py
+++ b/gaugehinge/placement/shard_table.py
@@ -14,35 +14,17 @@
 import msgspec
 from msgspec import Meta
 
+from .affinity import ANYWHERE, RegionAffinity, SearchOrder
+
 MAX_PREFIXES = 16  # of one shard
 MAX_PREFIX_LENGTH = 64  # bytes of a prefix
-MAX_REGIONS = 8  # that one pin names, in order
 DEFAULT_SHARD = "default"  # the shard whose only prefix is empty
 
-Zones = frozenset[str]
-ANYWHERE: tuple[Zones | None, ...] = (None,)
-
 Prefix = Annotated[
     str, Meta(pattern=f"^[!-~]{{1,{MAX_PREFIX_LENGTH}}}$", description="what its keys begin with")
 ]
 
 
-class RegionAffinity(msgspec.Struct, frozen=True, rename={"required": "only"}):
-    """Where the keys of a shard go."""
-
-    required: bool  # rejected rather than served elsewhere
-    regions: tuple[str, ...]  # in order
-    zones: tuple[tuple[str, ...], ...]  # of each region, as the keeper's file had them
-
-    def search_order(self) -> tuple[Zones | None, ...]:
-        """As an operation carries it."""
-        told: tuple[Zones | None, ...] = tuple(frozenset(zones) for zones in self.zones)
-        return told if self.required else (*told, None)
-
-
-NOWHERE = RegionAffinity(True, (), ())
-
-
 class ShardAssignment(
     msgspec.Struct,
     frozen=True,
@@ -69,7 +51,7 @@
 
     shard: str
     required: bool
-    regions: tuple[Zones | None, ...]  # as `Operation.regions`
+    regions: SearchOrder  # as `Operation.regions`
     retries_blocked: bool
 
     def allows(self, zone: str) -> bool:
@@ -97,7 +79,7 @@
     """The rules of one incarnation. A shard with no terms of its own goes as the next shorter prefix does."""
     told = sorted((prefix.encode(), row) for row in rows for prefix in row.prefixes or ("",))
     pins: dict[bytes, KeyPlacement] = {}
-    walks: dict[RegionAffinity, tuple[Zones | None, ...]] = {}
+    walks: dict[RegionAffinity, SearchOrder] = {}
     for prefix, row in sorted(told, key=lambda each: len(each[0])):
         if row.affinity is None:
             above = PrefixRules(pins, _lengths(pins)).find(prefix)
--- /dev/null
+++ b/gaugehinge/placement/store_reader.py
@@ -0,0 +1,37 @@
+"""Reading whole kinds of items from the store. On the store's thread alone."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import TypeVar
+
+import msgspec
+
+from ..admin.service import TENANT, TOMBSTONE
+from ..admin.types import Kept
+from ..store.store import Item, Store
+
+T = TypeVar("T")
+
+
+def iter_items(store: Store, kind: str) -> Iterator[Item]:
+    """All items of a kind, in the order of their ids, read page by page."""
+    after = ""
+    while items := store.items(kind, after):
+        yield from items
+        after = items[-1].ident
+
+
+def iter_decoded(store: Store, kind: str, body_type: type[T]) -> Iterator[T]:
+    """The decoded bodies of all items of a kind."""
+    for item in iter_items(store, kind):
+        yield msgspec.json.decode(item.body, type=body_type)
+
+
+def tenant_names(store: Store) -> dict[int, str]:
+    """Names of all tenants by incarnation, those that are being removed among them."""
+    return {
+        tenant.incarnation: tenant.name
+        for kind in (TENANT, TOMBSTONE)
+        for tenant in iter_decoded(store, kind, Kept)
+    }
--- /dev/null
+++ b/gaugehinge/placement/zone_changes.py
@@ -0,0 +1,64 @@
+"""What becomes of shards when the zones of their regions or servers change under them.
+
+Both functions run on the store's thread, after the index followed the store.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+
+from loguru import logger
+
+from ..store.store import Wanted, encode
+from .affinity import RegionAffinity, affinity_to
+from .lifecycle import Event, Lifecycle, Stage, transition
+from .records import SHARD, lifecycle_of, with_lifecycle
+from .shard_index import ShardIndex
+
+
+def settings_changes(index: ShardIndex, regions: Mapping[str, Sequence[str]], now: float) -> list[Wanted]:
+    """Changes that move shards to the zones that the settings name for their regions now.
+
+    `regions`: name to zones; `now`: Unix seconds.
+    """
+    changes = []
+    for record_id, (record, revision) in index.shards.items():
+        lifecycle = lifecycle_of(record)
+        affinity = _outdated_affinity(lifecycle, regions)
+        if affinity is None:
+            continue
+        event = Event.CHANGE_SCHEDULED if lifecycle.scheduled_at else Event.CHANGE_REQUESTED
+        after = transition(lifecycle, event, affinity, lifecycle.scheduled_at)
+        logger.info("shard {} of {}: its regions have other zones", record.shard, record.tenant)
+        changes.append(Wanted(SHARD, record_id, encode(with_lifecycle(record, after, now)), revision))
+    return changes
+
+
+def _outdated_affinity(lifecycle: Lifecycle, regions: Mapping[str, Sequence[str]]) -> RegionAffinity | None:
+    """The affinity that replaces the newest one of a shard; None where that is up to date.
+
+    Shards that end, and those pinned to a region that the settings do not name any more, stay as they are.
+    """
+    newest = lifecycle.target if lifecycle.target is not None else lifecycle.current
+    if newest is None or lifecycle.removal_requested or not newest.regions:
+        return None
+    if set(newest.regions) - set(regions):
+        return None
+    affinity = affinity_to(newest.regions, regions, required=newest.required)
+    return None if affinity == newest else affinity
+
+
+def relabelled_changes(index: ShardIndex, zones: set[str], now: float) -> list[Wanted]:
+    """Changes that confirm anew the shards in zones whose servers changed zones without a restart.
+
+    `now`: Unix seconds.
+    """
+    changes = []
+    for record_id, (record, revision) in index.shards.items():
+        if record.stage not in (Stage.CONFINED.value, Stage.MIGRATING.value) or record.current is None:
+            continue
+        if zones.isdisjoint(zone for region in record.current.zones for zone in region):
+            continue
+        after = with_lifecycle(record, transition(lifecycle_of(record), Event.ZONES_CHANGED), now)
+        changes.append(Wanted(SHARD, record_id, encode(after), revision))
+    return changes
--- a/gaugehinge/rehearsal/misplaced.py
+++ b/gaugehinge/rehearsal/misplaced.py
@@ -10,7 +10,7 @@
 import sys
 from typing import Any
 
-from ..placement import admission, control_plane, router, shard_table
+from ..placement import admission, affinity, router, shard_changes, shard_table
 from ..tenancy.lease import Held
 
 FINDS = {
@@ -54,13 +54,13 @@
 
 def strays() -> None:
     """It takes `only` for `prefer`, and goes on elsewhere where no server is left."""
-    shard_table.RegionAffinity.search_order = lambda self: (*(frozenset(zones) for zones in self.zones), None)
+    affinity.RegionAffinity.search_order = lambda self: (*(frozenset(zones) for zones in self.zones), None)
 
 
 def revives() -> None:
     """It serves anywhere what the keeper holds."""
-    right = shard_table.RegionAffinity.search_order
-    shard_table.RegionAffinity.search_order = lambda self: right(self) or (None,)
+    right = affinity.RegionAffinity.search_order
+    affinity.RegionAffinity.search_order = lambda self: right(self) or (None,)
 
 
 def shortens() -> None:
@@ -80,7 +80,7 @@
 
 def overruns() -> None:
     """A keeper that makes changes whatever revision they were made for."""
-    control_plane._check_revision = lambda row, match, shard: None
+    shard_changes.check_version = lambda record, expected_version, shard: None
 
 
 ROUTERS = {each.__name__: each for each in (dozes, believes, inherits, strays, revives, shortens)}
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -43,7 +43,7 @@
 from gaugehinge.net.deadlines import Clock, Deadlines
 from gaugehinge.net.list_update import ListUpdate, Target
 from gaugehinge.net.pool import Cargo, Pool, RespDialect
-from gaugehinge.placement.shard_table import RegionAffinity
+from gaugehinge.placement.affinity import RegionAffinity
 from gaugehinge.rehearsal.drainsplay import woken, written_ago
 from gaugehinge.rehearsal.hostedplay import CHEAP
 from gaugehinge.rehearsal.plays import run_many
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -17,7 +17,8 @@
 from gaugehinge.forms.toml import BadFile
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.installation.form import PlacementEntry
-from gaugehinge.placement.admission import AdmissionError, ChangeBudget, RegionCapacity, Server
+from gaugehinge.placement.admission import AdmissionError, RegionCapacity, Server
+from gaugehinge.placement.affinity import RegionAffinity
 from gaugehinge.placement.build import with_placement
 from gaugehinge.placement.control_plane import PlacementControlPlane
 from gaugehinge.placement.lifecycle import (
@@ -28,8 +29,9 @@
     Stage,
     transition,
 )
+from gaugehinge.placement.quotas import ChangeBudget
 from gaugehinge.placement.server_inventory import ServerInventory, split_server_list
-from gaugehinge.placement.shard_table import RegionAffinity, ShardAssignment, ShardTable
+from gaugehinge.placement.shard_table import ShardAssignment, ShardTable
 from gaugehinge.policy import Router
 from gaugehinge.rehearsal.hostedplay import hosting
 
@@ -496,7 +498,7 @@
                 assert got.status_code == 200
                 told, part = [], play.part
                 number = logger.add(
-                    lambda line: told.append(str(line)), filter="gaugehinge.placement.control_plane"
+                    lambda line: told.append(str(line)), filter="gaugehinge.placement.capacity"
                 )
                 try:
                     for state, word in (("gone", "less than"), ("ready", "again")):
@@ -505,7 +507,7 @@
                             while ("c-0" in part.inventory.current) is (state == "gone"):
                                 await trio.sleep(0.02)
                         for _ in range(2):
-                            await part.keeper.call(lambda: part._check_capacity(part.keeper.store))
+                            await part.keeper.call(part.capacity.warn_overcommitted, part.keeper.store)
                         assert [word in line for line in told if "region eu bears" in line][-1:] == [True]
                         if state == "gone":
                             tag = {"If-Match": got.headers["etag"]}
@@ -885,16 +887,16 @@
                     body = {"router": "r", "run": "x", "parts": {"placement": part}}
                     got = await router.post("/v1/feed", json=body)
                     assert got.status_code == 422 and got.json()["field"] == "parts.placement"
-                assert ("r", "x") not in play.part.leases.given
+                assert ("r", "x") not in play.part.leases.leases.given
                 # one that does not speak of placement is told nothing of it, and holds nobody up
                 got = await router.post("/v1/feed", json={"router": "r", "run": "x"})
                 assert got.status_code == 200 and got.json()["parts"] == {}
-                assert ("r", "x") not in play.part.leases.given
+                assert ("r", "x") not in play.part.leases.leases.given
                 # a table of marks that nobody told counts as none
                 told = {"have": 5, "mark": "ff" * 16, "clear": 5}
                 body = {"router": "r", "run": "x", "parts": {"placement": told}}
                 got = await router.post("/v1/feed", json=body)
                 assert got.json()["parts"]["placement"]["whole"] is True
-                assert play.part.leases.given["r", "x"].revision == 0
+                assert play.part.leases.leases.given["r", "x"].revision == 0
 
     run(scene)
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -24,8 +24,10 @@
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.hosted.roster import BadFeed, Roster
 from gaugehinge.net.list_update import ListUpdate, Target
+from gaugehinge.placement.api_types import ShardWanted
 from gaugehinge.placement.control_plane import PlacementControlPlane
-from gaugehinge.placement.messages import ShardWanted
+from gaugehinge.placement.lease_tracker import LeaseTracker
+from gaugehinge.placement.reconciler import ConditionTimer
 from gaugehinge.placement.router import RouterPlacement
 from gaugehinge.store.store import Conflict, Store
 from gaugehinge.tenancy.feed import Report
@@ -253,20 +255,20 @@
 
     def look(self) -> None:
         with suppress(Conflict):
-            done(self.part.reconcile())
+            done(self.part.reconciler.reconcile())
 
     def put(self, shard: str, regions: tuple[str, ...], hold: str) -> None:
         with suppress(Wrong):
             held = self.part.index.shards.get(f"1/{shard}")
             match = held[0].version if held and not held[0].is_ending else None
             wanted = ShardWanted(regions, (SHARDS[shard],), hold, 1.0)
-            done(self.part.put_shard("acme", shard, wanted, match, "t"))
+            done(self.part.changes.put("acme", shard, wanted, match, "t"))
 
     def remove(self, shard: str) -> None:
         held = self.part.index.shards.get(f"1/{shard}")
         if held:
             with suppress(Wrong):
-                done(self.part.remove_shard("acme", shard, held[0].version, "t"))
+                done(self.part.changes.remove("acme", shard, held[0].version, "t"))
 
     def begin(self, number: int, key: int) -> None:
         """An operation comes in, and is in hand."""
@@ -450,7 +452,7 @@
 
     def hear(self, report, now) -> None:
         super().hear(report, now)
-        for held in self.leases.given.values():
+        for held in self.leases.leases.given.values():
             held.revision = self.index.revision
 
 
@@ -459,21 +461,37 @@
 
     def __init__(self, *given, **more) -> None:
         super().__init__(*given, **more)
-        self.leases.began = self.isolation_leases.began = -1e9
+        self.leases.leases.began = self.leases.isolation_leases.began = -1e9
 
 
-class Near(PlacementControlPlane):
-    """Waits for leases alone where routers may act without one."""
+class LeasesAlone(LeaseTracker):
+    """Counts no router that serves on without a lease."""
 
     def routers_behind(self, revision, without_lease):
         return super().routers_behind(revision, False)
 
 
+class Near(PlacementControlPlane):
+    """Waits for leases alone where routers may act without one."""
+
+    def __init__(self, *given, **more) -> None:
+        super().__init__(*given, **more)
+        self.leases = self.reconciler.leases = LeasesAlone(LEASE, self.settings, self.clock)
+
+
+class Impatient(ConditionTimer):
+    """Takes what holds at all for what has lasted."""
+
+    def has_lasted(self, key, holds, seconds):
+        return super().has_lasted(key, holds, 0.0)
+
+
 class Once(PlacementControlPlane):
     """Tells new terms at once, and holds repeats no longer than that takes."""
 
-    def _has_held_for(self, ident, rev, true, span):
-        return super()._has_held_for(ident, rev, true, 0.0)
+    def __init__(self, *given, **more) -> None:
+        super().__init__(*given, **more)
+        self.reconciler.timer = Impatient(self.clock)
 
 
 @pytest.mark.parametrize("mutant", [Eager, Sleepy, Careless, Forgetful, Trusting, Hasty, Near, Once])
