--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -21,6 +21,7 @@
 from helper import READ, Bench, Outcome, origin_row, row  # noqa: E402
 
 from gaugehinge.placement.affinity import RegionAffinity  # noqa: E402
+from gaugehinge.placement.lifecycle import Stage  # noqa: E402
 from gaugehinge.placement.records import ShardRecord  # noqa: E402
 from gaugehinge.placement.shard_index import ShardIndex  # noqa: E402
 from gaugehinge.placement.shard_table import ShardAssignment, ShardTable  # noqa: E402
@@ -66,7 +67,7 @@
     told = rows(count)
     tracemalloc.start()
     table = ShardTable()
-    table.change(told, [], whole=True)
+    table.update(told, [], is_complete=True)
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     tenants = max(count // TENANT_SHARDS, 1)
@@ -80,9 +81,9 @@
     ]
     others = [b"%x/other-%d" % (1 + draw.randrange(tenants), n) for n in range(2000)]
     began = time.process_time()
-    table.change(told, [], whole=True)
+    table.update(told, [], is_complete=True)
     whole = 1e3 * (time.process_time() - began)
-    one = each(lambda n: table.change(told[:1], []), 200) / 1e3
+    one = each(lambda n: table.update(told[:1], []), 200) / 1e3
     hit, miss = each(lambda n: table.find(keys[n % 2000])), each(lambda n: table.find(others[n % 2000]))
     return hit, miss, memory, whole, one
 
@@ -119,7 +120,7 @@
     index = ShardIndex(revision=count + 1)
     for told in rows(count):
         terms = told.affinity
-        index._apply(
+        index.apply(
             f"{told.incarnation}/{told.shard}",
             told.revision,
             msgspec.json.encode(
@@ -130,14 +131,14 @@
                     told.prefixes,
                     1.0,
                     told.revision,
-                    "confined",
+                    Stage.CONFINED,
                     0.0,
                     terms,
                 )
             ),
         )
     began = time.process_time()
-    body = msgspec.json.encode(index.changes_since(0)[1])
+    body = msgspec.json.encode(index.changes_since(0).assignments)
     whole = time.process_time() - began
     nothing = each(lambda n: index.changes_since(count + 1), 200) / 1e3
     return 1e3 * whole, nothing, len(body)
--- a/gaugehinge/placement/__init__.py
+++ b/gaugehinge/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Shards of tenants pinned to regions: terms, their life, what the keeper claims, what routers do."""
+"""Tenants pin shards of their keys to regions, held to by routers under leases (docs/placement.md)."""
--- a/gaugehinge/placement/admission.py
+++ b/gaugehinge/placement/admission.py
@@ -1,8 +1,8 @@
-"""Whether a pin is taken: places, room and quotas. No I/O, no clock of its own.
+"""Whether a pin is admitted: its regions, their servers and their capacity. No I/O, no clock of its own.
 
-A region bears what its servers bear by weight, less what the loss of its heaviest zone or server takes: what
-is pinned there must go on being served by the rest. A region of one zone loses only a server; that its zone
-goes is what the tenant chose.
+A region can take what its servers can by weight, less what the loss of its heaviest zone or server takes
+away: what is pinned there must go on being served by the rest. A region of one zone loses only a server; that
+its zone fails is what the tenant chose.
 """
 
 from __future__ import annotations
@@ -11,38 +11,35 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
+from .messages import ReportedServer
 
-@dataclass(slots=True, frozen=True)
-class Server:
-    """A cache server as routers tell of it."""
-
-    uid: str
-    zone: str
-    weight: float  # beside the others; 0: none is told, it counts as 1
-    started_at: float  # as discovery says; a server started anew has another one
-    accepts_new: bool  # takes something new
+RATE_TOLERANCE = 1e-9  # operations a second that a sum of rates may be off by rounding
 
 
 class AdmissionError(Exception):
-    """A pin that is not taken: the field, why, and what would be."""
+    """A change that is not admitted, and what would be."""
 
     def __init__(self, status: int, what: str, detail: str, field: str) -> None:
+        """`status`, `what` and `field` as the API tells them; `detail` says why."""
         super().__init__(detail)
-        self.status, self.what, self.detail, self.field = status, what, detail, field
+        self.status = status
+        self.what = what
+        self.detail = detail
+        self.field = field
 
 
 @dataclass(slots=True, frozen=True)
 class RegionCapacity:
-    """What pins are checked against."""
+    """What pins are checked against. Rates are in operations a second."""
 
     regions: Mapping[str, Sequence[str]]  # name to zones
-    servers: Sequence[Server]
-    rate_per_weight: float  # operations a second that a server of weight 1 bears
-    reserved: Mapping[str, float]  # operations a second, by region, without the shard that is asked for
-    servers_known: bool = True  # whether any router has told of its list since the keeper's start
+    servers: Sequence[ReportedServer]
+    rate_per_weight: float  # that a server of weight 1 can take
+    reserved: Mapping[str, float]  # by region, without the shard that is asked for
+    servers_known: bool = True  # whether any router has reported its list since the control plane's start
 
     def capacity(self, region: str) -> float:
-        """Operations a second that a region bears with its heaviest zone or server lost."""
+        """The rate that a region can take with its heaviest zone or server lost."""
         weights: dict[str, list[float]] = defaultdict(list)
         for server in self.servers:
             if server.accepts_new and server.zone in self.regions[region]:
@@ -55,43 +52,52 @@
         return self.rate_per_weight * (sum(sum(zone) for zone in weights.values()) - lost)
 
     def available(self, region: str) -> float:
-        """Operations a second that may still be pinned there."""
+        """The rate that may still be pinned to a region."""
         return max(self.capacity(region) - self.reserved.get(region, 0.0), 0.0)
 
     def has_servers(self, region: str) -> bool:
-        """Whether a server stands there."""
+        """Whether a server of a region accepts new keys."""
         return any(server.accepts_new and server.zone in self.regions[region] for server in self.servers)
 
-    def check(self, regions: Sequence[str], allowance: float, already_reserved: float = 0.0) -> None:
-        """A pin to regions in order; its load counts at the first one. `already_reserved`: operations a
-        second for which this shard counts there already. Raises AdmissionError."""
-        for place, name in enumerate(regions):
+    def check(self, regions: Sequence[str], rate: float, already_reserved: float = 0.0) -> None:
+        """Check a pin to regions in order; its rate counts at the first one. Raises AdmissionError.
+
+        `already_reserved`: the rate that this shard has there already.
+        """
+        self._check_names(regions)
+        self._check_servers(regions)
+        # Where servers were lost behind a pin, nothing is available: its own tenant may still take less of
+        # it, or change its other terms.
+        most = max(self.available(regions[0]), already_reserved)
+        if rate > most + RATE_TOLERANCE:
+            raise AdmissionError(409, "region full", self._full_detail(regions[0], rate, most), "regions[0]")
+
+    def _check_names(self, regions: Sequence[str]) -> None:
+        for position, name in enumerate(regions):
+            field = f"regions[{position}]"
             if name not in self.regions:
                 detail = f"{name!r} is none; accepted: {', '.join(sorted(self.regions))}"
-                raise AdmissionError(422, "unknown region", detail, f"regions[{place}]")
-            if name in regions[:place]:
-                raise AdmissionError(422, "invalid", f"{name!r} is named twice", f"regions[{place}]")
+                raise AdmissionError(422, "unknown region", detail, field)
+            if name in regions[:position]:
+                raise AdmissionError(422, "invalid", f"{name!r} is named twice", field)
+
+    def _check_servers(self, regions: Sequence[str]) -> None:
         if not self.servers_known:
             # Not that there is no server: a caller who is told that would give up.
             detail = "no router has told of its servers since the keeper's start; ask again in a moment"
             raise AdmissionError(503, "servers not known yet", detail, "regions")
-        for place, name in enumerate(regions):
+        for position, name in enumerate(regions):
             if not self.has_servers(name):
-                others = ", ".join(each for each in sorted(self.regions) if self.has_servers(each)) or "none"
-                detail = f"no server stands in {name!r}; accepted: {others}"
-                raise AdmissionError(409, "no server there", detail, f"regions[{place}]")
-        first = regions[0]
-        room = self.available(first)
-        # Where servers were lost behind a pin, no room is left: its own tenant may still take less of it, or
-        # change its other terms.
-        if allowance > max(room, already_reserved) + 1e-9:
-            others = [
-                each for each in sorted(self.regions) if each != first and self.available(each) >= allowance
-            ]
-            told = ", ".join(others) or "no other region"
-            detail = (
-                f"{first!r} bears {self.capacity(first):.1f} operations a second with a zone or server lost, "
-                f"{self.reserved.get(first, 0.0):.1f} are pinned there; "
-                f"accepted: an allowance up to {max(room, already_reserved):.1f}, or first in {told}"
-            )
-            raise AdmissionError(409, "region full", detail, "regions[0]")
+                accepted = [other for other in sorted(self.regions) if self.has_servers(other)]
+                detail = f"no server stands in {name!r}; accepted: {', '.join(accepted) or 'none'}"
+                raise AdmissionError(409, "no server there", detail, f"regions[{position}]")
+
+    def _full_detail(self, region: str, rate: float, most: float) -> str:
+        others = [
+            other for other in sorted(self.regions) if other != region and self.available(other) >= rate
+        ]
+        return (
+            f"{region!r} bears {self.capacity(region):.1f} operations a second with a zone or server lost, "
+            f"{self.reserved.get(region, 0.0):.1f} are pinned there; "
+            f"accepted: an allowance up to {most:.1f}, or first in {', '.join(others) or 'no other region'}"
+        )
--- a/gaugehinge/placement/affinity.py
+++ b/gaugehinge/placement/affinity.py
@@ -18,12 +18,16 @@
 
     required: bool  # rejected rather than served elsewhere
     regions: tuple[str, ...]  # in order
-    zones: tuple[tuple[str, ...], ...]  # of each region, as the keeper's file had them
+    zones: tuple[tuple[str, ...], ...]  # of each region, as the control plane's file had them
+
+    def all_zones(self) -> Zones:
+        """The zones of all its regions."""
+        return frozenset(zone for region in self.zones for zone in region)
 
     def search_order(self) -> SearchOrder:
-        """As an operation carries it."""
-        told: SearchOrder = tuple(frozenset(zones) for zones in self.zones)
-        return told if self.required else (*told, None)
+        """The zones to try, as an operation carries them."""
+        regions = tuple(frozenset(zones) for zones in self.zones)
+        return regions if self.required else (*regions, None)
 
 
 NOWHERE = RegionAffinity(True, (), ())
--- a/gaugehinge/placement/build.py
+++ b/gaugehinge/placement/build.py
@@ -1,4 +1,4 @@
-"""The two files' `[placement]` to what runs by it."""
+"""Switches placement on at a router and at the control plane, as the files' `[placement]` say."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def with_placement(follow: Extension) -> Extension:
-    """A router that follows, and holds to what it is told of shards."""
+    """An extension that follows the control plane, and holds to what it is told of shards."""
 
     def extend(service: Service, nursery: trio.Nursery) -> Follower:
         follower = follow(service, nursery)
@@ -27,6 +27,6 @@
     return extend
 
 
-def control_plane_factory(told: KeepFile) -> Callable[[Administration], PlacementControlPlane]:
-    """The keeper's part."""
-    return lambda administration: PlacementControlPlane(administration, told.placement)
+def control_plane_factory(settings: KeepFile) -> Callable[[Administration], PlacementControlPlane]:
+    """What makes the control plane's part, by its file."""
+    return lambda administration: PlacementControlPlane(administration, settings.placement)
--- a/gaugehinge/placement/control_plane.py
+++ b/gaugehinge/placement/control_plane.py
@@ -119,14 +119,14 @@
         if history_lost and not self.leases.history_lost:
             self.leases.history_lost = True
             logger.warning("placement: {} follows a history that this store does not have", report.router)
-        is_complete, assignments, removed = self.index.changes_since(told.table_revision if is_known else 0)
+        changes = self.index.changes_since(told.table_revision if is_known else 0)
         is_tracked = self.leases.is_tracked(report.router, report.run)
         return ControlPlaneUpdate(
             self.index.revision,
             self.administration.mark_of(self.index.revision),
-            is_complete,
-            assignments,
-            removed,
+            changes.is_complete,
+            changes.assignments,
+            changes.removed,
             self.leases.lease if is_tracked else 0.0,
             self.leases.isolation_limit if is_tracked else 0.0,
             self.servers.stored_relabelled(store),
@@ -152,10 +152,10 @@
 
         Whoever takes servers out leaves at least one that is up in each of these sets.
         """
-        records = [record for record, _ in list(self.index.shards.values())]
+        records = [stored.record for stored in list(self.index.shards.values())]
         affinities = [affinity for record in records for affinity in (record.current, record.target)]
         return {
-            frozenset(zone for region in affinity.zones for zone in region)
+            affinity.all_zones()
             for affinity in affinities
             if affinity is not None and affinity.required and affinity.zones
         }
--- a/gaugehinge/placement/lease_tracker.py
+++ b/gaugehinge/placement/lease_tracker.py
@@ -59,7 +59,7 @@
         those count that serve without a lease.
         """
         ledger = self.isolation_leases if self.history_lost else self.leases
-        return record.stage == Stage.CONFINED.value and ledger.settled(self.clock())
+        return record.stage is Stage.CONFINED and ledger.settled(self.clock())
 
     def forget_expired(self) -> None:
         """Drop the entries of routers whose leases are over."""
--- a/gaugehinge/placement/lifecycle.py
+++ b/gaugehinge/placement/lifecycle.py
@@ -1,15 +1,17 @@
-"""The life of one shard's placement. No I/O, no clock of its own.
+"""The lifecycle of one shard's placement. No I/O, no clock of its own.
 
-    asked -> spreading -> moving -> confined (`only`) or followed (`prefer`) -> spreading -> ...
-                       -> leaving -> gone
+    scheduled -> preparing -> migrating -> confined (required) or applied (preferred) -> preparing -> ...
+                           -> removing -> removed
 
 Every change of where keys go takes two steps, each of which has to be with all routers that may act:
 
-1. `spreading`: keys go as before, and repeats of deduplicated writes (`r=1`) get a final answer with no
-attempt. 2. `moving` (or `leaving`): keys go by the new terms, repeats are still held.
+1. While `preparing`, keys go as before, and retries of writes with an idempotency key (`r=1`) get a final
+   answer with no attempt.
+2. While `migrating` (or `removing`), keys go by the new placement; retries are still blocked.
 
-In one step a router that moved would run a first try in the new place, and one that did not yet know its
-repeat in the old one. Repeats are held on until what was remembered before the end of step 2 is forgotten.
+In one step, a router that follows would run a first attempt in the new place while one that does not yet
+follow runs its retry in the old one. Retries stay blocked until what servers remembered of writes from before
+the end of step 2 has expired.
 """
 
 from __future__ import annotations
@@ -21,45 +23,46 @@
 
 
 class Stage(Enum):
-    """Where a placement is in its life."""
+    """Where a placement is in its lifecycle. The values are those of the store and the API."""
 
     SCHEDULED = "asked"  # for a time that has not come; routers are not told
-    PREPARING = "spreading"  # keys go as before, repeats are held
-    MIGRATING = "moving"  # routers are told the new terms, and not all are known to follow
-    CONFINED = "confined"  # `only`: no router places a key of it outside
-    APPLIED = "followed"  # `prefer`: every router follows
+    PREPARING = "spreading"  # keys go as before, retries are blocked
+    MIGRATING = "moving"  # routers are told the new placement, and not all are known to follow
+    CONFINED = "confined"  # required: no router places a key of it outside
+    APPLIED = "followed"  # preferred: every router follows
     REMOVING = "leaving"  # routers are told that it ends
-    QUARANTINED = "held"  # lost with an older copy of the store; served by nobody until its tenant speaks
+    QUARANTINED = "held"  # lost with an older copy of the store; served by nobody until its tenant asks anew
     REMOVED = "gone"
 
 
 class Event(Enum):
-    """What happens to it."""
+    """What happens to a placement. The values are those of error messages of the API."""
 
-    CHANGE_REQUESTED = "ask"  # its tenant wants terms, now
-    CHANGE_SCHEDULED = "later"  # its tenant wants terms, at a time
+    CHANGE_REQUESTED = "ask"  # its tenant wants it somewhere, now
+    CHANGE_SCHEDULED = "later"  # its tenant wants it somewhere, at a stated time
     REMOVAL_REQUESTED = "remove"
-    SCHEDULE_DUE = "due"  # the time that was asked for has come
+    SCHEDULE_DUE = "due"  # the stated time has come
     ROUTERS_CAUGHT_UP = "follow"  # every router that may act follows the revision of this stage
-    DEDUPLICATION_EXPIRED = "forgotten"  # marks from before are remembered nowhere
-    ZONES_CHANGED = "disturbed"  # what zone a server stands in changed under it
-    PIN_LOST = "lost"  # a router acts by terms that this store no longer has
+    DEDUPLICATION_EXPIRED = "forgotten"  # no server remembers writes from before
+    ZONES_CHANGED = "disturbed"  # a server of its zones changed zones
+    PIN_LOST = "lost"  # a router acts by a pin that this store no longer has
 
 
 SETTLED_STAGES = (Stage.CONFINED, Stage.APPLIED)
 TRANSITIONS: dict[tuple[Stage | None, Event], Stage] = {
     (None, Event.CHANGE_REQUESTED): Stage.PREPARING,
     (None, Event.CHANGE_SCHEDULED): Stage.SCHEDULED,
+    (None, Event.PIN_LOST): Stage.QUARANTINED,
     (Stage.SCHEDULED, Event.CHANGE_REQUESTED): Stage.PREPARING,
     (Stage.SCHEDULED, Event.CHANGE_SCHEDULED): Stage.SCHEDULED,
     (Stage.SCHEDULED, Event.SCHEDULE_DUE): Stage.PREPARING,
     (Stage.SCHEDULED, Event.REMOVAL_REQUESTED): Stage.REMOVED,
     (Stage.PREPARING, Event.CHANGE_REQUESTED): Stage.PREPARING,
     (Stage.PREPARING, Event.REMOVAL_REQUESTED): Stage.PREPARING,
-    (Stage.PREPARING, Event.ROUTERS_CAUGHT_UP): Stage.MIGRATING,  # or REMOVING, where it was told to end
+    (Stage.PREPARING, Event.ROUTERS_CAUGHT_UP): Stage.MIGRATING,  # or REMOVING, where removal is requested
     (Stage.MIGRATING, Event.CHANGE_REQUESTED): Stage.PREPARING,
     (Stage.MIGRATING, Event.REMOVAL_REQUESTED): Stage.PREPARING,
-    (Stage.MIGRATING, Event.ROUTERS_CAUGHT_UP): Stage.CONFINED,  # or APPLIED, by its terms
+    (Stage.MIGRATING, Event.ROUTERS_CAUGHT_UP): Stage.CONFINED,  # or APPLIED, where it is preferred
     (Stage.MIGRATING, Event.ZONES_CHANGED): Stage.MIGRATING,
     (Stage.CONFINED, Event.CHANGE_REQUESTED): Stage.PREPARING,
     (Stage.CONFINED, Event.CHANGE_SCHEDULED): Stage.CONFINED,
@@ -74,109 +77,136 @@
     (Stage.APPLIED, Event.DEDUPLICATION_EXPIRED): Stage.APPLIED,
     (Stage.REMOVING, Event.CHANGE_REQUESTED): Stage.PREPARING,
     (Stage.REMOVING, Event.REMOVAL_REQUESTED): Stage.REMOVING,
-    (Stage.REMOVING, Event.DEDUPLICATION_EXPIRED): Stage.REMOVED,  # after all follow
     (Stage.REMOVING, Event.ROUTERS_CAUGHT_UP): Stage.REMOVING,
+    (Stage.REMOVING, Event.DEDUPLICATION_EXPIRED): Stage.REMOVED,  # only after all routers follow
     (Stage.QUARANTINED, Event.CHANGE_REQUESTED): Stage.PREPARING,
     (Stage.QUARANTINED, Event.REMOVAL_REQUESTED): Stage.PREPARING,
-    **{
-        (stage, Event.PIN_LOST): Stage.QUARANTINED
-        for stage in (
-            Stage.PREPARING,
-            Stage.MIGRATING,
-            *SETTLED_STAGES,
-            Stage.REMOVING,
-            Stage.SCHEDULED,
-            Stage.QUARANTINED,
-        )
-    },
-    (None, Event.PIN_LOST): Stage.QUARANTINED,
+    **{(stage, Event.PIN_LOST): Stage.QUARANTINED for stage in Stage if stage is not Stage.REMOVED},
 }
 
 
 class InvalidTransitionError(Exception):
-    """The event makes no sense in this stage; the text says why."""
+    """The event makes no sense in this stage."""
+
+    def __init__(self, stage: Stage | None, event: Event) -> None:
+        """`stage`: None where there is no placement."""
+        found = stage.value if stage else "not there"
+        super().__init__(f"it is {found}: that cannot be asked for now ({event.value})")
+        self.stage = stage
+        self.event = event
+
+
+class RoutersBehindError(InvalidTransitionError):
+    """A removal cannot end: not every router follows it yet."""
+
+    def __init__(self, stage: Stage, event: Event) -> None:
+        """`stage`: the one that does not end."""
+        super().__init__(stage, event)
+        self.args = ("not every router follows yet",)
 
 
 @dataclass(slots=True, frozen=True)
 class Lifecycle:
-    """Of one shard."""
+    """The state of one shard's placement."""
 
     stage: Stage
     current: RegionAffinity | None = None  # that routers are told; None: as if there were no such shard
-    target: RegionAffinity | None = None  # that it goes to, or will go to at `scheduled_at`
-    scheduled_at: float = 0.0  # Unix seconds; 0: nothing is asked for a time
-    removal_requested: bool = False  # spreading towards its end
-    retries_blocked: bool = False  # repeats are held
-    required_everywhere: bool = (
-        False  # every router that may act knows its keys as `only`: cut off, it bounces them
-    )
-    may_serve_without_lease: bool = False  # some router may act by terms that let it serve on without a lease
-    removal_acknowledged: bool = False  # leaving, and every router follows
+    target: RegionAffinity | None = None  # that it migrates to, or will at `scheduled_at`
+    scheduled_at: float = 0.0  # Unix seconds; 0: nothing is scheduled
+    removal_requested: bool = False  # preparing for its removal
+    retries_blocked: bool = False  # retries of writes with an idempotency key get a final answer
+    # Every router that may act knows it as required: one without a lease rejects its keys.
+    required_everywhere: bool = False
+    # Some router may act by a placement that it goes on serving without a lease.
+    may_serve_without_lease: bool = False
+    removal_acknowledged: bool = False  # removing, and every router follows
 
 
 def transition(
-    life: Lifecycle | None, event: Event, terms: RegionAffinity | None = None, at: float = 0.0
+    lifecycle: Lifecycle | None,
+    event: Event,
+    affinity: RegionAffinity | None = None,
+    scheduled_at: float = 0.0,
 ) -> Lifecycle:
-    """What becomes of it. Raises InvalidTransitionError where the table has no such row."""
-    stage = TRANSITIONS.get((life.stage if life else None, event))
+    """The state after an event; `lifecycle` None: there is no placement yet.
+
+    `affinity` goes with a requested or scheduled change, `scheduled_at` (Unix seconds) with the latter.
+    Raises InvalidTransitionError where the table has no such row.
+    """
+    before = lifecycle.stage if lifecycle else None
+    stage = TRANSITIONS.get((before, event))
     if stage is None:
-        stands = life.stage.value if life else "not there"
-        raise InvalidTransitionError(f"it is {stands}: that cannot be asked for now ({event.value})")
-    life = life or Lifecycle(stage)
+        raise InvalidTransitionError(before, event)
     if event is Event.PIN_LOST:
-        return Lifecycle(Stage.QUARANTINED, NOWHERE, retries_blocked=True)
-    if event is Event.CHANGE_SCHEDULED:
-        return replace(life, stage=stage, target=terms, scheduled_at=at)
-    if event is Event.CHANGE_REQUESTED:
-        if life.stage in SETTLED_STAGES and terms == life.current:
-            return replace(life, target=None, scheduled_at=0.0)
-        return replace(
-            life,
-            stage=stage,
-            target=terms,
-            scheduled_at=0.0,
-            removal_requested=False,
-            retries_blocked=True,
-            removal_acknowledged=False,
-        )
-    if event is Event.SCHEDULE_DUE:
-        return replace(life, stage=stage, scheduled_at=0.0, retries_blocked=True)
-    if event is Event.REMOVAL_REQUESTED:
-        if life.stage is Stage.REMOVING:
-            return life
-        return replace(
-            life, stage=stage, target=None, scheduled_at=0.0, removal_requested=True, retries_blocked=True
-        )
-    if event is Event.ZONES_CHANGED:
-        return replace(life, stage=stage)
-    if event is Event.DEDUPLICATION_EXPIRED:
-        if life.stage is Stage.REMOVING and not life.removal_acknowledged:
-            raise InvalidTransitionError("not every router follows yet")
-        return replace(life, stage=stage, retries_blocked=False)
-    return _followed(life, stage)
-
-
-def _followed(life: Lifecycle, stage: Stage) -> Lifecycle:
-    if life.stage is Stage.PREPARING:
-        only = life.target is not None and life.target.required
-        told = replace(
-            life,
-            stage=Stage.REMOVING if life.removal_requested else stage,
-            current=life.target,
-            target=None,
-            removal_requested=False,
-        )
-        return replace(
-            told,
-            may_serve_without_lease=not life.required_everywhere,
-            required_everywhere=life.required_everywhere and only,
-        )
-    if life.stage is Stage.REMOVING:
-        return replace(life, removal_acknowledged=True)
-    only = life.current is not None and life.current.required
+        return Lifecycle(stage, NOWHERE, retries_blocked=True)
+    lifecycle = lifecycle or Lifecycle(stage)
+    match event:
+        case Event.CHANGE_REQUESTED:
+            return _change_requested(lifecycle, stage, affinity)
+        case Event.CHANGE_SCHEDULED:
+            return replace(lifecycle, stage=stage, target=affinity, scheduled_at=scheduled_at)
+        case Event.REMOVAL_REQUESTED:
+            return _removal_requested(lifecycle, stage)
+        case Event.SCHEDULE_DUE:
+            return replace(lifecycle, stage=stage, scheduled_at=0.0, retries_blocked=True)
+        case Event.ROUTERS_CAUGHT_UP:
+            return _routers_caught_up(lifecycle, stage)
+        case Event.DEDUPLICATION_EXPIRED:
+            return _deduplication_expired(lifecycle, stage)
+        case _:
+            return replace(lifecycle, stage=stage)
+
+
+def _change_requested(lifecycle: Lifecycle, stage: Stage, affinity: RegionAffinity | None) -> Lifecycle:
+    if lifecycle.stage in SETTLED_STAGES and affinity == lifecycle.current:
+        return replace(lifecycle, target=None, scheduled_at=0.0)
+    return replace(
+        lifecycle,
+        stage=stage,
+        target=affinity,
+        scheduled_at=0.0,
+        removal_requested=False,
+        retries_blocked=True,
+        removal_acknowledged=False,
+    )
+
+
+def _removal_requested(lifecycle: Lifecycle, stage: Stage) -> Lifecycle:
+    if lifecycle.stage is Stage.REMOVING:
+        return lifecycle
     return replace(
-        life,
-        stage=Stage.CONFINED if only else Stage.APPLIED,
-        required_everywhere=only,
+        lifecycle, stage=stage, target=None, scheduled_at=0.0, removal_requested=True, retries_blocked=True
+    )
+
+
+def _deduplication_expired(lifecycle: Lifecycle, stage: Stage) -> Lifecycle:
+    if lifecycle.stage is Stage.REMOVING and not lifecycle.removal_acknowledged:
+        raise RoutersBehindError(lifecycle.stage, Event.DEDUPLICATION_EXPIRED)
+    return replace(lifecycle, stage=stage, retries_blocked=False)
+
+
+def _routers_caught_up(lifecycle: Lifecycle, stage: Stage) -> Lifecycle:
+    if lifecycle.stage is Stage.PREPARING:
+        return _begin_migration(lifecycle, stage)
+    if lifecycle.stage is Stage.REMOVING:
+        return replace(lifecycle, removal_acknowledged=True)
+    required = lifecycle.current is not None and lifecycle.current.required
+    return replace(
+        lifecycle,
+        stage=Stage.CONFINED if required else Stage.APPLIED,
+        required_everywhere=required,
         may_serve_without_lease=False,
     )
+
+
+def _begin_migration(lifecycle: Lifecycle, stage: Stage) -> Lifecycle:
+    required = lifecycle.target is not None and lifecycle.target.required
+    return replace(
+        lifecycle,
+        stage=Stage.REMOVING if lifecycle.removal_requested else stage,
+        current=lifecycle.target,
+        target=None,
+        removal_requested=False,
+        required_everywhere=lifecycle.required_everywhere and required,
+        may_serve_without_lease=not lifecycle.required_everywhere,
+    )
--- a/gaugehinge/placement/quarantine.py
+++ b/gaugehinge/placement/quarantine.py
@@ -12,11 +12,12 @@
 from .messages import LostPin
 from .records import SHARD, ShardRecord, lifecycle_of, record_id, with_lifecycle
 from .shard_index import ShardIndex
+from .shard_table import ShardKey
 from .store_reader import tenant_names
 
 
 def quarantine_changes(
-    store: Store, index: ShardIndex, lost_pins: Mapping[tuple[int, str], LostPin], now: float
+    store: Store, index: ShardIndex, lost_pins: Mapping[ShardKey, LostPin], now: float
 ) -> list[Wanted]:
     """Changes that quarantine each shard whose newer pin was lost; its tenant has to ask anew.
 
@@ -38,9 +39,10 @@
 
 
 def _is_settled(record: ShardRecord, revision: int, lost: LostPin) -> bool:
-    return revision > lost.store_revision or record.stage == Stage.QUARANTINED.value
+    return revision > lost.store_revision or record.stage is Stage.QUARANTINED
 
 
 def _empty_record(store: Store, tenant: str, lost: LostPin, now: float) -> ShardRecord:
-    """A record of a shard that this copy of the store never had; its stage is set by the transition."""
-    return ShardRecord(lost.incarnation, tenant, lost.shard, lost.prefixes, 0.0, store.rev + 1, "", now)
+    """A record of a shard that this copy of the store never had."""
+    stage, version = Stage.QUARANTINED, store.rev + 1
+    return ShardRecord(lost.incarnation, tenant, lost.shard, lost.prefixes, 0.0, version, stage, now)
--- a/gaugehinge/placement/quotas.py
+++ b/gaugehinge/placement/quotas.py
@@ -2,35 +2,37 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import msgspec
 
-from .admission import AdmissionError
+from .admission import RATE_TOLERANCE, AdmissionError
 
-RATE_TOLERANCE = 1e-9  # operations a second that a sum of rates may be off by rounding
+SECONDS_PER_HOUR = 3600.0
 
 
-@dataclass(slots=True, frozen=True)
-class ChangeBudget:
-    """Changes that a tenant may still make: a bucket that fills again over an hour."""
+class ChangeBudget(msgspec.Struct, frozen=True, array_like=True):
+    """Changes that a tenant may still make: a token bucket that fills again over an hour.
+
+    Kept in the store, as an array.
+    """
 
     remaining: float
     updated_at: float  # Unix seconds
 
-    def take(self, most: int, now: float) -> ChangeBudget:
-        """One change less. Raises AdmissionError where none is left."""
-        left = min(self.remaining + max(now - self.updated_at, 0.0) * most / 3600.0, float(most))
-        if left < 1.0:
-            wait = (1.0 - left) * 3600.0 / most
-            raise AdmissionError(
-                429, "too many changes", f"{most} an hour; accepted again in {wait:.0f} s", ""
-            )
-        return ChangeBudget(left - 1.0, max(now, self.updated_at))
-
-
-def check_shard_count(standing: int, most: int) -> None:
-    """One more shard of a tenant. Raises AdmissionError."""
-    if standing >= most:
-        raise AdmissionError(409, "too many shards", f"{standing} stand; accepted: {most} at most", "")
+    def take(self, per_hour: int, now: float) -> ChangeBudget:
+        """The budget after one change, at `now` (Unix seconds). Raises AdmissionError where none is left."""
+        refilled = max(now - self.updated_at, 0.0) * per_hour / SECONDS_PER_HOUR
+        remaining = min(self.remaining + refilled, float(per_hour))
+        if remaining < 1.0:
+            wait = (1.0 - remaining) * SECONDS_PER_HOUR / per_hour
+            detail = f"{per_hour} an hour; accepted again in {wait:.0f} s"
+            raise AdmissionError(429, "too many changes", detail, "")
+        return ChangeBudget(remaining - 1.0, max(now, self.updated_at))
+
+
+def check_shard_count(existing: int, most: int) -> None:
+    """Check that a tenant may make one more shard. Raises AdmissionError."""
+    if existing >= most:
+        raise AdmissionError(409, "too many shards", f"{existing} stand; accepted: {most} at most", "")
 
 
 def allocate_rate(allowance: float, others: float, requested: float) -> float:
--- a/gaugehinge/placement/reconciler.py
+++ b/gaugehinge/placement/reconciler.py
@@ -19,12 +19,13 @@
 from .server_availability import ServerAvailability
 from .server_snapshots import add_present_servers
 from .shard_index import ShardIndex
+from .shard_table import ShardKey
 from .zone_changes import relabelled_changes
 
 RECONCILE_INTERVAL = 0.1  # seconds between two passes while a shard is in progress
 IDLE_INTERVAL = 2.0  # seconds between two passes while none is
 MAX_PENDING_LOST_PINS = 1024
-IN_PROGRESS = (Stage.PREPARING.value, Stage.MIGRATING.value, Stage.REMOVING.value)
+IN_PROGRESS = (Stage.PREPARING, Stage.MIGRATING, Stage.REMOVING)
 AUTHOR = "keeper"  # of the control plane's own changes, in the audit log
 
 
@@ -37,6 +38,15 @@
     revision: int
 
 
+@dataclass(slots=True, frozen=True)
+class DueEvent:
+    """An event that is due for a shard record, as that is at a revision of the store."""
+
+    record_id: str
+    revision: int
+    event: Event
+
+
 class ConditionTimer:
     """Since when conditions have held without a break."""
 
@@ -77,7 +87,7 @@
         self.flight_time = float(settings.flight)
         self.deduplication_window = float(settings.memory)
         self.timer = ConditionTimer(clock)
-        self.lost_pins: dict[tuple[int, str], LostPin] = {}  # not yet written; MAX_PENDING_LOST_PINS of them
+        self.lost_pins: dict[ShardKey, LostPin] = {}  # not yet written; MAX_PENDING_LOST_PINS of them
         self.relabelled_zones: set[str] = set()  # whose servers changed zones; not yet written
 
     @property
@@ -88,7 +98,7 @@
     def report_lost_pin(self, lost: LostPin) -> None:
         """Note a pin that a router acted by and the store does not have."""
         if len(self.lost_pins) < MAX_PENDING_LOST_PINS:
-            self.lost_pins[lost.incarnation, lost.shard] = lost
+            self.lost_pins[ShardKey(lost.incarnation, lost.shard)] = lost
 
     async def reconcile(self) -> float:
         """One pass; returns the seconds until the next one.
@@ -98,7 +108,7 @@
         await self._record_reports()
         pending = await self.keeper.call(self._pending_shards)
         self.timer.keep_only({(shard.record_id, shard.revision) for shard in pending})
-        events = {shard.record_id: (event, shard.revision) for shard, event in self._due_events(pending)}
+        events = self._due_events(pending)
         if events:
             await self.keeper.apply_planned(lambda store, now: self._apply(store, now, events), AUTHOR)
         return self._time_to_next(pending)
@@ -116,7 +126,7 @@
         self.relabelled_zones -= zones
 
     def _report_changes(
-        self, store: Store, now: float, lost_pins: Mapping[tuple[int, str], LostPin], zones: set[str]
+        self, store: Store, now: float, lost_pins: Mapping[ShardKey, LostPin], zones: set[str]
     ) -> list[Wanted]:
         self.index.refresh(store)
         changes = quarantine_changes(store, self.index, lost_pins, now)
@@ -143,13 +153,17 @@
 
     # -- which event is due
 
-    def _due_events(self, pending: list[PendingShard]) -> list[tuple[PendingShard, Event]]:
-        found = [(shard, self._due_event(shard)) for shard in pending]
-        return [(shard, event) for shard, event in found if event is not None]
+    def _due_events(self, pending: list[PendingShard]) -> list[DueEvent]:
+        events = []
+        for shard in pending:
+            event = self._due_event(shard)
+            if event is not None:
+                events.append(DueEvent(shard.record_id, shard.revision, event))
+        return events
 
     def _due_event(self, shard: PendingShard) -> Event | None:
-        record, stage = shard.record, Stage(shard.record.stage)
-        if self._is_schedule_due(record, stage):
+        record, stage = shard.record, shard.record.stage
+        if self._is_schedule_due(record):
             return Event.SCHEDULE_DUE if self._target_has_servers(record) else None
         if stage is Stage.PREPARING:
             behind = self.leases.routers_behind(shard.revision, without_lease=False)
@@ -162,14 +176,14 @@
             return Event.DEDUPLICATION_EXPIRED if expired else None
         return None
 
-    def _is_schedule_due(self, record: ShardRecord, stage: Stage) -> bool:
+    def _is_schedule_due(self, record: ShardRecord) -> bool:
         due = bool(record.scheduled_at) and self.keeper.clock() >= record.scheduled_at
-        return due and stage in (Stage.SCHEDULED, *SETTLED_STAGES)
+        return due and record.stage in (Stage.SCHEDULED, *SETTLED_STAGES)
 
     def _target_has_servers(self, record: ShardRecord) -> bool:
         if record.target is None:
             return False
-        return not self.servers.zones().isdisjoint(zone for region in record.target.zones for zone in region)
+        return not self.servers.zones().isdisjoint(record.target.all_zones())
 
     def _have_caught_up(self, shard: PendingShard) -> bool:
         """Whether all routers follow, and what they sent before has arrived."""
@@ -178,16 +192,17 @@
 
     # -- carrying events out
 
-    def _apply(self, store: Store, now: float, events: Mapping[str, tuple[Event, int]]) -> list[Wanted]:
+    def _apply(self, store: Store, now: float, events: list[DueEvent]) -> list[Wanted]:
         """Changes that carry events out; a shard that changed meanwhile waits for the next pass."""
         self.index.refresh(store)
         changes: list[Wanted] = []
-        for record_id, (event, expected_revision) in events.items():
-            record, revision = self.index.shards.get(record_id, (None, 0))
-            if record is None or revision != expected_revision:
+        for due in events:
+            stored = self.index.shards.get(due.record_id)
+            if stored is None or stored.revision != due.revision:
                 continue
-            after = self._advance(store, now, record, event, changes)
-            changes.append(Wanted(SHARD, record_id, encode(after) if after else None, revision))
+            after = self._advance(store, now, stored.record, due.event, changes)
+            body = encode(after) if after is not None else None
+            changes.append(Wanted(SHARD, due.record_id, body, due.revision))
         return changes
 
     def _advance(
@@ -204,6 +219,6 @@
         required = lifecycle.current is not None and lifecycle.current.required
         if event is Event.ROUTERS_CAUGHT_UP and required:
             after = add_present_servers(store, after, self.servers.inventory, changes, now)
-        if after.stage != record.stage:
-            logger.info("shard {} of {} {}", record.shard, record.tenant, after.stage)
+        if after.stage is not record.stage:
+            logger.info("shard {} of {} {}", record.shard, record.tenant, after.stage.value)
         return after
--- a/gaugehinge/placement/records.py
+++ b/gaugehinge/placement/records.py
@@ -5,10 +5,13 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
 from .affinity import RegionAffinity
 from .lifecycle import SETTLED_STAGES, Lifecycle, Stage
+from .shard_table import ShardKey
 
 SHARD = "shard"  # a ShardRecord, by "<incarnation>/<shard>"
 CHANGE_BUDGET = "shard-budget"  # of a tenant, by its incarnation
@@ -50,7 +53,7 @@
     prefixes: tuple[str, ...]
     reserved_rate: float  # operations a second that count at its first region
     version: int  # revision of the tenant's last change: the entity tag
-    stage: str
+    stage: Stage
     stage_since: float  # Unix seconds
     current: RegionAffinity | None = None
     target: RegionAffinity | None = None
@@ -68,6 +71,11 @@
     confined_at: float = 0.0  # Unix seconds
     former_rates: dict[str, float] = {}  # operations a second at regions that routers may still serve it from
 
+    @property
+    def key(self) -> ShardKey:
+        """Its key in routers' tables."""
+        return ShardKey(self.incarnation, self.shard)
+
     @property
     def rate_by_region(self) -> dict[str, float]:
         """Operations a second that it reserves, by region: where it is, goes to, and may still be served."""
@@ -81,7 +89,14 @@
     @property
     def is_ending(self) -> bool:
         """Whether its tenant has removed it: by its name it does not exist any more."""
-        return self.removal_requested or self.stage == Stage.REMOVING.value
+        return self.removal_requested or self.stage is Stage.REMOVING
+
+
+class StoredShard(NamedTuple):
+    """A shard record and the revision of the store at which it was written."""
+
+    record: ShardRecord
+    revision: int
 
 
 def record_id(incarnation: int, shard: str) -> str:
@@ -89,10 +104,16 @@
     return f"{incarnation}/{shard}"
 
 
+def shard_key(record_id: str) -> ShardKey:
+    """The shard that an id of a record names."""
+    incarnation, _, shard = record_id.partition("/")
+    return ShardKey(int(incarnation), shard)
+
+
 def lifecycle_of(record: ShardRecord) -> Lifecycle:
     """The lifecycle fields of a record."""
     return Lifecycle(
-        Stage(record.stage),
+        record.stage,
         record.current,
         record.target,
         record.scheduled_at,
@@ -106,11 +127,11 @@
 
 def with_lifecycle(record: ShardRecord, lifecycle: Lifecycle, now: float) -> ShardRecord:
     """A copy of a record in another state, entered at `now` (Unix seconds)."""
-    stage = lifecycle.stage.value
+    stage = lifecycle.stage
     return msgspec.structs.replace(
         record,
         stage=stage,
-        stage_since=now if stage != record.stage else record.stage_since,
+        stage_since=now if stage is not record.stage else record.stage_since,
         current=lifecycle.current,
         target=lifecycle.target,
         scheduled_at=lifecycle.scheduled_at,
@@ -124,10 +145,9 @@
 
 def needs_work(record: ShardRecord) -> bool:
     """Whether the control plane has to bring the shard on by itself."""
-    stage = Stage(record.stage)
-    if stage is Stage.QUARANTINED:
+    if record.stage is Stage.QUARANTINED:
         return bool(record.scheduled_at)
-    return stage not in SETTLED_STAGES or bool(record.scheduled_at) or record.retries_blocked
+    return record.stage not in SETTLED_STAGES or bool(record.scheduled_at) or record.retries_blocked
 
 
 def former_rates(record: ShardRecord | None, lifecycle: Lifecycle) -> dict[str, float]:
--- a/gaugehinge/placement/server_inventory.py
+++ b/gaugehinge/placement/server_inventory.py
@@ -1,81 +1,106 @@
-"""The list of servers as routers report it to the keeper. No I/O, no clock of its own."""
+"""The list of servers as routers report it to the control plane. No I/O, no clock of its own."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import msgspec
 from xxhash import xxh3_64_hexdigest
 
-from .admission import Server
 from .messages import MAX_CHUNK_SERVERS, MAX_SERVERS, ReportedServer, ServerListChunk
 
-MAX_PARTIAL_LISTS = 16  # lists that are being put together from their chunks; the oldest goes first
+MAX_PARTIAL_LISTS = 16  # lists of which some chunks have come; the oldest goes first
+
+
+class ServerPresence(NamedTuple):
+    """A server that was present somewhere. Encoded as an array."""
+
+    uid: str
+    zone: str
+    started_at: float
+
+
+class _PartialListKey(NamedTuple):
+    router: str
+    digest: str
 
 
 def server_list_digest(servers: list[ReportedServer]) -> str:
-    """Of a whole list, in the order of its names."""
+    """The digest of a whole list, in the order of its names."""
     return xxh3_64_hexdigest(msgspec.json.encode(servers))
 
 
 def split_server_list(servers: list[ReportedServer]) -> list[ServerListChunk]:
-    """A list as it is reported, in parts."""
+    """A list as it is reported, in chunks; an empty one is one chunk."""
     digest = server_list_digest(servers)
-    starts = range(0, max(len(servers), 1), MAX_CHUNK_SERVERS)
-    return [ServerListChunk(digest, len(servers), at, servers[at : at + MAX_CHUNK_SERVERS]) for at in starts]
+    return [
+        ServerListChunk(digest, len(servers), offset, servers[offset : offset + MAX_CHUNK_SERVERS])
+        for offset in range(0, max(len(servers), 1), MAX_CHUNK_SERVERS)
+    ]
 
 
 @dataclass(slots=True)
 class ServerInventory:
-    """The newest whole list that any router told, and servers that left it."""
-
-    digest: str = ""
-    current: dict[str, Server] = field(default_factory=dict)  # of the newest list
-    departed: dict[str, Server] = field(default_factory=dict)  # MAX_SERVERS of them
-    relabelled: dict[str, float] = field(
-        default_factory=dict
-    )  # zone changed without a start: when it started
-    _partial: dict[tuple[str, str], dict[int, list[ReportedServer]]] = field(default_factory=dict)
-
-    def add_chunk(self, router: str, told: ServerListChunk) -> set[str]:
-        """A slice came; the zones whose servers changed places without a start, empty for most."""
-        key = (router, told.digest)
-        parts = self._partial.setdefault(key, {})
-        parts[told.offset] = told.servers
+    """The newest whole list that any router reported, and servers that left it."""
+
+    digest: str = ""  # of the newest list; empty: there is none yet
+    current: dict[str, ReportedServer] = field(default_factory=dict)  # of the newest list
+    departed: dict[str, ReportedServer] = field(default_factory=dict)  # MAX_SERVERS of them
+    relabelled: dict[str, float] = field(default_factory=dict)  # zone changed without a restart: its start
+    _partial: dict[_PartialListKey, dict[int, list[ReportedServer]]] = field(default_factory=dict)
+
+    def add_chunk(self, router: str, chunk: ServerListChunk) -> set[str]:
+        """Take a chunk of a router's list.
+
+        Returns the zones whose servers changed zones without a restart: empty for most chunks.
+        """
+        key = _PartialListKey(router, chunk.digest)
+        chunks = self._partial.setdefault(key, {})
+        chunks[chunk.offset] = chunk.servers
         while len(self._partial) > MAX_PARTIAL_LISTS:
             del self._partial[next(iter(self._partial))]
-        whole = [each for first in sorted(parts) for each in parts[first]]
-        if len(whole) < told.count:
+        servers = [server for offset in sorted(chunks) for server in chunks[offset]]
+        if len(servers) < chunk.count:
             return set()
         del self._partial[key]
-        if server_list_digest(whole) != told.digest or told.digest == self.digest:
+        if server_list_digest(servers) != chunk.digest or chunk.digest == self.digest:
             return set()
-        return self._replace(told.digest, [Server(*each) for each in whole])
+        zones = self._replace(servers)
+        self.digest = chunk.digest
+        return zones
 
-    def _replace(self, digest: str, servers: Iterable[Server]) -> set[str]:
+    def _replace(self, servers: Iterable[ReportedServer]) -> set[str]:
         before, self.current = self.current, {server.uid: server for server in servers}
-        disturbed: set[str] = set()
+        zones: set[str] = set()
         for uid, server in self.current.items():
-            old = before.get(uid) or self.departed.pop(uid, None)
-            if uid in self.relabelled and self.relabelled[uid] != server.started_at:
-                del self.relabelled[uid]
-            if old is None or old.zone == server.zone or server.started_at > old.started_at:
-                continue
-            # Routers whose lists differ tell of one change again and again: what no key goes to any more
-            # disturbs nobody a second time.
-            if self.relabelled.get(uid) != server.started_at:
-                self.relabelled[uid] = server.started_at
-                disturbed |= {old.zone, server.zone}
+            zones |= self._compare(before.get(uid) or self.departed.pop(uid, None), server)
         for uid, server in before.items():
             if uid not in self.current:
                 self.departed[uid] = server
         while len(self.departed) > MAX_SERVERS:
             del self.departed[next(iter(self.departed))]
-        self.digest = digest
-        return disturbed
+        return zones
+
+    def _compare(self, before: ReportedServer | None, server: ReportedServer) -> set[str]:
+        """The zones that a server changed without a restart, where that is news."""
+        uid = server.uid
+        if uid in self.relabelled and self.relabelled[uid] != server.started_at:
+            del self.relabelled[uid]
+        if before is None or before.zone == server.zone or server.started_at > before.started_at:
+            return set()
+        # Routers whose lists differ report one change again and again: a server that no key goes to any more
+        # disturbs nobody a second time.
+        if self.relabelled.get(uid) == server.started_at:
+            return set()
+        self.relabelled[uid] = server.started_at
+        return {before.zone, server.zone}
 
-    def snapshot(self) -> list[tuple[str, str, float]]:
-        """Everything that may hold a copy now: uid, zone, started."""
-        stand = {**self.departed, **self.current}
-        return [(each.uid, each.zone, each.started_at) for _, each in sorted(stand.items())]
+    def snapshot(self) -> list[ServerPresence]:
+        """Everything that may hold a copy of a value now, in the order of names."""
+        servers = {**self.departed, **self.current}
+        return [
+            ServerPresence(server.uid, server.zone, server.started_at)
+            for _, server in sorted(servers.items())
+        ]
--- a/gaugehinge/placement/server_snapshots.py
+++ b/gaugehinge/placement/server_snapshots.py
@@ -8,13 +8,13 @@
 from ..store.store import Store, Wanted, encode
 from .api_types import Copy
 from .records import SERVER_SNAPSHOT, ShardRecord
-from .server_inventory import ServerInventory
+from .server_inventory import ServerInventory, ServerPresence
 
 
-def read_snapshot(store: Store, snapshot_id: str) -> list[tuple[str, str, float]]:
+def read_snapshot(store: Store, snapshot_id: str) -> list[ServerPresence]:
     """Name, zone and start of each server of a snapshot; none where there is no such snapshot."""
     item = store.get(SERVER_SNAPSHOT, snapshot_id) if snapshot_id else None
-    return msgspec.json.decode(item.body, type=list[tuple[str, str, float]]) if item else []
+    return msgspec.json.decode(item.body, type=list[ServerPresence]) if item else []
 
 
 def add_present_servers(
@@ -24,7 +24,7 @@
 
     A snapshot that the store does not have is appended to `changes`.
     """
-    servers = {tuple(server) for server in read_snapshot(store, record.server_snapshot)}
+    servers = set(read_snapshot(store, record.server_snapshot))
     body = encode(sorted(servers | set(inventory.snapshot())))
     snapshot_id = xxh3_128_hexdigest(body)
     is_new = store.get(SERVER_SNAPSHOT, snapshot_id) is None
@@ -37,10 +37,10 @@
     """Servers outside a required shard's zones that have not restarted since it was confined."""
     if record.current is None or not record.current.required:
         return []
-    inside = {zone for zones in record.current.zones for zone in zones}
+    inside = record.current.all_zones()
     started = {uid: server.started_at for uid, server in inventory.current.items()}
     return [
-        Copy(uid, zone, started_at)
-        for uid, zone, started_at in read_snapshot(store, record.server_snapshot)
-        if zone not in inside and started.get(uid, started_at) == started_at
+        Copy(server.uid, server.zone, server.started_at)
+        for server in read_snapshot(store, record.server_snapshot)
+        if server.zone not in inside and started.get(server.uid, server.started_at) == server.started_at
     ]
--- a/gaugehinge/placement/shard_changes.py
+++ b/gaugehinge/placement/shard_changes.py
@@ -24,6 +24,7 @@
     CHANGE_BUDGET,
     SHARD,
     ShardRecord,
+    StoredShard,
     former_rates,
     lifecycle_of,
     record_id,
@@ -41,7 +42,7 @@
     """A tenant with its shards by name, each with the revision of its record."""
 
     tenant: Kept
-    shards: Mapping[str, tuple[ShardRecord, int]]
+    shards: Mapping[str, StoredShard]
 
     def rate_of_others(self, shard: str) -> float:
         """Operations a second that the tenant's other shards have.
@@ -83,7 +84,7 @@
         tenant = msgspec.json.decode(item.body, type=Kept)
         self.index.refresh(store)
         found = self.index.for_incarnation(tenant.incarnation)
-        return TenantShards(tenant, {record.shard: (record, revision) for record, revision in found})
+        return TenantShards(tenant, {stored.record.shard: stored for stored in found})
 
     async def put(
         self,
@@ -137,7 +138,7 @@
             prefixes,
             rate,
             store.rev + 1,
-            lifecycle.stage.value,
+            lifecycle.stage,
             now,
             requested_regions=wanted.regions,
             requested_mode=wanted.hold,
@@ -188,11 +189,10 @@
         """The change that takes one off a tenant's budget of changes. Raises AdmissionError."""
         stored = store.get(CHANGE_BUDGET, str(incarnation))
         per_hour = self.settings.changes
-        remaining, updated_at = (
-            msgspec.json.decode(stored.body, type=tuple[float, float]) if stored else (per_hour, now)
-        )
-        budget = ChangeBudget(remaining, updated_at).take(per_hour, now)
-        body = encode((budget.remaining, budget.updated_at))
+        budget = ChangeBudget(per_hour, now)
+        if stored is not None:
+            budget = msgspec.json.decode(stored.body, type=ChangeBudget)
+        body = encode(budget.take(per_hour, now))
         return Wanted(CHANGE_BUDGET, str(incarnation), body, stored.rev if stored else 0)
 
     def _response_body(self, made: list[Change]) -> bytes:
@@ -228,7 +228,7 @@
     shard: str,
     wanted: ShardWanted,
     record: ShardRecord | None,
-    shards: Mapping[str, tuple[ShardRecord, int]],
+    shards: Mapping[str, StoredShard],
 ) -> tuple[str, ...]:
     """The prefixes of a shard: they stay as it was made with. Raises Wrong."""
     prefixes = tuple(wanted.prefixes)
--- a/gaugehinge/placement/shard_index.py
+++ b/gaugehinge/placement/shard_index.py
@@ -4,28 +4,46 @@
 
 from collections import deque
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import msgspec
 
 from ..store.store import Store
 from .lifecycle import Stage
-from .records import SHARD, ShardRecord, needs_work
-from .shard_table import ShardAssignment
+from .records import SHARD, ShardRecord, StoredShard, needs_work, shard_key
+from .shard_table import ShardAssignment, ShardKey
+from .store_reader import iter_items
 
-MAX_REMEMBERED_REMOVALS = 4096  # removals that a router may be behind; one further behind gets the whole
-CHANGES_PER_READ = 5000  # rows of the log read at a time
+MAX_REMEMBERED_REMOVALS = 4096  # a router further behind gets all shards
+CHANGES_PER_READ = 5000  # rows of the log
+
+
+class Removal(NamedTuple):
+    """A shard that was removed."""
+
+    revision: int
+    record_id: str
+
+
+@dataclass(slots=True, frozen=True)
+class TableChanges:
+    """What a router's table lacks."""
+
+    is_complete: bool  # all shards, and not only those that changed
+    assignments: list[ShardAssignment]
+    removed: list[ShardKey]
 
 
 @dataclass(slots=True)
 class ShardIndex:
-    """Rows by ident, and what was removed of late."""
+    """Shard records by their ids, and what was removed lately."""
 
     revision: int = 0
-    shards: dict[str, tuple[ShardRecord, int]] = field(default_factory=dict)  # what changed last stands last
-    needs_work: set[str] = field(default_factory=set)
-    removed: deque[tuple[int, str]] = field(default_factory=lambda: deque(maxlen=MAX_REMEMBERED_REMOVALS))
+    shards: dict[str, StoredShard] = field(default_factory=dict)  # what changed last stands last
+    needs_work: set[str] = field(default_factory=set)  # ids of records that the control plane has to bring on
+    removed: deque[Removal] = field(default_factory=lambda: deque(maxlen=MAX_REMEMBERED_REMOVALS))
     complete_below: int = 0  # a table older than this cannot be brought up to date by changes
-    newest_revision: int = 0  # revision of the row changed last
+    newest_revision: int = 0  # of the record changed last
 
     def refresh(self, store: Store) -> None:
         """Follow the store."""
@@ -35,61 +53,67 @@
         while changes := store.changes(self.revision, CHANGES_PER_READ):
             for change in changes:
                 if change.kind == SHARD:
-                    self._apply(change.ident, change.rev, change.body)
+                    self.apply(change.ident, change.rev, change.body)
             self.revision = changes[-1].rev
 
     def _load(self, store: Store) -> None:
         self.shards.clear()
         self.needs_work.clear()
         self.removed.clear()
-        after, found = "", []
-        while items := store.items(SHARD, after):
-            found += items
-            after = items[-1].ident
-        for item in sorted(found, key=lambda each: each.rev):
-            self._apply(item.ident, item.rev, item.body)
+        for item in sorted(iter_items(store, SHARD), key=lambda item: item.rev):
+            self.apply(item.ident, item.rev, item.body)
         self.revision = self.complete_below = store.rev
 
-    def _apply(self, ident: str, rev: int, body: bytes | None) -> None:
-        self.newest_revision = max(self.newest_revision, rev)
-        self.needs_work.discard(ident)
-        before = self.shards.pop(ident, None)
+    def apply(self, record_id: str, revision: int, body: bytes | None) -> None:
+        """Take over one change of a shard record; `body` None: it was removed."""
+        self.newest_revision = max(self.newest_revision, revision)
+        self.needs_work.discard(record_id)
+        before = self.shards.pop(record_id, None)
         if body is None:
             if before is not None:
-                if len(self.removed) == MAX_REMEMBERED_REMOVALS:
-                    self.complete_below = self.removed[0][0]
-                self.removed.append((rev, ident))
+                self._remember_removal(Removal(revision, record_id))
             return
-        row = msgspec.json.decode(body, type=ShardRecord)
-        self.shards[ident] = row, rev
-        if needs_work(row):
-            self.needs_work.add(ident)
-
-    def for_incarnation(self, incarnation: int) -> list[tuple[ShardRecord, int]]:
-        """The shards of one incarnation."""
-        head = f"{incarnation}/"
-        return [row for ident, row in self.shards.items() if ident.startswith(head)]
-
-    def changes_since(self, since: int) -> tuple[bool, list[ShardAssignment], list[tuple[int, str]]]:
-        """Whether it is the whole, the rows and what is gone, for a router whose table is of a revision."""
-        whole = not since or since < self.complete_below
-        if not whole and since >= self.newest_revision:
-            return False, [], []
-        rows, gone = [], []
-        for row, rev in reversed(self.shards.values()):
-            if not whole and rev <= since:
+        record = msgspec.json.decode(body, type=ShardRecord)
+        self.shards[record_id] = StoredShard(record, revision)
+        if needs_work(record):
+            self.needs_work.add(record_id)
+
+    def _remember_removal(self, removal: Removal) -> None:
+        if len(self.removed) == MAX_REMEMBERED_REMOVALS:
+            self.complete_below = self.removed[0].revision
+        self.removed.append(removal)
+
+    def for_incarnation(self, incarnation: int) -> list[StoredShard]:
+        """The shards of one incarnation of a tenant."""
+        prefix = f"{incarnation}/"
+        return [stored for record_id, stored in self.shards.items() if record_id.startswith(prefix)]
+
+    def changes_since(self, since: int) -> TableChanges:
+        """What a router lacks whose table is of the revision `since`; 0: it has none."""
+        is_complete = not since or since < self.complete_below
+        if not is_complete and since >= self.newest_revision:
+            return TableChanges(False, [], [])
+        assignments, removed = [], []
+        for record, revision in reversed(self.shards.values()):
+            if not is_complete and revision <= since:
                 break
-            if row.stage == Stage.SCHEDULED.value:
-                gone.append((row.incarnation, row.shard))  # told once, it may have been taken back
+            if record.stage is Stage.SCHEDULED:
+                removed.append(record.key)  # a router may have been told it before it was taken back
             else:
-                rows.append(
-                    ShardAssignment(
-                        row.incarnation, row.shard, row.prefixes, row.current, row.retries_blocked, rev
-                    )
-                )
-        if not whole:
-            for rev, ident in self.removed:
-                number, _, shard = ident.partition("/")
-                if rev > since and ident not in self.shards:
-                    gone.append((int(number), shard))
-        return whole, rows, gone
+                assignments.append(_assignment(record, revision))
+        if not is_complete:
+            removed += self._removed_since(since)
+        return TableChanges(is_complete, assignments, removed)
+
+    def _removed_since(self, since: int) -> list[ShardKey]:
+        return [
+            shard_key(removal.record_id)
+            for removal in self.removed
+            if removal.revision > since and removal.record_id not in self.shards
+        ]
+
+
+def _assignment(record: ShardRecord, revision: int) -> ShardAssignment:
+    return ShardAssignment(
+        record.incarnation, record.shard, record.prefixes, record.current, record.retries_blocked, revision
+    )
--- a/gaugehinge/placement/shard_table.py
+++ b/gaugehinge/placement/shard_table.py
@@ -1,15 +1,15 @@
 """Which shard of its tenant a key belongs to, and where it may be served. No I/O, no clock.
 
 A shard is a set of prefixes of its tenant's keys; of several that fit a key the longest wins. The empty
-prefix is the default shard, the rest. Looked up by the lengths that a tenant's prefixes have: a look takes as
-many steps as there are lengths (65 at most), however many shards stand.
+prefix is the default shard, the rest. A key is looked up by the lengths that a tenant's prefixes have: in as
+many steps as there are lengths (65 at most), however many shards there are.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta
@@ -25,6 +25,13 @@
 ]
 
 
+class ShardKey(NamedTuple):
+    """What names a shard in tables. Encoded as an array."""
+
+    incarnation: int
+    shard: str
+
+
 class ShardAssignment(
     msgspec.Struct,
     frozen=True,
@@ -36,13 +43,13 @@
     shard: str
     prefixes: tuple[str, ...]
     affinity: RegionAffinity | None  # None: as its keys would go without it
-    retries_blocked: bool  # repeats of deduplicated writes get a final answer
+    retries_blocked: bool  # retries of writes with an idempotency key get a final answer
     revision: int  # of the store, at which this was decided
 
     @property
-    def key(self) -> tuple[int, str]:
+    def key(self) -> ShardKey:
         """Its key in tables."""
-        return self.incarnation, self.shard
+        return ShardKey(self.incarnation, self.shard)
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,83 +58,100 @@
 
     shard: str
     required: bool
-    regions: SearchOrder  # as `Operation.regions`
+    regions: SearchOrder
     retries_blocked: bool
 
-    def allows(self, zone: str) -> bool:
-        """Whether a server of this zone may be sent one of its keys."""
-        return any(region is None or zone in region for region in self.regions)
-
 
 @dataclass(slots=True)
 class PrefixRules:
-    """One incarnation's prefixes."""
+    """The prefixes of one incarnation of a tenant."""
 
-    pins: dict[bytes, KeyPlacement]
+    placements: dict[bytes, KeyPlacement]
     lengths: tuple[int, ...]  # longest first
 
+    @classmethod
+    def of(cls, placements: dict[bytes, KeyPlacement]) -> PrefixRules:
+        """The rules for placements by prefix."""
+        return cls(placements, tuple(sorted({len(prefix) for prefix in placements}, reverse=True)))
+
     def find(self, key: bytes) -> KeyPlacement | None:
-        """Of a key without its tenant's space."""
+        """The placement of a key, given without its tenant's key space; None where no prefix fits."""
         for length in self.lengths:
-            pin = self.pins.get(key[:length])
-            if pin is not None:
-                return pin
+            placement = self.placements.get(key[:length])
+            if placement is not None:
+                return placement
         return None
 
 
-def build_prefix_rules(rows: Iterable[ShardAssignment]) -> PrefixRules:
-    """The rules of one incarnation. A shard with no terms of its own goes as the next shorter prefix does."""
-    told = sorted((prefix.encode(), row) for row in rows for prefix in row.prefixes or ("",))
-    pins: dict[bytes, KeyPlacement] = {}
-    walks: dict[RegionAffinity, SearchOrder] = {}
-    for prefix, row in sorted(told, key=lambda each: len(each[0])):
-        if row.affinity is None:
-            above = PrefixRules(pins, _lengths(pins)).find(prefix)
-            only, search_order = (above.required, above.regions) if above else (False, ANYWHERE)
-            held = row.retries_blocked or bool(above and above.retries_blocked)
-        else:
-            only, held = row.affinity.required, row.retries_blocked
-            search_order = walks.setdefault(row.affinity, row.affinity.search_order())
-        pins[prefix] = KeyPlacement(row.shard, only, search_order, held)
-    return PrefixRules(pins, _lengths(pins))
-
-
-def _lengths(pins: dict[bytes, KeyPlacement]) -> tuple[int, ...]:
-    return tuple(sorted({len(prefix) for prefix in pins}, reverse=True))
+def build_prefix_rules(assignments: Iterable[ShardAssignment]) -> PrefixRules:
+    """The rules of one incarnation.
+
+    A shard with no affinity of its own is placed as the next shorter prefix is.
+    """
+    by_prefix = sorted(
+        (prefix.encode(), assignment) for assignment in assignments for prefix in assignment.prefixes or ("",)
+    )
+    placements: dict[bytes, KeyPlacement] = {}
+    search_orders: dict[RegionAffinity, SearchOrder] = {}  # shared by the placements that have the same
+    for prefix, assignment in sorted(by_prefix, key=lambda entry: len(entry[0])):
+        affinity = assignment.affinity
+        if affinity is None:
+            shorter = PrefixRules.of(placements).find(prefix)
+            placements[prefix] = _inherited(assignment, shorter)
+            continue
+        order = search_orders.setdefault(affinity, affinity.search_order())
+        placements[prefix] = KeyPlacement(
+            assignment.shard, affinity.required, order, assignment.retries_blocked
+        )
+    return PrefixRules.of(placements)
+
+
+def _inherited(assignment: ShardAssignment, shorter: KeyPlacement | None) -> KeyPlacement:
+    if shorter is None:
+        return KeyPlacement(assignment.shard, False, ANYWHERE, assignment.retries_blocked)
+    blocked = assignment.retries_blocked or shorter.retries_blocked
+    return KeyPlacement(assignment.shard, shorter.required, shorter.regions, blocked)
 
 
 @dataclass(slots=True)
 class ShardTable:
-    """All shards that a router was told of. As long as the keeper's list of them."""
+    """All shards that a router was told of. As long as the control plane's list of them."""
 
-    rows: dict[tuple[int, str], ShardAssignment] = field(default_factory=dict)
-    by_tenant: dict[bytes, PrefixRules] = field(default_factory=dict)  # by the head of their keys
+    assignments: dict[ShardKey, ShardAssignment] = field(default_factory=dict)
+    rules: dict[bytes, PrefixRules] = field(default_factory=dict)  # by the key space of an incarnation
 
     def find(self, key: bytes) -> KeyPlacement | None:
-        """The pin of a key as servers see it, None where it has none."""
-        head, _, own = key.partition(b"/")
-        told = self.by_tenant.get(head)
-        return told.find(own) if told is not None else None
-
-    def change(
-        self, rows: Iterable[ShardAssignment], gone: Iterable[tuple[int, str]], whole: bool = False
+        """The placement of a key as servers see it, None where it has none."""
+        key_space, _, own_key = key.partition(b"/")
+        rules = self.rules.get(key_space)
+        return rules.find(own_key) if rules is not None else None
+
+    def update(
+        self,
+        assignments: Iterable[ShardAssignment],
+        removed: Iterable[ShardKey],
+        is_complete: bool = False,
     ) -> None:
-        """Take over what changed, or the whole."""
-        touched = {incarnation for incarnation, _ in self.rows} if whole else set()
-        if whole:
-            self.rows = {}
-        for ident in gone:
-            if self.rows.pop(ident, None) is not None:
-                touched.add(ident[0])
-        for row in rows:
-            self.rows[row.key] = row
-            touched.add(row.incarnation)
-        mine: dict[int, list[ShardAssignment]] = {incarnation: [] for incarnation in touched}
-        for row in self.rows.values():
-            if row.incarnation in mine:
-                mine[row.incarnation].append(row)
-        for incarnation, theirs in mine.items():
-            if theirs:
-                self.by_tenant[b"%x" % incarnation] = build_prefix_rules(theirs)
+        """Take over what changed. `is_complete`: the assignments are all that there are."""
+        touched = {key.incarnation for key in self.assignments} if is_complete else set()
+        if is_complete:
+            self.assignments = {}
+        for key in removed:
+            if self.assignments.pop(key, None) is not None:
+                touched.add(key.incarnation)
+        for assignment in assignments:
+            self.assignments[assignment.key] = assignment
+            touched.add(assignment.incarnation)
+        self._rebuild(touched)
+
+    def _rebuild(self, incarnations: set[int]) -> None:
+        by_incarnation: dict[int, list[ShardAssignment]] = {number: [] for number in incarnations}
+        for assignment in self.assignments.values():
+            if assignment.incarnation in by_incarnation:
+                by_incarnation[assignment.incarnation].append(assignment)
+        for incarnation, assignments in by_incarnation.items():
+            key_space = b"%x" % incarnation
+            if assignments:
+                self.rules[key_space] = build_prefix_rules(assignments)
             else:
-                self.by_tenant.pop(b"%x" % incarnation, None)
+                self.rules.pop(key_space, None)
--- a/gaugehinge/placement/shard_view.py
+++ b/gaugehinge/placement/shard_view.py
@@ -65,9 +65,9 @@
             return Stage.MIGRATING.value, [PREVIOUS_RUN]
         in_progress = lifecycle.stage in (Stage.PREPARING, Stage.MIGRATING, Stage.REMOVING)
         if not in_progress or lifecycle.removal_acknowledged:
-            return record.stage, []
+            return record.stage.value, []
         without_lease = lifecycle.may_serve_without_lease and lifecycle.stage is not Stage.PREPARING
-        return record.stage, self.leases.routers_behind(revision, without_lease)
+        return record.stage.value, self.leases.routers_behind(revision, without_lease)
 
     def _copies(self, store: Store | None, record: ShardRecord, copies_until: float) -> list[Copy]:
         if store is None or not record.server_snapshot:
@@ -80,5 +80,5 @@
 def _affinity_view(affinity: RegionAffinity | None) -> TermsShown | None:
     if affinity is None:
         return None
-    zones = tuple(zone for region in affinity.zones for zone in region)
+    zones = tuple(zone for region in affinity.zones for zone in region)  # in the order of regions
     return TermsShown("only" if affinity.required else "prefer", affinity.regions, zones)
--- a/gaugehinge/placement/zone_changes.py
+++ b/gaugehinge/placement/zone_changes.py
@@ -55,9 +55,9 @@
     """
     changes = []
     for record_id, (record, revision) in index.shards.items():
-        if record.stage not in (Stage.CONFINED.value, Stage.MIGRATING.value) or record.current is None:
+        if record.stage not in (Stage.CONFINED, Stage.MIGRATING) or record.current is None:
             continue
-        if zones.isdisjoint(zone for region in record.current.zones for zone in region):
+        if zones.isdisjoint(record.current.all_zones()):
             continue
         after = with_lifecycle(record, transition(lifecycle_of(record), Event.ZONES_CHANGED), now)
         changes.append(Wanted(SHARD, record_id, encode(after), revision))
--- a/gaugehinge/rehearsal/misplaced.py
+++ b/gaugehinge/rehearsal/misplaced.py
@@ -10,7 +10,7 @@
 import sys
 from typing import Any
 
-from ..placement import admission, affinity, router, shard_changes, shard_table
+from ..placement import admission, affinity, server_list, shard_changes, shard_table
 from ..tenancy.lease import Held
 
 FINDS = {
@@ -33,10 +33,10 @@
 def believes() -> None:
     """It takes a server to stand where it takes it to stand, whatever was told of it since."""
 
-    def inside(self: router.RouterPlacement, attempt: Any, regions: tuple) -> bool:
-        return any(region is None or attempt.server.zone in region for region in regions)
+    def allows(self: server_list.ServerList, server: Any, regions: tuple) -> bool:
+        return any(region is None or server.zone in region for region in regions)
 
-    router.RouterPlacement._inside = inside
+    server_list.ServerList.allows = allows
 
 
 def inherits() -> None:
@@ -45,8 +45,8 @@
 
     def find(self: shard_table.ShardTable, key: bytes) -> shard_table.KeyPlacement | None:
         head, _, own = key.partition(b"/")
-        if head not in self.by_tenant and self.by_tenant:
-            return self.by_tenant[min(self.by_tenant)].find(own)
+        if head not in self.rules and self.rules:
+            return self.rules[min(self.rules)].find(own)
         return right(self, key)
 
     shard_table.ShardTable.find = find
@@ -67,7 +67,7 @@
     """Of several prefixes the shortest wins."""
 
     def find(self: shard_table.PrefixRules, key: bytes) -> shard_table.KeyPlacement | None:
-        fits = (self.pins.get(key[:length]) for length in reversed(self.lengths))
+        fits = (self.placements.get(key[:length]) for length in reversed(self.lengths))
         return next((pin for pin in fits if pin is not None), None)
 
     shard_table.PrefixRules.find = find
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -90,7 +90,7 @@
         all_.service.dispatch.hear_list(read_list_update({"rev": 2, "all": True, "targets": targets}))
         while made.recovery.mind.verdict is Verdict.DECIDING or not all_.service.dispatch.router.caches:
             await trio.sleep(0.01)
-        assert {told[3] for told in made.placing.servers.values()} == {5.0}
+        assert {server.started_at for server in made.placing.servers.current.values()} == {5.0}
         told = [target.listing.started for target in made.follower.overlay.told if target.listing.started]
         assert set(told) == {5.0}
         believed = {cache.started for cache in all_.service.dispatch.router.caches.values()}
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -17,7 +17,7 @@
 from gaugehinge.forms.toml import BadFile
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.installation.form import PlacementEntry
-from gaugehinge.placement.admission import AdmissionError, RegionCapacity, Server
+from gaugehinge.placement.admission import AdmissionError, RegionCapacity
 from gaugehinge.placement.affinity import RegionAffinity
 from gaugehinge.placement.build import with_placement
 from gaugehinge.placement.control_plane import PlacementControlPlane
@@ -29,6 +29,7 @@
     Stage,
     transition,
 )
+from gaugehinge.placement.messages import ReportedServer
 from gaugehinge.placement.quotas import ChangeBudget
 from gaugehinge.placement.server_inventory import ServerInventory, split_server_list
 from gaugehinge.placement.shard_table import ShardAssignment, ShardTable
@@ -54,9 +55,9 @@
     ]
     table = ShardTable()
     for each in rows:
-        table.change([each], [])
+        table.update([each], [])
     anew = ShardTable()
-    anew.change(reversed(rows), [], whole=True)
+    anew.update(reversed(rows), [], is_complete=True)
     for key in keys:
         fits = sorted((p for p in by_prefix if key.startswith(p)), key=len, reverse=True)
         terms = next((by_prefix[p] for p in fits if by_prefix[p] is not None), None)
@@ -67,8 +68,8 @@
                 assert found.regions == (terms.search_order() if terms else (None,))
                 assert found.required is bool(terms and terms.required)
         assert table.find(b"8/" + key.encode()) is None
-    table.change([], [each.key for each in rows])
-    assert not table.by_tenant and not table.rows
+    table.update([], [each.key for each in rows])
+    assert not table.rules and not table.assignments
 
 
 # -- admission
@@ -76,12 +77,12 @@
 GROUND = RegionCapacity(
     {"eu": ("a", "b"), "us": ("c",), "ap": ("d",)},
     [
-        Server("1", "a", 2.0, 0.0, True),
-        Server("2", "a", 1.0, 0.0, True),
-        Server("3", "b", 1.0, 0.0, True),
-        Server("4", "c", 1.0, 0.0, True),
-        Server("5", "c", 3.0, 0.0, True),
-        Server("6", "d", 1.0, 0.0, False),
+        ReportedServer("1", "a", 2.0, 0.0, True),
+        ReportedServer("2", "a", 1.0, 0.0, True),
+        ReportedServer("3", "b", 1.0, 0.0, True),
+        ReportedServer("4", "c", 1.0, 0.0, True),
+        ReportedServer("5", "c", 3.0, 0.0, True),
+        ReportedServer("6", "d", 1.0, 0.0, False),
     ],
     100.0,
     {"eu": 60.0},
@@ -128,25 +129,30 @@
 
 
 def test_a_list_of_servers_comes_in_slices_and_a_move_without_a_start_is_seen():
-    told = [(f"s{i:03}", "a", 1.0, 5.0, True) for i in range(450)]
+    told = [ReportedServer(f"s{i:03}", "a", 1.0, 5.0, True) for i in range(450)]
     servers = ServerInventory()
     parts = split_server_list(told)
     assert len(parts) == 3
     assert not any(servers.add_chunk("r", part) for part in (parts[2], parts[0])) and not servers.current
     servers.add_chunk("r", parts[1])
     assert len(servers.current) == 450
-    told[3] = ("s003", "b", 1.0, 5.0, True)
-    told[4] = ("s004", "b", 1.0, 6.0, True)
+    told[3] = ReportedServer("s003", "b", 1.0, 5.0, True)
+    told[4] = ReportedServer("s004", "b", 1.0, 6.0, True)
     found = [servers.add_chunk("q", part) for part in split_server_list(told[:-1])]
     assert found[-1] == {"a", "b"} and set(servers.relabelled) == {"s003"}
     assert set(servers.departed) == {"s449"} and ("s449", "a", 5.0) in servers.snapshot()
-    servers.add_chunk("r", split_server_list([("s003", "b", 1.0, 7.0, True)])[0])
+    servers.add_chunk("r", split_server_list([ReportedServer("s003", "b", 1.0, 7.0, True)])[0])
     assert not servers.relabelled
     # A list of before: what it says of the zone is of a former start, whose address it may not be any more.
-    assert servers.add_chunk("r", split_server_list([("s003", "a", 1.0, 5.0, True)])[0]) == {"a", "b"}
+    assert servers.add_chunk("r", split_server_list([ReportedServer("s003", "a", 1.0, 5.0, True)])[0]) == {
+        "a",
+        "b",
+    }
     assert servers.relabelled == {"s003": 5.0}
     for zone in "ba":  # routers that do not agree on it
-        assert not servers.add_chunk("r", split_server_list([("s003", zone, 1.0, 5.0, True)])[0])
+        assert not servers.add_chunk(
+            "r", split_server_list([ReportedServer("s003", zone, 1.0, 5.0, True)])[0]
+        )
 
 
 # -- life
@@ -607,14 +613,14 @@
             part = play.all.followers[0].parts[0]
             play.all.directory.change("c-0", state="gone")
             with trio.fail_after(10):
-                while "c-0" in part.servers:
+                while "c-0" in part.servers.current:
                     await trio.sleep(0.02)
-            part.reported_relabelled = {}
+            part.servers.reported_relabelled = {}
             play.all.directory.change("c-0", state="ready", zone="b")
             with trio.fail_after(10):
-                while "c-0" not in part.servers:
+                while "c-0" not in part.servers.current:
                     await trio.sleep(0.02)
-            assert "c-0" in part.relabelled, "before the keeper knows of it"
+            assert "c-0" in part.servers.relabelled, "before the keeper knows of it"
             play.forget()
             keys = [f"us/{number}" for number in range(30)]
             served(await play.read(0, *keys))
@@ -770,7 +776,7 @@
             await play.until("mine", "confined")
             play.all.directory.change("c-0", zone="b")
             with trio.fail_after(10):
-                while not all(f.parts[0].reported_relabelled for f in play.all.followers):
+                while not all(f.parts[0].servers.reported_relabelled for f in play.all.followers):
                     await trio.sleep(0.02)
             await play.until("mine", "confined")
             play.forget()
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -27,6 +27,7 @@
 from gaugehinge.placement.api_types import ShardWanted
 from gaugehinge.placement.control_plane import PlacementControlPlane
 from gaugehinge.placement.lease_tracker import LeaseTracker
+from gaugehinge.placement.lifecycle import Stage
 from gaugehinge.placement.reconciler import ConditionTimer
 from gaugehinge.placement.router import RouterPlacement
 from gaugehinge.store.store import Conflict, Store
@@ -305,7 +306,7 @@
         """Zones that keys are said to be confined to, by the rows as they stand."""
         found = {}
         self.part.index.refresh(self.stub.store)
-        rows = [row for row, _ in self.part.index.shards.values() if row.stage != "asked"]
+        rows = [row for row, _ in self.part.index.shards.values() if row.stage is not Stage.SCHEDULED]
         for key in KEYS:
             fits = [r for r in rows if key[2:].decode().startswith(r.prefixes[0])]
             row = max(fits, key=lambda r: len(r.prefixes[0]), default=None)
@@ -382,7 +383,7 @@
             world.talk(number)
         world.look()
         world.advance(0.4)
-    assert "confined" in {row.stage for row, _ in world.part.index.shards.values()}
+    assert Stage.CONFINED in {row.stage for row, _ in world.part.index.shards.values()}
 
 
 def played(folder, seed: int, steps: int, rates=(), **mutant) -> World:
