--- /dev/null
+++ b/tests/test_placement_compatibility.py
@@ -0,0 +1,153 @@
+"""What the version before stored and sent is read, and written alike (tests/data/placement/README.md)."""
+
+import json
+from pathlib import Path
+from types import SimpleNamespace
+
+import msgspec
+import pytest
+
+from gaugehinge.admin.keep import KeepPlacement
+from gaugehinge.forms.units import Rate, Seconds
+from gaugehinge.placement.capacity import CapacityPlanner
+from gaugehinge.placement.control_plane import PlacementControlPlane
+from gaugehinge.placement.lifecycle import Stage
+from gaugehinge.placement.messages import (
+    ControlPlaneUpdate,
+    RelabelledServer,
+    RouterReport,
+    ServerListChunk,
+)
+from gaugehinge.placement.quotas import ChangeBudget
+from gaugehinge.placement.records import ShardRecord
+from gaugehinge.placement.server_inventory import ServerPresence
+from gaugehinge.placement.server_snapshots import read_snapshot
+from gaugehinge.placement.shard_table import ShardAssignment, ShardTable
+from gaugehinge.placement.store_reader import tenant_names
+from gaugehinge.placement.sweep import sweep_changes
+from gaugehinge.store.store import Store, Wanted, encode
+
+WRITTEN = json.loads((Path(__file__).parent / "data/placement/version-before.json").read_text())
+KINDS = {
+    "shard": ShardRecord,
+    "shard-budget": ChangeBudget,
+    "shard-crowd": list[ServerPresence],
+    "shard-note": list[RelabelledServer],
+}
+MESSAGES = {
+    "report": RouterReport,
+    "report_with_lost_pin": RouterReport,
+    "server_chunk": ServerListChunk,
+    "update": ControlPlaneUpdate,
+    "complete_update": ControlPlaneUpdate,
+}
+SETTINGS = KeepPlacement(
+    True, {"eu": ("a",), "us": ("b",), "ap": ("c",)}, Rate(1000.0), Seconds(5.0), Seconds(0.5), Seconds(3.0)
+)
+
+
+@pytest.fixture
+def store(tmp_path):
+    """A store with the items of the version before, of the shards and of the tenant while it existed."""
+    made = Store(tmp_path / "store.db")
+    items = [*WRITTEN["items"], *(item for item in WRITTEN["tenants"] if item["kind"] == "tenant")]
+    for item in sorted(items, key=lambda item: item["rev"]):
+        made.apply([Wanted(item["kind"], item["ident"], item["body"].encode())], "before", 1e9)
+    yield made
+    made.close()
+
+
+def control_plane(store: Store) -> PlacementControlPlane:
+    """The control plane on a store, with nothing around it."""
+    keeper = SimpleNamespace(store=store, clock=lambda: 1e9)
+    administration = SimpleNamespace(keeper=keeper, lease=2.0, told={})
+    made = PlacementControlPlane(administration, SETTINGS, clock=lambda: 0.0)
+    made.index.refresh(store)
+    return made
+
+
+@pytest.mark.parametrize("kind", KINDS)
+def test_each_kind_of_item_is_read_and_written_alike(kind):
+    bodies = [item["body"].encode() for item in WRITTEN["items"] if item["kind"] == kind]
+    assert bodies
+    for body in bodies:
+        assert encode(msgspec.json.decode(body, type=KINDS[kind])) == body
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_each_message_is_read_and_written_alike(name):
+    body = WRITTEN["messages"][name].encode()
+    assert msgspec.json.encode(msgspec.json.decode(body, type=MESSAGES[name])) == body
+
+
+def test_records_of_all_stages_are_told_to_routers_as_before(store):
+    index = control_plane(store).index
+    records = [record for record, _ in index.shards.values()]
+    assert {record.stage for record in records} == set(Stage) - {Stage.REMOVED}
+    changes = index.changes_since(0)
+    assert changes.is_complete
+    written = {row["shard"]: row for row in WRITTEN["rows"]}
+    told = {row.shard: msgspec.to_builtins(row) for row in changes.assignments}
+    for row in (*written.values(), *told.values()):
+        del row["rev"]  # the items were written to another store
+    assert msgspec.json.encode(told) == msgspec.json.encode({shard: written[shard] for shard in told})
+    assert told.keys() == written.keys()
+    assert sorted(index.needs_work) == sorted(
+        f"1/{record.shard}"
+        for record in records
+        if record.stage not in (Stage.CONFINED, Stage.APPLIED, Stage.QUARANTINED) or record.retries_blocked
+        if record.stage is not Stage.QUARANTINED
+    )
+
+
+def test_records_are_shown_to_tenants_as_before(store):
+    made = control_plane(store)
+    own = ("stage", "waits_for", "copies")  # of the run and of the servers that it knows
+    for record, revision in made.index.shards.values():
+        shown = msgspec.to_builtins(made.changes.presenter.view(store, record, revision))
+        written = WRITTEN["views"][record.shard]
+        assert list(shown) == list(written)
+        for field in own:
+            del shown[field], written[field]
+        assert json.loads(msgspec.json.encode(shown)) == written
+
+
+def test_snapshots_notes_budgets_and_tenants_are_found(store):
+    made = control_plane(store)
+    confined = made.index.shards["1/done"].record
+    assert {server.zone for server in read_snapshot(store, confined.server_snapshot)} == {"a", "b", "c"}
+    assert [server.uid for server in made.servers.stored_relabelled(store)] == ["server-0"]
+    assert tenant_names(store) == {1: "acme"}
+    budget = made.changes._charge_budget(store, 1, 1e9)
+    assert budget.expect == store.get("shard-budget", "1").rev
+    assert sweep_changes(store, made.index) == [], "all of it is in use"
+
+
+def test_a_tombstone_frees_what_its_tenant_had_reserved(store):
+    made = control_plane(store)
+    planner = CapacityPlanner(made.index, made.servers, SETTINGS)
+    assert planner.regions(store).reserved
+    (stone,) = [item for item in WRITTEN["tenants"] if item["kind"] == "tombstone"]
+    body = json.loads(stone["body"])
+    store.apply([Wanted("tenant", "acme", None)], "before", 1e9)
+    for clear in (False, True):
+        body["clear"] = clear
+        store.apply([Wanted("tombstone", stone["ident"], json.dumps(body).encode())], "before", 1e9)
+        assert tenant_names(store) == {1: "acme"}
+        assert bool(planner.regions(store).reserved) is not clear
+    store.apply([Wanted("tombstone", stone["ident"], None)], "before", 1e9)
+    swept = {change.kind for change in sweep_changes(store, made.index)}
+    assert swept == {"shard", "shard-budget"}, "snapshots go once no shard names them"
+
+
+def test_a_router_takes_over_what_the_version_before_told():
+    update = msgspec.json.decode(WRITTEN["messages"]["complete_update"], type=ControlPlaneUpdate)
+    assert update.is_complete
+    table = ShardTable()
+    table.update(update.assignments, update.removed, update.is_complete)
+    assert table.find(b"1/done/k").regions == (frozenset("c"),)
+    assert table.find(b"1/moves/k").regions == (frozenset("b"), frozenset("c"))
+    assert table.find(b"1/soft/k").regions == (frozenset("b"), frozenset("a"), None)
+    assert table.find(b"1/lost/k").regions == ()
+    assert table.find(b"1/moves/k").retries_blocked
+    assert all(isinstance(each, ShardAssignment) for each in table.assignments.values())
