--- /dev/null
+++ b/tests/placement_cluster.py
@@ -0,0 +1,126 @@
+"""A control plane with placement, and routers that follow it, in one process."""
+
+from contextlib import asynccontextmanager
+
+import httpx
+import trio
+
+from gaugehinge.admin.keep import KeepPlacement
+from gaugehinge.forms.units import Rate, Seconds
+from gaugehinge.installation.form import PlacementEntry
+from gaugehinge.placement.build import with_placement
+from gaugehinge.placement.control_plane import PlacementControlPlane
+from gaugehinge.rehearsal.hostedplay import hosting
+
+ALONE_LONGER = Seconds(2.6)  # `alone`, where it has to stand out from the lease
+SETTINGS = KeepPlacement(
+    True,
+    {"eu": ("a",), "us": ("b",), "ap": ("c",)},
+    Rate(1000.0),
+    Seconds(1.4),
+    Seconds(0.05),
+    Seconds(0.2),
+    Seconds(0.0),
+    8,
+    600,
+)
+
+
+class PlacementCluster:
+    """The nodes of a cluster, and a tenant of it with a secret for the API."""
+
+    def __init__(self, nodes, secret, api) -> None:
+        self.nodes, self.secret, self.api = nodes, secret, api
+        self.count = 0
+
+    @property
+    def control_plane(self) -> PlacementControlPlane:
+        """The part of the administration that is tested."""
+        return self.nodes.administration.parts[0]
+
+    async def put(self, shard, regions, status=200, match=None, key="", **more):
+        headers = {**({"If-Match": match} if match else {}), **({"Idempotency-Key": key} if key else {})}
+        body = {"regions": regions, **more}
+        got = await self.api.put(f"/v1/tenants/acme/shards/{shard}", json=body, headers=headers)
+        assert got.status_code == status, got.text
+        return got
+
+    async def get(self, shard) -> dict:
+        while (got := await self.api.get(f"/v1/tenants/acme/shards/{shard}")).status_code == 429:
+            await trio.sleep(0.05)
+        return got.json()
+
+    async def until(self, shard, stage, wait=20.0) -> dict:
+        with trio.fail_after(wait):
+            while (found := await self.get(shard)).get("stage", "gone") != stage:
+                await trio.sleep(0.02)
+        return found
+
+    async def read(self, router, *keys, write=False, once=False, **labels) -> list[bytes]:
+        """Operations one by one. Not `once`: what is rejected is tried again, since on a busy machine a lease
+        of less than a second may run out between two calls."""
+        client = await self.nodes.client(router, self.secret)
+        answers = []
+        for key in keys:
+            words = {"c": "move" if labels.get("k") else "read", "d": "1500", **labels}
+            told = ",".join(f"{name}={value}" for name, value in words.items())
+            for _ in range(1 if once else 40):
+                self.count += 1
+                ident = f"i{router}-{self.count}"
+                words = ("KV.SET", key, ident, told, "v") if write else ("KV.GET", key, ident, told)
+                answer = await client.ask(*words)
+                if once or answer is None or not answer.startswith(b"-BUSY"):
+                    break
+                await trio.sleep(0.2)
+            answers.append(answer)
+        await client.stream.aclose()
+        return answers
+
+    def zones(self, *keys) -> set[str]:
+        """Zones whose servers saw a key."""
+        wanted = {b"1/" + key.encode() for key in keys}
+        return {"abc"[int(seen.server[2:]) % 3] for seen in self.nodes.shelves.seen if seen.key in wanted}
+
+    def clear_requests(self) -> None:
+        self.nodes.shelves.seen.clear()
+
+
+@asynccontextmanager
+async def placement_cluster(routers=2, lease=0.9, settings=SETTINGS, allowance=900.0, **more):
+    async with hosting(
+        routers=routers,
+        servers=6,
+        zones=("a", "b", "c"),
+        lease=lease,
+        dress=with_placement,
+        parts=(lambda administration: PlacementControlPlane(administration, settings),),
+        placement=PlacementEntry(True),
+        **more,
+    ) as nodes:
+        secret = await nodes.tenant("acme", allowance=allowance)
+        made = await nodes.administration.new_operator("acme-desk", "tenant", "acme", "play")
+        headers = {"Authorization": f"Bearer {made.secret}"}
+        async with httpx.AsyncClient(base_url=nodes.api, headers=headers) as api:
+            cluster = PlacementCluster(nodes, secret, api)
+            with trio.fail_after(20):
+                while not cluster.control_plane.inventory.current or not all(
+                    f.parts[0].lease.good(trio.current_time()) and f.roster.by_credential
+                    for f in nodes.followers
+                ):
+                    await trio.sleep(0.02)
+            yield cluster
+
+
+def run(scene, wait=60) -> None:
+    async def main():
+        with trio.fail_after(wait):
+            await scene()
+
+    trio.run(main)
+
+
+def assert_served(answers) -> None:
+    assert all(answer is not None and answer.startswith(b"$") for answer in answers), answers
+
+
+KEYS = [f"eu/{i}" for i in range(30)]
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -103,7 +103,7 @@
 class RouterStub:
     """One process of a router: the real part and roster, around it just what they touch."""
 
-    def __init__(self, world, number: int, kind) -> None:
+    def __init__(self, world, number: int, router_type) -> None:
         self.world, self.number = world, number
         self.run, self.rate = f"run-{next(world.runs)}", world.rates[number]
         self.paused = False
@@ -116,7 +116,7 @@
         service = SimpleNamespace(dispatch=dispatch, pool=pool, configuration=configuration)
         follower = SimpleNamespace(wait=1.0, slack=1.0, roster=self.roster)
         self.pool = pool
-        self.part = kind(service, follower, clock=self.clock)
+        self.part = router_type(service, follower, clock=self.clock)
         told = [Listing(n, zone, "std", 0, Presence.UP, 5.0, 1.0) for n, _, zone in SERVERS]
         names = [uid for _, uid, _ in SERVERS]
         targets = [Target(each, uid, ("h", 1)) for each, uid in zip(told, names, strict=True)]
@@ -154,10 +154,18 @@
     """All that plays, and its rules."""
 
     def __init__(
-        self, folder, kind=RouterPlacement, keeping=PlacementControlPlane, rates=(1.0, 1.0, 1.0)
+        self,
+        folder,
+        router_type=RouterPlacement,
+        control_plane_type=PlacementControlPlane,
+        rates=(1.0, 1.0, 1.0),
     ) -> None:
         self.now, self.runs, self.rates = 0.0, count(1), rates
-        self.kind, self.keeping, self.path = kind, keeping, folder / "store.db"
+        self.router_type, self.control_plane_type, self.path = (
+            router_type,
+            control_plane_type,
+            folder / "store.db",
+        )
         self.calls = []  # on their way to the keeper: router, report, when it was sent
         self.open = []  # that stand open there
         self.answers = []  # on their way back
@@ -167,16 +175,16 @@
         self.cut = set()  # routers whose calls go only by the slow way, message by message
         self.stub = StoreStub(self.path, self)
         self.keep()
-        done(self.desk.create(NewTenant("acme", allowance=1000.0), "t"))
-        done(self.desk.tell("acme", Order.ACTIVATE, None, "t"))
-        self.routers = [RouterStub(self, number, kind) for number in range(3)]
+        done(self.administration.create(NewTenant("acme", allowance=1000.0), "t"))
+        done(self.administration.tell("acme", Order.ACTIVATE, None, "t"))
+        self.routers = [RouterStub(self, number, router_type) for number in range(3)]
 
     def keep(self) -> None:
-        self.desk = Administration(self.stub, None, None)
-        done(self.desk.ready())
-        self.desk.give_leases(LEASE)
-        self.part = self.keeping(self.desk, PLACE, clock=lambda: self.now)
-        self.desk.parts = [self.part]
+        self.administration = Administration(self.stub, None, None)
+        done(self.administration.ready())
+        self.administration.give_leases(LEASE)
+        self.part = self.control_plane_type(self.administration, PLACE, clock=lambda: self.now)
+        self.administration.parts = [self.part]
         for _, _, call in self.open:
             call.close()
         self.open.clear()
@@ -204,7 +212,7 @@
         if self.calls:
             router, report, asked_at = self.calls.pop(place % len(self.calls))
             if not lost:
-                self.open.append((router, asked_at, self.desk.feed(report)))
+                self.open.append((router, asked_at, self.administration.feed(report)))
                 self.go_on_with(len(self.open) - 1)
 
     def go_on_with(self, place: int) -> None:
@@ -236,7 +244,7 @@
         router = self.routers[number]
         if router.paused or number in self.cut:
             return
-        asked_at, call = router.clock(), self.desk.feed(router.report())
+        asked_at, call = router.clock(), self.administration.feed(router.report())
         while True:
             try:
                 call.send(None)
@@ -249,7 +257,7 @@
             router.paused = router.number == which
 
     def restart(self, number: int) -> None:
-        self.routers[number] = RouterStub(self, number, self.kind)
+        self.routers[number] = RouterStub(self, number, self.router_type)
 
     def restart_keeper(self) -> None:
         self.keep()
@@ -497,7 +505,7 @@
 
 @pytest.mark.parametrize("mutant", [Eager, Sleepy, Careless, Forgetful, Trusting, Hasty, Near, Once])
 def test_each_mutant_is_found(folder, mutant):
-    more = {"kind": mutant} if issubclass(mutant, RouterPlacement) else {"keeping": mutant}
+    more = {"router_type": mutant} if issubclass(mutant, RouterPlacement) else {"control_plane_type": mutant}
     for seed in range(150):
         try:
             played(folder / str(seed), seed, 250, **more)
