--- /dev/null
+++ b/gaugehinge/placement/change_checks.py
@@ -0,0 +1,50 @@
+"""What a tenant's change to a shard has to fit: the version that it was made for, names and prefixes."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Mapping
+
+from ..admin.service import Wrong
+from .api_types import ShardWanted
+from .records import ShardRecord, StoredShard
+from .shard_table import DEFAULT_SHARD
+
+SHARD_NAME = re.compile("[a-z][a-z0-9-]{0,62}")
+
+
+def check_version(record: ShardRecord | None, expected_version: int | None, shard: str) -> None:
+    """Check that a change was made for the version that exists. Raises Wrong."""
+    record = None if record is not None and record.is_ending else record
+    if record is None and expected_version is not None:
+        raise Wrong(412, "precondition failed", f"no shard {shard}")
+    if record is not None and expected_version is None:
+        raise Wrong(428, "precondition required", "it stands: send its ETag as If-Match", etag=record.version)
+    if record is not None and record.version != expected_version:
+        detail = f"it is at revision {record.version}"
+        raise Wrong(412, "precondition failed", detail, etag=record.version)
+
+
+def check_prefixes(
+    shard: str,
+    wanted: ShardWanted,
+    record: ShardRecord | None,
+    shards: Mapping[str, StoredShard],
+) -> tuple[str, ...]:
+    """The prefixes of a shard: they stay as it was made with. Raises Wrong."""
+    prefixes = tuple(wanted.prefixes)
+    if len(set(prefixes)) < len(prefixes):
+        raise Wrong(422, "invalid", "one is told twice", "prefixes")
+    if record is not None:
+        if (prefixes or record.is_ending) and set(prefixes) != set(record.prefixes):
+            raise Wrong(409, "conflict", "prefixes stay as they were made until it is gone", "prefixes")
+        return record.prefixes
+    if not SHARD_NAME.fullmatch(shard):
+        raise Wrong(422, "invalid", "a shard's name is of lower case letters, digits and dashes", "shard")
+    if (shard == DEFAULT_SHARD) is bool(prefixes):
+        raise Wrong(422, "invalid", "every shard but `default` has prefixes, and only these", "prefixes")
+    for other, (existing, _) in shards.items():
+        taken = sorted(set(existing.prefixes) & set(prefixes))
+        if taken:
+            raise Wrong(409, "conflict", f"{taken[0]!r} is shard {other}'s", "prefixes")
+    return prefixes
--- a/gaugehinge/placement/control_plane.py
+++ b/gaugehinge/placement/control_plane.py
@@ -1,7 +1,7 @@
 """The control plane's side of placement: hears routers, tells them their shards, serves the tenants' calls.
 
 A router counts as following a revision once it reported it with the digest that this run of the control plane
-told it, and has no attempt in flight by an older one. One that does not report is waited for until its lease
+gave it, and has no attempt in flight by an older one. One that does not report is waited for until its lease
 is over, and where it may act without one, until its isolation limit is (`lease_tracker.py`). Nothing is
 claimed before the leases that a previous run gave are over.
 """
@@ -77,13 +77,15 @@
 
         Raises Wrong where its report cannot be read.
         """
-        told = self._read_report(report)
+        router_report = self._read_report(report)
         # A router without placement follows nothing and is given nothing.
         if self.name in report.parts:
-            self.leases.renew(report.router, report.run, self._followed_revision(told))
-        if told.server_chunk is not None:
-            self.reconciler.relabelled_zones |= self.inventory.add_chunk(report.router, told.server_chunk)
-        for lost in told.lost_pins:
+            self.leases.renew(report.router, report.run, self._followed_revision(router_report))
+        if router_report.server_chunk is not None:
+            self.reconciler.relabelled_zones |= self.inventory.add_chunk(
+                report.router, router_report.server_chunk
+            )
+        for lost in router_report.lost_pins:
             self.reconciler.report_lost_pin(lost)
         if self.reconciler.has_work:
             self.wake()
@@ -94,12 +96,12 @@
         except msgspec.MsgspecError as error:
             raise Wrong(422, "invalid", str(error), f"parts.{self.name}") from error
 
-    def _followed_revision(self, told: RouterReport) -> int:
+    def _followed_revision(self, router_report: RouterReport) -> int:
         """The newest revision that a router certainly follows; 0 where its table is not of this run."""
-        digest = self.administration.told.get(told.table_revision)
-        if not told.revision_digest or digest != told.revision_digest:
+        digest = self.administration.told.get(router_report.table_revision)
+        if not router_report.revision_digest or digest != router_report.revision_digest:
             return 0
-        return min(told.effective_revision, told.table_revision)
+        return min(router_report.effective_revision, router_report.table_revision)
 
     def feed(self, store: Store, report: Report) -> bytes | None:
         """The JSON that a router gets with an answer; None for one without placement.
@@ -108,18 +110,18 @@
         """
         if self.name not in report.parts:
             return None
-        told = msgspec.json.decode(report.parts[self.name], type=RouterReport)
+        router_report = msgspec.json.decode(report.parts[self.name], type=RouterReport)
         self.index.refresh(store)
-        return msgspec.json.encode(self._update_for(store, report, told))
+        return msgspec.json.encode(self._update_for(store, report, router_report))
 
-    def _update_for(self, store: Store, report: Report, told: RouterReport) -> ControlPlaneUpdate:
-        digest = store.mark(told.table_revision) if told.table_revision else ""
-        is_known = bool(digest) and digest == told.revision_digest
-        history_lost = self._is_history_lost(store, told, digest)
+    def _update_for(self, store: Store, report: Report, router_report: RouterReport) -> ControlPlaneUpdate:
+        digest = store.mark(router_report.table_revision) if router_report.table_revision else ""
+        is_known = bool(digest) and digest == router_report.revision_digest
+        history_lost = self._is_history_lost(store, router_report, digest)
         if history_lost and not self.leases.history_lost:
             self.leases.history_lost = True
             logger.warning("placement: {} follows a history that this store does not have", report.router)
-        changes = self.index.changes_since(told.table_revision if is_known else 0)
+        changes = self.index.changes_since(router_report.table_revision if is_known else 0)
         is_tracked = self.leases.is_tracked(report.router, report.run)
         return ControlPlaneUpdate(
             self.index.revision,
@@ -135,11 +137,11 @@
         )
 
     @staticmethod
-    def _is_history_lost(store: Store, told: RouterReport, digest: str) -> bool:
+    def _is_history_lost(store: Store, router_report: RouterReport, digest: str) -> bool:
         """Whether a router's table is of a history that this copy of the store does not have."""
-        if not told.table_revision or digest == told.revision_digest:
+        if not router_report.table_revision or digest == router_report.revision_digest:
             return False
-        return told.table_revision > store.rev or bool(digest)
+        return router_report.table_revision > store.rev or bool(digest)
 
     # -- other subsystems
 
--- a/gaugehinge/placement/router.py
+++ b/gaugehinge/placement/router.py
@@ -1,4 +1,4 @@
-"""Placement at a router: what the control plane told, held to at the door and before each attempt.
+"""Placement at a router: what the control plane assigned, enforced at the door and before each attempt.
 
 A router that is cut off from the control plane cannot know what was pinned since. So with its lease over it
 serves no required shard, and answers no retry of a write with an idempotency key with an attempt; and after
@@ -18,16 +18,17 @@
 from loguru import logger
 
 from ..hosted.follower import Follower
-from ..hosted.roster import BadFeed
 from ..net.dispatch import FAILED, busy
 from ..net.list_update import ListUpdate
 from ..net.service import Service
 from ..tenancy.feed import WAIT, Feed
 from ..tenancy.lease import Held
-from ..terms import Attempt, Effect, Operation
+from ..terms import Attempt, Operation
 from .affinity import ANYWHERE, SearchOrder
+from .feed_errors import ForeignChangesError, PlacementMissingError, StaleAnswerError
 from .lost_pins import LostPins
 from .messages import ControlPlaneUpdate, RouterReport
+from .retry_rules import blocks_retry, has_idempotency_key, may_have_run
 from .server_list import ServerList
 from .shard_table import KeyPlacement, ShardTable
 
@@ -38,30 +39,6 @@
 NO_ZONE: SearchOrder = (frozenset(),)
 
 
-class PlacementMissingError(BadFeed):
-    """The control plane has placement switched off."""
-
-    def __init__(self) -> None:
-        """The text goes into the log."""
-        super().__init__("the keeper has no placement")
-
-
-class StaleAnswerError(BadFeed):
-    """The answer to an older question than one that was answered already."""
-
-    def __init__(self) -> None:
-        """The text goes into the log."""
-        super().__init__("placement: the answer to an older question than one that was answered")
-
-
-class ForeignChangesError(BadFeed):
-    """Changes that do not continue this router's table."""
-
-    def __init__(self) -> None:
-        """The text goes into the log."""
-        super().__init__("placement: changes of another store, or of the past")
-
-
 class RouterPlacement:
     """Placement as a part of the follower (`hosted.follower.Part`)."""
 
@@ -205,7 +182,7 @@
                 return reply
         if placement is None:
             return None
-        if _blocks(placement, operation):
+        if blocks_retry(placement, operation):
             return FAILED
         if not placement.regions:
             return self.busy()
@@ -238,10 +215,10 @@
         regions = placement.regions if placement is not None else ANYWHERE
         if regions != operation.regions:
             # A write that ran in the old place would not be known as the same one in the new place.
-            if operation.ran_at is not None and _has_idempotency_key(operation):
+            if operation.ran_at is not None and has_idempotency_key(operation):
                 return FAILED
             operation.regions = regions
-        if placement is not None and _blocks(placement, operation):
+        if placement is not None and blocks_retry(placement, operation):
             return FAILED
         return None if regions else self.busy()
 
@@ -253,14 +230,14 @@
             self.cut_off = True
             logger.warning("placement: no lease, revision {}: `only` shards are rejected", self.revision)
         required = placement is not None and placement.required
-        blocked = is_retry and _has_idempotency_key(operation)
+        blocked = is_retry and has_idempotency_key(operation)
         if self.isolation.good(self.clock()) and not required and not blocked:
             return None
         self.rejected += 1
-        return FAILED if _may_have_run(operation) else self.busy()
+        return FAILED if may_have_run(operation) else self.busy()
 
     def _reject(self, operation: Operation, reply: bytes) -> None:
-        self.service.dispatch.refuse(operation, FAILED if _may_have_run(operation) else reply)
+        self.service.dispatch.refuse(operation, FAILED if may_have_run(operation) else reply)
 
     def busy(self) -> bytes:
         """A rejection with a Retry-After, spread so that clients do not come back all at once."""
@@ -269,20 +246,6 @@
         return busy(min(REJECT_RETRY_AFTER * (0.5 + draw), longest) if longest else 0.0)
 
 
-def _blocks(placement: KeyPlacement, operation: Operation) -> bool:
-    """Whether an operation is a client's retry that has to wait until its shard has moved."""
-    return placement.retries_blocked and operation.repeat and _has_idempotency_key(operation)
-
-
-def _has_idempotency_key(operation: Operation) -> bool:
-    return operation.write and operation.traffic.effect is Effect.DEDUPLICATED
-
-
-def _may_have_run(operation: Operation) -> bool:
-    """Whether a second run would matter, and there may have been a first one."""
-    return operation.ran_at is not None and operation.traffic.effect is not Effect.IDEMPOTENT
-
-
 def attach_placement(service: Service, follower: Follower, **options: Any) -> RouterPlacement:
     """Switch placement on at a router that follows a control plane.
 
--- a/gaugehinge/placement/shard_changes.py
+++ b/gaugehinge/placement/shard_changes.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import re
 from collections.abc import Callable, Iterator, Mapping
 from contextlib import contextmanager
 from dataclasses import dataclass
@@ -18,6 +17,7 @@
 from .affinity import affinity_to
 from .api_types import ShardShown, ShardWanted
 from .capacity import CapacityPlanner
+from .change_checks import check_prefixes, check_version
 from .lifecycle import Event, InvalidTransitionError, Lifecycle, Stage, transition
 from .quotas import ChangeBudget, allocate_rate, check_shard_count
 from .records import (
@@ -31,11 +31,8 @@
     with_lifecycle,
 )
 from .shard_index import ShardIndex
-from .shard_table import DEFAULT_SHARD
 from .shard_view import ShardPresenter
 
-SHARD_NAME = re.compile("[a-z][a-z0-9-]{0,62}")
-
 
 @dataclass(slots=True, frozen=True)
 class TenantShards:
@@ -56,6 +53,15 @@
         )
 
 
+@dataclass(slots=True, frozen=True)
+class AdmittedPin:
+    """What was admitted of a tenant's request."""
+
+    prefixes: tuple[str, ...]
+    rate: float  # operations a second
+    version: int  # revision of the store that the change gets: the entity tag
+
+
 class ShardChanges:
     """Pins, moves and removes shards for tenants."""
 
@@ -122,34 +128,24 @@
         incarnation = found.tenant.incarnation
         record, revision = found.shards.get(shard, (None, 0))
         check_version(record, expected_version, shard)
-        prefixes = _check_prefixes(shard, wanted, record, found.shards)
+        pin = self._admit(store, found, shard, wanted)
+        budget = self._charge_budget(store, incarnation, now)
+        lifecycle = self._requested_lifecycle(record, wanted, now)
+        after = _pinned_record(found, shard, wanted, pin, lifecycle, now)
+        return [Wanted(SHARD, record_id(incarnation, shard), encode(after), revision), budget]
+
+    def _admit(self, store: Store, found: TenantShards, shard: str, wanted: ShardWanted) -> AdmittedPin:
+        """Check a pin against what its tenant and its regions can take. Raises Wrong, AdmissionError."""
+        stored = found.shards.get(shard)
+        record = stored.record if stored is not None else None
+        prefixes = check_prefixes(shard, wanted, record, found.shards)
         if record is None:
             check_shard_count(len(found.shards), self.settings.shards)
         rate = allocate_rate(found.tenant.allowance, found.rate_of_others(shard), wanted.allowance)
         already_reserved = record.rate_by_region.get(wanted.regions[0], 0.0) if record else 0.0
-        capacity = self.capacity.regions(store, record_id(incarnation, shard))
+        capacity = self.capacity.regions(store, record_id(found.tenant.incarnation, shard))
         capacity.check(wanted.regions, rate, already_reserved)
-        budget = self._charge_budget(store, incarnation, now)
-        lifecycle = self._requested_lifecycle(record, wanted, now)
-        after = ShardRecord(
-            incarnation,
-            tenant_name,
-            shard,
-            prefixes,
-            rate,
-            store.rev + 1,
-            lifecycle.stage,
-            now,
-            requested_regions=wanted.regions,
-            requested_mode=wanted.hold,
-            requested_rate=wanted.allowance,
-            requested_start=wanted.at,
-            server_snapshot=record.server_snapshot if record else "",
-            confined_at=record.confined_at if record else 0.0,
-            former_rates=former_rates(record, lifecycle),
-        )
-        body = encode(with_lifecycle(after, lifecycle, now))
-        return [Wanted(SHARD, record_id(incarnation, shard), body, revision), budget]
+        return AdmittedPin(prefixes, rate, store.rev + 1)
 
     def _requested_lifecycle(self, record: ShardRecord | None, wanted: ShardWanted, now: float) -> Lifecycle:
         affinity = affinity_to(wanted.regions, self.settings.regions, required=wanted.hold == "only")
@@ -201,6 +197,32 @@
         return msgspec.json.encode(self.presenter.view(None, record, made[0].rev))
 
 
+def _pinned_record(
+    found: TenantShards, shard: str, wanted: ShardWanted, pin: AdmittedPin, lifecycle: Lifecycle, now: float
+) -> ShardRecord:
+    """The record of a shard that is pinned as its tenant wants; `now` in Unix seconds."""
+    stored = found.shards.get(shard)
+    before = stored.record if stored is not None else None
+    record = ShardRecord(
+        found.tenant.incarnation,
+        found.tenant.name,
+        shard,
+        pin.prefixes,
+        pin.rate,
+        pin.version,
+        lifecycle.stage,
+        now,
+        requested_regions=wanted.regions,
+        requested_mode=wanted.hold,
+        requested_rate=wanted.allowance,
+        requested_start=wanted.at,
+        server_snapshot=before.server_snapshot if before else "",
+        confined_at=before.confined_at if before else 0.0,
+        former_rates=former_rates(before, lifecycle),
+    )
+    return with_lifecycle(record, lifecycle, now)
+
+
 @contextmanager
 def _api_errors() -> Iterator[None]:
     """Errors of decisions as the API tells them. Raises Wrong."""
@@ -210,40 +232,3 @@
         raise Wrong(error.status, error.what, error.detail, error.field) from error
     except InvalidTransitionError as error:
         raise Wrong(409, "conflict", str(error)) from error
-
-
-def check_version(record: ShardRecord | None, expected_version: int | None, shard: str) -> None:
-    """Check that a change was made for the version that exists. Raises Wrong."""
-    record = None if record is not None and record.is_ending else record
-    if record is None and expected_version is not None:
-        raise Wrong(412, "precondition failed", f"no shard {shard}")
-    if record is not None and expected_version is None:
-        raise Wrong(428, "precondition required", "it stands: send its ETag as If-Match", etag=record.version)
-    if record is not None and record.version != expected_version:
-        detail = f"it is at revision {record.version}"
-        raise Wrong(412, "precondition failed", detail, etag=record.version)
-
-
-def _check_prefixes(
-    shard: str,
-    wanted: ShardWanted,
-    record: ShardRecord | None,
-    shards: Mapping[str, StoredShard],
-) -> tuple[str, ...]:
-    """The prefixes of a shard: they stay as it was made with. Raises Wrong."""
-    prefixes = tuple(wanted.prefixes)
-    if len(set(prefixes)) < len(prefixes):
-        raise Wrong(422, "invalid", "one is told twice", "prefixes")
-    if record is not None:
-        if (prefixes or record.is_ending) and set(prefixes) != set(record.prefixes):
-            raise Wrong(409, "conflict", "prefixes stay as they were made until it is gone", "prefixes")
-        return record.prefixes
-    if not SHARD_NAME.fullmatch(shard):
-        raise Wrong(422, "invalid", "a shard's name is of lower case letters, digits and dashes", "shard")
-    if (shard == DEFAULT_SHARD) is bool(prefixes):
-        raise Wrong(422, "invalid", "every shard but `default` has prefixes, and only these", "prefixes")
-    for other, (existing, _) in shards.items():
-        taken = sorted(set(existing.prefixes) & set(prefixes))
-        if taken:
-            raise Wrong(409, "conflict", f"{taken[0]!r} is shard {other}'s", "prefixes")
-    return prefixes
