--- a/gaugehinge/net/discovery.py
+++ b/gaugehinge/net/discovery.py
@@ -1,264 +1,194 @@
-"""Discovery over HTTP: a watch that follows the list of servers."""
+"""The client of discovery: keeps one watch at a time on the endpoint list and passes updates on.
+
+Its polls' times, with the worst case until a change is known, are in `discovery_schedule`; the HTTP calls are
+in `discovery_watch`.
+"""
 
 from __future__ import annotations
 
-import socket
-import zlib
 from collections.abc import Callable
-from enum import Enum, auto
-from math import inf
+from typing import NamedTuple
 
-import h11
 import trio
 from loguru import logger
 
-from ..charter import BadCharter, parse
+from ..settings import SettingsError
 from .configuration import Address
-from .deadlines import Deadlines
-from .list_update import ListUpdate, read_list_update
-from .origin import Answer, Talk
-from .pool import Broken
-from .sockets import connect, receive, send_all, shut, tcp
-
-PATH = "/discovery/hosts"
-MOST_LIST = 4 << 20  # bytes of an answer
-FIRST_WAIT = 0.5  # of a watch: soon known to be held, it need not be asked for again
-FIRST_SILENCE = 2.0  # over that: a discovery with too many callers is slow, and asking again makes it slower
-PACE = 0.05  # between calls that are answered at once; a watch goes on for 200 ms
-
-# One clock for silence: what a watch misses counts as told 6 s after it fell silent, or 2 s after the wait of
-# the call that stood open, if that is later. The worst is a watch that falls silent just when its call goes
-# out, at T: that is noticed at T + WAIT + SILENCE = T + 3.75 and asked anew by T + 4.0 (SPREAD), where an
-# answer is due at once; silent once more, it is asked a third time by T + 5.3 (AGAIN_WAIT + AGAIN_SILENCE +
-# SPREAD), so that 0.7 s of the 6 are left for that answer. A call that stood open longer has later limits.
-WAIT = 2.5  # of further calls, less up to WAIT_SPREAD: after a change all routers' calls go out together,
-WAIT_SPREAD = 0.5  # and where those fall silent they must not all be begun anew in one instant
-SILENCE = 1.25  # over the wait of such a call
-SPREAD = 0.25  # at most, before a watch that fell silent is begun anew
-AGAIN_WAIT = 0.05  # of its first call
-AGAIN_SILENCE = 1.0  # over that
-MOST_AGAIN = 2  # silences in a row; then the call has failed, and the module says when to make the next
-WHOLE_FROM = 5.0  # behind a move that went on by versions, the whole list is asked for after this
-WHOLE_SPREAD = 30.0  # and up to so much: those of a whole fleet at once took discovery half a minute
-NEAR_PAUSE = 0.1  # after a failed call to an agent on this machine: what it holds counts as told at once
-
-
-class End(Enum):
-    """Why a watch ended."""
-
-    FAILED = auto()  # refused, reset, or answered with an error
-    SILENT = auto()
-    BAD = auto()  # a list that cannot be read
-
+from .discovery_schedule import MAX_RECONNECTS, MIN_POLL_INTERVAL, DiscoverySchedule, PollTiming
+from .discovery_watch import ENDPOINTS_PATH, PollError, PollTimeoutError, Watch
+from .endpoint_list import EndpointListUpdate
+from .timer_queue import TimerQueue
 
-class Watch:
-    """One watch and its connection."""
-
-    def __init__(self, where: Address, deadlines: Deadlines) -> None:
-        self.where = where
-        self.deadlines = deadlines
-        self.silent = False  # whether the last call failed for want of an answer
-        self.answered = False  # whether any was answered, since its owner said that none was
-        self._raw: socket.socket | None = None
-        self._talk = Talk(MOST_LIST)
-
-    async def call(self, target: str, most_time: float) -> ListUpdate | None:
-        """The list that a GET brings; None where the call fails. Raises BadCharter on a bad one."""
-        body = None
-        with self.deadlines.within(most_time) as limit:
-            body = await self._fetch(target)
-        self.silent = limit.cancelled_caught
-        if self.silent or body is None:
-            self.hang_up()
-            return None
-        try:
-            return read_list_update(parse(body.decode()))
-        except UnicodeDecodeError:
-            raise BadCharter("the whole: not UTF-8") from None
-
-    async def _fetch(self, target: str) -> bytes | None:
-        while True:
-            fresh = self._raw is None
-            try:
-                answer = await self._get(target)
-            except (OSError, Broken, h11.LocalProtocolError):
-                self.hang_up()
-                if fresh:
-                    return None
-                continue  # it closed between two calls
-            if not answer.keep:
-                self.hang_up()
-            return answer.body if answer.status == 200 else None
 
-    async def _get(self, target: str) -> Answer:
-        """A GET, on the connection of the last call if that is still there."""
-        if self._raw is None:
-            self._raw = tcp(self.where)
-            self._talk = Talk(MOST_LIST)
-            await connect(self._raw, self.where)
-        host = f"{self.where[0]}:{self.where[1]}".encode()
-        await send_all(self._raw, self._talk.request("GET", target, [("Host", host)]))
-        answer = None
-        while answer is None:
-            answer = self._talk.answer(await receive(self._raw))
-        return answer
+class WatchEnd(NamedTuple):
+    """How a series of polls ended."""
 
-    def hang_up(self) -> None:
-        if self._raw is not None:
-            shut(self._raw)
-        self._raw = None
+    timed_out: bool  # the last poll got no answer; else it failed
+    answered: bool  # whether any poll before it was answered
 
 
-class Discovery:
-    """Holds one watch at a time."""
+class DiscoveryClient:
+    """Follows the endpoint list by one watch at a time."""
 
     def __init__(
         self,
         nursery: trio.Nursery,
-        deadlines: Deadlines,
-        where: Address,
-        rev: int | None,
-        heard: Callable[[ListUpdate], None],
-        failed: Callable[[], None],
+        timers: TimerQueue,
+        address: Address,
+        version: int | None,
+        on_update: Callable[[EndpointListUpdate], None],
+        on_failure: Callable[[], None],
         seed: int = 0,
-        near: bool = False,
+        local_agent: bool = False,
     ) -> None:
-        """`near`: lists are pushed to an agent here, which is asked again at once, whatever it answers."""
-        self.nursery = nursery
-        self.deadlines = deadlines
-        self.where = where
-        self.rev = rev
-        self.heard = heard
-        self.failed = failed
-        self.seed = seed
-        self.near = near
-        self.away = False  # the agent
-        self.moved = False  # and nothing heard there yet: versions may be others there
-        self.newest = rev  # the version of the last list taken
-        self.doubted = False  # an older whole list came since
-        self.whole_at = inf  # when the whole list is asked for, to be sure of it
-        self.first_silence = SILENCE if near else FIRST_SILENCE
-        self._draws = 0
-        self._watching: trio.CancelScope | None = None
-
-    def move(self, where: Address) -> None:
-        """Discovery is found elsewhere, and may count its versions anew.
+        """`version`: of the list that is known already, None to poll the whole list first.
 
-        It is asked by the version had, and the whole list only once that shows another count, or later. Asked
-        for by all at once, whole lists took longer to give than a change may take to be known, and calls were
-        turned away: routers went on for 12 s by the list of before, and sent to servers that drained.
-        The old watch ends with this. A list that it still brought would undo what the new one told.
+        `on_failure` is called when a watch has ended; `start_watch` begins the next one. `local_agent`: the
+        list is pushed to an agent on this machine, which is polled again at once, whatever it answers.
         """
-        self.where, self.moved = where, True
-        if self.near:
-            self.rev = None
-        self.first_silence = SILENCE  # what is found there counts as told 4 s after the order
-        if self._watching is not None:
-            self._watching.cancel()
-
-    def follow(self) -> None:
-        """Begin a watch, in place of one that has not answered."""
-        if self._watching is not None:
-            self._watching.cancel()
-        self._watching = trio.CancelScope()
-        self.nursery.start_soon(self._follow, self._watching)
-
-    async def _follow(self, scope: trio.CancelScope) -> None:
-        watch = Watch(self.where, self.deadlines)
+        self.nursery = nursery
+        self.timers = timers
+        self.address = address
+        self.version = version  # from which changes are asked for; None: the whole list is
+        self.on_update = on_update
+        self.on_failure = on_failure
+        self.local_agent = local_agent
+        self.agent_unreachable = False
+        self.moved = False  # to an address that has not answered yet: it may count versions in its own way
+        self.newest_version = version  # of the lists that were taken over
+        self._older_full_list_seen = False  # since the last list that was taken over
+        self._schedule = DiscoverySchedule(seed, local_agent)
+        self._watch_scope: trio.CancelScope | None = None
+
+    def move(self, address: Address) -> None:
+        """Discovery is at another address, and may count its versions anew.
+
+        It is polled by the known version, and for the whole list only once it shows another count, or later.
+        Polled by all routers at once, whole lists took longer than a change may take to be known, and calls
+        were rejected: routers went on for 12 s by the former list, and forwarded to draining servers.
+        The former watch ends now: a list that it still brought would undo what the new one tells.
+        """
+        self.address, self.moved = address, True
+        if self.local_agent:
+            self.version = None
+        self._schedule.on_discovery_moved()
+        if self._watch_scope is not None:
+            self._watch_scope.cancel()
+
+    def start_watch(self) -> None:
+        """Begin a watch, in place of the current one if that has not ended."""
+        if self._watch_scope is not None:
+            self._watch_scope.cancel()
+        self._watch_scope = trio.CancelScope()
+        self.nursery.start_soon(self._run_watch, self._watch_scope)
+
+    async def _run_watch(self, scope: trio.CancelScope) -> None:
+        watch = Watch(self.address, self.timers)
         try:
             with scope:
-                await self._keep(watch, scope)
+                await self._watch_and_reconnect(watch, scope)
                 if not scope.cancel_called:
-                    self.failed()
+                    self.on_failure()
         except Exception:
-            logger.exception("a watch failed")
-            self.failed()
+            logger.exception("discovery watch failed")
+            self.on_failure()
         finally:
-            watch.hang_up()
+            watch.close()
 
-    async def _keep(self, watch: Watch, scope: trio.CancelScope) -> None:
-        """One watch after the other, for as long as it is the connection that fails and not the service."""
-        wait, silence, again = FIRST_WAIT, self.first_silence, 0
+    async def _watch_and_reconnect(self, watch: Watch, scope: trio.CancelScope) -> None:
+        """Poll and reconnect, for as long as it is the connection that fails and not the service."""
+        timing, failures = self._schedule.initial(), 0
         while not scope.cancel_called:
-            watch.answered = False
-            end = await self._watch(watch, scope, wait, silence)
+            end = await self._poll_until_failure(watch, scope, timing)
             if scope.cancel_called:
                 return
-            again = 1 if watch.answered else again + 1
-            if end is End.SILENT and (again <= MOST_AGAIN or self.near):
-                # At once: all that the silent one missed counts as told soon, and a pause of the module's, as
-                # after a refusal, took up to 1.5 s of the 6.
-                if again == 1:
-                    logger.info("a watch fell silent at version {}: begun anew", self.rev)
-                await trio.sleep(SPREAD * self._chance())
-            elif self.near:
-                if not self.away:
-                    self.away = True
-                    logger.warning("the agent is away at version {}: asked every {} s", self.rev, NEAR_PAUSE)
-                await trio.sleep(NEAR_PAUSE)
+            failures = 1 if end.answered else failures + 1
+            if end.timed_out and (failures <= MAX_RECONNECTS or self.local_agent):
+                # At once: all that the silent connection missed counts as notified soon, and a backoff of the
+                # decision module, as after a refusal, took up to 1.5 s of the 6.
+                if failures == 1:
+                    logger.info("discovery watch timed out at version {}: reconnecting", self.version)
+                await trio.sleep(self._schedule.reconnect_delay())
+            elif self.local_agent:
+                await self._wait_for_agent()
             else:
                 return
-            wait, silence = AGAIN_WAIT, AGAIN_SILENCE
-
-    async def _watch(self, watch: Watch, scope: trio.CancelScope, wait: float, silence: float) -> End:
-        """Call after call, until one fails."""
+            timing = self._schedule.after_failure()
+
+    async def _wait_for_agent(self) -> None:
+        delay = self._schedule.agent_retry_delay()
+        if not self.agent_unreachable:
+            self.agent_unreachable = True
+            logger.warning(
+                "discovery agent unreachable at version {}: retrying every {} s", self.version, delay
+            )
+        await trio.sleep(delay)
+
+    async def _poll_until_failure(
+        self, watch: Watch, scope: trio.CancelScope, timing: PollTiming
+    ) -> WatchEnd:
+        answered = False
         while True:
-            asked = self.deadlines.clock()
-            whole = self.rev is None or asked >= self.whole_at
-            target = PATH if whole else f"{PATH}?index={self.rev}&wait={int(wait * 1000)}"
-            open_for = 0.0 if whole else wait  # the whole list is not waited for
-            if whole:
-                self._ask_whole_later()  # should this call fail
+            polled_at = self.timers.clock()
             try:
-                update = await watch.call(target, open_for + silence)
-            except BadCharter as bad:
-                if scope.cancel_called:
-                    return End.BAD
-                logger.warning("bad list: {}", bad)
-                self.rev = None  # changes on top of what was not understood would not add up
-                return End.BAD
-            if update is None or scope.cancel_called:  # it may have come just when the watch was ended
-                if self.moved and watch.silent and not scope.cancel_called:
-                    self.rev = None  # one that counts otherwise may wait for a version far away
-                return End.SILENT if watch.silent else End.FAILED
-            watch.answered = True
-            if self._is_older(update):
-                watch.hang_up()
-                await trio.sleep(SPREAD * self._chance())
+                update = await self._poll(watch, timing)
+            except (PollError, SettingsError) as error:
+                if not scope.cancel_called:
+                    self._on_poll_error(error)
+                return WatchEnd(isinstance(error, PollTimeoutError), answered)
+            if scope.cancel_called:  # the list may have come just as the watch was cancelled
+                return WatchEnd(timed_out=False, answered=answered)
+            answered = True
+            if self._is_stale(update):
+                watch.close()
+                await trio.sleep(self._schedule.reconnect_delay())
                 continue
-            if update.whole:
-                self.whole_at = inf
-            elif self.moved:
-                self._ask_whole_later()
-            self.moved = False
-            if self.away:
-                self.away = False
-                logger.info("the agent is back at version {}", update.rev)
-            self.heard(update)
-            self.rev = self.newest = update.rev  # only now: what could not be used must be told again
-            if self.deadlines.clock() - asked < PACE:
-                await trio.sleep(PACE)  # one that answers at once, whatever the wait, must not be run against
-            wait, silence = WAIT - WAIT_SPREAD * self._chance(), SILENCE
-
-    def _is_older(self, update: ListUpdate) -> bool:
-        """Whether a list is not to be taken, and the whole one to be asked for on a new connection.
-
-        An older list, of a copy of the service that is behind, would undo what a newer one told: a server
-        that drains came back by it. One that counts anew says the same once more, and is believed then.
+            self._accept(update)
+            if self.timers.clock() - polled_at < MIN_POLL_INTERVAL:
+                await trio.sleep(MIN_POLL_INTERVAL)  # a service that answers at once, whatever the wait
+            timing = self._schedule.subsequent()
+
+    async def _poll(self, watch: Watch, timing: PollTiming) -> EndpointListUpdate:
+        """A poll for changes, or for the whole list where that is wanted, which is not waited for."""
+        now = self.timers.clock()
+        if self.version is None or now >= self._schedule.full_poll_at:
+            self._schedule.postpone_full_poll(now)  # should this poll fail
+            return await watch.poll(ENDPOINTS_PATH, timing.grace)
+        target = f"{ENDPOINTS_PATH}?index={self.version}&wait={int(timing.wait * 1000)}"
+        return await watch.poll(target, timing.wait + timing.grace)
+
+    def _on_poll_error(self, error: PollError | SettingsError) -> None:
+        if isinstance(error, SettingsError):
+            logger.warning("invalid endpoint list: {}", error)
+            self.version = None  # changes on top of a list that was not understood would not add up
+        elif isinstance(error, PollTimeoutError) and self.moved:
+            self.version = None  # a service with another count may wait for a version that is far away
+
+    def _accept(self, update: EndpointListUpdate) -> None:
+        """Take a list over and pass it on."""
+        if update.complete:
+            self._schedule.cancel_full_poll()
+        elif self.moved:
+            self._schedule.postpone_full_poll(self.timers.clock())
+        self.moved = False
+        if self.agent_unreachable:
+            self.agent_unreachable = False
+            logger.info("discovery agent reachable again at version {}", update.rev)
+        self.on_update(update)
+        self.version = self.newest_version = update.rev  # only now: what could not be used must come again
+
+    def _is_stale(self, update: EndpointListUpdate) -> bool:
+        """Whether a list is not to be taken over, and the whole one to be polled on a new connection.
+
+        An older list, from a replica of the service that lags, would undo what a newer one told: a draining
+        server came back by it. A service that counts its versions anew sends the same again, and is believed
+        then.
         """
-        if self.newest is None or update.rev >= self.newest or self.near:
-            self.doubted = False
+        if self.newest_version is None or update.rev >= self.newest_version or self.local_agent:
+            self._older_full_list_seen = False
             return False
-        self.rev = None
-        if not update.whole:
+        self.version = None
+        if not update.complete:
             return True
-        self.doubted = not self.doubted
-        return self.doubted and not self.moved
-
-    def _ask_whole_later(self) -> None:
-        part = zlib.crc32(b"%d whole" % self.seed) / 4294967296.0  # each its own, the same each time
-        self.whole_at = self.deadlines.clock() + WHOLE_FROM + WHOLE_SPREAD * part
-
-    def _chance(self) -> float:
-        self._draws += 1
-        return zlib.crc32(b"%d watch %d" % (self.seed, self._draws)) / 4294967296.0
+        self._older_full_list_seen = not self._older_full_list_seen
+        return self._older_full_list_seen and not self.moved
--- /dev/null
+++ b/gaugehinge/net/endpoint_list.py
@@ -0,0 +1,68 @@
+"""The endpoint list in discovery's JSON: all servers, or what changed."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+from xxhash import xxh64_intdigest
+
+from ..routing.types import EndpointEntry, EndpointState
+from ..settings import SettingsReader, parse_non_negative
+from .configuration import Address, address
+
+ENDPOINT_STATES = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
+MILLISECONDS = 1000.0  # a second
+NO_CELL = -1  # the least number of a `pod_group`
+
+
+class EndpointTarget(NamedTuple):
+    """One server of the list and where it is reached."""
+
+    entry: EndpointEntry
+    uid: str
+    address: Address | None  # None: the server is gone
+
+
+@dataclass(slots=True, frozen=True)
+class EndpointListUpdate:
+    """The endpoint list, or what changed of it."""
+
+    rev: int  # discovery's version of the list
+    complete: bool  # whether servers that are not named are gone
+    targets: tuple[EndpointTarget, ...]
+
+
+def read_endpoint_list(value: Any) -> EndpointListUpdate:
+    """An update from discovery's decoded JSON.
+
+    Raises SettingsError: one bad entry rejects the whole update, as a failed poll would.
+    """
+    reader = SettingsReader(value)
+    return EndpointListUpdate(
+        int(reader.number("rev")),
+        reader.flag("all"),
+        tuple(_read_target(entry) for entry in reader.pages("targets")),
+    )
+
+
+def _read_target(reader: SettingsReader) -> EndpointTarget:
+    # A state that is not known may mean anything: nothing new is sent there.
+    state = ENDPOINT_STATES.get(reader.text("state", "ready"), EndpointState.DRAINING)
+    gone = state is EndpointState.GONE
+    where = None if gone else address(reader.text("endpoint"), f"{reader.path}.endpoint")
+    # The hash ring must be the same at all routers: only the `uid` is.
+    uid = reader.text("uid")
+    ident = xxh64_intdigest(uid.encode())
+    started = reader.number("boot_ms", 0) / MILLISECONDS
+    cell = int(reader.number("pod_group", 0, least=NO_CELL))
+    weight = _read_weight(reader)
+    zone, kind = reader.text("az", ""), reader.text("model", "")
+    entry = EndpointEntry(ident, zone, kind, cell, state, started, weight)
+    return EndpointTarget(entry, uid, where)
+
+
+def _read_weight(reader: SettingsReader) -> float:
+    """The capacity hint; 0 where there is none, or none that makes sense."""
+    hint = reader.values.get("capacity_hint")
+    return 0.0 if isinstance(hint, bool) else parse_non_negative(str(hint)) or 0.0
--- a/gaugehinge/placement/control_plane.py
+++ b/gaugehinge/placement/control_plane.py
@@ -18,8 +18,9 @@
 
 from ..admin.keep import KeepPlacement
 from ..admin.service import Administration, Wrong
-from ..store.keeper import Overloaded
-from ..store.store import Full, Store, Wanted
+from ..store.errors import DiskFullError, StoreOverloadedError
+from ..store.records import Mutation
+from ..store.store import Store
 from ..tenancy.feed import Report
 from .capacity import CapacityPlanner
 from .lease_tracker import LeaseTracker
@@ -115,7 +116,7 @@
         return msgspec.json.encode(self._update_for(store, report, router_report))
 
     def _update_for(self, store: Store, report: Report, router_report: RouterReport) -> ControlPlaneUpdate:
-        digest = store.mark(router_report.table_revision) if router_report.table_revision else ""
+        digest = store.revision_digest(router_report.table_revision) if router_report.table_revision else ""
         is_known = bool(digest) and digest == router_report.revision_digest
         history_lost = self._is_history_lost(store, router_report, digest)
         if history_lost and not self.leases.history_lost:
@@ -141,7 +142,7 @@
         """Whether a router's table is of a history that this copy of the store does not have."""
         if not router_report.table_revision or digest == router_report.revision_digest:
             return False
-        return router_report.table_revision > store.rev or bool(digest)
+        return router_report.table_revision > store.revision or bool(digest)
 
     # -- other subsystems
 
@@ -181,14 +182,14 @@
                     await self._sweep()
                     next_sweep = self.clock() + SWEEP_INTERVAL
                 interval = await self.reconciler.reconcile()
-            except (Overloaded, Full) as error:
+            except (StoreOverloadedError, DiskFullError) as error:
                 logger.warning("placement not looked at: {}", error)
             self._wake = trio.Event()
             with trio.move_on_after(interval):
                 await self._wake.wait()
                 await trio.sleep(BATCH_TIME)
 
-    def _settings_changes(self, store: Store, now: float) -> list[Wanted]:
+    def _settings_changes(self, store: Store, now: float) -> list[Mutation]:
         self.index.refresh(store)
         return settings_changes(self.index, self.settings.regions, now)
 
@@ -196,7 +197,7 @@
         await self.keeper.apply_planned(self._sweep_changes, AUTHOR)
         self.leases.forget_expired()
 
-    def _sweep_changes(self, store: Store, now: float) -> list[Wanted]:
+    def _sweep_changes(self, store: Store, now: float) -> list[Mutation]:
         self.index.refresh(store)
         self.capacity.warn_overcommitted(store)
         return sweep_changes(store, self.index)
--- a/gaugehinge/placement/lease_tracker.py
+++ b/gaugehinge/placement/lease_tracker.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from ..admin.keep import KeepPlacement
-from ..tenancy.lease import Ledger
+from ..tenancy.lease import LeaseTable
 from .lifecycle import Stage
 from .records import ShardRecord
 
@@ -29,18 +29,18 @@
         self.clock = clock
         self.history_lost = False  # a router acts by a history that this copy of the store does not have
         started_at, grace = clock(), float(settings.flight)
-        self.leases = Ledger(started_at, lease, grace=grace)
-        self.isolation_leases = Ledger(started_at, self.isolation_limit, grace=grace)
+        self.leases = LeaseTable(started_at, lease, in_flight_grace=grace)
+        self.isolation_leases = LeaseTable(started_at, self.isolation_limit, in_flight_grace=grace)
 
     def renew(self, router: str, run: str, revision: int) -> None:
         """Note that a run of a router reported now, and up to which revision it follows."""
         now = self.clock()
-        self.leases.give(router, run, revision, self.lease, now)
-        self.isolation_leases.give(router, run, revision, self.isolation_limit, now)
+        self.leases.grant(router, run, revision, self.lease, now)
+        self.isolation_leases.grant(router, run, revision, self.isolation_limit, now)
 
     def is_tracked(self, router: str, run: str) -> bool:
         """Whether a run of a router is remembered: only then may a lease be promised to it."""
-        return (router, run) in self.leases.given and (router, run) in self.isolation_leases.given
+        return (router, run) in self.leases.granted and (router, run) in self.isolation_leases.granted
 
     def routers_behind(self, revision: int, without_lease: bool) -> list[str]:
         """Routers that may still act by a state older than a revision, in the order of their names.
@@ -48,8 +48,8 @@
         `without_lease`: count also those that may serve on after their lease is over.
         """
         ledger, now = self.isolation_leases if without_lease else self.leases, self.clock()
-        previous_run = [] if ledger.settled(now) else [PREVIOUS_RUN]
-        return previous_run + sorted({router for router, _ in ledger.acting_before(revision, now)})
+        previous_run = [] if ledger.former_leases_expired(now) else [PREVIOUS_RUN]
+        return previous_run + sorted({router for router, _ in ledger.active_before(revision, now)})
 
     def is_confined(self, record: ShardRecord) -> bool:
         """Whether a shard may be called confined now.
@@ -59,9 +59,9 @@
         those count that serve without a lease.
         """
         ledger = self.isolation_leases if self.history_lost else self.leases
-        return record.stage is Stage.CONFINED and ledger.settled(self.clock())
+        return record.stage is Stage.CONFINED and ledger.former_leases_expired(self.clock())
 
     def forget_expired(self) -> None:
         """Drop the entries of routers whose leases are over."""
-        self.leases.sweep(self.clock())
-        self.isolation_leases.sweep(self.clock())
+        self.leases.remove_expired(self.clock())
+        self.isolation_leases.remove_expired(self.clock())
--- a/gaugehinge/placement/quarantine.py
+++ b/gaugehinge/placement/quarantine.py
@@ -7,7 +7,8 @@
 from loguru import logger
 from msgspec.structs import replace
 
-from ..store.store import Store, Wanted, encode
+from ..store.records import Mutation, encode
+from ..store.store import Store
 from .lifecycle import Event, Stage, transition
 from .messages import LostPin
 from .records import SHARD, ShardRecord, lifecycle_of, record_id, with_lifecycle
@@ -18,7 +19,7 @@
 
 def quarantine_changes(
     store: Store, index: ShardIndex, lost_pins: Mapping[ShardKey, LostPin], now: float
-) -> list[Wanted]:
+) -> list[Mutation]:
     """Changes that quarantine each shard whose newer pin was lost; its tenant has to ask anew.
 
     Left out are pins of tenants that do not exist, shards that were changed after the router first heard of
@@ -32,9 +33,9 @@
             continue
         record = found or _empty_record(store, names[incarnation], lost, now)
         lifecycle = transition(lifecycle_of(found) if found else None, Event.PIN_LOST)
-        after = replace(with_lifecycle(record, lifecycle, now), version=store.rev + 1)
+        after = replace(with_lifecycle(record, lifecycle, now), version=store.revision + 1)
         logger.warning("shard {} of {} held: a newer pin of it was lost", shard, names[incarnation])
-        changes.append(Wanted(SHARD, record_id(incarnation, shard), encode(after), revision))
+        changes.append(Mutation(SHARD, record_id(incarnation, shard), encode(after), revision))
     return changes
 
 
@@ -44,5 +45,5 @@
 
 def _empty_record(store: Store, tenant: str, lost: LostPin, now: float) -> ShardRecord:
     """A record of a shard that this copy of the store never had."""
-    stage, version = Stage.QUARANTINED, store.rev + 1
+    stage, version = Stage.QUARANTINED, store.revision + 1
     return ShardRecord(lost.incarnation, tenant, lost.shard, lost.prefixes, 0.0, version, stage, now)
--- a/gaugehinge/placement/reconciler.py
+++ b/gaugehinge/placement/reconciler.py
@@ -9,8 +9,9 @@
 from loguru import logger
 
 from ..admin.keep import KeepPlacement
-from ..store.keeper import StoreKeeper
-from ..store.store import Store, Wanted, encode
+from ..store.async_store import AsyncStore
+from ..store.records import Mutation, encode
+from ..store.store import Store
 from .lease_tracker import LeaseTracker
 from .lifecycle import SETTLED_STAGES, Event, Stage, transition
 from .messages import LostPin
@@ -72,7 +73,7 @@
 
     def __init__(
         self,
-        keeper: StoreKeeper,
+        keeper: AsyncStore,
         index: ShardIndex,
         servers: ServerAvailability,
         leases: LeaseTracker,
@@ -103,10 +104,10 @@
     async def reconcile(self) -> float:
         """One pass; returns the seconds until the next one.
 
-        Raises Conflict where a shard was changed meanwhile, Overloaded and Full as the store does.
+        Raises RevisionConflictError where a shard was changed meanwhile, and as the store does.
         """
         await self._record_reports()
-        pending = await self.keeper.call(self._pending_shards)
+        pending = await self.keeper.run_sync(self._pending_shards)
         self.timer.keep_only({(shard.record_id, shard.revision) for shard in pending})
         events = self._due_events(pending)
         if events:
@@ -127,7 +128,7 @@
 
     def _report_changes(
         self, store: Store, now: float, lost_pins: Mapping[ShardKey, LostPin], zones: set[str]
-    ) -> list[Wanted]:
+    ) -> list[Mutation]:
         self.index.refresh(store)
         changes = quarantine_changes(store, self.index, lost_pins, now)
         if zones:
@@ -192,21 +193,21 @@
 
     # -- carrying events out
 
-    def _apply(self, store: Store, now: float, events: list[DueEvent]) -> list[Wanted]:
+    def _apply(self, store: Store, now: float, events: list[DueEvent]) -> list[Mutation]:
         """Changes that carry events out; a shard that changed meanwhile waits for the next pass."""
         self.index.refresh(store)
-        changes: list[Wanted] = []
+        changes: list[Mutation] = []
         for due in events:
             stored = self.index.shards.get(due.record_id)
             if stored is None or stored.revision != due.revision:
                 continue
             after = self._advance(store, now, stored.record, due.event, changes)
             body = encode(after) if after is not None else None
-            changes.append(Wanted(SHARD, due.record_id, body, due.revision))
+            changes.append(Mutation(SHARD, due.record_id, body, due.revision))
         return changes
 
     def _advance(
-        self, store: Store, now: float, record: ShardRecord, event: Event, changes: list[Wanted]
+        self, store: Store, now: float, record: ShardRecord, event: Event, changes: list[Mutation]
     ) -> ShardRecord | None:
         """The record after an event, None where the shard is removed; may append to `changes`."""
         lifecycle = transition(lifecycle_of(record), event)
--- a/gaugehinge/placement/router.py
+++ b/gaugehinge/placement/router.py
@@ -18,12 +18,12 @@
 from loguru import logger
 
 from ..hosted.follower import Follower
-from ..net.dispatch import FAILED, busy
-from ..net.list_update import ListUpdate
+from ..net.dispatcher import FAILED_REPLY, busy_reply
+from ..net.endpoint_list import EndpointListUpdate
 from ..net.service import Service
-from ..tenancy.feed import WAIT, Feed
-from ..tenancy.lease import Held
-from ..terms import Attempt, Operation
+from ..routing.types import Attempt, Operation
+from ..tenancy.feed import POLL_WAIT, Feed
+from ..tenancy.lease import HeldLease
 from .affinity import ANYWHERE, SearchOrder
 from .feed_errors import ForeignChangesError, PlacementMissingError, StaleAnswerError
 from .lost_pins import LostPins
@@ -52,8 +52,8 @@
         self.table = ShardTable()
         self.servers = ServerList(clock)
         self.lost_pins = LostPins()
-        self.lease = Held()
-        self.isolation = Held()  # for how long tenants are served at all
+        self.lease = HeldLease()
+        self.isolation = HeldLease()  # for how long tenants are served at all
         self.store = ""  # which store the table is of
         self.revision = 0  # of the table
         self.revision_digest = ""
@@ -63,14 +63,14 @@
         self.cut_off = False  # without a lease, and operations were checked since
         self.rejected = 0  # operations for want of a lease, since it was lost
         self._draws = count()
-        self._hear_list = service.dispatch.hear_list
-        service.dispatch.hear_list = self.hear_list
-        service.dispatch.place = self.place
+        self._hear_list = service.dispatcher.on_endpoints_changed
+        service.dispatcher.on_endpoints_changed = self.on_endpoints_changed
+        service.dispatcher.place = self.place
         service.pool.guard = self.guard
 
-    def hear_list(self, update: ListUpdate, held: bool = False) -> None:
+    def on_endpoints_changed(self, update: EndpointListUpdate, held: bool = False) -> None:
         """Follow discovery's list, and hand it on."""
-        origin_kind = self.service.configuration.charter.deployment.origin_kind
+        origin_kind = self.service.configuration.settings.deployment.origin_kind
         self.servers.update(update, held, origin_kind)
         self._hear_list(update, held)
 
@@ -117,14 +117,14 @@
         update = msgspec.json.decode(body, type=ControlPlaneUpdate)
         if asked_at < self.asked_at:
             raise StaleAnswerError
-        continues = feed.store == self.store and update.revision >= self.revision
+        continues = feed.store_id == self.store and update.revision >= self.revision
         if not update.is_complete and not continues:
             raise ForeignChangesError
         return update
 
     def _update_lost_pins(self, feed: Feed, update: ControlPlaneUpdate) -> None:
         incarnations = self.follower.roster.by_incarnation
-        if feed.store != self.store:
+        if feed.store_id != self.store:
             self.lost_pins.clear()
         elif update.history_lost:
             self.lost_pins.compare(self.table, update, incarnations)
@@ -134,7 +134,7 @@
         accepted = [each for each in update.assignments if self.lost_pins.accepts(each)]
         lost = self.lost_pins.assignments.values()
         self.table.update([*accepted, *lost], update.removed, update.is_complete)
-        self.store = feed.store
+        self.store = feed.store_id
         self.revision = update.revision
         self.revision_digest = update.revision_digest
 
@@ -148,7 +148,7 @@
 
     def _may_take(self, attempt: Attempt, regions: SearchOrder) -> bool:
         """Whether an attempt's server may be sent a key that is pinned to regions; the origin always may."""
-        server: Any = attempt.server
+        server: Any = attempt.endpoint
         return server.origin or self.servers.allows(server, regions)
 
     def away(self) -> None:
@@ -156,18 +156,18 @@
 
     def ready(self) -> bool:
         """Whether a lease is held: with none, required shards are rejected. For `recovery`."""
-        return self.lease.good(self.clock())
+        return self.lease.is_valid(self.clock())
 
     def _adjust_polling(self, lease: float) -> None:
         """Let calls end early enough to renew a short lease."""
         if lease:
-            wait = max(min(WAIT, lease / POLLS_PER_LEASE), MIN_POLL_WAIT)
+            wait = max(min(POLL_WAIT, lease / POLLS_PER_LEASE), MIN_POLL_WAIT)
             slack = max(lease / POLLS_PER_LEASE, MIN_POLL_SLACK)
             self.follower.wait = min(self.follower.wait, wait)
             self.follower.slack = min(self.follower.slack, slack)
 
     def _log_lease_renewed(self) -> None:
-        if self.cut_off and self.lease.good(self.clock()):
+        if self.cut_off and self.lease.is_valid(self.clock()):
             logger.info("placement: lease renewed, revision {}, {} rejected", self.revision, self.rejected)
             self.cut_off, self.rejected = False, 0
 
@@ -176,14 +176,14 @@
     def place(self, operation: Operation) -> bytes | None:
         """At the door: set the operation's regions, or return the answer that it gets at once."""
         placement = self.table.find(operation.key)
-        if not self.lease.good(self.clock()):
-            reply = self._reply_without_lease(operation, placement, operation.repeat)
+        if not self.lease.is_valid(self.clock()):
+            reply = self._reply_without_lease(operation, placement, operation.is_client_retry)
             if reply is not None:
                 return reply
         if placement is None:
             return None
         if blocks_retry(placement, operation):
-            return FAILED
+            return FAILED_REPLY
         if not placement.regions:
             return self.busy()
         operation.regions = placement.regions
@@ -196,8 +196,8 @@
         """
         operation = attempt.operation
         placement = self.table.find(operation.key)
-        if not self.lease.good(self.clock()):
-            is_retry = operation.repeat or operation.ran_at is not None
+        if not self.lease.is_valid(self.clock()):
+            is_retry = operation.is_client_retry or operation.may_have_run_on is not None
             reply = self._reply_without_lease(operation, placement, is_retry)
             if reply is not None:
                 self._reject(operation, reply)
@@ -215,11 +215,11 @@
         regions = placement.regions if placement is not None else ANYWHERE
         if regions != operation.regions:
             # A write that ran in the old place would not be known as the same one in the new place.
-            if operation.ran_at is not None and has_idempotency_key(operation):
-                return FAILED
+            if operation.may_have_run_on is not None and has_idempotency_key(operation):
+                return FAILED_REPLY
             operation.regions = regions
         if placement is not None and blocks_retry(placement, operation):
-            return FAILED
+            return FAILED_REPLY
         return None if regions else self.busy()
 
     def _reply_without_lease(
@@ -231,19 +231,19 @@
             logger.warning("placement: no lease, revision {}: `only` shards are rejected", self.revision)
         required = placement is not None and placement.required
         blocked = is_retry and has_idempotency_key(operation)
-        if self.isolation.good(self.clock()) and not required and not blocked:
+        if self.isolation.is_valid(self.clock()) and not required and not blocked:
             return None
         self.rejected += 1
-        return FAILED if may_have_run(operation) else self.busy()
+        return FAILED_REPLY if may_have_run(operation) else self.busy()
 
     def _reject(self, operation: Operation, reply: bytes) -> None:
-        self.service.dispatch.refuse(operation, FAILED if may_have_run(operation) else reply)
+        self.service.dispatcher.refuse(operation, FAILED_REPLY if may_have_run(operation) else reply)
 
     def busy(self) -> bytes:
         """A rejection with a Retry-After, spread so that clients do not come back all at once."""
-        longest = self.service.configuration.charter.deployment.longest_come_back
+        longest = self.service.configuration.settings.deployment.max_retry_after
         draw = crc32(b"%d" % next(self._draws)) / 0x100000000
-        return busy(min(REJECT_RETRY_AFTER * (0.5 + draw), longest) if longest else 0.0)
+        return busy_reply(min(REJECT_RETRY_AFTER * (0.5 + draw), longest) if longest else 0.0)
 
 
 def attach_placement(service: Service, follower: Follower, **options: Any) -> RouterPlacement:
--- a/gaugehinge/placement/server_availability.py
+++ b/gaugehinge/placement/server_availability.py
@@ -5,7 +5,8 @@
 import msgspec
 
 from ..admin.service import SERVER
-from ..store.store import Store, Wanted, encode
+from ..store.records import Mutation, encode
+from ..store.store import Store
 from .messages import RelabelledServer, ReportedServer
 from .records import NOTE, RELABELLED_NOTE
 from .server_inventory import ServerInventory
@@ -29,7 +30,7 @@
 
     def refresh(self, store: Store) -> None:
         """Follow the store. On its thread."""
-        self.drained = frozenset(item.ident for item in iter_items(store, SERVER))
+        self.drained = frozenset(item.item_id for item in iter_items(store, SERVER))
         self.relabelled = {**dict(self.stored_relabelled(store)), **self.inventory.relabelled}
 
     def servers(self) -> list[ReportedServer]:
@@ -48,13 +49,13 @@
 
     def stored_relabelled(self, store: Store) -> list[RelabelledServer]:
         """Relabelled servers as the store has them, with the times of their starts. On the store's thread."""
-        if self._stored_revision != store.rev:
+        if self._stored_revision != store.revision:
             item = store.get(NOTE, RELABELLED_NOTE)
             self._stored = msgspec.json.decode(item.body, type=list[RelabelledServer]) if item else []
-            self._stored_revision = store.rev
+            self._stored_revision = store.revision
         return self._stored
 
-    def relabelled_change(self, store: Store) -> Wanted:
+    def relabelled_change(self, store: Store) -> Mutation:
         """The change that writes down what the inventory found, without servers that restarted since."""
         stored = store.get(NOTE, RELABELLED_NOTE)
         started = {server.uid: server.started_at for server in self.inventory.current.values()}
@@ -64,4 +65,4 @@
             for uid, started_at in sorted(known.items())
             if started.get(uid, started_at) == started_at
         ]
-        return Wanted(NOTE, RELABELLED_NOTE, encode(relabelled), stored.rev if stored else 0)
+        return Mutation(NOTE, RELABELLED_NOTE, encode(relabelled), stored.revision if stored else 0)
--- a/gaugehinge/placement/server_list.py
+++ b/gaugehinge/placement/server_list.py
@@ -7,8 +7,8 @@
 
 from loguru import logger
 
-from ..net.list_update import ListUpdate
-from ..terms import Listing, Presence
+from ..net.endpoint_list import EndpointListUpdate
+from ..routing.types import EndpointEntry, EndpointState
 from .affinity import SearchOrder
 from .messages import MAX_SERVERS, RelabelledServer, ReportedServer, ServerListChunk
 from .server_inventory import ServerPresence, server_list_digest, split_server_list
@@ -35,37 +35,37 @@
 
     # -- what discovery tells
 
-    def update(self, update: ListUpdate, held: bool, origin_kind: str | None) -> None:
+    def update(self, update: EndpointListUpdate, held: bool, origin_kind: str | None) -> None:
         """Follow the list.
 
         `held`: it is not discovery's own answer, but one kept from before; `origin_kind`: of the entries that
         are no cache servers.
         """
         self.is_known = self.is_known or not held
-        if update.whole:
+        if update.complete:
             named = {target.uid for target in update.targets}
             for uid in [uid for uid in self.current if uid not in named]:
                 self._remove(uid)
-        for listing, uid, _ in update.targets:
-            if listing.presence is Presence.GONE or listing.kind == origin_kind:
+        for entry, uid, _ in update.targets:
+            if entry.state is EndpointState.GONE or entry.kind == origin_kind:
                 self._remove(uid)
             else:
-                self._add(uid, listing)
+                self._add(uid, entry)
         self._forget_outdated()
 
-    def _add(self, uid: str, listing: Listing) -> None:
+    def _add(self, uid: str, entry: EndpointEntry) -> None:
         """A server that stands in another zone than before without a restart belongs to neither.
 
         Nor does one whose start goes back: that list is older than one that was told before, and where the
         server restarted since, it stands elsewhere now.
         """
         before = self.current.get(uid) or self.departed.pop(uid, None)
-        if before is not None and listing.started <= before.started_at and before.zone != listing.zone:
-            self.relabelled[uid] = listing.started
-            logger.warning("server {} in zone {} and not {} with no start", uid, listing.zone, before.zone)
-        accepts_new = listing.presence is Presence.UP
-        self.current[uid] = ReportedServer(uid, listing.zone, listing.weight, listing.started, accepts_new)
-        self._by_number[listing.ident] = ServerPresence(uid, listing.zone, listing.started)
+        if before is not None and entry.started <= before.started_at and before.zone != entry.zone:
+            self.relabelled[uid] = entry.started
+            logger.warning("server {} in zone {} and not {} with no start", uid, entry.zone, before.zone)
+        accepts_new = entry.state is EndpointState.UP
+        self.current[uid] = ReportedServer(uid, entry.zone, entry.weight, entry.started, accepts_new)
+        self._by_number[entry.ident] = ServerPresence(uid, entry.zone, entry.started)
 
     def _remove(self, uid: str) -> None:
         """Remember a server that leaves the list: it may come back in another zone without a restart."""
--- a/gaugehinge/placement/server_snapshots.py
+++ b/gaugehinge/placement/server_snapshots.py
@@ -5,7 +5,8 @@
 import msgspec
 from xxhash import xxh3_128_hexdigest
 
-from ..store.store import Store, Wanted, encode
+from ..store.records import Mutation, encode
+from ..store.store import Store
 from .api_types import Copy
 from .records import SERVER_SNAPSHOT, ShardRecord
 from .server_inventory import ServerInventory, ServerPresence
@@ -18,7 +19,7 @@
 
 
 def add_present_servers(
-    store: Store, record: ShardRecord, inventory: ServerInventory, changes: list[Wanted], now: float
+    store: Store, record: ShardRecord, inventory: ServerInventory, changes: list[Mutation], now: float
 ) -> ShardRecord:
     """A copy of a record that also names the servers present now, at `now` (Unix seconds).
 
@@ -28,8 +29,8 @@
     body = encode(sorted(servers | set(inventory.snapshot())))
     snapshot_id = xxh3_128_hexdigest(body)
     is_new = store.get(SERVER_SNAPSHOT, snapshot_id) is None
-    if is_new and all(change.ident != snapshot_id for change in changes):
-        changes.append(Wanted(SERVER_SNAPSHOT, snapshot_id, body, 0))
+    if is_new and all(change.item_id != snapshot_id for change in changes):
+        changes.append(Mutation(SERVER_SNAPSHOT, snapshot_id, body, 0))
     return msgspec.structs.replace(record, server_snapshot=snapshot_id, confined_at=now)
 
 
--- a/gaugehinge/placement/shard_changes.py
+++ b/gaugehinge/placement/shard_changes.py
@@ -12,7 +12,8 @@
 from ..admin.keep import KeepPlacement
 from ..admin.service import TENANT, Administration, Wrong
 from ..admin.types import Kept
-from ..store.store import Change, Store, Wanted, encode
+from ..store.records import Change, Mutation, encode
+from ..store.store import Store
 from .admission import AdmissionError
 from .affinity import affinity_to
 from .api_types import ShardShown, ShardWanted
@@ -107,7 +108,7 @@
         `Store.apply` takes it.
         """
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             with _api_errors():
                 return self._plan_put(store, now, tenant, shard, wanted, expected_version)
 
@@ -123,7 +124,7 @@
         shard: str,
         wanted: ShardWanted,
         expected_version: int | None,
-    ) -> list[Wanted]:
+    ) -> list[Mutation]:
         found = self.tenant_shards(store, tenant_name)
         incarnation = found.tenant.incarnation
         record, revision = found.shards.get(shard, (None, 0))
@@ -132,7 +133,7 @@
         budget = self._charge_budget(store, incarnation, now)
         lifecycle = self._requested_lifecycle(record, wanted, now)
         after = _pinned_record(found, shard, wanted, pin, lifecycle, now)
-        return [Wanted(SHARD, record_id(incarnation, shard), encode(after), revision), budget]
+        return [Mutation(SHARD, record_id(incarnation, shard), encode(after), revision), budget]
 
     def _admit(self, store: Store, found: TenantShards, shard: str, wanted: ShardWanted) -> AdmittedPin:
         """Check a pin against what its tenant and its regions can take. Raises Wrong, AdmissionError."""
@@ -145,7 +146,7 @@
         already_reserved = record.rate_by_region.get(wanted.regions[0], 0.0) if record else 0.0
         capacity = self.capacity.regions(store, record_id(found.tenant.incarnation, shard))
         capacity.check(wanted.regions, rate, already_reserved)
-        return AdmittedPin(prefixes, rate, store.rev + 1)
+        return AdmittedPin(prefixes, rate, store.revision + 1)
 
     def _requested_lifecycle(self, record: ShardRecord | None, wanted: ShardWanted, now: float) -> Lifecycle:
         affinity = affinity_to(wanted.regions, self.settings.regions, required=wanted.hold == "only")
@@ -155,7 +156,7 @@
     async def remove(self, tenant: str, shard: str, expected_version: int, caller: str) -> None:
         """Remove the pin of a shard. Raises Wrong where it is refused."""
 
-        def plan(store: Store, now: float) -> list[Wanted]:
+        def plan(store: Store, now: float) -> list[Mutation]:
             with _api_errors():
                 return self._plan_remove(store, now, tenant, shard, expected_version)
 
@@ -164,7 +165,7 @@
 
     def _plan_remove(
         self, store: Store, now: float, tenant_name: str, shard: str, expected_version: int
-    ) -> list[Wanted]:
+    ) -> list[Mutation]:
         found = self.tenant_shards(store, tenant_name)
         incarnation = found.tenant.incarnation
         record, revision = found.shards.get(shard, (None, 0))
@@ -175,13 +176,13 @@
         lifecycle = transition(lifecycle_of(record), Event.REMOVAL_REQUESTED)
         after = msgspec.structs.replace(
             with_lifecycle(record, lifecycle, now),
-            version=store.rev + 1,
+            version=store.revision + 1,
             former_rates=former_rates(record, lifecycle),
         )
         body = None if lifecycle.stage is Stage.REMOVED else encode(after)
-        return [Wanted(SHARD, record_id(incarnation, shard), body, revision), budget]
+        return [Mutation(SHARD, record_id(incarnation, shard), body, revision), budget]
 
-    def _charge_budget(self, store: Store, incarnation: int, now: float) -> Wanted:
+    def _charge_budget(self, store: Store, incarnation: int, now: float) -> Mutation:
         """The change that takes one off a tenant's budget of changes. Raises AdmissionError."""
         stored = store.get(CHANGE_BUDGET, str(incarnation))
         per_hour = self.settings.changes
@@ -189,12 +190,12 @@
         if stored is not None:
             budget = msgspec.json.decode(stored.body, type=ChangeBudget)
         body = encode(budget.take(per_hour, now))
-        return Wanted(CHANGE_BUDGET, str(incarnation), body, stored.rev if stored else 0)
+        return Mutation(CHANGE_BUDGET, str(incarnation), body, stored.revision if stored else 0)
 
     def _response_body(self, made: list[Change]) -> bytes:
         """The answer to a call, from the changes that it made: the record is the first."""
         record = msgspec.json.decode(made[0].body or b"", type=ShardRecord)
-        return msgspec.json.encode(self.presenter.view(None, record, made[0].rev))
+        return msgspec.json.encode(self.presenter.view(None, record, made[0].revision))
 
 
 def _pinned_record(
--- a/gaugehinge/placement/shard_index.py
+++ b/gaugehinge/placement/shard_index.py
@@ -47,22 +47,22 @@
 
     def refresh(self, store: Store) -> None:
         """Follow the store."""
-        if not self.revision or store.oldest > self.revision + 1:
+        if not self.revision or store.oldest_revision > self.revision + 1:
             self._load(store)
             return
         while changes := store.changes(self.revision, CHANGES_PER_READ):
             for change in changes:
                 if change.kind == SHARD:
-                    self.apply(change.ident, change.rev, change.body)
-            self.revision = changes[-1].rev
+                    self.apply(change.item_id, change.revision, change.body)
+            self.revision = changes[-1].revision
 
     def _load(self, store: Store) -> None:
         self.shards.clear()
         self.needs_work.clear()
         self.removed.clear()
-        for item in sorted(iter_items(store, SHARD), key=lambda item: item.rev):
-            self.apply(item.ident, item.rev, item.body)
-        self.revision = self.complete_below = store.rev
+        for item in sorted(iter_items(store, SHARD), key=lambda item: item.revision):
+            self.apply(item.item_id, item.revision, item.body)
+        self.revision = self.complete_below = store.revision
 
     def apply(self, record_id: str, revision: int, body: bytes | None) -> None:
         """Take over one change of a shard record; `body` None: it was removed."""
--- a/gaugehinge/placement/store_reader.py
+++ b/gaugehinge/placement/store_reader.py
@@ -9,7 +9,8 @@
 
 from ..admin.service import TENANT, TOMBSTONE
 from ..admin.types import Kept
-from ..store.store import Item, Store
+from ..store.records import Item
+from ..store.store import Store
 
 T = TypeVar("T")
 
@@ -19,7 +20,7 @@
     after = ""
     while items := store.items(kind, after):
         yield from items
-        after = items[-1].ident
+        after = items[-1].item_id
 
 
 def iter_decoded(store: Store, kind: str, body_type: type[T]) -> Iterator[T]:
--- a/gaugehinge/placement/sweep.py
+++ b/gaugehinge/placement/sweep.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from ..store.store import Item, Store, Wanted
+from ..store.records import Item, Mutation
+from ..store.store import Store
 from .records import CHANGE_BUDGET, SERVER_SNAPSHOT, SHARD
 from .shard_index import ShardIndex
 from .store_reader import tenant_names
@@ -10,7 +11,7 @@
 SWEEP_LIMIT = 10_000  # items of a kind looked at in one sweep
 
 
-def sweep_changes(store: Store, index: ShardIndex) -> list[Wanted]:
+def sweep_changes(store: Store, index: ShardIndex) -> list[Mutation]:
     """Changes that remove what belongs to tenants that are gone, and snapshots that no shard names.
 
     On the store's thread, after the index followed the store.
@@ -18,12 +19,12 @@
     tenants = tenant_names(store)
     used = {record.server_snapshot for record, _ in index.shards.values()}
     shards = [
-        Wanted(SHARD, record_id, None, revision)
+        Mutation(SHARD, record_id, None, revision)
         for record_id, (record, revision) in index.shards.items()
         if record.incarnation not in tenants
     ]
-    budgets = [item for item in _items(store, CHANGE_BUDGET) if int(item.ident) not in tenants]
-    snapshots = [item for item in _items(store, SERVER_SNAPSHOT) if item.ident not in used]
+    budgets = [item for item in _items(store, CHANGE_BUDGET) if int(item.item_id) not in tenants]
+    snapshots = [item for item in _items(store, SERVER_SNAPSHOT) if item.item_id not in used]
     return shards + _removals(CHANGE_BUDGET, budgets) + _removals(SERVER_SNAPSHOT, snapshots)
 
 
@@ -31,5 +32,5 @@
     return store.items(kind, "", SWEEP_LIMIT)
 
 
-def _removals(kind: str, items: list[Item]) -> list[Wanted]:
-    return [Wanted(kind, item.ident, None, item.rev) for item in items]
+def _removals(kind: str, items: list[Item]) -> list[Mutation]:
+    return [Mutation(kind, item.item_id, None, item.revision) for item in items]
--- a/gaugehinge/placement/tenant_api.py
+++ b/gaugehinge/placement/tenant_api.py
@@ -41,7 +41,7 @@
         """GET /v1/tenants/{name}/shards. Raises Wrong where there is no such tenant."""
         tenant = request.path_params["name"]
         caller.need("reader", tenant)
-        return answer(ShardPage(await self.keeper.call(self._view_all, self.keeper.store, tenant)))
+        return answer(ShardPage(await self.keeper.run_sync(self._view_all, self.keeper.store, tenant)))
 
     def _view_all(self, store: Store, tenant: str) -> list[ShardShown]:
         shards = self.changes.tenant_shards(store, tenant).shards
@@ -51,7 +51,7 @@
         """GET /v1/tenants/{name}/shards/{shard}. Raises Wrong where there is none."""
         tenant, shard = request.path_params["name"], request.path_params["shard"]
         caller.need("reader", tenant)
-        found = await self.keeper.call(self._view_one, self.keeper.store, tenant, shard)
+        found = await self.keeper.run_sync(self._view_one, self.keeper.store, tenant, shard)
         return answer(found, etag=found.revision)
 
     def _view_one(self, store: Store, tenant: str, shard: str) -> ShardShown:
--- a/gaugehinge/placement/zone_changes.py
+++ b/gaugehinge/placement/zone_changes.py
@@ -9,14 +9,14 @@
 
 from loguru import logger
 
-from ..store.store import Wanted, encode
+from ..store.records import Mutation, encode
 from .affinity import RegionAffinity, affinity_to
 from .lifecycle import Event, Lifecycle, Stage, transition
 from .records import SHARD, lifecycle_of, with_lifecycle
 from .shard_index import ShardIndex
 
 
-def settings_changes(index: ShardIndex, regions: Mapping[str, Sequence[str]], now: float) -> list[Wanted]:
+def settings_changes(index: ShardIndex, regions: Mapping[str, Sequence[str]], now: float) -> list[Mutation]:
     """Changes that move shards to the zones that the settings name for their regions now.
 
     `regions`: name to zones; `now`: Unix seconds.
@@ -30,7 +30,7 @@
         event = Event.CHANGE_SCHEDULED if lifecycle.scheduled_at else Event.CHANGE_REQUESTED
         after = transition(lifecycle, event, affinity, lifecycle.scheduled_at)
         logger.info("shard {} of {}: its regions have other zones", record.shard, record.tenant)
-        changes.append(Wanted(SHARD, record_id, encode(with_lifecycle(record, after, now)), revision))
+        changes.append(Mutation(SHARD, record_id, encode(with_lifecycle(record, after, now)), revision))
     return changes
 
 
@@ -48,7 +48,7 @@
     return None if affinity == newest else affinity
 
 
-def relabelled_changes(index: ShardIndex, zones: set[str], now: float) -> list[Wanted]:
+def relabelled_changes(index: ShardIndex, zones: set[str], now: float) -> list[Mutation]:
     """Changes that confirm anew the shards in zones whose servers changed zones without a restart.
 
     `now`: Unix seconds.
@@ -60,5 +60,5 @@
         if zones.isdisjoint(record.current.all_zones()):
             continue
         after = with_lifecycle(record, transition(lifecycle_of(record), Event.ZONES_CHANGED), now)
-        changes.append(Wanted(SHARD, record_id, encode(after), revision))
+        changes.append(Mutation(SHARD, record_id, encode(after), revision))
     return changes
--- a/tests/placement_cluster.py
+++ b/tests/placement_cluster.py
@@ -104,7 +104,7 @@
             cluster = PlacementCluster(nodes, secret, api)
             with trio.fail_after(20):
                 while not cluster.control_plane.inventory.current or not all(
-                    f.parts[0].lease.good(trio.current_time()) and f.roster.by_credential
+                    f.parts[0].lease.is_valid(trio.current_time()) and f.roster.by_credential
                     for f in nodes.followers
                 ):
                     await trio.sleep(0.02)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from gaugehinge.charter import charter
-from gaugehinge.policy import Router
+from gaugehinge.routing.router import Router
+from gaugehinge.settings import read_settings
 from tests.helper import SETTINGS, row
 
 CACHES, STEP, COLD = 20, 0.1, 999
@@ -20,56 +20,56 @@
 def fleet_of(routers: int, rate: float, late: float = 0.0, **rules: float) -> list[Router]:
     """Routers that each saw their part of a rate a cache, told of a cache that started at 100 s: then, or in
     turns up to so many seconds later."""
-    told = charter(1, SETTINGS).deployment
+    told = read_settings(1, SETTINGS).deployment
     made = []
     for seed in range(routers):
         terms = replace(
             told,
             seed=seed,
-            routers=routers,
+            router_count=routers,
             tenants=(),
-            must_ask=False,
-            aside=False,
+            must_poll=False,
+            cache_aside=False,
             origin_kind=None,
             **rules,
         )
         router = Router(terms, 0.0)
-        router.hear_list([row(i + 1) for i in range(CACHES)], True, False, 0.0)
+        router.on_endpoints_changed([row(i + 1) for i in range(CACHES)], True, False, 0.0)
         made.append(router)
         heard = 100.0 + late * seed / routers
         at(router, heard, rate * CACHES / routers)
-        router.hear_list([row(COLD, started=100.0)], False, False, heard)
+        router.on_endpoints_changed([row(COLD, started=100.0)], False, False, heard)
     return made
 
 
 def at(router: Router, now: float, rate: float) -> None:
     """Its clock goes on, at a steady rate of answered attempts."""
-    router.rate.value, router.rate.at = rate, now
-    router._turn(now)
+    router.load.completion_rate.value, router.load.completion_rate.updated_at = rate, now
+    router._start_bucket(now)
 
 
 def spend(made: list[Router], now: float, sent: list[float]) -> None:
     """Each sends to the cold cache all that it may."""
     for router in made:
-        cache = router.caches[COLD]
-        while cache.tokens >= 1.0 and cache.share < 1.0:
-            cache.tokens -= 1.0
+        cache = router.endpoints[COLD]
+        while cache.warm_up_budget >= 1.0 and cache.warm_up_share < 1.0:
+            cache.warm_up_budget -= 1.0
             sent.append(now)
 
 
 def is_borne(sent: list[float], rate: float, rules: dict[str, float]) -> None:
     assert sent  # it is asked at all, or it would never warm
     for end in sent:
-        began = end - rules["fall_time"]
+        began = end - rules["overload_time"]
         came = sum(began < each <= end for each in sent)
-        warm = min(max(began - 100.0, 0.0) / rules["cold_time"], 1.0)
-        part = rules["cold_from"] + (1.0 - rules["cold_from"]) * warm  # at its coldest then
-        bears = rules["fall_multiple"] * rate * part * rules["fall_time"]
+        warm = min(max(began - 100.0, 0.0) / rules["warm_up_time"], 1.0)
+        part = rules["cold_capacity"] + (1.0 - rules["cold_capacity"]) * warm  # at its coldest then
+        bears = rules["overload_multiple"] * rate * part * rules["overload_time"]
         assert came <= bears + 2 * sqrt(bears) + 2, f"{came} of {bears:.0f} before {end - 100:.1f} s"
 
 
-SHORT = {"cold_from": 0.4, "cold_time": 8.0, "fall_multiple": 2.5, "fall_time": 3.0}
-LONG = {"cold_from": 0.12, "cold_time": 24.0, "fall_multiple": 4.0, "fall_time": 1.5}
+SHORT = {"cold_capacity": 0.4, "warm_up_time": 8.0, "overload_multiple": 2.5, "overload_time": 3.0}
+LONG = {"cold_capacity": 0.12, "warm_up_time": 24.0, "overload_multiple": 4.0, "overload_time": 1.5}
 
 
 @pytest.mark.parametrize("routers", [3, 30, 200])
@@ -78,7 +78,7 @@
 def test_all_that_come_at_once_after_a_quiet_time_push_no_cold_cache_over(rate, rules, quiet, routers):
     """Nobody wants a key of it for a while, then every router at every moment: each spends all it has."""
     made, sent, now = fleet_of(routers, rate, **rules), [], 100.0
-    while now < 100.0 + quiet + 2 * rules["fall_time"]:
+    while now < 100.0 + quiet + 2 * rules["overload_time"]:
         now += STEP
         for router in made:
             at(router, now, rate * CACHES / len(made))
--- a/tests/test_crossings_retries.py
+++ b/tests/test_crossings_retries.py
@@ -10,11 +10,14 @@
 import pytest
 import trio
 
-from gaugehinge.net import pool, sockets
-from gaugehinge.net.deadlines import Clock, Deadlines
-from gaugehinge.net.pool import Cargo, Endpoint, Pool, RespDialect
+from gaugehinge.net import connection_pool, sockets
+from gaugehinge.net.codec import RequestPayload
+from gaugehinge.net.connection import ServerPool
+from gaugehinge.net.connection_pool import ConnectionPool
 from gaugehinge.net.resp import bulk
-from gaugehinge.terms import Outcome, Presence
+from gaugehinge.net.resp_codec import RespCodec
+from gaugehinge.net.timer_queue import Clock, TimerQueue
+from gaugehinge.routing.types import EndpointState, Outcome
 from tests.helper import MARKED, SETTINGS, Bench, Cache, fleet
 
 FETCHED = b"$7\r\nfetched\r\n"
@@ -81,7 +84,7 @@
 
 def at_look(monkeypatch, act) -> list:
     """Do something once between the look that finds an idle connection good and the request's first byte."""
-    silent, done = pool.silent, []
+    silent, done = connection_pool.silent, []
 
     def look(raw):
         found = silent(raw)
@@ -90,20 +93,21 @@
             act()
         return found
 
-    monkeypatch.setattr(pool, "silent", look)
+    monkeypatch.setattr(connection_pool, "silent", look)
     return done
 
 
 async def rested(made, count: int = 1) -> list:
     """The idle connections, once there are so many and each has had its rest."""
-    parts = made.service.dispatch.pool
+    parts = made.service.dispatcher.pool
 
     def idle():
         return [line for place in parts.endpoints.values() for line in place.idle]
 
     await until(
         lambda: (
-            len(idle()) >= count and all(line.idle_since <= parts.clock() - pool.REST_TIME for line in idle())
+            len(idle()) >= count
+            and all(line.idle_since <= parts.clock() - connection_pool.REUSE_DELAY for line in idle())
         )
     )
     return idle()
@@ -111,7 +115,9 @@
 
 async def settled(made) -> None:
     """All attempts have ended, and nothing is left in hand."""
-    await until(lambda: not made.service.pool.pending and len(made.service.dispatch.exchanges) == 0)
+    await until(
+        lambda: not made.service.pool.pending and len(made.service.dispatcher.pending_operations) == 0
+    )
 
 
 def txns(made) -> list[str]:
@@ -130,7 +136,8 @@
             await rested(made)
             [first] = [cache for cache in made.caches if cache.streams]
             done = at_look(monkeypatch, lambda: close(first.streams[-1], how))
-            assert await client.get("k1", "i2") == b"$5\r\nof k1\r\n" and done
+            assert await client.get("k1", "i2") == b"$5\r\nof k1\r\n"
+            assert done
             got = [command[2] for cache in made.caches for command in cache.commands]
             assert got.count(b"i2") == 1
             assert await client.ask("PING") == b"+PONG\r\n"
@@ -160,12 +167,14 @@
             answer = await client.put("i2", labels)
             assert done
             if labels == ONCES and how == "FIN":
-                assert answer == FAILED and txns(made) == ["i1"]
+                assert answer == FAILED
+                assert txns(made) == ["i1"]
             elif labels == ONCES:
                 assert answer == FETCHED or answer.startswith(HARMLESS)
                 assert txns(made).count("i2") == (answer == FETCHED)
             else:
-                assert answer == FETCHED and txns(made) == ["i1", "i2"]
+                assert answer == FETCHED
+                assert txns(made) == ["i1", "i2"]
             assert await client.ask("PING") == b"+PONG\r\n"
             await settled(made)
 
@@ -191,7 +200,7 @@
             made.origin.answer = noted
             assert await client.put("i1", MARKS.format(1)) == FETCHED
             [line] = await rested(made)
-            line.idle_since = made.service.clock() - made.service.pool.keep_time + 0.2  # nearly too old
+            line.idle_since = made.service.clock() - made.service.pool.max_idle_time + 0.2  # nearly too old
             calls = []
 
             def half(raw, data):
@@ -202,9 +211,9 @@
                 close(streams[-1], how)
                 return sent
 
-            monkeypatch.setattr(pool, "send_some", half)
+            monkeypatch.setattr(connection_pool, "send_some", half)
             answer = await client.put("i2", labels)
-            assert calls[0] is line.raw
+            assert calls[0] is line.sock
             assert answer == FETCHED or answer.startswith(HARMLESS)
             assert txns(made).count("i2") == (answer == FETCHED)
             await settled(made)
@@ -230,7 +239,8 @@
             if when == "while it rests":
                 await rested(made)
                 write(cache.streams[0], more)  # it stands in the kernel when the next request comes
-            assert await client.get("k2") == b"$5\r\nof k2\r\n" and cache.connections == 2
+            assert await client.get("k2") == b"$5\r\nof k2\r\n"
+            assert cache.connections == 2
 
     run(scene)
 
@@ -252,19 +262,19 @@
         cache = Scripted(script)
         async with fleet(tmp_path, [cache]) as made:
             client = await made.client()
-            monkeypatch.setattr(pool, "REST_TIME", 1e6)
+            monkeypatch.setattr(connection_pool, "REUSE_DELAY", 1e6)
             assert await client.get("k1") == b"$5\r\nof k1\r\n"
             [place] = [each for each in made.service.pool.endpoints.values() if each.idle]
             monkeypatch.undo()
             clock, age = made.service.pool.clock, (behind - 0.5) / 1000.0
-            warm = made.service.pool._warm
+            warm = made.service.pool.take_idle
 
             def in_time(place):
                 for line in place.idle:
                     line.idle_since = clock() - age  # by the clock of this very look
                 return warm(place)
 
-            monkeypatch.setattr(made.service.pool, "_warm", in_time)
+            monkeypatch.setattr(made.service.pool, "take_idle", in_time)
             answer = await client.get("k2")
             if len(place.idle):
                 with suppress(OSError):
@@ -290,7 +300,7 @@
             [line] = await rested(made)
 
             def half(raw, data):
-                if raw is not line.raw:
+                if raw is not line.sock:
                     return sockets.send_some(raw, data)
                 if len(data) < 30:
                     return 0
@@ -298,7 +308,7 @@
                 write(streams[0], b"HTTP/1.1 200 X\r\nContent-Length: 7\r\n\r\nfetched")
                 return sent
 
-            monkeypatch.setattr(pool, "send_some", half)
+            monkeypatch.setattr(connection_pool, "send_some", half)
             answer = await client.put("i2", "c=once,t=acme,d=1500")
             assert answer != FETCHED or txns(made) == ["i1", "i2"]
             assert answer == FETCHED or answer.startswith(b"-")
@@ -340,16 +350,16 @@
         with trio.fail_after(30):
             async with trio.open_nursery() as nursery:
                 [listener] = await nursery.start(partial(trio.serve_tcp, cache.serve, 0, host="127.0.0.1"))
-                deadlines = Deadlines(Clock())
-                nursery.start_soon(deadlines.run)
-                made = Pool(nursery, deadlines, most, 1.0, 10.0, lambda *told: ended.append(told))
+                timers = TimerQueue(Clock())
+                nursery.start_soon(timers.run)
+                made = ConnectionPool(nursery, timers, most, 1.0, 10.0, lambda *told: ended.append(told))
 
                 def send(key):
-                    operation, answer = bench.ask(key)
-                    ident = answer.attempt.server.ident
+                    _operation, answer = bench.ask(key)
+                    ident = answer.attempt.endpoint.ident
                     if ident not in made.endpoints:
-                        made.endpoints[ident] = Endpoint(ident, "s", listener.socket.getsockname(), 0.0)
-                    cargo = Cargo(
+                        made.endpoints[ident] = ServerPool(ident, "s", listener.socket.getsockname(), 0.0)
+                    payload = RequestPayload(
                         b"i",
                         b"k",
                         (b"d=", b""),
@@ -358,7 +368,7 @@
                         b"",
                         None,
                     )
-                    made.send(answer.attempt, cargo, 5.0, RespDialect())
+                    made.send(answer.attempt, payload, 5.0, RespCodec())
                     return answer.attempt
 
                 await scene(made, send, ended, cache, bench)
@@ -371,7 +381,7 @@
 def test_an_attempt_called_off_while_its_connection_comes_up_frees_the_place_at_once(at):
     async def scene(made, send, ended, cache, bench):
         connecting, go = trio.Event(), trio.Event()
-        connect = pool.connect
+        connect = connection_pool.connect
 
         async def held(raw, address):
             connecting.set()
@@ -382,27 +392,30 @@
                 await go.wait()
                 await connect(raw, address)
 
-        pool.connect = held
+        connection_pool.connect = held
         try:
             first = send("k1")
             await connecting.wait()
-            assert made.connections == 1
-            pool.connect = connect
+            assert made.open_connections == 1
+            connection_pool.connect = connect
             second = send("k2")  # no place: the one that there is comes up still
             go.set()
-            made.call_off(first)  # in the same step
-            assert made.connections == 0
+            made.cancel(first)  # in the same step
+            assert made.open_connections == 0
             third = send("k3")
             await until(lambda: cache.commands)
         finally:
-            pool.connect = connect
+            connection_pool.connect = connect
         outcomes = {told[0]: told[1] for told in ended}
-        assert outcomes == {first: Outcome.NEVER_SENT, second: Outcome.NEVER_SENT}
-        assert len(ended) == 2 and third in made.pending and made.connections == 1
+        assert outcomes == {first: Outcome.NOT_SENT, second: Outcome.NOT_SENT}
+        assert len(ended) == 2
+        assert third in made.pending
+        assert made.open_connections == 1
         assert [command[2] for command in cache.commands] == [b"k3"]  # of the first not a byte
-        made.call_off(third)
+        made.cancel(third)
         await until(lambda: len(ended) == 3)
-        assert ended[2][:2] == (third, Outcome.CALLED_OFF) and made.connections == 0
+        assert ended[2][:2] == (third, Outcome.CANCELLED)
+        assert made.open_connections == 0
 
     scene_of_pool(scene, 1)
 
@@ -412,18 +425,20 @@
         start, done = made._start, []
 
         def crossed(line, pending):
-            pending.attempt.server.presence = Presence.DRAINING  # told while the connection came up
+            pending.attempt.endpoint.state = EndpointState.DRAINING  # told while the connection came up
             start(line, pending)
-            made.call_off(pending.attempt)  # its client goes in the same step
+            made.cancel(pending.attempt)  # its client goes in the same step
             done.append([each for place in made.endpoints.values() for each in place.idle if each.closed])
 
         made._start = crossed
         attempt = send("k1")
         await until(lambda: ended)
         made._start = start
-        assert [told[:2] for told in ended] == [(attempt, Outcome.NEVER_SENT)]
-        assert cache.commands == [] and done == [[]] and made.connections in (0, 1)
-        assert made.connections == sum(len(place.idle) for place in made.endpoints.values())
+        assert [told[:2] for told in ended] == [(attempt, Outcome.NOT_SENT)]
+        assert cache.commands == []
+        assert done == [[]]
+        assert made.open_connections in (0, 1)
+        assert made.open_connections == sum(len(place.idle) for place in made.endpoints.values())
 
     scene_of_pool(scene, 1)
 
@@ -436,23 +451,24 @@
 
         def crossed(line, pending):
             made._start = start
-            pending.attempt.operation.latest = 0.0  # its key is forgotten by the time that it is up
+            pending.attempt.operation.retry_deadline = 0.0  # its key is forgotten by the time that it is up
             start(line, pending)
             for number in range(1, 9):
                 made.endpoints[number] = line.endpoint
-            time.sleep(2 * pool.REST_TIME)
+            time.sleep(2 * connection_pool.REUSE_DELAY)
             attempts.append(send("k2"))
             assert made.pending[attempts[0]].connection is line
-            made.call_off(pending.attempt)  # its client goes in the same step
+            made.cancel(pending.attempt)  # its client goes in the same step
 
         made._start = crossed
         first = send("k1")
         await until(lambda: ended)
-        assert [told[:2] for told in ended] == [(first, Outcome.NEVER_SENT)]
+        assert [told[:2] for told in ended] == [(first, Outcome.NOT_SENT)]
         await until(lambda: cache.commands)
         [second] = attempts
         kept = made.pending[second].connection
-        assert kept is not None and not kept.closed
+        assert kept is not None
+        assert not kept.closed
 
     scene_of_pool(scene, 1)
 
@@ -505,7 +521,7 @@
             client = await made.client()
             answer = await client.put("i1", MARKS.format(1))
             first = [at for at, _ in origin.came]
-            assert first[-1] - first[0] <= window - pool.WAY or len(first) == 1
+            assert first[-1] - first[0] <= window - connection_pool.RETRY_DEADLINE_MARGIN or len(first) == 1
             failing = False
             if answer.startswith(HARMLESS):
                 await trio.sleep(int(answer[6:].strip() or 0) / 1000.0)
@@ -539,7 +555,7 @@
                     await plain(stream, told)
 
             plain, made.origin.answer = made.origin.answer, cut
-            connect, send = pool.connect, pool.send_some
+            connect, send = connection_pool.connect, connection_pool.send_some
             held = []
 
             async def late(raw, address):
@@ -557,12 +573,13 @@
                 return 0
 
             if how == "comes up late":
-                monkeypatch.setattr(pool, "connect", late)
+                monkeypatch.setattr(connection_pool, "connect", late)
             else:
-                monkeypatch.setattr(pool, "send_some", half)
+                monkeypatch.setattr(connection_pool, "send_some", half)
             client = await made.client()
             answer = await client.put("i1", MARKS.format(1))
-            assert held and len(origin.came) == 1
+            assert held
+            assert len(origin.came) == 1
             monkeypatch.undo()
             assert answer == FAILED, answer  # a repeat by the client would take effect a second time
             await settled(made)
@@ -576,7 +593,7 @@
     async def scene():
         origin = Remembering(1.2)
         async with fleet(tmp_path, origin=origin.hear, settings=settings(1_200_000)) as made:
-            connect, calls = pool.connect, []
+            connect, calls = connection_pool.connect, []
 
             async def late(raw, address):
                 calls.append(raw)
@@ -591,10 +608,12 @@
                     await plain(stream, told)
 
             plain, made.origin.answer = made.origin.answer, cut
-            monkeypatch.setattr(pool, "connect", late)
+            monkeypatch.setattr(connection_pool, "connect", late)
             client = await made.client()
             answer = await client.put("i1", MARKS.format(1))
-            assert answer == FETCHED and len(origin.came) == 2 and origin.effects == ["m1"]
+            assert answer == FETCHED
+            assert len(origin.came) == 2
+            assert origin.effects == ["m1"]
 
     run(scene)
 
@@ -625,7 +644,7 @@
                 close(streams[0], "FIN")
                 return sent
 
-            monkeypatch.setattr(pool, "send_some", half)
+            monkeypatch.setattr(connection_pool, "send_some", half)
             answer = await client.put("i1", MARKS.format(1))
             assert answer == FETCHED or answer.startswith(HARMLESS)
             assert origin.effects.count("m1") == (answer == FETCHED)
@@ -679,7 +698,8 @@
                 assert answer == FAILED or answer.startswith(HARMLESS)
             if kind == "once":
                 assert txns(made) == ["i1"]
-            assert ends and await client.ask("PING") == b"+PONG\r\n"
+            assert ends
+            assert await client.ask("PING") == b"+PONG\r\n"
             await settled(made)
 
     run(scene)
@@ -709,7 +729,8 @@
                 b"-ERR id in use\r\n",
                 b"+PONG\r\n",
             ]
-            assert txns(made) == [] and len(cache.commands) == 1
+            assert txns(made) == []
+            assert len(cache.commands) == 1
 
     run(scene)
 
@@ -720,7 +741,7 @@
     async def scene():
         allowed = settings(mayCancel=False)
         async with fleet(tmp_path, origin=lambda *call: "stall", settings=allowed) as made:
-            made.service.dispatch.router.gate.limit = 99.0
+            made.service.dispatcher.router.origin_limit.limit = 99.0
             first, second, door = await made.client(), await made.client(), made.service.clients
             await first.send("KV.SET", "k1", "same", ONCES, "new value")
             await until(lambda: made.origin.seen)
@@ -733,7 +754,8 @@
             assert len(made.service.pool.pending) == 1
             await second.send("KV.SET", "k1", "same", "c=once,t=acme,d=300", "new value")
             answer = await second.answer()
-            assert txns(made) == ["same"] and answer == b"-ERR id in use\r\n"
+            assert txns(made) == ["same"]
+            assert answer == b"-ERR id in use\r\n"
 
     run(scene)
 
@@ -750,7 +772,7 @@
 
         cache = Scripted(script)
         async with fleet(tmp_path, [cache], origin=origin.hear) as made:
-            made.service.dispatch.router.gate.limit = 99.0
+            made.service.dispatcher.router.origin_limit.limit = 99.0
             plain = made.origin.answer
 
             async def held(stream, told):
@@ -770,13 +792,14 @@
             await send(first, "i1", labels)
             await until(lambda: origin.came or cache.streams)
             await send(second, "i2", labels + ",r=1")
-            await until(lambda: len(made.service.dispatch.exchanges) == 2)
+            await until(lambda: len(made.service.dispatcher.pending_operations) == 2)
             release.set()
             wanted = FETCHED if traffic == "mark" else b"$5\r\nof k1\r\n"
             assert [await first.answer(), await second.answer()] == [wanted, wanted]
             assert await first.ask("PING") == await second.ask("PING") == b"+PONG\r\n"
             if traffic == "mark":
-                assert origin.effects == ["m1"] and txns(made) == ["i1", "i2"]
+                assert origin.effects == ["m1"]
+                assert txns(made) == ["i1", "i2"]
                 told = [headers["x-labels"] for _, _, headers, _ in made.origin.seen]
                 left = re.compile(r"d=\d+")  # all but the time that is left
                 told = [left.sub("", each) for each in told]
@@ -793,10 +816,10 @@
     operation, answer = bench.ask(traffic=MARKED, left=5.0)
     attempt, began = answer.attempt, bench.now
     for _ in range(MOST_STEPS):
-        steps = bench.end(attempt, Outcome.BROKEN, 0.1)
+        steps = bench.end(attempt, Outcome.CONNECTION_LOST, 0.1)
         attempts = [step.attempt for _, step in steps if step.attempt is not None]
         if not attempts:
             break
         [attempt] = attempts
-        assert attempt.sent <= began + MARKED.repeats - pool.WAY
-    assert operation.latest == began + MARKED.repeats
+        assert attempt.sent_at <= began + MARKED.retry_window - connection_pool.RETRY_DEADLINE_MARGIN
+    assert operation.retry_deadline == began + MARKED.retry_window
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,15 +17,15 @@
 
 from gaugehinge.hosted import follower as follower_module
 from gaugehinge.hosted.follower import Snapshot
-from gaugehinge.net import pool as pool_module
+from gaugehinge.net import connection_pool as pool_module
 from gaugehinge.net import service as service_module
 from gaugehinge.net.configuration import read_configuration
-from gaugehinge.net.phase import Phase
+from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.resp import Parser, bulk
 from gaugehinge.net.service import Service
 from gaugehinge.net.sockets import shut
+from gaugehinge.routing.types import EndpointState
 from gaugehinge.tenancy.feed import Feed, TenantRow
-from gaugehinge.terms import Presence
 from tests.helper import SETTINGS, Bench, Cache, Client, Web, free_port, origin_row, row
 
 LONG = [{**each, "abandonTimeUs": 1_500_000} for each in SETTINGS["trafficTypes"]]
@@ -103,7 +103,7 @@
     def server(self, uid: str):
         """What the decisions know of a server, None where it is not in the list."""
         ident = next((p.ident for p in self.service.pool.endpoints.values() if p.uid == uid), None)
-        return self.service.dispatch.router.caches.get(ident)
+        return self.service.dispatcher.router.endpoints.get(ident)
 
 
 class Stage:
@@ -218,11 +218,11 @@
             other = await new.client()
             # The id that the old one has in hand is free here; what it counted is not known here.
             assert (await other.get("k0", ident="held-1")).startswith(b"$")
-            assert not old.ended.is_set() and len(old.service.dispatch.exchanges) == 1
+            assert not old.ended.is_set() and len(old.service.dispatcher.pending_operations) == 1
             assert (await client.answer()).startswith((b"$", b"-"))  # one final answer of the old one's
             assert await client.answer() is None
             await old.ended.wait()
-            assert (await other.get("k1")).startswith(b"$") and new.service.dispatch.router.caches
+            assert (await other.get("k1")).startswith(b"$") and new.service.dispatcher.router.endpoints
 
     play(scene)
 
@@ -240,7 +240,7 @@
             finally:
                 await client.answer()
                 await old.ended.wait()
-                shut(old.service.peers.raw)
+                shut(old.service.peers.sock)
 
     play(scene)
 
@@ -265,12 +265,12 @@
                 stamp = old.service.peers.stamp
                 peer.sendto(stamp + struct.pack("<f", 77.0), where)
                 await old.ended.wait()
-                shut(old.service.peers.raw)  # as the end of its process would
+                shut(old.service.peers.sock)  # as the end of its process would
                 shut(old.service.listening)
                 new = await made.start(**told)
                 assert new.error is None, new.error
-                router = new.service.dispatch.router
-                assert not router.peers
+                router = new.service.dispatcher.router
+                assert not router.gossip.peers
                 bad = [
                     b"",
                     b"x",
@@ -284,8 +284,8 @@
                     peer.sendto(stamp + payload, where)
                 stranger.sendto(stamp + struct.pack("<f", 5.0), where)
                 peer.sendto(stamp + struct.pack("<f", 9.0), where)  # behind the others, in order
-                await until(lambda: router.peers)
-                assert {number: rates for number, (_, rates) in router.peers.items()} == {1: (9.0,)}
+                await until(lambda: router.gossip.peers)
+                assert {number: rates for number, (_, rates) in router.gossip.peers.items()} == {1: (9.0,)}
                 assert (await (await new.client()).get("k0")).startswith(b"$")
 
     play(scene)
@@ -309,18 +309,18 @@
                 listen=f"127.0.0.1:{free_port()}",
                 settings={**of(["bolt", "acme"]), "me": 1},
             )
-            client, dispatch = await behind.client(), behind.service.dispatch
-            told, heard, tell = [], [], dispatch.tell
+            client, dispatcher = await behind.client(), behind.service.dispatcher
+            told, heard, tell = [], [], dispatcher.tell
 
             def noted(numbers, payload) -> None:
                 tell(numbers, payload)
                 told.append(payload)
 
-            dispatch.tell = noted
+            dispatcher.tell = noted
             while len(told) < 3:
                 await client.get(f"k{len(told)}", labels="c=read,t=acme,d=900")
-                heard += [rates for _, rates in new.service.dispatch.router.peers.values()]
-            used = dispatch.router.used
+                heard += [rates for _, rates in new.service.dispatcher.router.gossip.peers.values()]
+            used = dispatcher.router.quotas.usage
             assert used[0] == 0.0 and used[1] > 1.0  # nothing of bolt's ever came
             assert not any(rates[1] for rates in heard), heard[-1]  # and bolt is second here
 
@@ -387,7 +387,7 @@
             after = made.seen()
             assert after[1] > before[1]
             if state == "anew":
-                assert new.server("s-0").share < 0.01  # cold,
+                assert new.server("s-0").warm_up_share < 0.01  # cold,
                 assert after[0] - before[0] <= 1  # and what goes there is by its budget
                 fresh = after[0] - before[0]
                 await until(lambda: made.caches[0].ended == made.caches[0].connections - fresh)
@@ -419,7 +419,7 @@
             targets = made.list_with(0, boot_ms=time.time() * 1000)
             new = await made.start(known={"rev": 7, "all": True, "targets": targets})
             assert answered(await reads(await new.client()))
-            assert made.seen()[0] <= 1 and new.server("s-0").share < 0.01
+            assert made.seen()[0] <= 1 and new.server("s-0").warm_up_share < 0.01
 
     play(scene)
 
@@ -479,7 +479,7 @@
             made.directory.tell(5, made.list_with(0, state="draining"))
             await until(lambda: new.heard == [5])
             due, passed = new.service.clock() + 0.2, trio.Event()
-            new.service.deadlines.at(due, passed.set)
+            new.service.timers.call_at(due, passed.set)
             await passed.wait()  # by now the list kept would have been taken
             assert answered(await reads(client)) and made.seen()[0] == 0 and made.seen()[1] > 0
 
@@ -608,7 +608,7 @@
             await client.send("KV.SET", "k", "big-1", f"c={kind},t=acme,d=4000", b"v" * 60_000)
             await until(
                 lambda: any(
-                    each.connection is not None and not each.connection.written
+                    each.connection is not None and not each.connection.request_sent
                     for each in pool.pending.values()
                 )
             )
@@ -617,7 +617,7 @@
             line = pending.connection
             # Half is out: the rest waits for room.
             await trio.testing.wait_all_tasks_blocked()
-            assert line.written is False and pending in pool.pending.values()
+            assert line.request_sent is False and pending in pool.pending.values()
             await change(made, new, 0, how)
             slow.let_go.set()
             reply = await client.answer()
@@ -659,7 +659,7 @@
             assert all(line.closed for line in idle)
             await until(lambda: made.caches[0].ended >= len(idle))
             if how == "anew":
-                assert made.seen()[0] - before[0] <= 1 and new.server("s-0").share < 0.01
+                assert made.seen()[0] - before[0] <= 1 and new.server("s-0").warm_up_share < 0.01
                 assert made.caches[0].connections - opened == made.seen()[0] - before[0]
             else:
                 assert made.seen()[0] == before[0]
@@ -756,18 +756,18 @@
 def test_an_entry_of_the_process_before_leaves_the_new_one_cold():
     bench = Bench(caches=3)
     bench.hear([row(1, started=99.0)], whole=False)
-    assert bench.router.caches[1].share < 0.01
+    assert bench.router.endpoints[1].warm_up_share < 0.01
     bench.hear([row(1, started=50.0)], whole=False)
-    assert bench.router.caches[1].started == 99.0 and bench.router.caches[1].share < 0.01
+    assert bench.router.endpoints[1].started == 99.0 and bench.router.endpoints[1].warm_up_share < 0.01
 
 
-@pytest.mark.parametrize("between", [Presence.DRAINING, Presence.GONE])
+@pytest.mark.parametrize("between", [EndpointState.DRAINING, EndpointState.GONE])
 def test_a_process_that_starts_anew_behind_a_drain_is_cold(between):
     bench = Bench(caches=3)
     for _ in range(30):
         bench.settle()
     bench.hear([row(1, between, started=10.0)], whole=False)
     bench.hear([row(i, started=99.9 if i == 1 else 0.0) for i in range(1, 4)] + [origin_row()])
-    cache = bench.router.caches[1]
-    assert cache.presence is Presence.UP and cache.share < 0.01 and cache.tokens <= 1.0
-    assert cache.latency.finished == 0.0 and cache.pace.value == 0.0 and cache.fault == 0.0
+    cache = bench.router.endpoints[1]
+    assert cache.state is EndpointState.UP and cache.warm_up_share < 0.01 and cache.warm_up_budget <= 1.0
+    assert cache.latency.count == 0.0 and cache.completion_rate.value == 0.0 and cache.failure_score == 0.0
--- a/tests/test_list_moves.py
+++ b/tests/test_list_moves.py
@@ -9,16 +9,18 @@
 import trio
 import trio.testing
 
-from gaugehinge.charter import charter
 from gaugehinge.net import discovery as module
-from gaugehinge.net.deadlines import Deadlines
-from gaugehinge.net.discovery import PATH, WHOLE_FROM, WHOLE_SPREAD, Discovery
-from gaugehinge.net.dispatch import Dispatch
-from gaugehinge.net.list_update import ListUpdate
+from gaugehinge.net.discovery import DiscoveryClient
+from gaugehinge.net.discovery_schedule import FULL_POLL_DELAY, FULL_POLL_JITTER
+from gaugehinge.net.discovery_watch import ENDPOINTS_PATH, PollError, PollTimeoutError
+from gaugehinge.net.dispatcher import Dispatcher
+from gaugehinge.net.endpoint_list import EndpointListUpdate
+from gaugehinge.net.timer_queue import TimerQueue
+from gaugehinge.settings import read_settings
 from tests.helper import SETTINGS
 
 TOLD_AFTER = 6.0  # seconds after discovery had a change and could be reached
-NOBODY = SimpleNamespace(hear_list=lambda update: None, pending=())
+NOBODY = SimpleNamespace(on_endpoints_changed=lambda update: None, pending=())
 HERE, THERE = ("127.0.0.1", 1), ("127.0.0.1", 2)
 
 
@@ -48,32 +50,31 @@
 
 class Call:
     def __init__(self, served: Served) -> None:
-        self.served, self.silent, self.answered, self.goes_on = served, False, False, -1.0
+        self.served, self.goes_on = served, -1.0
 
-    async def call(self, target: str, most_time: float) -> ListUpdate | None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate:
         served, began = self.served, trio.current_time()
-        with trio.move_on_at(began + most_time) as limit:
+        with trio.move_on_at(began + time_limit):
             if "index" not in target:
                 served.whole += 1
                 return await self._answer(served.call_lines + served.servers, True)
             since = int(target.partition("index=")[2].partition("&")[0])
             lines = served.call_lines if began > self.goes_on else 0.0
             if lines and not await served.turn(lines):
-                return None
+                raise PollError
             with trio.move_on_after(float(target.rpartition("wait=")[2]) / 1000):
                 while served.rev == since:
                     await served.changed.wait()
             return await self._answer(float(served.rev - since), False)
-        self.silent = limit.cancelled_caught
-        return None
+        raise PollTimeoutError
 
-    async def _answer(self, lines: float, whole: bool) -> ListUpdate | None:
+    async def _answer(self, lines: float, whole: bool) -> EndpointListUpdate:
         if lines and not await self.served.turn(lines):
-            return None
+            raise PollError
         self.goes_on = trio.current_time() + 0.2
-        return ListUpdate(self.served.rev, whole, ())
+        return EndpointListUpdate(self.served.rev, whole, ())
 
-    def hang_up(self) -> None:
+    def close(self) -> None:
         pass
 
 
@@ -85,24 +86,24 @@
 
     async def main() -> None:
         served = Served(130, 3100.0, 50.0)
-        monkeypatch.setattr(module, "Watch", lambda where, deadlines: Call(served))
+        monkeypatch.setattr(module, "Watch", lambda where, timers: Call(served))
 
-        def start(number: int) -> tuple[Discovery, Dispatch]:
-            told = charter(number, SETTINGS).deployment
-            deadlines = Deadlines(trio.current_time)
-            dispatch = Dispatch(replace(told, must_ask=True), deadlines)
+        def start(number: int) -> tuple[DiscoveryClient, Dispatcher]:
+            told = read_settings(number, SETTINGS).deployment
+            timers = TimerQueue(trio.current_time)
+            dispatcher = Dispatcher(replace(told, must_poll=True), timers)
             mine: list[tuple[float, int]] = []
             heard.append(mine)
 
-            def hear(update: ListUpdate) -> None:
-                dispatch.hear_list(update)
+            def hear(update: EndpointListUpdate) -> None:
+                dispatcher.on_endpoints_changed(update)
                 mine.append((trio.current_time(), update.rev))
 
-            made = Discovery(nursery, deadlines, HERE, 10, hear, dispatch.list_failed, number)
-            dispatch.bind(NOBODY, made.follow, lambda *told: None)
-            dispatch.begin()
-            nursery.start_soon(deadlines.run)
-            return made, dispatch
+            made = DiscoveryClient(nursery, timers, HERE, 10, hear, dispatcher.on_poll_failed, number)
+            dispatcher.bind(NOBODY, made.start_watch, lambda *told: None)
+            dispatcher.begin()
+            nursery.start_soon(timers.run)
+            return made, dispatcher
 
         async with trio.open_nursery() as nursery:
             made = []
@@ -110,9 +111,9 @@
                 made.append(start(number))
                 await trio.sleep(0.03)
             await trio.sleep(3.0)
-            for number, (discovery, dispatch) in enumerate(made):
+            for number, (discovery, dispatcher) in enumerate(made):
                 discovery.move(THERE)
-                dispatch.list_moved()
+                dispatcher.on_discovery_changed()
                 if number % 40 == 20:
                     changes.append(trio.current_time())
                     served.change()
@@ -131,36 +132,34 @@
 
     def __init__(self, answers: list) -> None:
         self.answers, self.targets = answers, []
-        self.silent = self.answered = False
 
-    async def call(self, target: str, most_time: float) -> ListUpdate | None:
+    async def poll(self, target: str, time_limit: float) -> EndpointListUpdate:
         self.targets.append((trio.current_time(), target.partition("&")[0]))
         answer = self.answers.pop(0) if self.answers else "held"
-        self.silent = answer == "silent"
-        if self.silent:
-            await trio.sleep(most_time)
-            return None
+        if answer == "silent":
+            await trio.sleep(time_limit)
+            raise PollTimeoutError
         if answer == "held":
             await trio.sleep(float(target.rpartition("wait=")[2]) / 1000 if "wait=" in target else 0.1)
-            return ListUpdate(41, "index" not in target, ())
+            return EndpointListUpdate(41, "index" not in target, ())
         return answer
 
-    def hang_up(self) -> None:
+    def close(self) -> None:
         pass
 
 
 def moved(monkeypatch, answers: list, lasts: float, near: bool = False) -> tuple[list, list]:
     """What a router at version 41 asks of a discovery that it is sent to, and what it takes over."""
-    heard: list[ListUpdate] = []
+    heard: list[EndpointListUpdate] = []
     service = Scripted(answers)
 
     async def main() -> None:
-        monkeypatch.setattr(module, "Watch", lambda where, deadlines: service)
+        monkeypatch.setattr(module, "Watch", lambda where, timers: service)
         async with trio.open_nursery() as nursery:
-            deadlines = Deadlines(trio.current_time)
-            made = Discovery(nursery, deadlines, HERE, 41, heard.append, lambda: None, 3, near)
+            timers = TimerQueue(trio.current_time)
+            made = DiscoveryClient(nursery, timers, HERE, 41, heard.append, lambda: None, 3, near)
             made.move(THERE)
-            made.follow()
+            made.start_watch()
             await trio.sleep(lasts)
             nursery.cancel_scope.cancel()
 
@@ -169,28 +168,34 @@
 
 
 def test_where_versions_go_on_the_whole_list_is_asked_for_later_and_once(monkeypatch):
-    targets, heard = moved(monkeypatch, [], WHOLE_FROM + WHOLE_SPREAD + 5.0)
-    assert targets[0][1] == f"{PATH}?index=41"
-    whole = [at for at, target in targets if target == PATH]
-    assert len(whole) == 1 and WHOLE_FROM <= whole[0] <= WHOLE_FROM + WHOLE_SPREAD + 3.0
-    assert any(each.whole for each in heard)
+    targets, heard = moved(monkeypatch, [], FULL_POLL_DELAY + FULL_POLL_JITTER + 5.0)
+    assert targets[0][1] == f"{ENDPOINTS_PATH}?index=41"
+    whole = [at for at, target in targets if target == ENDPOINTS_PATH]
+    assert len(whole) == 1
+    assert FULL_POLL_DELAY <= whole[0] <= FULL_POLL_DELAY + FULL_POLL_JITTER + 3.0
+    assert any(each.complete for each in heard)
 
 
-@pytest.mark.parametrize("first", [ListUpdate(7, False, ()), "silent"])
+@pytest.mark.parametrize("first", [EndpointListUpdate(7, False, ()), "silent"])
 def test_where_they_count_anew_the_whole_list_comes_at_once_and_older_news_undo_nothing(monkeypatch, first):
-    whole = ListUpdate(7, True, ())
+    whole = EndpointListUpdate(7, True, ())
     targets, heard = moved(monkeypatch, [first, whole], 3.0)
-    assert [target for _, target in targets[:2]] == [f"{PATH}?index=41", PATH] and targets[1][0] < 2.2
+    assert [target for _, target in targets[:2]] == [f"{ENDPOINTS_PATH}?index=41", ENDPOINTS_PATH]
+    assert targets[1][0] < 2.2
     assert heard[0] is whole
 
 
 def test_an_agent_at_hand_is_asked_for_the_whole_list(monkeypatch):
-    targets, _ = moved(monkeypatch, [ListUpdate(7, True, ())], 1.0, near=True)
-    assert targets[0][1] == PATH
+    targets, _ = moved(monkeypatch, [EndpointListUpdate(7, True, ())], 1.0, near=True)
+    assert targets[0][1] == ENDPOINTS_PATH
 
 
 def test_changes_of_an_older_version_undo_nothing_where_the_service_is_the_same(monkeypatch):
     """One that came back with an older state, or an answer that was late."""
-    newer, older, whole = ListUpdate(44, False, ()), ListUpdate(43, False, ()), ListUpdate(44, True, ())
+    newer, older, whole = (
+        EndpointListUpdate(44, False, ()),
+        EndpointListUpdate(43, False, ()),
+        EndpointListUpdate(44, True, ()),
+    )
     _, heard = moved(monkeypatch, [newer, older, whole], 3.0)
     assert heard[:2] == [newer, whole]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -118,7 +118,7 @@
                             while ("c-0" in part.inventory.current) is (state == "gone"):
                                 await trio.sleep(0.02)
                         for _ in range(2):
-                            await part.keeper.call(part.capacity.warn_overcommitted, part.keeper.store)
+                            await part.keeper.run_sync(part.capacity.warn_overcommitted, part.keeper.store)
                         assert [word in line for line in told if "region eu bears" in line][-1:] == [True]
                         if state == "gone":
                             tag = {"If-Match": got.headers["etag"]}
@@ -375,7 +375,7 @@
             for uid in ("c-0", "c-3"):
                 cluster.nodes.directory.change(uid, state="gone")
             with trio.fail_after(10):
-                while len(cluster.nodes.services[0].dispatch.router.caches) > 4:
+                while len(cluster.nodes.services[0].dispatcher.router.endpoints) > 4:
                     await trio.sleep(0.02)
             cluster.clear_requests()
             assert all(a.startswith(b"-BUSY ") for a in await cluster.read(0, *KEYS[:5], once=True))
@@ -444,7 +444,7 @@
                 while any([(await cluster.get(each))["repeats_held"] for each in ("mine", "same")]):
                     await trio.sleep(0.02)
             copy = cluster.nodes.folder / "copy.db"
-            await cluster.nodes.keeper.call(cluster.nodes.keeper.store.backup, copy)
+            await cluster.nodes.keeper.run_sync(cluster.nodes.keeper.store.backup, copy)
             await cluster.put("mine", ["us"], match=made.headers["etag"], allowance=10)
             await cluster.until("mine", "confined")
             await cluster.put("new", ["us"], prefixes=["new/"], allowance=1)
@@ -472,7 +472,7 @@
             await cluster.until("same", "confined")
             for follower in cluster.nodes.followers:
                 roster = follower.roster
-                assert roster.mark == cluster.nodes.keeper.store.mark(roster.revision), (
+                assert roster.mark == cluster.nodes.keeper.store.revision_digest(roster.revision), (
                     "of the copy's own past"
                 )
             assert (await cluster.read(0, "ap/1"))[0].startswith(b"$") and cluster.zones("ap/1") == {"c"}
@@ -518,16 +518,16 @@
                     body = {"router": "r", "run": "x", "parts": {"placement": part}}
                     got = await router.post("/v1/feed", json=body)
                     assert got.status_code == 422 and got.json()["field"] == "parts.placement"
-                assert ("r", "x") not in cluster.control_plane.leases.leases.given
+                assert ("r", "x") not in cluster.control_plane.leases.leases.granted
                 # one that does not speak of placement is told nothing of it, and holds nobody up
                 got = await router.post("/v1/feed", json={"router": "r", "run": "x"})
                 assert got.status_code == 200 and got.json()["parts"] == {}
-                assert ("r", "x") not in cluster.control_plane.leases.leases.given
+                assert ("r", "x") not in cluster.control_plane.leases.leases.granted
                 # a table of marks that nobody told counts as none
                 told = {"have": 5, "mark": "ff" * 16, "clear": 5}
                 body = {"router": "r", "run": "x", "parts": {"placement": told}}
                 got = await router.post("/v1/feed", json=body)
                 assert got.json()["parts"]["placement"]["whole"] is True
-                assert cluster.control_plane.leases.leases.given["r", "x"].revision == 0
+                assert cluster.control_plane.leases.leases.granted["r", "x"].revision == 0
 
     run(scene)
--- a/tests/test_placement_compatibility.py
+++ b/tests/test_placement_compatibility.py
@@ -25,7 +25,8 @@
 from gaugehinge.placement.shard_table import ShardAssignment, ShardTable
 from gaugehinge.placement.store_reader import tenant_names
 from gaugehinge.placement.sweep import sweep_changes
-from gaugehinge.store.store import Store, Wanted, encode
+from gaugehinge.store.records import Mutation, encode
+from gaugehinge.store.store import Store
 
 WRITTEN = json.loads((Path(__file__).parent / "data/placement/version-before.json").read_text())
 KINDS = {
@@ -52,7 +53,7 @@
     made = Store(tmp_path / "store.db")
     items = [*WRITTEN["items"], *(item for item in WRITTEN["tenants"] if item["kind"] == "tenant")]
     for item in sorted(items, key=lambda item: item["rev"]):
-        made.apply([Wanted(item["kind"], item["ident"], item["body"].encode())], "before", 1e9)
+        made.apply([Mutation(item["kind"], item["ident"], item["body"].encode())], "before", 1e9)
     yield made
     made.close()
 
@@ -119,7 +120,7 @@
     assert [server.uid for server in made.servers.stored_relabelled(store)] == ["server-0"]
     assert tenant_names(store) == {1: "acme"}
     budget = made.changes._charge_budget(store, 1, 1e9)
-    assert budget.expect == store.get("shard-budget", "1").rev
+    assert budget.expected_revision == store.get("shard-budget", "1").revision
     assert sweep_changes(store, made.index) == [], "all of it is in use"
 
 
@@ -129,13 +130,13 @@
     assert planner.regions(store).reserved
     (stone,) = [item for item in WRITTEN["tenants"] if item["kind"] == "tombstone"]
     body = json.loads(stone["body"])
-    store.apply([Wanted("tenant", "acme", None)], "before", 1e9)
+    store.apply([Mutation("tenant", "acme", None)], "before", 1e9)
     for clear in (False, True):
         body["clear"] = clear
-        store.apply([Wanted("tombstone", stone["ident"], json.dumps(body).encode())], "before", 1e9)
+        store.apply([Mutation("tombstone", stone["ident"], json.dumps(body).encode())], "before", 1e9)
         assert tenant_names(store) == {1: "acme"}
         assert bool(planner.regions(store).reserved) is not clear
-    store.apply([Wanted("tombstone", stone["ident"], None)], "before", 1e9)
+    store.apply([Mutation("tombstone", stone["ident"], None)], "before", 1e9)
     swept = {change.kind for change in sweep_changes(store, made.index)}
     assert swept == {"shard", "shard-budget"}, "snapshots go once no shard names them"
 
