--- a/gaugehinge/net/connection_pool.py
+++ b/gaugehinge/net/connection_pool.py
@@ -16,6 +16,7 @@
 from .codec import Codec, ConnectionLost, MalformedReply, RequestPayload
 from .connection import Connection, PendingAttempt, ServerPool
 from .endpoint_list import EndpointListUpdate
+from .extensions import Extensions
 from .sockets import connect, receive, send_some, shut, silent, tcp
 from .timer_queue import TimerQueue
 
@@ -80,11 +81,15 @@
         self.pending: dict[Attempt, PendingAttempt] = {}  # until the attempt has ended
         self.open_connections = 0
         self.exhausted = False  # whether an attempt found no connection within the limit, as last logged
-        self.guard: Callable[[Attempt], bool] | None = None  # asked before each byte of an attempt
-        self.warden: ConnectionBudget | None = None
-        self.lost: Callable[[Connection, PendingAttempt | None], None] | None = None  # hears of lost ones
+        self.install(Extensions())
         self._sweep()
 
+    def install(self, extensions: Extensions) -> None:
+        """Take the extensions that attempts and connections concern, before the first attempt."""
+        self.attempt_policies = extensions.attempt_policies
+        self.connection_observers = extensions.connection_observers
+        self.connection_budget = extensions.connection_budget
+
     # -- the servers
 
     def on_endpoints_changed(self, update: EndpointListUpdate) -> None:
@@ -121,10 +126,11 @@
         pending.timer = self.timers.call_at(pending.deadline, self._on_timeout, pending)
         endpoint = self.endpoints.get(attempt.endpoint.ident)
         connection = self.take_idle(endpoint) if endpoint is not None else None
+        budget = self.connection_budget
         if connection is not None:
             self._start(connection, pending)
-        elif endpoint is not None and self.warden is not None and not self.warden.may_open(endpoint):
-            if not self.warden.wait(endpoint, pending):
+        elif endpoint is not None and budget is not None and not budget.may_open(endpoint):
+            if not budget.wait(endpoint, pending):
                 self._end_soon(pending, Outcome.NOT_SENT)
         elif endpoint is None or not payload.client_is_waiting() or not self._make_room():
             self._end_soon(pending, Outcome.NOT_SENT)
@@ -199,7 +205,10 @@
         """
         if self.clock() > attempt.operation.retry_deadline - RETRY_DEADLINE_MARGIN:
             return False
-        return self.guard is None or self.guard(attempt)
+        for policy in self.attempt_policies:  # noqa: SIM110 - a generator would cost each byte's way more
+            if not policy.may_send(attempt):
+                return False
+        return True
 
     async def _send_rest(self, connection: Connection, pending: PendingAttempt, rest: bytes) -> None:
         """Write what could not be written at once. The connection's reader notices its end."""
@@ -260,7 +269,7 @@
             if (
                 connection.idle_since > now - self.max_idle_time
                 and silent(connection.sock)
-                and (self.warden is None or self.warden.may_use(connection))
+                and (self.connection_budget is None or self.connection_budget.may_use(connection))
             ):
                 return connection
             self._close(connection)
@@ -305,8 +314,8 @@
             return
         self.open_connections += 1
         pending.connection = Connection(sock, endpoint, pending.codec.new_state(), pending)
-        if self.warden is not None:
-            self.warden.opened(pending.connection)
+        if self.connection_budget is not None:
+            self.connection_budget.opened(pending.connection)
         self.nursery.start_soon(self._run, pending.connection)
 
     async def _run(self, connection: Connection) -> None:
@@ -369,8 +378,9 @@
             pending.connection = None
             may_have_run = Outcome.MALFORMED_RESPONSE if malformed else Outcome.CONNECTION_LOST
             self._end(pending, may_have_run if connection.request_sent else Outcome.CONNECT_FAILED)
-        if ended_by_server and self.lost is not None:
-            self.lost(connection, pending)
+        if ended_by_server:
+            for observer in self.connection_observers:
+                observer.on_connection_lost(connection, pending)
 
     def _release(self, connection: Connection) -> None:
         """Make a connection idle, or close it if its server's process is no longer listed."""
@@ -380,15 +390,15 @@
             return
         connection.idle_since = self.clock()
         connection.endpoint.idle.append(connection)
-        if self.warden is not None:
-            self.warden.rested(connection)
+        if self.connection_budget is not None:
+            self.connection_budget.rested(connection)
 
     def _close(self, connection: Connection) -> None:
         if not connection.closed:
             connection.closed = True
             self.open_connections -= 1
-            if self.warden is not None:
-                self.warden.closed(connection)
+            if self.connection_budget is not None:
+                self.connection_budget.closed(connection)
             shut(connection.sock)
 
     def _sweep(self) -> None:
--- a/gaugehinge/placement/build.py
+++ b/gaugehinge/placement/build.py
@@ -4,27 +4,19 @@
 
 from collections.abc import Callable
 
-import trio
-
 from ..admin.keep import KeepFile
 from ..admin.service import Administration
-from ..hosted.follower import Follower
+from ..hosted.control_plane_watch import ControlPlaneWatch
 from ..net.service import Service
 from .control_plane import PlacementControlPlane
-from .router import attach_placement
-
-Extension = Callable[[Service, trio.Nursery], Follower]
-
-
-def with_placement(follow: Extension) -> Extension:
-    """An extension that follows the control plane, and holds to what it is told of shards."""
+from .router import RouterPlacement
 
-    def extend(service: Service, nursery: trio.Nursery) -> Follower:
-        follower = follow(service, nursery)
-        attach_placement(service, follower)
-        return follower
 
-    return extend
+def build_placement(service: Service, follower: ControlPlaneWatch) -> RouterPlacement:
+    """Placement at a router that follows a control plane, as a further part of the feed."""
+    part = RouterPlacement(service, follower)
+    follower.add_part(part)
+    return part
 
 
 def control_plane_factory(settings: KeepFile) -> Callable[[Administration], PlacementControlPlane]:
--- a/gaugehinge/placement/feed_errors.py
+++ b/gaugehinge/placement/feed_errors.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from ..hosted.roster import BadFeed
+from ..hosted.errors import FeedError
 
 
-class PlacementMissingError(BadFeed):
+class PlacementMissingError(FeedError):
     """The control plane has placement switched off."""
 
     def __init__(self) -> None:
@@ -13,7 +13,7 @@
         super().__init__("the keeper has no placement")
 
 
-class StaleAnswerError(BadFeed):
+class StaleAnswerError(FeedError):
     """The answer to an older question than one that was answered already."""
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         super().__init__("placement: the answer to an older question than one that was answered")
 
 
-class ForeignChangesError(BadFeed):
+class ForeignChangesError(FeedError):
     """Changes that do not continue this router's table."""
 
     def __init__(self) -> None:
--- a/gaugehinge/placement/router.py
+++ b/gaugehinge/placement/router.py
@@ -17,7 +17,8 @@
 import trio
 from loguru import logger
 
-from ..hosted.follower import Follower
+from ..hosted.control_plane_watch import ControlPlaneWatch
+from ..hosted.feed_parts import FeedPart
 from ..net.dispatcher import FAILED_REPLY, busy_reply
 from ..net.endpoint_list import EndpointListUpdate
 from ..net.service import Service
@@ -39,13 +40,13 @@
 NO_ZONE: SearchOrder = (frozenset(),)
 
 
-class RouterPlacement:
-    """Placement as a part of the follower (`hosted.follower.Part`)."""
+class RouterPlacement(FeedPart):
+    """A part of the feed; a transformer of endpoint lists, a routing constraint and an attempt policy."""
 
     name = "placement"
 
     def __init__(
-        self, service: Service, follower: Follower, clock: Callable[[], float] = trio.current_time
+        self, service: Service, follower: ControlPlaneWatch, clock: Callable[[], float] = trio.current_time
     ) -> None:
         """`clock`: the follower's, by which it says when a call was sent."""
         self.service, self.follower, self.clock = service, follower, clock
@@ -63,16 +64,12 @@
         self.cut_off = False  # without a lease, and operations were checked since
         self.rejected = 0  # operations for want of a lease, since it was lost
         self._draws = count()
-        self._hear_list = service.dispatcher.on_endpoints_changed
-        service.dispatcher.on_endpoints_changed = self.on_endpoints_changed
-        service.dispatcher.place = self.place
-        service.pool.guard = self.guard
 
-    def on_endpoints_changed(self, update: EndpointListUpdate, held: bool = False) -> None:
-        """Follow discovery's list, and hand it on."""
+    def transform(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
+        """Follow discovery's list, and leave it as it is."""
         origin_kind = self.service.configuration.settings.deployment.origin_kind
-        self.servers.update(update, held, origin_kind)
-        self._hear_list(update, held)
+        self.servers.update(update, cached, origin_kind)
+        return update
 
     # -- the control plane
 
@@ -95,7 +92,7 @@
     def hear(self, feed: Feed, asked_at: float) -> None:
         """Take over an answer of the control plane, to the call that was sent at `asked_at`.
 
-        Raises BadFeed, and then nothing has changed.
+        Raises FeedError, and then nothing has changed.
         """
         update = self._read_update(feed, asked_at)
         self._update_lost_pins(feed, update)
@@ -123,7 +120,7 @@
         return update
 
     def _update_lost_pins(self, feed: Feed, update: ControlPlaneUpdate) -> None:
-        incarnations = self.follower.roster.by_incarnation
+        incarnations = self.follower.registry.by_incarnation
         if feed.store_id != self.store:
             self.lost_pins.clear()
         elif update.history_lost:
@@ -151,9 +148,6 @@
         server: Any = attempt.endpoint
         return server.origin or self.servers.allows(server, regions)
 
-    def away(self) -> None:
-        """A call failed: the lease runs out by itself."""
-
     def ready(self) -> bool:
         """Whether a lease is held: with none, required shards are rejected. For `recovery`."""
         return self.lease.is_valid(self.clock())
@@ -163,8 +157,8 @@
         if lease:
             wait = max(min(POLL_WAIT, lease / POLLS_PER_LEASE), MIN_POLL_WAIT)
             slack = max(lease / POLLS_PER_LEASE, MIN_POLL_SLACK)
-            self.follower.wait = min(self.follower.wait, wait)
-            self.follower.slack = min(self.follower.slack, slack)
+            self.follower.limit_wait(wait)
+            self.follower.limit_slack(slack)
 
     def _log_lease_renewed(self) -> None:
         if self.cut_off and self.lease.is_valid(self.clock()):
@@ -173,8 +167,8 @@
 
     # -- operations
 
-    def place(self, operation: Operation) -> bytes | None:
-        """At the door: set the operation's regions, or return the answer that it gets at once."""
+    def constrain(self, operation: Operation) -> bytes | None:
+        """As the dispatcher takes it: set the operation's regions, or return its reply at once."""
         placement = self.table.find(operation.key)
         if not self.lease.is_valid(self.clock()):
             reply = self._reply_without_lease(operation, placement, operation.is_client_retry)
@@ -189,7 +183,7 @@
         operation.regions = placement.regions
         return None
 
-    def guard(self, attempt: Attempt) -> bool:
+    def may_send(self, attempt: Attempt) -> bool:
         """Before each attempt's bytes: whether it may go.
 
         Where it may not, the operation is answered or goes elsewhere.
@@ -237,20 +231,10 @@
         return FAILED_REPLY if may_have_run(operation) else self.busy()
 
     def _reject(self, operation: Operation, reply: bytes) -> None:
-        self.service.dispatcher.refuse(operation, FAILED_REPLY if may_have_run(operation) else reply)
+        self.service.dispatcher.reject(operation, FAILED_REPLY if may_have_run(operation) else reply)
 
     def busy(self) -> bytes:
         """A rejection with a Retry-After, spread so that clients do not come back all at once."""
         longest = self.service.configuration.settings.deployment.max_retry_after
         draw = crc32(b"%d" % next(self._draws)) / 0x100000000
         return busy_reply(min(REJECT_RETRY_AFTER * (0.5 + draw), longest) if longest else 0.0)
-
-
-def attach_placement(service: Service, follower: Follower, **options: Any) -> RouterPlacement:
-    """Switch placement on at a router that follows a control plane.
-
-    `options`: as RouterPlacement takes them.
-    """
-    part = RouterPlacement(service, follower, **options)
-    follower.parts.append(part)
-    return part
--- a/gaugehinge/placement/server_list.py
+++ b/gaugehinge/placement/server_list.py
@@ -35,13 +35,13 @@
 
     # -- what discovery tells
 
-    def update(self, update: EndpointListUpdate, held: bool, origin_kind: str | None) -> None:
+    def update(self, update: EndpointListUpdate, cached: bool, origin_kind: str | None) -> None:
         """Follow the list.
 
-        `held`: it is not discovery's own answer, but one kept from before; `origin_kind`: of the entries that
-        are no cache servers.
+        `cached`: it is not discovery's own answer, but one kept from before; `origin_kind`: of the entries
+        that are no cache servers.
         """
-        self.is_known = self.is_known or not held
+        self.is_known = self.is_known or not cached
         if update.complete:
             named = {target.uid for target in update.targets}
             for uid in [uid for uid in self.current if uid not in named]:
--- a/tests/placement_cluster.py
+++ b/tests/placement_cluster.py
@@ -8,7 +8,6 @@
 from gaugehinge.admin.keep import KeepPlacement
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.installation.form import PlacementEntry
-from gaugehinge.placement.build import with_placement
 from gaugehinge.placement.control_plane import PlacementControlPlane
 from gaugehinge.rehearsal.hostedplay import hosting
 
@@ -92,7 +91,6 @@
         servers=6,
         zones=("a", "b", "c"),
         lease=lease,
-        dress=with_placement,
         parts=(lambda administration: PlacementControlPlane(administration, settings),),
         placement=PlacementEntry(True),
         **more,
@@ -104,7 +102,7 @@
             cluster = PlacementCluster(nodes, secret, api)
             with trio.fail_after(20):
                 while not cluster.control_plane.inventory.current or not all(
-                    f.parts[0].lease.is_valid(trio.current_time()) and f.roster.by_credential
+                    f.parts[0].lease.is_valid(trio.current_time()) and f.registry.by_credential
                     for f in nodes.followers
                 ):
                     await trio.sleep(0.02)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -12,7 +12,7 @@
 from redis.asyncio.cluster import RedisCluster as AsyncCluster
 from redis.cluster import RedisCluster
 
-from gaugehinge.cluster.build import extension
+from gaugehinge.cluster.build import cluster_extension_builder, slot_fleet
 from gaugehinge.cluster.resp3 import CLIENT, Error, Reader, command
 from gaugehinge.cluster.slots import SLOTS, slot_of
 from gaugehinge.door.door import Door
@@ -63,7 +63,7 @@
 
 
 def keeper(made: Play, router: int = 0):
-    return made.services[router].dispatcher.locate.__self__.keeper
+    return slot_fleet(made.services[router]).keeper
 
 
 def key_of(made: Play, name: str, number: int = 0) -> bytes:
@@ -125,7 +125,7 @@
                 await trio.to_thread.run_sync(use, *made.clients[router], version)
             await trio.to_thread.run_sync(lambda: asyncio.run(use_async(*made.clients[2])))
             # Each router served: the clients sent to the one that its map names.
-            assert all(service.fronts[1][0].connections is not None for service in made.services)
+            assert all(service.fronts[1].clients.connections is not None for service in made.services)
 
     run(scene)
 
@@ -397,7 +397,9 @@
     }
 
     async def scene():
-        async with fleet(tmp_path, [Cache(), Cache()], settings=settings, extend=extension(told)) as made:
+        async with fleet(
+            tmp_path, [Cache(), Cache()], settings=settings, build_extensions=cluster_extension_builder(told)
+        ) as made:
             client = Plain(await trio.open_tcp_stream("127.0.0.1", port))
             assert await client.ask("GET", "k1") == b"of k1"
             word, key, ident, labels = next(c for cache in made.caches for c in cache.commands)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,10 +15,10 @@
 import pytest
 import trio
 
-from gaugehinge.hosted import follower as follower_module
-from gaugehinge.hosted.follower import Snapshot
+from gaugehinge.hosted import feed_snapshot
+from gaugehinge.hosted.feed_snapshot import FeedSnapshot
 from gaugehinge.net import connection_pool as pool_module
-from gaugehinge.net import service as service_module
+from gaugehinge.net import startup
 from gaugehinge.net.configuration import read_configuration
 from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.resp import Parser, bulk
@@ -81,13 +81,13 @@
         self.service, self.scope, self.ended = service, trio.CancelScope(), trio.Event()
         self.error: Exception | None = None
         self.heard: list[int] = []  # revisions of the lists that it took
-        take = service._hear_list
+        take = service.on_endpoint_list
 
         def hear(update) -> None:
             take(update)
             self.heard.append(update.rev)
 
-        service._hear_list = hear
+        service.on_endpoint_list = hear
 
     async def run(self) -> None:
         try:
@@ -240,7 +240,7 @@
             finally:
                 await client.answer()
                 await old.ended.wait()
-                shut(old.service.peers.sock)
+                shut(old.service.gossip.sock)
 
     play(scene)
 
@@ -262,10 +262,10 @@
                 where = old.service.configuration.peer_listen
                 # They stand in the old one's socket when it ends, unread: nobody is told of them.
                 old.scope.cancel()
-                stamp = old.service.peers.stamp
+                stamp = old.service.gossip.stamp
                 peer.sendto(stamp + struct.pack("<f", 77.0), where)
                 await old.ended.wait()
-                shut(old.service.peers.sock)  # as the end of its process would
+                shut(old.service.gossip.sock)  # as the end of its process would
                 shut(old.service.listening)
                 new = await made.start(**told)
                 assert new.error is None, new.error
@@ -310,13 +310,13 @@
                 settings={**of(["bolt", "acme"]), "me": 1},
             )
             client, dispatcher = await behind.client(), behind.service.dispatcher
-            told, heard, tell = [], [], dispatcher.tell
+            told, heard, tell = [], [], dispatcher.send_gossip
 
             def noted(numbers, payload) -> None:
                 tell(numbers, payload)
                 told.append(payload)
 
-            dispatcher.tell = noted
+            dispatcher.send_gossip = noted
             while len(told) < 3:
                 await client.get(f"k{len(told)}", labels="c=read,t=acme,d=900")
                 heard += [rates for _, rates in new.service.dispatcher.router.gossip.peers.values()]
@@ -329,7 +329,7 @@
 
 def test_two_processes_that_keep_one_snapshot_leave_it_whole(tmp_path, monkeypatch):
     """The old process and the new one of a hosted router write the same file; one is amid it when both do."""
-    old, new = (Snapshot(str(tmp_path / "tenants.json")) for _ in range(2))
+    old, new = (FeedSnapshot(str(tmp_path / "tenants.json")) for _ in range(2))
     rows = [TenantRow(f"t{n}", n + 1, n, "active", 1.0, 1.0) for n in range(200)]
     feeds = {"old": Feed("s", 5, True, rows, []), "new": Feed("s", 6, True, rows[:100], [])}
     opened, written = {name: threading.Event() for name in feeds}, threading.Event()
@@ -347,14 +347,14 @@
         if threading.current_thread().name == "old":
             written.set()
 
-    def save(snapshot: Snapshot, feed: Feed) -> None:
+    def save(snapshot: FeedSnapshot, feed: Feed) -> None:
         try:
             snapshot.save(feed)
         except OSError as bad:  # the router goes on by it, with a line in its log
             errors.append(bad)
 
-    monkeypatch.setattr(follower_module.os, "open", open_)
-    monkeypatch.setattr(follower_module.os, "fsync", fsync)
+    monkeypatch.setattr(feed_snapshot.os, "open", open_)
+    monkeypatch.setattr(feed_snapshot.os, "fsync", fsync)
     pairs = (("old", old), ("new", new))
     threads = [threading.Thread(target=save, name=name, args=(each, feeds[name])) for name, each in pairs]
     threads[0].start()
@@ -467,7 +467,7 @@
 
 
 def test_where_lists_are_pushed_the_list_kept_never_undoes_the_agents(tmp_path, monkeypatch):
-    monkeypatch.setattr(service_module, "START_TIME", 0.2)
+    monkeypatch.setattr(startup, "START_TIME", 0.2)
 
     async def scene():
         async with staged(tmp_path, settings=PUSHED) as made:
@@ -488,7 +488,7 @@
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_where_lists_are_pushed_a_late_agent_undoes_the_list_kept(tmp_path, monkeypatch, state):
-    monkeypatch.setattr(service_module, "START_TIME", 0.1)
+    monkeypatch.setattr(startup, "START_TIME", 0.1)
 
     async def scene():
         async with staged(tmp_path, settings=PUSHED) as made:
@@ -705,7 +705,7 @@
                 await until(lambda: new.heard == [99])
             if when == "with":
                 old.streams[0].socket._sock.send(late)  # on its way, unread, when the order comes
-                new.service._reread()
+                new.service.reload()
             else:
                 signal.raise_signal(signal.SIGHUP)
             await until(lambda: len(made.directory.calls) == 1)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -161,7 +161,7 @@
             made = await cluster.put("mine", ["eu"], prefixes=["eu/"], allowance=600)
             await cluster.until("mine", "confined")
             follower = cluster.nodes.followers[1]
-            follower.client.base_url = "http://127.0.0.1:9"  # goes on in the old region for a while
+            follower.client.http.base_url = "http://127.0.0.1:9"  # goes on in the old region for a while
             await cluster.put("mine", ["us"], match=made.headers["etag"], allowance=10)
             await cluster.nodes.tenant("bolt", allowance=900.0)
             async with cluster.nodes.desk() as operator_api:
@@ -175,7 +175,7 @@
                     await trio.sleep(0.05)
                 assert waited and got.status_code == 200
                 assert (await cluster.get("mine"))["stage"] == "confined"
-            follower.client.base_url = cluster.nodes.api
+            follower.client.http.base_url = cluster.nodes.api
             # What its tenant lets end is its own again at once.
             rest = await cluster.put("rest", ["us"], prefixes=["rest/"], allowance=890)
             match = {"If-Match": rest.headers["etag"]}
@@ -252,7 +252,7 @@
             made = await cluster.put("mine", ["eu"], prefixes=["eu/"])
             await cluster.until("mine", "confined")
             follower = cluster.nodes.followers[1]
-            follower.client.base_url = "http://127.0.0.1:9"  # cut off
+            follower.client.http.base_url = "http://127.0.0.1:9"  # cut off
             await cluster.put("mine", ["us"], match=made.headers["etag"])
             assert "router-1" in (await cluster.get("mine"))["waits_for"]
             while (await cluster.get("mine"))["stage"] != "confined":
@@ -269,7 +269,7 @@
             with trio.fail_after(20):
                 while (await cluster.read(1, "other", once=True))[0].startswith(b"$"):
                     await trio.sleep(0.2)
-            follower.client.base_url = cluster.nodes.api
+            follower.client.http.base_url = cluster.nodes.api
             with trio.fail_after(20):
                 while not (await cluster.read(1, KEYS[0], once=True))[0].startswith(b"$"):
                     await trio.sleep(0.1)
@@ -283,7 +283,7 @@
         async with placement_cluster(
             routers=2, settings=msgspec.structs.replace(SETTINGS, alone=ALONE_LONGER)
         ) as cluster:
-            cluster.nodes.followers[1].client.base_url = "http://127.0.0.1:9"
+            cluster.nodes.followers[1].client.http.base_url = "http://127.0.0.1:9"
             await trio.sleep(1.4)  # its lease is over: it serves on what was never `only`
             assert_served(await cluster.read(1, KEYS[0]))
             await cluster.put("mine", ["eu"], prefixes=["eu/"])
@@ -471,7 +471,7 @@
             assert not cluster.zones("eu/1", "new/1")
             await cluster.until("same", "confined")
             for follower in cluster.nodes.followers:
-                roster = follower.roster
+                roster = follower.registry
                 assert roster.mark == cluster.nodes.keeper.store.revision_digest(roster.revision), (
                     "of the copy's own past"
                 )
