--- /dev/null
+++ b/gaugehinge/admin/tenants.py
@@ -0,0 +1,233 @@
+"""Tenants: creation, figures, lifecycle and credentials.
+
+A change is made for the revision that the caller read, so that of two concurrent ones the later fails. A
+tenant that is removed leaves its name at once, and stands on as a tombstone until its deduplication marks
+expired.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+import trio
+
+from ..store.async_store import AsyncStore
+from ..store.records import Change, Item, Mutation, encode
+from ..store.store import Store
+from ..tenancy.credentials import SecretHasher, revoke, rotate
+from ..tenancy.lifecycle import (
+    LifecycleError,
+    TenantAction,
+    TenantIncarnation,
+    apply_action,
+    create_incarnation,
+)
+from .errors import NotFoundError, ResourceConflictError
+from .places import allocate_place
+from .records import (
+    COUNTER_KIND,
+    INCARNATION_COUNTER,
+    TENANT_KIND,
+    TOMBSTONE_KIND,
+    TenantRecord,
+    decode_tenant,
+    tenant_item,
+)
+from .transactions import IdempotencyKey, commit, no_response
+from .types import NewTenant, Page, Secret, Tenant, TenantChange, tenant_resource
+
+Alteration = Callable[[TenantRecord, float], TenantRecord]
+"""Makes the new record of a tenant from the old one and the wall-clock time in seconds."""
+
+
+class Tenants:
+    """The tenants in the store."""
+
+    def __init__(self, store_writer: AsyncStore, hasher: SecretHasher) -> None:
+        self._store_writer = store_writer
+        self._hasher = hasher
+        self.incarnation_floor = 0  # a new store does not know which incarnations a lost one gave: above this
+
+    async def list_page(self, after: str, limit: int) -> Page:
+        """Up to `limit` tenants whose names follow `after`, and where the next page begins."""
+        store = self._store_writer.store
+        items = await self._store_writer.run_sync(lambda: store.items(TENANT_KIND, after, limit + 1))
+        tenants = [_resource_of(item) for item in items[:limit]]
+        return Page(tenants, tenants[-1].name if len(items) > limit else None)
+
+    async def get(self, name: str) -> Tenant:
+        """One tenant.
+
+        Raises:
+            NotFoundError: There is none of that name.
+        """
+        store = self._store_writer.store
+        return _resource_of(await self._store_writer.run_sync(lambda: tenant_item(store, name)))
+
+    async def create(self, new: NewTenant, actor: str, idempotency: IdempotencyKey | None = None) -> Tenant:
+        """Create a tenant. The name of one that was removed may be used again, for another incarnation.
+
+        Raises:
+            ResourceConflictError: The name is taken, or there are too many tenants.
+        """
+
+        def plan(store: Store, now: float) -> list[Mutation]:
+            current = store.get(TENANT_KIND, new.name)
+            counter = store.get(COUNTER_KIND, INCARNATION_COUNTER)
+            # A number that a lost store gave is a key space that still has values of the one that bore it.
+            last = max(int(counter.body) if counter else 0, self.incarnation_floor)
+            tenancy = _new_tenancy(new.name, current, last, now)
+            record = _new_record(new, tenancy, allocate_place(store), now)
+            return [
+                Mutation(TENANT_KIND, new.name, encode(record), current.revision if current else 0),
+                Mutation(
+                    COUNTER_KIND,
+                    INCARNATION_COUNTER,
+                    b"%d" % tenancy.incarnation,
+                    counter.revision if counter else 0,
+                ),
+            ]
+
+        changes = await commit(self._store_writer, plan, actor, idempotency, _encode_tenant)
+        return _resource_of(changes[0])
+
+    async def update(self, name: str, change: TenantChange, if_match: int, actor: str) -> Tenant:
+        """Change figures of a tenant; those that are unset stay.
+
+        Raises:
+            NotFoundError: There is no such tenant.
+            PreconditionFailedError: It changed since the revision `if_match`.
+        """
+        fields = {
+            field: value
+            for field, value in msgspec.structs.asdict(change).items()
+            if value is not msgspec.UNSET
+        }
+        return await self._alter(
+            name, if_match, actor, lambda record, now: msgspec.structs.replace(record, **fields)
+        )
+
+    async def transition(self, name: str, action: TenantAction, if_match: int | None, actor: str) -> Tenant:
+        """Activate or suspend a tenant.
+
+        Raises:
+            NotFoundError: There is no such tenant.
+            PreconditionFailedError: It changed since the revision `if_match`.
+            ResourceConflictError: Its stage does not allow that.
+        """
+
+        def alter(record: TenantRecord, now: float) -> TenantRecord:
+            try:
+                return record.with_tenancy(apply_action(record.tenancy, action, record.memory, now))
+            except LifecycleError as error:
+                raise ResourceConflictError(str(error)) from error
+
+        return await self._alter(name, if_match, actor, alter)
+
+    async def remove(self, name: str, if_match: int, actor: str) -> None:
+        """Remove a tenant: its name is free at once, and a tombstone takes its place.
+
+        Raises:
+            NotFoundError: There is no such tenant.
+            PreconditionFailedError: It changed since the revision `if_match`.
+        """
+
+        def plan(store: Store, now: float) -> list[Mutation]:
+            item = tenant_item(store, name, if_match)
+            record = decode_tenant(item)
+            leaving = record.with_tenancy(
+                apply_action(record.tenancy, TenantAction.REMOVE, record.memory, now)
+            )
+            tombstone = msgspec.structs.replace(leaving, credentials=[])  # nobody may authenticate any more
+            return [
+                Mutation(TENANT_KIND, name, None, item.revision),
+                Mutation(TOMBSTONE_KIND, f"{name}#{record.incarnation}", encode(tombstone), 0),
+            ]
+
+        await commit(self._store_writer, plan, actor)
+
+    async def add_credential(
+        self, name: str, overlap: float, actor: str, idempotency: IdempotencyKey | None = None
+    ) -> Secret:
+        """Add a credential and return its secret, which is not kept.
+
+        Args:
+            name: The tenant.
+            overlap: Seconds for which the credential in use stays valid.
+            actor: Who asks for it.
+            idempotency: Given if the call carried an idempotency key.
+
+        Raises:
+            NotFoundError: There is no such tenant.
+        """
+        secret, credential = await trio.to_thread.run_sync(self._hasher.issue, self._store_writer.clock())
+
+        def plan(store: Store, now: float) -> list[Mutation]:
+            item = tenant_item(store, name)
+            record = decode_tenant(item)
+            credentials = list(rotate(record.credentials, credential, overlap, now))
+            record = msgspec.structs.replace(record, credentials=credentials)
+            return [Mutation(TENANT_KIND, name, encode(record), item.revision)]
+
+        await commit(self._store_writer, plan, actor, idempotency, no_response)
+        return Secret(credential.credential_id, secret)
+
+    async def revoke_credential(self, name: str, ident: str, actor: str) -> None:
+        """End a credential at once.
+
+        Raises:
+            NotFoundError: There is no such tenant, or it has no such credential.
+        """
+
+        def alter(record: TenantRecord, now: float) -> TenantRecord:
+            try:
+                credentials = list(revoke(record.credentials, ident))
+            except KeyError as error:
+                raise NotFoundError(f"no credential {ident}") from error
+            return msgspec.structs.replace(record, credentials=credentials)
+
+        await self._alter(name, None, actor, alter)
+
+    async def _alter(self, name: str, if_match: int | None, actor: str, alter: Alteration) -> Tenant:
+        def plan(store: Store, now: float) -> list[Mutation]:
+            item = tenant_item(store, name, if_match)
+            return [Mutation(TENANT_KIND, name, encode(alter(decode_tenant(item), now)), item.revision)]
+
+        changes = await commit(self._store_writer, plan, actor)
+        return _resource_of(changes[0])
+
+
+def _new_tenancy(name: str, current: Item | None, last_incarnation: int, now: float) -> TenantIncarnation:
+    try:
+        return create_incarnation(
+            name, [decode_tenant(current).tenancy] if current else [], last_incarnation, now
+        )
+    except LifecycleError as error:
+        raise ResourceConflictError(str(error), "name") from error
+
+
+def _new_record(new: NewTenant, tenancy: TenantIncarnation, place: int, now: float) -> TenantRecord:
+    return TenantRecord(
+        name=new.name,
+        incarnation=tenancy.incarnation,
+        stage=tenancy.stage.value,
+        since=now,
+        marks_until=0.0,
+        clear=False,
+        share=new.share,
+        allowance=new.allowance,
+        memory=new.memory,
+        place=place,
+        traffic=new.traffic,
+        longest_wait=new.longest_wait,
+        most_value=new.most_value,
+    )
+
+
+def _resource_of(item: Item | Change) -> Tenant:
+    return tenant_resource(decode_tenant(item), item.revision)
+
+
+def _encode_tenant(changes: list[Change]) -> bytes:
+    return msgspec.json.encode(_resource_of(changes[0]))
--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -1,9 +1,8 @@
-"""Limits, leases and rolling restarts over HTTP: rows for the table of `admin.app.Api`."""
+"""Limits, leases and rolling restarts over HTTP: routes of the administration API."""
 
 from __future__ import annotations
 
-from typing import Any
-
+from ..admin.route import Route
 from .api_types import ChangeResult, LeasePage, LimitPage, LimitUpdate, LimitView, RestartPage, RestartView
 from .controller import DrainsController
 from .leases_api import LeasesApi
@@ -21,15 +20,15 @@
         self.leases = LeasesApi(controller)
         self.restarts = RestartsApi(controller)
 
-    def routes(self) -> list[tuple[str, str, str, Any, Any, Any]]:
-        """Method, path, summary, request body, response body, handler."""
+    def routes(self) -> list[Route]:
+        """The routes of limits, leases and rolling restarts."""
         limits, leases, restarts = self.limits, self.leases, self.restarts
         return [
-            ("GET", "/v1/limits", "limits on connections", None, LimitPage, limits.list_limits),
-            ("GET", "/v1/limits/{store}", "one limit", None, LimitView, limits.get_limit),
-            ("PUT", "/v1/limits/{store}", "change a limit", LimitUpdate, LimitView, limits.put_limit),
-            ("GET", "/v1/grants", "who may have how many open", None, LeasePage, leases.list_leases),
-            (
+            Route("GET", "/v1/limits", "limits on connections", None, LimitPage, limits.list_limits),
+            Route("GET", "/v1/limits/{store}", "one limit", None, LimitView, limits.get_limit),
+            Route("PUT", "/v1/limits/{store}", "change a limit", LimitUpdate, LimitView, limits.put_limit),
+            Route("GET", "/v1/grants", "who may have how many open", None, LeasePage, leases.list_leases),
+            Route(
                 "POST",
                 "/v1/nodes/{node}/gone",
                 "a node that is no more",
@@ -37,7 +36,7 @@
                 ChangeResult,
                 leases.remove_node,
             ),
-            (
+            Route(
                 "POST",
                 "/v1/nodes/confirm",
                 "all nodes there are, are known",
@@ -45,11 +44,18 @@
                 ChangeResult,
                 leases.confirm,
             ),
-            ("GET", "/v1/rolls", "rolls that stand or stood", None, RestartPage, restarts.list_restarts),
-            ("POST", "/v1/rolls", "roll nodes", RestartOrder, RestartView, restarts.create),
-            ("GET", "/v1/rolls/{id}", "one roll", None, RestartView, restarts.get_restart),
-            ("POST", "/v1/rolls/{id}/pause", "tell nobody more", None, RestartView, restarts.pause),
-            ("POST", "/v1/rolls/{id}/resume", "go on", None, RestartView, restarts.resume),
-            ("POST", "/v1/rolls/{id}/cancel", "end it as it stands", None, RestartView, restarts.cancel),
-            ("POST", "/v1/rolls/{id}/back", "take back what was done", None, RestartView, restarts.roll_back),
+            Route("GET", "/v1/rolls", "rolls that stand or stood", None, RestartPage, restarts.list_restarts),
+            Route("POST", "/v1/rolls", "roll nodes", RestartOrder, RestartView, restarts.create),
+            Route("GET", "/v1/rolls/{id}", "one roll", None, RestartView, restarts.get_restart),
+            Route("POST", "/v1/rolls/{id}/pause", "tell nobody more", None, RestartView, restarts.pause),
+            Route("POST", "/v1/rolls/{id}/resume", "go on", None, RestartView, restarts.resume),
+            Route("POST", "/v1/rolls/{id}/cancel", "end it as it stands", None, RestartView, restarts.cancel),
+            Route(
+                "POST",
+                "/v1/rolls/{id}/back",
+                "take back what was done",
+                None,
+                RestartView,
+                restarts.roll_back,
+            ),
         ]
--- a/gaugehinge/drains/controller.py
+++ b/gaugehinge/drains/controller.py
@@ -8,7 +8,7 @@
 import trio
 from loguru import logger
 
-from ..admin.service import Wrong
+from ..admin.errors import InvalidRequestError
 from ..store.errors import DiskFullError, RevisionConflictError, StoreOverloadedError
 from ..store.store import Store
 from ..tenancy.feed import Report
@@ -36,7 +36,7 @@
     # -- reports
 
     def on_report(self, report: Report, now: float) -> None:
-        """Take a router's report. Raises Wrong where its part is malformed or of another router."""
+        """Take a router's report. Raises ApiError where its part is malformed or of another router."""
         raw = report.parts.get(NAME)
         if raw is None:
             return
@@ -71,7 +71,7 @@
     def _reply(
         self, record: NodeRecord | None, router_report: RouterReport, report: Report
     ) -> ControlPlaneReply:
-        incarnation, manager = self.leases.administration.life, self.leases.manager
+        incarnation, manager = self.leases.control_plane.store_id, self.leases.manager
         with self.leases.lock:
             now = self.leases.clock()
             known = manager.reports.get(router_report.node)
@@ -92,7 +92,7 @@
         if order is not None:
             fleet.notified_runs[router_report.node] = report.run
         return ControlPlaneReply(
-            self.leases.administration.life,
+            self.leases.control_plane.store_id,
             close_timeout=manager.close_timeout,
             restart_token=order.restart_token if order is not None else "",
             immediate=order is not None and order.immediate,
@@ -132,9 +132,9 @@
     try:
         report = msgspec.json.decode(raw, type=RouterReport)
     except msgspec.MsgspecError as error:
-        raise Wrong(422, "invalid", str(error), f"parts.{NAME}") from None
+        raise InvalidRequestError(str(error), f"parts.{NAME}") from None
     if report.node.rpartition("@")[0] != router:
-        raise Wrong(422, "invalid", "not this router's", f"parts.{NAME}.node")
+        raise InvalidRequestError("not this router's", f"parts.{NAME}.node")
     return report
 
 
--- a/gaugehinge/drains/fleet_view.py
+++ b/gaugehinge/drains/fleet_view.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from ..admin.service import SERVER
+from ..admin.records import SERVER_ORDER_KIND
 from ..store.store import Store
 from ..tenancy.feed import Report
 from .connection_counts import ORIGIN, ConnectionCounts, count_for
@@ -194,7 +194,9 @@
         self, store: Store, nodes: dict[str, Stored[NodeRecord]], now: float
     ) -> dict[str, NodeStatus]:
         limits = load_limits(store)
-        drain_orders = {item.item_id: item.revision for item in store.items(SERVER, limit=MAX_ITEMS)}
+        drain_orders = {
+            item.item_id: item.revision for item in store.items(SERVER_ORDER_KIND, limit=MAX_ITEMS)
+        }
         drained_by_restarts = _drained_by_restarts(store)
         load = self._load_of_each_server(now)
         found = {}
--- a/gaugehinge/drains/limits_api.py
+++ b/gaugehinge/drains/limits_api.py
@@ -5,8 +5,9 @@
 from starlette.requests import Request
 from starlette.responses import Response
 
-from ..admin.app import answer, if_match, read
-from ..admin.service import Caller, Wrong
+from ..admin.caller import Caller
+from ..admin.errors import InvalidRequestError, NotFoundError, PreconditionFailedError, ResourceConflictError
+from ..admin.http import if_match_revision, json_response, read_json
 from ..store.records import Mutation, encode
 from ..store.store import Store
 from .api_types import LimitPage, LimitUpdate, LimitView
@@ -24,58 +25,58 @@
     def __init__(self, controller: DrainsController) -> None:
         """The controller whose limits are shown and changed."""
         self.controller = controller
-        self.administration = controller.leases.administration
+        self.control_plane = controller.leases.control_plane
 
     async def list_limits(self, request: Request, caller: Caller) -> Response:
         """GET /v1/limits."""
-        caller.need("reader")
-        return answer(LimitPage(await self._views()))
+        caller.require_role("reader")
+        return json_response(LimitPage(await self._views()))
 
     async def get_limit(self, request: Request, caller: Caller) -> Response:
         """GET /v1/limits/{store}."""
-        caller.need("reader")
+        caller.require_role("reader")
         return await self._one(request.path_params["store"])
 
     async def put_limit(self, request: Request, caller: Caller) -> Response:
         """PUT /v1/limits/{store}: at the revision that was read; 0 names a server for the first time."""
-        caller.need("operator")
+        caller.require_role("operator")
         upstream = request.path_params["store"]
-        update, _ = await read(request, LimitUpdate)
-        expected = if_match(request)
+        update, _ = await read_json(request, LimitUpdate)
+        expected = if_match_revision(request)
         self._check(upstream, update)
 
         def plan(store: Store, now: float) -> list[Mutation]:
             held = store.get(LIMIT, upstream)
             revision = held.revision if held else 0
             if revision != expected:
-                raise Wrong(412, "precondition failed", f"it is at revision {revision}", etag=revision)
+                raise PreconditionFailedError(f"it is at revision {revision}", etag=revision)
             if held is None and len(store.items(LIMIT)) >= MAX_LIMITS:
-                raise Wrong(409, "conflict", f"{MAX_LIMITS} limits are named", "store")
+                raise ResourceConflictError(f"{MAX_LIMITS} limits are named", "store")
             return [Mutation(LIMIT, upstream, encode(update), revision)]
 
-        await self.administration._change(plan, caller.name)
+        await self.control_plane.commit(plan, caller.name)
         self.controller.request_plan()
         return await self._one(upstream)
 
     def _check(self, upstream: str, update: LimitUpdate) -> None:
-        """Raises Wrong where the name is too long or the floors of all nodes do not fit."""
+        """Raises ApiError where the name is too long or the floors of all nodes do not fit."""
         if not 0 < len(upstream) <= MAX_UPSTREAM_NAME:
-            raise Wrong(422, "invalid", f"1 to {MAX_UPSTREAM_NAME} characters", "store")
+            raise InvalidRequestError(f"1 to {MAX_UPSTREAM_NAME} characters", "store")
         manager = self.controller.leases.manager
         undersized = undersized_limit({upstream: update.limit}, manager.floors, manager.max_nodes)
         if undersized is not None:
             detail = f"{update.limit} is under {undersized.least}, the floors of {manager.max_nodes} nodes"
-            raise Wrong(422, "invalid", detail, "most")
+            raise InvalidRequestError(detail, "most")
 
     async def _one(self, upstream: str) -> Response:
         view = next((each for each in await self._views() if each.upstream == upstream), None)
         if view is None:
-            raise Wrong(404, "not found", f"no limit for {upstream}")
-        return answer(view, etag=view.revision)
+            raise NotFoundError(f"no limit for {upstream}")
+        return json_response(view, etag=view.revision)
 
     async def _views(self) -> list[LimitView]:
-        keeper = self.administration.keeper
-        return await keeper.run_sync(self._read_views, keeper.store)
+        store_writer = self.control_plane.store_writer
+        return await store_writer.run_sync(self._read_views, store_writer.store)
 
     def _read_views(self, store: Store) -> list[LimitView]:
         leases = self.controller.leases
--- a/gaugehinge/drains/part.py
+++ b/gaugehinge/drains/part.py
@@ -1,14 +1,14 @@
-"""The control plane's part, as the administration calls it, and how it is made from settings."""
+"""The control plane's part, as the control_plane calls it, and how it is made from settings."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
-from ..admin.keep import KeepDrains, KeepFile
-from ..admin.service import Administration
+from ..admin.config import ControlPlaneConfig, DrainsConfig
+from ..admin.control_plane import ControlPlane
+from ..admin.route import Route
 from ..store.store import Store
 from ..tenancy.feed import Report
 from .admission_record import AdmissionRecord
@@ -26,21 +26,21 @@
 
 @dataclass(slots=True, eq=False)
 class DrainsPart:
-    """`admin.service.Part`: a controller and its API."""
+    """An `admin.extension.Extension`: a controller and its API."""
 
     controller: DrainsController
     name: str = NAME
 
-    def hear(self, report: Report, now: float) -> None:
-        """Take a router's report. Raises Wrong where its part is malformed."""
+    def on_report(self, report: Report, now: float) -> None:
+        """Take a router's report. Raises ApiError where its part is malformed."""
         self.controller.on_report(report, now)
 
-    def feed(self, store: Store, report: Report) -> bytes | None:
+    def feed_section(self, store: Store, report: Report) -> bytes | None:
         """On the store's thread: the part of the answer, in JSON."""
         return self.controller.reply(store, report)
 
-    def routes(self) -> list[tuple[str, str, str, Any, Any, Any]]:
-        """Rows for the table of `admin.app.Api`."""
+    def routes(self) -> list[Route]:
+        """What drains adds to the API."""
         return DrainsApi(self.controller).routes()
 
     async def run(self) -> None:
@@ -48,31 +48,31 @@
         await self.controller.run()
 
 
-def control_plane_part(settings: KeepFile) -> Callable[[Administration], DrainsPart]:
+def control_plane_part(settings: ControlPlaneConfig) -> Callable[[ControlPlane], DrainsPart]:
     """What makes the control plane's part, by its settings file."""
     zones_by_region = getattr(settings.placement, "regions", {})
     regions = {zone: region for region, zones in zones_by_region.items() for zone in zones}
-    return lambda administration: create_part(administration, settings.drains, regions)
+    return lambda control_plane: create_part(control_plane, settings.drains, regions)
 
 
 def create_part(
-    administration: Administration, settings: KeepDrains, regions: dict[str, str] | None = None
+    control_plane: ControlPlane, settings: DrainsConfig, regions: dict[str, str] | None = None
 ) -> DrainsPart:
     """The part of one control plane run; `regions`: by zone, where they are named."""
     manager = LeaseManager(
         time.monotonic(),
-        administration.lease,
+        control_plane.leases.duration,
         float(settings.closing),
         settings.most_nodes,
         {ORIGIN: settings.floor_origin, DEFAULT_SERVER: settings.floor_servers},
         settings.reserve,
-        administration.run_mark,
-        administration.life,
+        control_plane.run_id,
+        control_plane.store_id,
         DurableState(),
     )
-    store_path = administration.keeper.path
+    store_path = control_plane.store_writer.path
     leases = LeaseService(
-        administration,
+        control_plane,
         settings,
         time.monotonic,
         manager,
--- a/gaugehinge/placement/build.py
+++ b/gaugehinge/placement/build.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from ..admin.keep import KeepFile
-from ..admin.service import Administration
+from ..admin.config import ControlPlaneConfig
+from ..admin.control_plane import ControlPlane
 from ..hosted.control_plane_watch import ControlPlaneWatch
 from ..net.service import Service
 from .control_plane import PlacementControlPlane
@@ -19,6 +19,6 @@
     return part
 
 
-def control_plane_factory(settings: KeepFile) -> Callable[[Administration], PlacementControlPlane]:
+def control_plane_factory(settings: ControlPlaneConfig) -> Callable[[ControlPlane], PlacementControlPlane]:
     """What makes the control plane's part, by its file."""
     return lambda administration: PlacementControlPlane(administration, settings.placement)
--- a/gaugehinge/placement/capacity.py
+++ b/gaugehinge/placement/capacity.py
@@ -4,9 +4,8 @@
 
 from loguru import logger
 
-from ..admin.keep import KeepPlacement
-from ..admin.service import TOMBSTONE
-from ..admin.types import Kept
+from ..admin.config import PlacementConfig
+from ..admin.records import TOMBSTONE_KIND, TenantRecord
 from ..store.store import Store
 from .admission import RegionCapacity
 from .server_availability import ServerAvailability
@@ -17,7 +16,7 @@
 class CapacityPlanner:
     """The capacity of the regions, as of the store and of the servers reported last."""
 
-    def __init__(self, index: ShardIndex, servers: ServerAvailability, settings: KeepPlacement) -> None:
+    def __init__(self, index: ShardIndex, servers: ServerAvailability, settings: PlacementConfig) -> None:
         """`settings`: the regions, and the rate that a server of weight 1 takes."""
         self.index = index
         self.servers = servers
@@ -41,7 +40,9 @@
 
     def _reserved(self, store: Store, without: str) -> dict[str, float]:
         # A tenant that was removed, and that no router has anything of in flight, reserves nothing any more.
-        cleared = {tenant.incarnation for tenant in iter_decoded(store, TOMBSTONE, Kept) if tenant.clear}
+        cleared = {
+            tenant.incarnation for tenant in iter_decoded(store, TOMBSTONE_KIND, TenantRecord) if tenant.clear
+        }
         reserved: dict[str, float] = {}
         for record_id, (record, _) in self.index.shards.items():
             if record_id != without and record.incarnation not in cleared:
--- a/gaugehinge/placement/control_plane.py
+++ b/gaugehinge/placement/control_plane.py
@@ -10,14 +10,15 @@
 
 import time
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 import trio
 from loguru import logger
 
-from ..admin.keep import KeepPlacement
-from ..admin.service import Administration, Wrong
+from ..admin.config import PlacementConfig
+from ..admin.control_plane import ControlPlane
+from ..admin.errors import InvalidRequestError
+from ..admin.route import Route
 from ..store.errors import DiskFullError, StoreOverloadedError
 from ..store.records import Mutation
 from ..store.store import Store
@@ -41,42 +42,42 @@
 
 
 class PlacementControlPlane:
-    """Placement as a part of the administration (`admin.service.Part`)."""
+    """Placement as a part of the administration (`admin.extension.Extension`)."""
 
     name = "placement"
 
     def __init__(
         self,
-        administration: Administration,
-        settings: KeepPlacement,
+        administration: ControlPlane,
+        settings: PlacementConfig,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         """`clock`: monotonic seconds, by which leases are counted."""
         self.administration = administration
-        self.keeper = administration.keeper
+        self.keeper = administration.store_writer
         self.settings = settings
         self.clock = clock
         self.index = ShardIndex()
         self.inventory = ServerInventory()
-        self.leases = LeaseTracker(administration.lease, settings, clock)
+        self.leases = LeaseTracker(administration.leases.duration, settings, clock)
         self.servers = ServerAvailability(self.inventory)
         self.capacity = CapacityPlanner(self.index, self.servers, settings)
         self.reconciler = Reconciler(self.keeper, self.index, self.servers, self.leases, settings, clock)
         presenter = ShardPresenter(self.leases, self.inventory, settings, self.keeper.clock)
         self.changes = ShardChanges(administration, self.index, self.capacity, presenter, settings, self.wake)
-        self.api = TenantApi(administration, self.changes, presenter)
+        self.api = TenantApi(self.keeper, self.changes, presenter)
         self._wake = trio.Event()
 
-    def routes(self) -> list[tuple[str, str, str, Any, Any, Any]]:
-        """Rows of the API's table."""
+    def routes(self) -> list[Route]:
+        """The routes of shards."""
         return self.api.routes()
 
     # -- routers
 
-    def hear(self, report: Report, now: float) -> None:
+    def on_report(self, report: Report, now: float) -> None:
         """A router called; its lease counts from here on, later than its question was sent.
 
-        Raises Wrong where its report cannot be read.
+        Raises InvalidRequestError where its report cannot be read.
         """
         router_report = self._read_report(report)
         # A router without placement follows nothing and is given nothing.
@@ -95,16 +96,16 @@
         try:
             return msgspec.json.decode(report.parts.get(self.name, b"{}"), type=RouterReport)
         except msgspec.MsgspecError as error:
-            raise Wrong(422, "invalid", str(error), f"parts.{self.name}") from error
+            raise InvalidRequestError(str(error), f"parts.{self.name}") from error
 
     def _followed_revision(self, router_report: RouterReport) -> int:
         """The newest revision that a router certainly follows; 0 where its table is not of this run."""
-        digest = self.administration.told.get(router_report.table_revision)
-        if not router_report.revision_digest or digest != router_report.revision_digest:
+        revision, digest = router_report.table_revision, router_report.revision_digest
+        if not digest or not self.administration.feed.digests.was_issued(revision, digest):
             return 0
         return min(router_report.effective_revision, router_report.table_revision)
 
-    def feed(self, store: Store, report: Report) -> bytes | None:
+    def feed_section(self, store: Store, report: Report) -> bytes | None:
         """The JSON that a router gets with an answer; None for one without placement.
 
         On the store's thread.
@@ -126,7 +127,7 @@
         is_tracked = self.leases.is_tracked(report.router, report.run)
         return ControlPlaneUpdate(
             self.index.revision,
-            self.administration.mark_of(self.index.revision),
+            self.administration.feed.digests.issue(self.index.revision),
             changes.is_complete,
             changes.assignments,
             changes.removed,
--- a/gaugehinge/placement/lease_tracker.py
+++ b/gaugehinge/placement/lease_tracker.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Callable
 
-from ..admin.keep import KeepPlacement
+from ..admin.config import PlacementConfig
 from ..tenancy.lease import LeaseTable
 from .lifecycle import Stage
 from .records import ShardRecord
@@ -22,7 +22,7 @@
 class LeaseTracker:
     """The leases and isolation limits that this run of the control plane gave to routers."""
 
-    def __init__(self, lease: float, settings: KeepPlacement, clock: Callable[[], float]) -> None:
+    def __init__(self, lease: float, settings: PlacementConfig, clock: Callable[[], float]) -> None:
         """`lease`: seconds that each answer to a router gives it; `clock`: monotonic seconds."""
         self.lease = lease
         self.isolation_limit = float(settings.alone)
--- a/gaugehinge/placement/quotas.py
+++ b/gaugehinge/placement/quotas.py
@@ -12,7 +12,7 @@
 class ChangeBudget(msgspec.Struct, frozen=True, array_like=True):
     """Changes that a tenant may still make: a token bucket that fills again over an hour.
 
-    Kept in the store, as an array.
+    TenantRecord in the store, as an array.
     """
 
     remaining: float
--- a/gaugehinge/placement/reconciler.py
+++ b/gaugehinge/placement/reconciler.py
@@ -8,7 +8,7 @@
 import msgspec
 from loguru import logger
 
-from ..admin.keep import KeepPlacement
+from ..admin.config import PlacementConfig
 from ..store.async_store import AsyncStore
 from ..store.records import Mutation, encode
 from ..store.store import Store
@@ -77,7 +77,7 @@
         index: ShardIndex,
         servers: ServerAvailability,
         leases: LeaseTracker,
-        settings: KeepPlacement,
+        settings: PlacementConfig,
         clock: Callable[[], float],
     ) -> None:
         """`settings`: times of flight and of deduplication; `clock`: monotonic seconds."""
--- a/gaugehinge/placement/server_availability.py
+++ b/gaugehinge/placement/server_availability.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..admin.service import SERVER
+from ..admin.records import SERVER_ORDER_KIND
 from ..store.records import Mutation, encode
 from ..store.store import Store
 from .messages import RelabelledServer, ReportedServer
@@ -30,7 +30,7 @@
 
     def refresh(self, store: Store) -> None:
         """Follow the store. On its thread."""
-        self.drained = frozenset(item.item_id for item in iter_items(store, SERVER))
+        self.drained = frozenset(item.item_id for item in iter_items(store, SERVER_ORDER_KIND))
         self.relabelled = {**dict(self.stored_relabelled(store)), **self.inventory.relabelled}
 
     def servers(self) -> list[ReportedServer]:
--- a/gaugehinge/placement/shard_changes.py
+++ b/gaugehinge/placement/shard_changes.py
@@ -5,13 +5,14 @@
 from collections.abc import Callable, Iterator, Mapping
 from contextlib import contextmanager
 from dataclasses import dataclass
-from typing import Any
 
 import msgspec
 
-from ..admin.keep import KeepPlacement
-from ..admin.service import TENANT, Administration, Wrong
-from ..admin.types import Kept
+from ..admin.config import PlacementConfig
+from ..admin.control_plane import ControlPlane
+from ..admin.errors import ApiError, NotFoundError, ResourceConflictError
+from ..admin.records import TENANT_KIND, TenantRecord
+from ..admin.transactions import IdempotencyKey
 from ..store.records import Change, Mutation, encode
 from ..store.store import Store
 from .admission import AdmissionError
@@ -39,7 +40,7 @@
 class TenantShards:
     """A tenant with its shards by name, each with the revision of its record."""
 
-    tenant: Kept
+    tenant: TenantRecord
     shards: Mapping[str, StoredShard]
 
     def rate_of_others(self, shard: str) -> float:
@@ -68,11 +69,11 @@
 
     def __init__(
         self,
-        administration: Administration,
+        administration: ControlPlane,
         index: ShardIndex,
         capacity: CapacityPlanner,
         presenter: ShardPresenter,
-        settings: KeepPlacement,
+        settings: PlacementConfig,
         on_change: Callable[[], None],
     ) -> None:
         """`on_change`: called after each change that was made."""
@@ -84,11 +85,11 @@
         self.on_change = on_change
 
     def tenant_shards(self, store: Store, name: str) -> TenantShards:
-        """A tenant and its shards, on the store's thread. Raises Wrong where there is no such tenant."""
-        item = store.get(TENANT, name)
+        """A tenant and its shards, on the store's thread. Raises ApiError where there is no such tenant."""
+        item = store.get(TENANT_KIND, name)
         if item is None:
-            raise Wrong(404, "not found", f"no tenant {name}")
-        tenant = msgspec.json.decode(item.body, type=Kept)
+            raise NotFoundError(f"no tenant {name}")
+        tenant = msgspec.json.decode(item.body, type=TenantRecord)
         self.index.refresh(store)
         found = self.index.for_incarnation(tenant.incarnation)
         return TenantShards(tenant, {stored.record.shard: stored for stored in found})
@@ -100,19 +101,19 @@
         wanted: ShardWanted,
         expected_version: int | None,
         caller: str,
-        **idempotency: Any,
+        idempotency: IdempotencyKey | None = None,
     ) -> ShardShown:
-        """Pin a shard, or change its pin. Raises Wrong where it is refused.
+        """Pin a shard, or change its pin. Raises ApiError where it is refused.
 
-        `expected_version`: the entity tag that the caller read, None for a new shard; `idempotency`: as
-        `Store.apply` takes it.
+        `expected_version`: the entity tag that the caller read, None for a new shard; `idempotency`: of
+        the call, where it has a key.
         """
 
         def plan(store: Store, now: float) -> list[Mutation]:
             with _api_errors():
                 return self._plan_put(store, now, tenant, shard, wanted, expected_version)
 
-        made = await self.administration._change(plan, caller, answer=self._response_body, **idempotency)
+        made = await self.administration.commit(plan, caller, idempotency, self._response_body)
         self.on_change()
         return msgspec.json.decode(self._response_body(made), type=ShardShown)
 
@@ -136,7 +137,7 @@
         return [Mutation(SHARD, record_id(incarnation, shard), encode(after), revision), budget]
 
     def _admit(self, store: Store, found: TenantShards, shard: str, wanted: ShardWanted) -> AdmittedPin:
-        """Check a pin against what its tenant and its regions can take. Raises Wrong, AdmissionError."""
+        """Check a pin against what its tenant and its regions can take. Raises ApiError, AdmissionError."""
         stored = found.shards.get(shard)
         record = stored.record if stored is not None else None
         prefixes = check_prefixes(shard, wanted, record, found.shards)
@@ -154,13 +155,13 @@
         return transition(lifecycle_of(record) if record else None, event, affinity, wanted.at)
 
     async def remove(self, tenant: str, shard: str, expected_version: int, caller: str) -> None:
-        """Remove the pin of a shard. Raises Wrong where it is refused."""
+        """Remove the pin of a shard. Raises ApiError where it is refused."""
 
         def plan(store: Store, now: float) -> list[Mutation]:
             with _api_errors():
                 return self._plan_remove(store, now, tenant, shard, expected_version)
 
-        await self.administration._change(plan, caller)
+        await self.administration.commit(plan, caller)
         self.on_change()
 
     def _plan_remove(
@@ -170,7 +171,7 @@
         incarnation = found.tenant.incarnation
         record, revision = found.shards.get(shard, (None, 0))
         if record is None or record.is_ending:
-            raise Wrong(404, "not found", f"no shard {shard}")
+            raise NotFoundError(f"no shard {shard}")
         check_version(record, expected_version, shard)
         budget = self._charge_budget(store, incarnation, now)
         lifecycle = transition(lifecycle_of(record), Event.REMOVAL_REQUESTED)
@@ -226,10 +227,10 @@
 
 @contextmanager
 def _api_errors() -> Iterator[None]:
-    """Errors of decisions as the API tells them. Raises Wrong."""
+    """Errors of decisions as the API tells them. Raises ApiError."""
     try:
         yield
     except AdmissionError as error:
-        raise Wrong(error.status, error.what, error.detail, error.field) from error
+        raise ApiError(error.status, error.what, error.detail, error.field) from error
     except InvalidTransitionError as error:
-        raise Wrong(409, "conflict", str(error)) from error
+        raise ResourceConflictError(str(error)) from error
--- a/gaugehinge/placement/shard_view.py
+++ b/gaugehinge/placement/shard_view.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from ..admin.keep import KeepPlacement
+from ..admin.config import PlacementConfig
 from ..store.store import Store
 from .affinity import RegionAffinity
 from .api_types import Copy, ShardShown, TermsShown
@@ -24,7 +24,7 @@
         self,
         leases: LeaseTracker,
         inventory: ServerInventory,
-        settings: KeepPlacement,
+        settings: PlacementConfig,
         wall_clock: Callable[[], float],
     ) -> None:
         """`settings`: how long servers keep values; `wall_clock`: Unix seconds."""
--- a/gaugehinge/placement/store_reader.py
+++ b/gaugehinge/placement/store_reader.py
@@ -7,8 +7,7 @@
 
 import msgspec
 
-from ..admin.service import TENANT, TOMBSTONE
-from ..admin.types import Kept
+from ..admin.records import TENANT_KIND, TOMBSTONE_KIND, TenantRecord
 from ..store.records import Item
 from ..store.store import Store
 
@@ -33,6 +32,6 @@
     """Names of all tenants by incarnation, those that are being removed among them."""
     return {
         tenant.incarnation: tenant.name
-        for kind in (TENANT, TOMBSTONE)
-        for tenant in iter_decoded(store, kind, Kept)
+        for kind in (TENANT_KIND, TOMBSTONE_KIND)
+        for tenant in iter_decoded(store, kind, TenantRecord)
     }
--- a/tests/placement_cluster.py
+++ b/tests/placement_cluster.py
@@ -5,14 +5,14 @@
 import httpx
 import trio
 
-from gaugehinge.admin.keep import KeepPlacement
+from gaugehinge.admin.config import PlacementConfig
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.installation.form import PlacementEntry
 from gaugehinge.placement.control_plane import PlacementControlPlane
 from gaugehinge.rehearsal.hostedplay import hosting
 
 ALONE_LONGER = Seconds(2.6)  # `alone`, where it has to stand out from the lease
-SETTINGS = KeepPlacement(
+SETTINGS = PlacementConfig(
     True,
     {"eu": ("a",), "us": ("b",), "ap": ("c",)},
     Rate(1000.0),
@@ -35,7 +35,7 @@
     @property
     def control_plane(self) -> PlacementControlPlane:
         """The part of the administration that is tested."""
-        return self.nodes.administration.parts[0]
+        return self.nodes.administration.extensions[0]
 
     async def put(self, shard, regions, status=200, match=None, key="", **more):
         headers = {**({"If-Match": match} if match else {}), **({"Idempotency-Key": key} if key else {})}
@@ -96,7 +96,7 @@
         **more,
     ) as nodes:
         secret = await nodes.tenant("acme", allowance=allowance)
-        made = await nodes.administration.new_operator("acme-desk", "tenant", "acme", "play")
+        made = await nodes.administration.operators.create("acme-desk", "tenant", "acme", "play")
         headers = {"Authorization": f"Bearer {made.secret}"}
         async with httpx.AsyncClient(base_url=nodes.api, headers=headers) as api:
             cluster = PlacementCluster(nodes, secret, api)
--- a/tests/test_drains_control_plane.py
+++ b/tests/test_drains_control_plane.py
@@ -13,8 +13,8 @@
 from drains_support import run, until
 
 from gaugehinge.admin.app import Api
-from gaugehinge.admin.keep import KeepDrains
-from gaugehinge.admin.service import Administration
+from gaugehinge.admin.config import DrainsConfig
+from gaugehinge.admin.control_plane import ControlPlane
 from gaugehinge.cli.main import main as command_line
 from gaugehinge.drains.connection_counts import ORIGIN
 from gaugehinge.drains.high_water_mark import HighWaterMarkFile
@@ -43,12 +43,12 @@
     """A control plane with its part, and the API as `root` calls it."""
     keeper = AsyncStore(path / "store.db")
     try:
-        admin = Administration(keeper, CHEAP, AttemptLimiter(1, keeper.clock()))
-        await admin.ready()
-        root = await admin.first_operator() or (path / "root").read_text()
+        admin = ControlPlane(keeper, CHEAP, AttemptLimiter(1, keeper.clock()))
+        await admin.prepare()
+        root = await admin.operators.create_first() or (path / "root").read_text()
         (path / "root").write_text(root)
-        admin.give_leases(5.0)
-        settings = KeepDrains(
+        admin.leases.enable(5.0)
+        settings = DrainsConfig(
             True,
             **{
                 "origin": 20,
@@ -60,7 +60,7 @@
             },
         )
         part = create_part(admin, settings)
-        admin.parts = [part]
+        admin.extensions.append(part)
         transport = httpx.ASGITransport(app=Api(admin).app())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(part.run)
@@ -77,7 +77,7 @@
 async def report(setup, name, sequence, zone="a", **report_fields):
     """A router's call and the control plane's part of the answer."""
     body = RouterReport(f"{name}@0123456789abcdef", 1, sequence, zone=zone, ready_for=60.0, **report_fields)
-    feed = await setup.admin.feed(
+    feed = await setup.admin.feed.poll(
         Report(name, f"{name}.1", parts={NAME: msgspec.Raw(msgspec.json.encode(body))})
     )
     return msgspec.json.decode(feed.parts[NAME], type=ControlPlaneReply)
@@ -171,7 +171,7 @@
 
             def leaving():
                 facts = setup.controller.leases.fleet.statuses(
-                    setup.admin.keeper.store, setup.controller.leases.clock()
+                    setup.admin.store_writer.store, setup.controller.leases.clock()
                 )["routers"]
                 return [name for name, fact in facts.items() if fact.draining]
 
@@ -194,10 +194,12 @@
             made = await setup.client.post("/v1/rolls", json={"who": {"all": True}, "headroom": 0.0})
             await trio.sleep(0.3)
             older = (tmp_path / "store.db").parent / "older.db"
-            setup.admin.keeper.store.backup(older)
+            setup.admin.store_writer.store.backup(older)
             await follow_lease(setup, "r-2")
         async with running_control_plane(tmp_path) as setup:
-            records = {node: stored.record for node, stored in load_nodes(setup.admin.keeper.store).items()}
+            records = {
+                node: stored.record for node, stored in load_nodes(setup.admin.store_writer.store).items()
+            }
             assert records["r-1@0123456789abcdef"].number >= before.number and len(records) == 2
             assert (await setup.client.get(f"/v1/rolls/{made.json()['id']}")).status_code == 200
             assert (
@@ -227,7 +229,7 @@
         async with running_control_plane(tmp_path) as setup:
             await follow_lease(setup, "r-1")
             older = tmp_path / "older.db"
-            setup.admin.keeper.store.backup(older)
+            setup.admin.store_writer.store.backup(older)
             await follow_lease(setup, "r-2")
         async with running_control_plane(tmp_path) as setup:
             assert (await follow_lease(setup, "r-3")).number
@@ -240,7 +242,7 @@
         for name in ("store.db-wal", "store.db-shm"):
             (tmp_path / name).unlink(missing_ok=True)
         older.rename(store)  # put back with all that lies beside it
-        (tmp_path / "store.db.drains").write_text(json.dumps({"life": setup.admin.life, "admissions": 1}))
+        (tmp_path / "store.db.drains").write_text(json.dumps({"life": setup.admin.store_id, "admissions": 1}))
         async with running_control_plane(tmp_path) as setup:
             assert (
                 not setup.controller.leases.manager.state.suspension_reason
@@ -276,7 +278,7 @@
                 b'{"node":"r@1","number":-1}',
             ):
                 with pytest.raises(Exception, match="missing|not this|regex") as bad:
-                    await setup.admin.feed(Report("r", "1", parts={NAME: msgspec.Raw(body)}))
+                    await setup.admin.feed.poll(Report("r", "1", parts={NAME: msgspec.Raw(body)}))
                 assert bad.value.status == 422 and bad.value.field.startswith("parts.drains")
             servers = [ServerReport("s-1", "a", "std", True, 1.0), ServerReport("s-2", "a", "std", True, 1.0)]
             await report(setup, "r", 1, servers=servers)
@@ -284,11 +286,13 @@
             assert made.json()["nodes"] == 2
             # One of the two is the last of a shard's zones once the other is out, whoever took it out.
             rows = {"x": (SimpleNamespace(current=RegionAffinity(True, ("r",), (("a",),)), target=None), 1)}
-            setup.admin.parts.append(SimpleNamespace(name="placement", index=SimpleNamespace(shards=rows)))
-            facts = setup.controller.leases.fleet.statuses(setup.admin.keeper.store, 1e9)["servers"]
+            setup.admin.extensions.append(
+                SimpleNamespace(name="placement", index=SimpleNamespace(shards=rows))
+            )
+            facts = setup.controller.leases.fleet.statuses(setup.admin.store_writer.store, 1e9)["servers"]
             last = last_of_shard(pinned_zones(setup.admin), facts)
             assert last("s-1", frozenset({"s-1", "s-2"})) and not last("s-1", frozenset({"s-1"}))
-            setup.admin.parts.pop()
+            setup.admin.extensions.pop()
 
     run(scene)
 
@@ -306,7 +310,7 @@
     ):
         keep.write_text(base + more)
         told = subprocess.run(
-            [sys.executable, "-m", "gaugehinge.cli", "keep", str(keep)],
+            [sys.executable, "-m", "gaugehinge.cli", "control-plane", str(keep)],
             capture_output=True,
             text=True,
             timeout=60,
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,8 @@
 from loguru import logger
 from placement_cluster import ALONE_LONGER, KEYS, SETTINGS, assert_served, placement_cluster, run
 
-from gaugehinge.admin.keep import look_at_stones, read_keep
+from gaugehinge.admin.config import read_config
+from gaugehinge.admin.tombstones import sweep_tombstones
 from gaugehinge.forms.toml import BadFile
 from gaugehinge.forms.units import Seconds
 
@@ -75,7 +76,7 @@
             await cluster.put("x", ["us"], 428, prefixes=["x"])
             await cluster.put("x", ["us"], 412, match='"1"')
             await cluster.put("y", ["eu"], 409, prefixes=["x"])
-            other = await cluster.nodes.administration.new_operator("bolt-desk", "tenant", "bolt", "play")
+            other = await cluster.nodes.administration.operators.create("bolt-desk", "tenant", "bolt", "play")
             headers = {"Authorization": f"Bearer {other.secret}"}
             got = await cluster.api.get("/v1/tenants/acme/shards", headers=headers)
             assert got.status_code == 403
@@ -214,7 +215,7 @@
                     while (
                         await operator_api.put("/v1/tenants/acme/shards/one", json=body)
                     ).status_code != 200:
-                        await look_at_stones(cluster.nodes.administration)
+                        await sweep_tombstones(cluster.nodes.administration)
                         await trio.sleep(0.05)
 
     run(scene)
@@ -456,7 +457,7 @@
             await cluster.nodes.keep()
             # The copy goes on counting: past the number that routers had, under other marks.
             for number in range(8):
-                await cluster.nodes.administration.order_server(f"nobody-{number}", True, "play")
+                await cluster.nodes.administration.servers.set_draining(f"nobody-{number}", True, "play")
             await cluster.until("mine", "held")
             await cluster.until("new", "held")
             with trio.fail_after(10):
@@ -505,7 +506,7 @@
     path = tmp_path / "keep.toml"
     path.write_text(f"store = 's'\nlisten = '127.0.0.1:7400'\n{text}\n")
     with pytest.raises(BadFile) as bad:
-        read_keep(path)
+        read_config(path)
     assert field in str(bad.value) and "\n" not in str(bad.value)
 
 
--- a/tests/test_placement_compatibility.py
+++ b/tests/test_placement_compatibility.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from gaugehinge.admin.keep import KeepPlacement
+from gaugehinge.admin.config import PlacementConfig
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.placement.capacity import CapacityPlanner
 from gaugehinge.placement.control_plane import PlacementControlPlane
@@ -42,7 +42,7 @@
     "update": ControlPlaneUpdate,
     "complete_update": ControlPlaneUpdate,
 }
-SETTINGS = KeepPlacement(
+SETTINGS = PlacementConfig(
     True, {"eu": ("a",), "us": ("b",), "ap": ("c",)}, Rate(1000.0), Seconds(5.0), Seconds(0.5), Seconds(3.0)
 )
 
@@ -61,7 +61,7 @@
 def control_plane(store: Store) -> PlacementControlPlane:
     """The control plane on a store, with nothing around it."""
     keeper = SimpleNamespace(store=store, clock=lambda: 1e9)
-    administration = SimpleNamespace(keeper=keeper, lease=2.0, told={})
+    administration = SimpleNamespace(store_writer=keeper, leases=SimpleNamespace(duration=2.0))
     made = PlacementControlPlane(administration, SETTINGS, clock=lambda: 0.0)
     made.index.refresh(store)
     return made
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -18,8 +18,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from gaugehinge.admin.keep import KeepPlacement
-from gaugehinge.admin.service import Administration, Wrong
+from gaugehinge.admin.config import PlacementConfig
+from gaugehinge.admin.control_plane import ControlPlane
+from gaugehinge.admin.errors import ApiError
 from gaugehinge.admin.types import NewTenant
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.hosted.errors import FeedError
@@ -47,7 +48,7 @@
 from gaugehinge.tenancy.lifecycle import TenantAction
 
 LEASE, ALONE, FLIGHT, MEMORY = 2.0, 5.0, 0.5, 3.0
-PLACE = KeepPlacement(
+PLACE = PlacementConfig(
     True,
     {"eu": ("a",), "us": ("b",), "ap": ("c",)},
     Rate(1000.0),
@@ -191,16 +192,16 @@
         self.cut = set()  # routers whose calls go only by the slow way, message by message
         self.stub = StoreStub(self.path, self)
         self.keep()
-        done(self.administration.create(NewTenant("acme", allowance=1000.0), "t"))
-        done(self.administration.tell("acme", TenantAction.ACTIVATE, None, "t"))
+        done(self.administration.tenants.create(NewTenant("acme", allowance=1000.0), "t"))
+        done(self.administration.tenants.transition("acme", TenantAction.ACTIVATE, None, "t"))
         self.routers = [RouterStub(self, number, router_type) for number in range(3)]
 
     def keep(self) -> None:
-        self.administration = Administration(self.stub, None, None)
-        done(self.administration.ready())
-        self.administration.give_leases(LEASE)
+        self.administration = ControlPlane(self.stub, None, None)
+        done(self.administration.prepare())
+        self.administration.leases.enable(LEASE)
         self.part = self.control_plane_type(self.administration, PLACE, clock=lambda: self.now)
-        self.administration.parts = [self.part]
+        self.administration.extensions.append(self.part)
         for _, _, call in self.open:
             call.close()
         self.open.clear()
@@ -228,7 +229,7 @@
         if self.calls:
             router, report, asked_at = self.calls.pop(place % len(self.calls))
             if not lost:
-                self.open.append((router, asked_at, self.administration.feed(report)))
+                self.open.append((router, asked_at, self.administration.feed.poll(report)))
                 self.go_on_with(len(self.open) - 1)
 
     def go_on_with(self, place: int) -> None:
@@ -260,7 +261,7 @@
         router = self.routers[number]
         if router.paused or number in self.cut:
             return
-        asked_at, call = router.clock(), self.administration.feed(router.report())
+        asked_at, call = router.clock(), self.administration.feed.poll(router.report())
         while True:
             try:
                 call.send(None)
@@ -283,7 +284,7 @@
             done(self.part.reconciler.reconcile())
 
     def put(self, shard: str, regions: tuple[str, ...], hold: str) -> None:
-        with suppress(Wrong):
+        with suppress(ApiError):
             held = self.part.index.shards.get(f"1/{shard}")
             match = held[0].version if held and not held[0].is_ending else None
             wanted = ShardWanted(regions, (SHARDS[shard],), hold, 1.0)
@@ -292,7 +293,7 @@
     def remove(self, shard: str) -> None:
         held = self.part.index.shards.get(f"1/{shard}")
         if held:
-            with suppress(Wrong):
+            with suppress(ApiError):
                 done(self.part.changes.remove("acme", shard, held[0].version, "t"))
 
     def begin(self, number: int, key: int) -> None:
@@ -475,8 +476,8 @@
 class Trusting(PlacementControlPlane):
     """Takes what it told a router for what that follows."""
 
-    def hear(self, report, now) -> None:
-        super().hear(report, now)
+    def on_report(self, report, now) -> None:
+        super().on_report(report, now)
         for held in self.leases.leases.granted.values():
             held.revision = self.index.revision
 
