--- a/gaugehinge/placement/build.py
+++ b/gaugehinge/placement/build.py
@@ -1,4 +1,4 @@
-"""The two files' `[placement]` to what runs by it."""
+"""Switches placement on at a router and at the control plane, as the files' `[placement]` say."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from ..admin.control_plane import ControlPlane
 from ..hosted.control_plane_watch import ControlPlaneWatch
 from ..net.service import Service
-from .keeper import Placement
-from .router import Placing
+from .control_plane import PlacementControlPlane
+from .router import RouterPlacement
 
 
-def build_placement(service: Service, follower: ControlPlaneWatch) -> Placing:
-    """Placement at a router that follows a keeper, as a further part of the feed."""
-    part = Placing(service, follower)
+def build_placement(service: Service, follower: ControlPlaneWatch) -> RouterPlacement:
+    """Placement at a router that follows a control plane, as a further part of the feed."""
+    part = RouterPlacement(service, follower)
     follower.add_part(part)
     return part
 
 
-def keeping(told: ControlPlaneConfig) -> Callable[[ControlPlane], Placement]:
-    """The keeper's part."""
-    return lambda administration: Placement(administration, told.placement)
+def control_plane_factory(settings: ControlPlaneConfig) -> Callable[[ControlPlane], PlacementControlPlane]:
+    """What makes the control plane's part, by its file."""
+    return lambda administration: PlacementControlPlane(administration, settings.placement)
--- a/tests/test_drains_control_plane.py
+++ b/tests/test_drains_control_plane.py
@@ -23,7 +23,7 @@
 from gaugehinge.drains.repository import load_nodes
 from gaugehinge.drains.shard_pinning import last_of_shard, pinned_zones
 from gaugehinge.forms.units import Seconds
-from gaugehinge.placement.shards import Terms
+from gaugehinge.placement.affinity import RegionAffinity
 from gaugehinge.rehearsal.hostedplay import CHEAP
 from gaugehinge.store.async_store import AsyncStore
 from gaugehinge.store.errors import DiskFullError
@@ -285,8 +285,10 @@
             made = await setup.client.post("/v1/rolls", json={"who": {"all": True}, "kind": "servers"})
             assert made.json()["nodes"] == 2
             # One of the two is the last of a shard's zones once the other is out, whoever took it out.
-            rows = {"x": (SimpleNamespace(now=Terms(True, ("r",), (("a",),)), then=None), 1)}
-            setup.admin.extensions.append(SimpleNamespace(name="placement", desk=SimpleNamespace(rows=rows)))
+            rows = {"x": (SimpleNamespace(current=RegionAffinity(True, ("r",), (("a",),)), target=None), 1)}
+            setup.admin.extensions.append(
+                SimpleNamespace(name="placement", index=SimpleNamespace(shards=rows))
+            )
             facts = setup.controller.leases.fleet.statuses(setup.admin.store_writer.store, 1e9)["servers"]
             last = last_of_shard(pinned_zones(setup.admin), facts)
             assert last("s-1", frozenset({"s-1", "s-2"})) and not last("s-1", frozenset({"s-1"}))
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -26,9 +26,12 @@
 from gaugehinge.hosted.errors import FeedError
 from gaugehinge.hosted.tenant_registry import TenantRegistry
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
-from gaugehinge.placement.forms import ShardWanted
-from gaugehinge.placement.keeper import Placement
-from gaugehinge.placement.router import Placing
+from gaugehinge.placement.api_types import ShardWanted
+from gaugehinge.placement.control_plane import PlacementControlPlane
+from gaugehinge.placement.lease_tracker import LeaseTracker
+from gaugehinge.placement.lifecycle import Stage
+from gaugehinge.placement.reconciler import ConditionTimer
+from gaugehinge.placement.router import RouterPlacement
 from gaugehinge.routing.types import (
     Attempt,
     DeduplicationScope,
@@ -111,7 +114,7 @@
 class RouterStub:
     """One process of a router: the real part and roster, around it just what they touch."""
 
-    def __init__(self, world, number: int, kind) -> None:
+    def __init__(self, world, number: int, router_type) -> None:
         self.world, self.number = world, number
         self.run, self.rate = f"run-{next(world.runs)}", world.rates[number]
         self.paused = False
@@ -126,7 +129,7 @@
             limit_wait=lambda seconds: None, limit_slack=lambda seconds: None, registry=self.registry
         )
         self.pool = pool
-        self.part = kind(service, follower, clock=self.clock)
+        self.part = router_type(service, follower, clock=self.clock)
         told = [EndpointEntry(n, zone, "std", 0, EndpointState.UP, 5.0, 1.0) for n, _, zone in SERVERS]
         names = [uid for _, uid, _ in SERVERS]
         targets = [EndpointTarget(each, uid, ("h", 1)) for each, uid in zip(told, names, strict=True)]
@@ -167,9 +170,19 @@
 class World:
     """All that plays, and its rules."""
 
-    def __init__(self, folder, kind=Placing, keeping=Placement, rates=(1.0, 1.0, 1.0)) -> None:
+    def __init__(
+        self,
+        folder,
+        router_type=RouterPlacement,
+        control_plane_type=PlacementControlPlane,
+        rates=(1.0, 1.0, 1.0),
+    ) -> None:
         self.now, self.runs, self.rates = 0.0, count(1), rates
-        self.kind, self.keeping, self.path = kind, keeping, folder / "store.db"
+        self.router_type, self.control_plane_type, self.path = (
+            router_type,
+            control_plane_type,
+            folder / "store.db",
+        )
         self.calls = []  # on their way to the keeper: router, report, when it was sent
         self.open = []  # that stand open there
         self.answers = []  # on their way back
@@ -179,16 +192,16 @@
         self.cut = set()  # routers whose calls go only by the slow way, message by message
         self.stub = StoreStub(self.path, self)
         self.keep()
-        done(self.desk.tenants.create(NewTenant("acme", allowance=1000.0), "t"))
-        done(self.desk.tenants.transition("acme", TenantAction.ACTIVATE, None, "t"))
-        self.routers = [RouterStub(self, number, kind) for number in range(3)]
+        done(self.administration.tenants.create(NewTenant("acme", allowance=1000.0), "t"))
+        done(self.administration.tenants.transition("acme", TenantAction.ACTIVATE, None, "t"))
+        self.routers = [RouterStub(self, number, router_type) for number in range(3)]
 
     def keep(self) -> None:
-        self.desk = ControlPlane(self.stub, None, None)
-        done(self.desk.prepare())
-        self.desk.leases.enable(LEASE)
-        self.part = self.keeping(self.desk, PLACE, clock=lambda: self.now)
-        self.desk.extensions.append(self.part)
+        self.administration = ControlPlane(self.stub, None, None)
+        done(self.administration.prepare())
+        self.administration.leases.enable(LEASE)
+        self.part = self.control_plane_type(self.administration, PLACE, clock=lambda: self.now)
+        self.administration.extensions.append(self.part)
         for _, _, call in self.open:
             call.close()
         self.open.clear()
@@ -216,7 +229,7 @@
         if self.calls:
             router, report, asked_at = self.calls.pop(place % len(self.calls))
             if not lost:
-                self.open.append((router, asked_at, self.desk.feed.poll(report)))
+                self.open.append((router, asked_at, self.administration.feed.poll(report)))
                 self.go_on_with(len(self.open) - 1)
 
     def go_on_with(self, place: int) -> None:
@@ -248,7 +261,7 @@
         router = self.routers[number]
         if router.paused or number in self.cut:
             return
-        asked_at, call = router.clock(), self.desk.feed.poll(router.report())
+        asked_at, call = router.clock(), self.administration.feed.poll(router.report())
         while True:
             try:
                 call.send(None)
@@ -261,27 +274,27 @@
             router.paused = router.number == which
 
     def restart(self, number: int) -> None:
-        self.routers[number] = RouterStub(self, number, self.kind)
+        self.routers[number] = RouterStub(self, number, self.router_type)
 
     def restart_keeper(self) -> None:
         self.keep()
 
     def look(self) -> None:
         with suppress(RevisionConflictError):
-            done(self.part.look())
+            done(self.part.reconciler.reconcile())
 
     def put(self, shard: str, regions: tuple[str, ...], hold: str) -> None:
         with suppress(ApiError):
-            held = self.part.desk.rows.get(f"1/{shard}")
-            match = held[0].version if held and not held[0].ends else None
+            held = self.part.index.shards.get(f"1/{shard}")
+            match = held[0].version if held and not held[0].is_ending else None
             wanted = ShardWanted(regions, (SHARDS[shard],), hold, 1.0)
-            done(self.part.ask("acme", shard, wanted, match, "t"))
+            done(self.part.changes.put("acme", shard, wanted, match, "t"))
 
     def remove(self, shard: str) -> None:
-        held = self.part.desk.rows.get(f"1/{shard}")
+        held = self.part.index.shards.get(f"1/{shard}")
         if held:
             with suppress(ApiError):
-                done(self.part.remove("acme", shard, held[0].version, "t"))
+                done(self.part.changes.remove("acme", shard, held[0].version, "t"))
 
     def begin(self, number: int, key: int) -> None:
         """An operation comes in, and is in hand."""
@@ -317,13 +330,13 @@
     def claims(self) -> dict[bytes, set[str]]:
         """Zones that keys are said to be confined to, by the rows as they stand."""
         found = {}
-        self.part.desk.refresh(self.stub.store)
-        rows = [row for row, _ in self.part.desk.rows.values() if row.stage != "asked"]
+        self.part.index.refresh(self.stub.store)
+        rows = [row for row, _ in self.part.index.shards.values() if row.stage is not Stage.SCHEDULED]
         for key in KEYS:
             fits = [r for r in rows if key[2:].decode().startswith(r.prefixes[0])]
             row = max(fits, key=lambda r: len(r.prefixes[0]), default=None)
-            if row is not None and self.part.claims(row):
-                found[key] = {zone for zones in row.now.zones for zone in zones}
+            if row is not None and self.part.is_confined(row):
+                found[key] = {zone for zones in row.current.zones for zone in zones}
         self.claimed += len(found)
         return found
 
@@ -395,7 +408,7 @@
             world.talk(number)
         world.look()
         world.advance(0.4)
-    assert "confined" in {row.stage for row, _ in world.part.desk.rows.values()}
+    assert Stage.CONFINED in {row.stage for row, _ in world.part.index.shards.values()}
 
 
 def played(folder, seed: int, steps: int, rates=(), **mutant) -> World:
@@ -423,14 +436,14 @@
     assert claimed > 2000, "little was claimed, and little shown"
 
 
-class Eager(Placing):
+class Eager(RouterPlacement):
     """Counts its lease from when the answer came."""
 
     def hear(self, feed, asked_at) -> None:
         super().hear(feed, self.clock())
 
 
-class Sleepy(Placing):
+class Sleepy(RouterPlacement):
     """Looks at its lease at the door alone."""
 
     def may_send(self, attempt) -> bool:
@@ -441,7 +454,7 @@
             self.lease = held
 
 
-class Careless(Placing):
+class Careless(RouterPlacement):
     """Sends what is in hand by the placement that it came under."""
 
     def may_send(self, attempt) -> bool:
@@ -452,7 +465,7 @@
         )
 
 
-class Forgetful(Placing):
+class Forgetful(RouterPlacement):
     """Repeats of deduplicated writes go as any operation."""
 
     def constrain(self, operation):
@@ -460,40 +473,56 @@
         return super().constrain(operation)
 
 
-class Trusting(Placement):
+class Trusting(PlacementControlPlane):
     """Takes what it told a router for what that follows."""
 
     def on_report(self, report, now) -> None:
         super().on_report(report, now)
-        for held in self.near.granted.values():
-            held.revision = self.desk.rev
+        for held in self.leases.leases.granted.values():
+            held.revision = self.index.revision
 
 
-class Hasty(Placement):
+class Hasty(PlacementControlPlane):
     """Knows of no leases that a former run gave."""
 
     def __init__(self, *given, **more) -> None:
         super().__init__(*given, **more)
-        self.near.started_at = self.far.started_at = -1e9
+        self.leases.leases.started_at = self.leases.isolation_leases.started_at = -1e9
+
+
+class LeasesAlone(LeaseTracker):
+    """Counts no router that serves on without a lease."""
 
+    def routers_behind(self, revision, without_lease):
+        return super().routers_behind(revision, False)
 
-class Near(Placement):
+
+class Near(PlacementControlPlane):
     """Waits for leases alone where routers may act without one."""
 
-    def acting(self, revision, far):
-        return super().acting(revision, False)
+    def __init__(self, *given, **more) -> None:
+        super().__init__(*given, **more)
+        self.leases = self.reconciler.leases = LeasesAlone(LEASE, self.settings, self.clock)
 
 
-class Once(Placement):
+class Impatient(ConditionTimer):
+    """Takes what holds at all for what has lasted."""
+
+    def has_lasted(self, key, holds, seconds):
+        return super().has_lasted(key, holds, 0.0)
+
+
+class Once(PlacementControlPlane):
     """Tells new terms at once, and holds repeats no longer than that takes."""
 
-    def _for(self, ident, rev, true, span):
-        return super()._for(ident, rev, true, 0.0)
+    def __init__(self, *given, **more) -> None:
+        super().__init__(*given, **more)
+        self.reconciler.timer = Impatient(self.clock)
 
 
 @pytest.mark.parametrize("mutant", [Eager, Sleepy, Careless, Forgetful, Trusting, Hasty, Near, Once])
 def test_each_mutant_is_found(folder, mutant):
-    more = {"kind": mutant} if issubclass(mutant, Placing) else {"keeping": mutant}
+    more = {"router_type": mutant} if issubclass(mutant, RouterPlacement) else {"control_plane_type": mutant}
     for seed in range(150):
         try:
             played(folder / str(seed), seed, 250, **more)
