--- a/gaugehinge/door/door.py
+++ b/gaugehinge/door/door.py
@@ -76,13 +76,13 @@
         now = self.clock()
         tenants = len(deployment.tenants)
         most = max(min(int(memory * WAITING_PART) // WAITING_MEMORY, WAITING_MOST), 16)
-        self.queue = FairQueue([t.share for t in deployment.tenants], most, deployment.seed, now)
+        self.queue = FairQueue([t.quota for t in deployment.tenants], most, deployment.seed, now)
         self.limiter = Limiter(settings.max_in_flight, now)
         self.come_back = ComeBack(deployment.max_retry_after, tenants, deployment.seed)
         self.costs = Costs(len(deployment.traffic_types))
         self.heavy = Heavy(HEAVY_SIZE, HEAVY_HALVE, now)
         self.pace = Pace(now)
-        shares = [t.share for t in deployment.tenants]
+        shares = [t.quota for t in deployment.tenants]
         self.turns = Turns(shares, now)
         self.level = Level(shares, now)
         self.turnstile: Turnstile | None = None
--- a/gaugehinge/hosted/follower.py
+++ b/gaugehinge/hosted/follower.py
@@ -238,7 +238,7 @@
         self.service.dispatcher.router.on_tenants_changed(change.tenants, change.anew)
         door = self.service.clients.door
         if door is not None:
-            shares = [tenant.share for tenant in change.tenants[: self.places]]
+            shares = [tenant.quota for tenant in change.tenants[: self.places]]
             door.share([*shares, *[0.0] * (self.places - len(shares))])
         if change.drained is not None:
             update = self.overlay.order(change.drained)
--- a/tests/test_crossings_retries.py
+++ b/tests/test_crossings_retries.py
@@ -801,5 +801,5 @@
         if not attempts:
             break
         [attempt] = attempts
-        assert attempt.sent_at <= began + MARKED.repeats - connection_pool.WAY
-    assert operation.retry_deadline == began + MARKED.repeats
+        assert attempt.sent_at <= began + MARKED.retry_window - connection_pool.WAY
+    assert operation.retry_deadline == began + MARKED.retry_window
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -326,7 +326,7 @@
             {"name": f"t{i}", "share": share, "allowancePerS": 100.0} for i, share in enumerate(shares)
         ]
         told = read_settings(7, {**SETTINGS, "parties": parties})
-        self.timers = SimpleNamespace(clock=self.time.clock, at=self.time.at, behind=0.0, lag=0.0)
+        self.timers = SimpleNamespace(clock=self.time.clock, call_at=self.time.call_at, behind=0.0, lag=0.0)
         self.took = took
         self.sent: list = []
         self.answers: list = []
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -762,7 +762,7 @@
                 await trio.sleep(0.01)
             assert calls[0] == calls[1] and "index=1&" in calls[1]
 
-    monkeypatch.setattr(Router, "hear_list", flawed)
+    monkeypatch.setattr(Router, "on_endpoints_changed", flawed)
     run(scene)
 
 
--- a/tests/test_turnstile.py
+++ b/tests/test_turnstile.py
@@ -375,7 +375,7 @@
             kept = clients.door.submit
             clients.door.submit = lambda operation, *rest: taken.append(operation) or kept(operation, *rest)
             clients.take(mine, command(told=b"c=read,d=500"), clients.clock() - 0.3)
-            assert math.isclose(taken[0].deadline - taken[0].arrived, 0.5, abs_tol=0.2)
+            assert math.isclose(taken[0].deadline - taken[0].arrived_at, 0.5, abs_tol=0.2)
             assert taken[0].deadline < clients.clock() + 0.21
             with trio.fail_after(5):
                 assert await client.answer() is not None
