--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -70,10 +70,10 @@
     client = await made.client()
     for n in range(4 * client_server.MAX_PIPELINED_REQUESTS):
         await client.send("KV.GET", key(n), f"i{n}", "c=read,d=60000")
-    door = made.service.clients
-    while not any(each.paused for each in door.connections):
+    server = made.service.clients
+    while not any(each.paused for each in server.connections):
         await trio.sleep(0.01)
-    [there] = door.connections
+    [there] = server.connections
     await leave(client.stream)
     while not hung_up(there.sock):
         await trio.sleep(0.01)
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -438,15 +438,15 @@
         origin = HoldingWeb()
         async with fleet(tmp_path, [Cache()]) as made:
             made.origin.answer = origin.answer  # the stand-in's connections, held
-            client, door = await made.client(), made.service.clients
+            client, server = await made.client(), made.service.clients
             assert await client.get("k0", "first") == b"$5\r\nof k0\r\n"
-            [one] = door.connections
+            [one] = server.connections
             if in_hand:
                 await client.stream.send_all(put("o0"))
                 await until(lambda: b"o0" in sent_on(made))
 
             def gone():
-                return door.connections.get(one.handle) is None
+                return server.connections.get(one.handle) is None
 
             noticed = {
                 "S": lambda: made.service.lifecycle.phase is not Phase.READY,
