--- a/gaugehinge/door/turnstile.py
+++ b/gaugehinge/door/turnstile.py
@@ -16,7 +16,8 @@
 from loguru import logger
 
 from ..net.client_connection import ClientConnection
-from ..net.client_server import MAX_DISCARDED_BYTES, ClientServer
+from ..net.client_server import ClientServer
+from ..net.request_reader import MAX_DISCARDED_BYTES
 from ..net.sockets import SPACE
 from .glance import Glimpse, glance
 from .tap import Tap
@@ -85,7 +86,7 @@
 
     def _go_on(self, client: ClientConnection) -> None:
         if client.paused and self.clients.connections.get(client.handle) is client:
-            self.clients.resume_reading(client)
+            self.clients.request_reader.resume(client)
             if not client.paused:
                 self.watch(client)
 
@@ -156,7 +157,7 @@
                 client.has_sent_request = True
                 self.clients.reply(client, reply)
                 return True
-        self.clients.data_received(client, data, since)
+        self.clients.request_reader.data_received(client, data, since)
         if client.paused or client.discarded_bytes > MAX_DISCARDED_BYTES:
             self.unwatch(client)
         return False
--- a/gaugehinge/net/client_server.py
+++ b/gaugehinge/net/client_server.py
@@ -1,4 +1,4 @@
-"""Serves the clients of one front: reads their requests, hands operations on, and writes replies in order."""
+"""Serves the clients of one front: composes its parts, and hands requests on as operations."""
 
 from __future__ import annotations
 
@@ -8,7 +8,6 @@
 from typing import Any
 
 import trio
-from loguru import logger
 
 from ..routing.types import Operation
 from ..settings import Settings
@@ -25,12 +24,11 @@
 from .reply_writer import ReplyWriter
 from .request_errors import MalformedCommandError, RequestError
 from .request_parser import ParsedRequest, RequestParser
-from .resp import ARRAY, BULK, Malformed, Message
-from .sockets import hung_up, receive
+from .request_reader import RequestReader
+from .resp import ARRAY, BULK, Message
+from .sockets import hung_up
 
-MAX_PIPELINED_REQUESTS = 32  # of one connection in flight; then it is not read on
 MAX_LOOP_DELAY = 0.15  # seconds that the event loop may be late before all operations are rejected
-MAX_DISCARDED_BYTES = 256 * 1024  # read behind an error; of a client that sends more nothing is read on
 
 GET, SET = b"KV.GET", b"KV.SET"
 PONG = b"+PONG\r\n"
@@ -44,8 +42,8 @@
     """All client connections of one front, within its limits.
 
     The parts, each with one job: `registry` owns the connections, `acceptor` lets new ones in, `idle_reaper`
-    closes those that do nothing, `request_parser` makes operations of requests, `reply_writer` writes the
-    replies in the order of their requests.
+    closes those that do nothing, `request_reader` finds whole requests, `request_parser` makes operations of
+    them, `reply_writer` writes the replies in the order of their requests.
     """
 
     def __init__(
@@ -72,6 +70,7 @@
         self.registry = ConnectionRegistry(self.timers, self.limits, self.abandon_reply)
         self.connections = self.registry.connections
         self.reply_writer = ReplyWriter(self.registry, self.limits, lifecycle, nursery)
+        self.request_reader = RequestReader(self.registry, self.reply_writer, nursery, self._handle_command)
         self.idle_reaper = IdleReaper(
             self.registry, self.limits, lifecycle, self.reply_writer, admission_control
         )
@@ -81,7 +80,7 @@
             self.idle_reaper,
             admission_control,
             self.new_connection,
-            self._start_reading,
+            self.request_reader.start,
         )
         if admission_control is not None:
             self.registry.reader = admission_control.new_reader(self)
@@ -130,77 +129,6 @@
         """Close a connection and give up all that it asked for."""
         self.registry.close(client)
 
-    # -- reading
-
-    def _start_reading(self, client: ClientConnection) -> None:
-        if self.registry.reader is None:
-            self.nursery.start_soon(self._serve, client)
-        else:
-            self.registry.reader.watch(client)
-
-    async def _serve(self, client: ClientConnection) -> None:
-        try:
-            with client.cancel_scope:
-                await self._read(client)
-        except (OSError, trio.ClosedResourceError):
-            pass
-        except Exception:  # a defect fails this connection alone
-            logger.exception("client connection failed")
-        finally:
-            self.registry.close(client)
-
-    async def _read(self, client: ClientConnection) -> None:
-        """Read until the client goes.
-
-        What comes after the last request is read and discarded: closed with bytes unread, the connection is
-        reset and the last reply may be lost with it. But to read all of a value of many megabytes takes the
-        time of hundreds of operations.
-        """
-        while data := await receive(client.sock):
-            self.data_received(client, data)
-            if client.discarded_bytes > MAX_DISCARDED_BYTES:
-                await trio.sleep_forever()  # until pending replies are written and have lingered
-            while client.paused:
-                client.reply_written = trio.Event()
-                await client.reply_written.wait()
-                self.resume_reading(client)
-
-    def data_received(self, client: ClientConnection, data: bytes, arrived_at: float = 0.0) -> None:
-        """Handle bytes of a connection that stood there since a time, where that is known."""
-        if client.draining:
-            client.discarded_bytes += len(data)
-            return
-        if not len(client.parser):
-            client.message_started_at = arrived_at or self.clock()
-        client.parser.feed(data)
-        client.data_arrived_at = arrived_at
-        self.resume_reading(client)
-        client.data_arrived_at = 0.0
-
-    def resume_reading(self, client: ClientConnection) -> None:
-        """Handle the requests that stand whole, until too many are in flight.
-
-        Some clients send hundreds at once and go: their end stands behind bytes that are not read yet, and
-        the rest was forwarded for nobody, as fast as what went before it ended.
-        """
-        if client.paused and hung_up(client.sock):
-            self.registry.close_soon(client)
-            return
-        client.paused = False
-        try:
-            while not client.draining:
-                if client.authenticating or len(client.pending_replies) >= MAX_PIPELINED_REQUESTS:
-                    client.paused = True
-                    return
-                message = client.parser.next()
-                if message is None:
-                    return
-                client.has_sent_request = True
-                self._handle_command(client, message)
-        except Malformed as error:
-            client.draining = True
-            self.reply(client, b"-ERR protocol: %b\r\n" % str(error).encode())
-
     # -- requests
 
     def reply(self, client: ClientConnection, data: bytes) -> None:
--- /dev/null
+++ b/gaugehinge/net/request_reader.py
@@ -0,0 +1,106 @@
+"""Bytes of clients in, whole requests out, as long as not too many of one connection are in flight."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import trio
+from loguru import logger
+
+from .client_connection import ClientConnection
+from .connection_registry import ConnectionRegistry
+from .reply_writer import ReplyWriter
+from .resp import Malformed
+from .sockets import hung_up, receive
+
+MAX_PIPELINED_REQUESTS = 32  # of one connection in flight; then it is not read on
+MAX_DISCARDED_BYTES = 256 * 1024  # read and discarded behind an error; then the connection is not read on
+
+
+class RequestReader:
+    """Reads the connections of one front: by a task each, or as a shared reader hands their bytes on."""
+
+    def __init__(
+        self,
+        registry: ConnectionRegistry,
+        reply_writer: ReplyWriter,
+        nursery: trio.Nursery,
+        handle_command: Callable[[ClientConnection, Any], None],
+    ) -> None:
+        """`handle_command` takes each whole message; it may raise Malformed. `nursery` runs the tasks."""
+        self.registry = registry
+        self.reply_writer = reply_writer
+        self.clock = registry.clock
+        self._nursery = nursery
+        self._handle_command = handle_command
+
+    def start(self, client: ClientConnection) -> None:
+        """Read a connection until it is closed."""
+        if self.registry.reader is None:
+            self._nursery.start_soon(self._serve, client)
+        else:
+            self.registry.reader.watch(client)
+
+    async def _serve(self, client: ClientConnection) -> None:
+        try:
+            with client.cancel_scope:
+                await self._read(client)
+        except (OSError, trio.ClosedResourceError):
+            pass
+        except Exception:  # a defect fails this connection alone
+            logger.exception("client connection failed")
+        finally:
+            self.registry.close(client)
+
+    async def _read(self, client: ClientConnection) -> None:
+        """Read until the client goes.
+
+        What comes after the last request is read and discarded: closed with bytes unread, the connection is
+        reset and the last reply may be lost with it. But to read all of a value of many megabytes takes the
+        time of hundreds of operations.
+        """
+        while data := await receive(client.sock):
+            self.data_received(client, data)
+            if client.discarded_bytes > MAX_DISCARDED_BYTES:
+                await trio.sleep_forever()  # until pending replies are written and have lingered
+            while client.paused:
+                client.reply_written = trio.Event()
+                await client.reply_written.wait()
+                self.resume(client)
+
+    def data_received(self, client: ClientConnection, data: bytes, arrived_at: float = 0.0) -> None:
+        """Handle bytes of a connection that stood there since a time, where that is known."""
+        if client.draining:
+            client.discarded_bytes += len(data)
+            return
+        if not len(client.parser):
+            client.message_started_at = arrived_at or self.clock()
+        client.parser.feed(data)
+        client.data_arrived_at = arrived_at
+        self.resume(client)
+        client.data_arrived_at = 0.0
+
+    def resume(self, client: ClientConnection) -> None:
+        """Handle the requests that stand whole, until too many are in flight.
+
+        Some clients send hundreds at once and go: their end stands behind bytes that are not read yet, and
+        the rest was forwarded for nobody, as fast as what went before it ended.
+        """
+        if client.paused and hung_up(client.sock):
+            self.registry.close_soon(client)
+            return
+        client.paused = False
+        try:
+            while not client.draining:
+                if client.authenticating or len(client.pending_replies) >= MAX_PIPELINED_REQUESTS:
+                    client.paused = True
+                    return
+                message = client.parser.next()
+                if message is None:
+                    return
+                client.has_sent_request = True
+                self._handle_command(client, message)
+        except Malformed as error:
+            client.draining = True
+            self.reply_writer.reply(client, b"-ERR protocol: %b\r\n" % str(error).encode())
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -16,7 +16,7 @@
 import pytest
 import trio
 
-from gaugehinge.net import client_server, connection_pool, idle_reaper
+from gaugehinge.net import connection_pool, idle_reaper, request_reader
 from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.sockets import hung_up
 from tests.helper import SETTINGS, Cache, Web, fleet
@@ -68,7 +68,7 @@
 async def gone_behind_commands(made, leave, key=lambda n: f"k{n}") -> None:
     """A client sends more than may be in hand and goes; its end stands behind what is not read."""
     client = await made.client()
-    for n in range(4 * client_server.MAX_PIPELINED_REQUESTS):
+    for n in range(4 * request_reader.MAX_PIPELINED_REQUESTS):
         await client.send("KV.GET", key(n), f"i{n}", "c=read,d=60000")
     server = made.service.clients
     while not any(each.paused for each in server.connections):
@@ -91,7 +91,7 @@
         async with fleet(tmp_path, held, settings={**SETTINGS, "trafficTypes": TYPES}) as made:
             await gone_behind_commands(made, leave)
             before = sum(len(each.commands) for each in held)
-            most = client_server.MAX_PIPELINED_REQUESTS
+            most = request_reader.MAX_PIPELINED_REQUESTS
             while before < most and before < sum(len(each.commands) for each in held):
                 before = sum(len(each.commands) for each in held)
                 await trio.sleep(0.01)
@@ -154,11 +154,11 @@
     async def scene():
         async with fleet(tmp_path, settings={**SETTINGS, "trafficTypes": TYPES}) as made:
             client = await made.client()
-            for n in range(4 * client_server.MAX_PIPELINED_REQUESTS):
+            for n in range(4 * request_reader.MAX_PIPELINED_REQUESTS):
                 await client.send("KV.GET", f"k{n}", f"i{n}", "c=read,d=60000")
-            answers = [await client.answer() for _ in range(4 * client_server.MAX_PIPELINED_REQUESTS)]
+            answers = [await client.answer() for _ in range(4 * request_reader.MAX_PIPELINED_REQUESTS)]
             served = [n for n, answer in enumerate(answers) if answer.endswith(b"of k%d\r\n" % n)]
-            assert len(served) >= client_server.MAX_PIPELINED_REQUESTS
+            assert len(served) >= request_reader.MAX_PIPELINED_REQUESTS
             assert all(each.startswith(b"-BUSY") for n, each in enumerate(answers) if n not in served)
 
     run(scene)
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -14,7 +14,7 @@
 
 from gaugehinge.door.door import Door
 from gaugehinge.door.turnstile import READ_MOST
-from gaugehinge.net import client_server, connection_registry, reply_writer, service
+from gaugehinge.net import connection_registry, reply_writer, request_reader, service
 from gaugehinge.net.lifecycle import Phase
 from gaugehinge.net.resp import bulk
 from gaugehinge.net.sockets import unsent
@@ -536,7 +536,7 @@
             assert len(sent) < READ_MOST
             await client.stream.send_all(sent)
             [one] = made.service.clients.connections
-            most = client_server.MAX_PIPELINED_REQUESTS
+            most = request_reader.MAX_PIPELINED_REQUESTS
             await until(lambda: one.paused and len(one.pending_replies) == most)
             signalled()
             await end_of_process(made)
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from gaugehinge.net.client_server import MAX_PIPELINED_REQUESTS
+from gaugehinge.net.request_reader import MAX_PIPELINED_REQUESTS
 from gaugehinge.net.resp import bulk
 from tests.helper import SETTINGS, Cache, fleet
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -21,6 +21,7 @@
     connection_registry,
     idle_reaper,
     reply_writer,
+    request_reader,
     sockets,
 )
 from gaugehinge.net.client_connection import PendingReply
@@ -310,7 +311,7 @@
             while len(made.service.clients.connections) or made.service.dispatcher.pool.pending:
                 await trio.sleep(0.01)
             asked = [command[2] for cache in made.caches for command in cache.commands]
-            assert len(asked) == len(set(asked)) <= client_server.MAX_PIPELINED_REQUESTS
+            assert len(asked) == len(set(asked)) <= request_reader.MAX_PIPELINED_REQUESTS
 
     run(scene)
 
@@ -324,9 +325,8 @@
                 await trio.sleep(0.01)
             made.service.lifecycle.enter(Phase.CLOSING, 1)
             taken = []
-            monkeypatch.setattr(
-                made.service.clients, "data_received", lambda client, data: taken.append(data)
-            )
+            reader = made.service.clients.request_reader
+            monkeypatch.setattr(reader, "data_received", lambda client, data: taken.append(data))
             send = reply_writer.send_some
 
             def crossed(raw, data):
@@ -731,7 +731,7 @@
     async def scene():
         async with fleet(tmp_path) as made:
             client = await made.client()
-            monkeypatch.setattr(client_server, "receive", counted)
+            monkeypatch.setattr(request_reader, "receive", counted)
             await client.send("KV.GET", "k1", "a", "c=read,d=4000")
             with pytest.raises(trio.BrokenResourceError):
                 await client.stream.send_all(b"*5\r\n$6\r\nKV.SET\r\n$60000000\r\n" + b"v" * 60_000_000)
--- a/tests/test_turnstile.py
+++ b/tests/test_turnstile.py
@@ -14,9 +14,9 @@
 from gaugehinge.door.level import Level
 from gaugehinge.door.tap import FLOOR, SLACK, Tap
 from gaugehinge.door.turns import LONG, OLDEST_EACH, Turns
-from gaugehinge.net.client_server import MAX_PIPELINED_REQUESTS
 from gaugehinge.net.request_errors import RequestError
 from gaugehinge.net.request_parser import parse_labels
+from gaugehinge.net.request_reader import MAX_PIPELINED_REQUESTS
 from gaugehinge.net.resp import BULK, Malformed, Parser, bulk
 from tests.helper import Cache, fleet
 
@@ -378,7 +378,7 @@
             clients.admission_control.submit = lambda operation, *rest: (
                 taken.append(operation) or kept(operation, *rest)
             )
-            clients.data_received(mine, command(told=b"c=read,d=500"), clients.clock() - 0.3)
+            clients.request_reader.data_received(mine, command(told=b"c=read,d=500"), clients.clock() - 0.3)
             assert math.isclose(taken[0].deadline - taken[0].arrived_at, 0.5, abs_tol=0.2)
             assert taken[0].deadline < clients.clock() + 0.21
             with trio.fail_after(5):
