--- a/gaugehinge/cluster/front.py
+++ b/gaugehinge/cluster/front.py
@@ -23,7 +23,7 @@
 from ..net.admission_control import AdmissionControl
 from ..net.client_connection import ClientConnection, PendingReply
 from ..net.client_server import ClientServer
-from ..net.connection_pool import RequestPayload
+from ..net.codec import RequestPayload
 from ..net.dispatcher import BUSY_REPLY, Dispatcher
 from ..net.lifecycle import Lifecycle, Phase
 from ..net.request_parser import MAX_MARGIN_FRACTION, REPLY_MARGIN
@@ -168,7 +168,7 @@
         bearer = self._bearer(client)
         if bearer is not None:
             client.tenant = bearer.place
-            most = bearer.row.most_value
+            most = bearer.row.max_value_size
             if most and any(len(piece.value or b"") > most for piece in pieces):
                 raise Refused(f"ERR value over {most} bytes")
             pieces = dressed(entry, words, pieces, bearer.keys)
--- a/gaugehinge/door/door.py
+++ b/gaugehinge/door/door.py
@@ -17,7 +17,7 @@
 
 from ..net.client_connection import ClientConnection
 from ..net.client_server import ClientServer
-from ..net.connection_pool import RequestPayload
+from ..net.codec import RequestPayload
 from ..net.dispatcher import BUSY_REPLY, Dispatcher, busy_reply
 from ..routing.types import Operation
 from ..settings import Settings
@@ -179,7 +179,7 @@
         """The name in the labels, where that tells clients apart; empty where there is none."""
         if not self.label:
             return b""
-        for part in payload.told.split(b","):
+        for part in payload.labels.split(b","):
             if part.startswith(self.label):
                 return part
         return b""
@@ -337,7 +337,7 @@
             left, refusing = self.turnstile.looked()
             self.level.sample(left, refusing / span, now)
         self.queue.sample(now)
-        lag = self.timers.behind
+        lag = self.timers.current_lag
         self.limiter.sample(lag, self.in_hand, self.queue.live, self.lateness, now)
         backlogs = [self.queue.backlog(line) for line in self.queue.lines]
         self.tap.sample(backlogs, self._rooms(span), now)
--- a/gaugehinge/hosted/front.py
+++ b/gaugehinge/hosted/front.py
@@ -142,7 +142,7 @@
         raise UnprintableTextError
     labels = parse_labels(labels_text).values
     _rewrite_class_and_wait(labels, bearer)
-    max_value_bytes = bearer.row.most_value
+    max_value_bytes = bearer.row.max_value_size
     if is_write and max_value_bytes and len(parts[4].body) > max_value_bytes:
         raise ValueTooLargeError(max_value_bytes)
     if labels.get(IDEMPOTENCY_KEY_LABEL):
@@ -164,10 +164,10 @@
         raise InvalidLabelError(CLASS_LABEL, "no such class")
     if CLASS_LABEL in labels:
         labels[CLASS_LABEL] = traffic_type
-    longest_wait = bearer.row.longest_wait
-    if longest_wait and labels[WAIT_LABEL].isdigit():
+    max_wait = bearer.row.max_wait
+    if max_wait and labels[WAIT_LABEL].isdigit():
         # Shorter than its client waits is safe: it hears sooner that it comes to nothing.
-        labels[WAIT_LABEL] = str(min(int(labels[WAIT_LABEL]), int(longest_wait * MILLISECONDS)))
+        labels[WAIT_LABEL] = str(min(int(labels[WAIT_LABEL]), int(max_wait * MILLISECONDS)))
 
 
 def _encode(message: Message, parts: list[Frame], bodies: list[bytes]) -> Message:
--- a/gaugehinge/net/admission_control.py
+++ b/gaugehinge/net/admission_control.py
@@ -7,7 +7,7 @@
 
 from ..routing.types import Operation
 from .client_connection import ClientConnection
-from .connection_pool import RequestPayload
+from .codec import RequestPayload
 
 if TYPE_CHECKING:
     from .client_server import ClientServer
--- a/gaugehinge/net/client_server.py
+++ b/gaugehinge/net/client_server.py
@@ -14,8 +14,8 @@
 from .admission_control import AdmissionControl
 from .client_connection import ClientConnection, PendingReply
 from .client_limits import ClientLimits
+from .codec import RequestPayload
 from .connection_acceptor import ConnectionAcceptor
-from .connection_pool import RequestPayload
 from .connection_registry import ConnectionRegistry
 from .dispatcher import BUSY_REPLY, Dispatcher
 from .idle_reaper import IdleReaper
@@ -180,8 +180,8 @@
         self, client: ClientConnection, message: Message, is_write: bool, arrived_at: float
     ) -> ParsedRequest:
         """Make an operation of a request of a client. Raises RequestError."""
-        is_wanted = partial(self.is_client_present, client)
-        return self.request_parser.parse(message, is_write, arrived_at, is_wanted)
+        is_waiting = partial(self.is_client_present, client)
+        return self.request_parser.parse(message, is_write, arrived_at, is_waiting)
 
     def _must_reject(self, client: ClientConnection, size: int) -> bool:
         """Whether there is no capacity for an operation of `size` bytes.
@@ -206,7 +206,7 @@
 
         More in flight makes all of it late then: what comes is rejected while that is cheap.
         """
-        return self.admission_control is None and self.timers.behind > MAX_LOOP_DELAY
+        return self.admission_control is None and self.timers.current_lag > MAX_LOOP_DELAY
 
     def _submit(
         self, client: ClientConnection, operation: Operation, payload: RequestPayload, size: int
--- a/gaugehinge/net/request_parser.py
+++ b/gaugehinge/net/request_parser.py
@@ -8,7 +8,7 @@
 
 from ..routing.types import Effect, Operation, TrafficType
 from ..settings import Settings
-from .connection_pool import RequestPayload
+from .codec import RequestPayload
 from .recent_request_ids import RecentRequestIds
 from .request_errors import (
     InvalidLabelError,
@@ -68,11 +68,11 @@
         self._tenant_indexes = tenant_indexes
 
     def parse(
-        self, message: Message, is_write: bool, arrived_at: float, is_wanted: Callable[[], bool]
+        self, message: Message, is_write: bool, arrived_at: float, is_waiting: Callable[[], bool]
     ) -> ParsedRequest:
         """Read one command, all of whose parts are bulk strings.
 
-        `arrived_at`: seconds; `is_wanted`: whether the client still waits. Raises RequestError.
+        `arrived_at`: seconds; `is_waiting`: whether the client still waits. Raises RequestError.
         """
         parts: Any = message.top.body
         if len(parts) != 4 + is_write:
@@ -100,7 +100,7 @@
             message.raw[: parts[3].start],
             message.raw[parts[3].end :],
             parts[4].body if is_write else None,
-            wanted=is_wanted,
+            client_is_waiting=is_waiting,
         )
         return ParsedRequest(operation, payload)
 
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -20,8 +20,9 @@
 from ..hosted.follower import Follower
 from ..hosted.roster import BadFeed
 from ..installation.form import RecoveryEntry
+from ..net.codec import RequestPayload
 from ..net.configuration import address
-from ..net.connection_pool import Connection, PendingAttempt, RequestPayload
+from ..net.connection import Connection, PendingAttempt
 from ..net.dispatcher import FAILED_REPLY, busy_reply
 from ..net.endpoint_list import ENDPOINT_STATES, EndpointListUpdate, EndpointTarget
 from ..net.lifecycle import Phase
@@ -209,7 +210,7 @@
         traffic = operation.traffic_type
         row, write = traffic.row, operation.is_write
         if now < self.effects.until[row]:
-            final = self.effects.final(row, write, operation.is_client_retry, mark_of(payload.told), now)
+            final = self.effects.final(row, write, operation.is_client_retry, mark_of(payload.labels), now)
             if final and self.mind.verdict is not Verdict.DECIDING:
                 return self._end(operation, answer, FAILED_REPLY)
         if self.opening.open and not self.old_list_until:
@@ -363,13 +364,13 @@
     def _connection_lost(self, connection: Connection, pending: PendingAttempt | None) -> None:
         """A connection was ended by its server, or did not come up."""
         endpoint = connection.endpoint
-        failed = pending is not None and not (connection.written or connection.idle_since)
+        failed = pending is not None and not (connection.request_sent or connection.idle_since)
         pool, now = self.service.pool, self.clock()
         leaving = self.service.lifecycle.phase in (Phase.CLOSING, Phase.ENDED)  # they end with this router
         if leaving or pool.endpoints.get(endpoint.ident) is not endpoint:
             return
         standing = bool(endpoint.idle) or any(
-            each is not None and each.endpoint is endpoint and (each.written or each.idle_since)
+            each is not None and each.endpoint is endpoint and (each.request_sent or each.idle_since)
             for each in [other.connection for other in pool.pending.values()]
         )
         if failed:
@@ -541,7 +542,7 @@
             lost_ago=now - effects.lost_at if settled and effects.open(now) else -1.0,
             kept=self._kept(number),
         )
-        self.service.peers.tell((number,), self.wire.write(told))
+        self.service.peers.send((number,), self.wire.write(told))
 
     # -- the keeper: a part of the follower's feed
 
@@ -553,10 +554,11 @@
         """A feed was followed."""
         before, same = (
             self.mind,
-            bool(self.former and self.former.keeper_run) and (feed.keeper_run == self.former.keeper_run),
+            bool(self.former and self.former.keeper_run)
+            and (feed.control_plane_run == self.former.keeper_run),
         )
         self.mind = evidence.hear_keeper(before, same, self.uptime())
-        self.keeper_run = feed.keeper_run
+        self.keeper_run = feed.control_plane_run
         self.facts.keeper = True
         self._changed(before)
 
@@ -566,9 +568,9 @@
     def _weigh(self, feed: Feed) -> Feed:
         """What of a feed is followed. Raises BadFeed while it is from before what was heard."""
         now, known = self.clock(), self._known_store()
-        standing = trust.keeper_answer(known, feed.store, feed.revision, feed.whole)
+        standing = trust.keeper_answer(known, feed.store_id, feed.revision, feed.complete)
         if standing is not trust.Standing.FOLLOWED:
-            what = f"store {feed.store} revision {feed.revision}, heard was {known.name} {known.revision}"
+            what = f"store {feed.store_id} revision {feed.revision}, heard was {known.name} {known.revision}"
             if not self.older_until:
                 self.older_until = now + float(self.entry.doubt)
                 logger.error("recovery: keeper is {}: {}", standing.value, what)
@@ -586,7 +588,7 @@
             )
         self.older_until = 0.0
         named = [row for row in rows if row[0] not in refused]
-        self.store = trust.remember(known._replace(name=feed.store, revision=feed.revision), named)
+        self.store = trust.remember(known._replace(name=feed.store_id, revision=feed.revision), named)
         return feed
 
     def _known_store(self) -> trust.KnownStore:
@@ -667,7 +669,7 @@
         learnt, entry = self.learnt, self.entry
         bearing = Bearing(
             self.routers,
-            len(router.caches),
+            len(router.endpoints),
             float(entry.origin),
             float(entry.cold_reads),
             learnt.reads,
@@ -681,7 +683,7 @@
             "recovery: ready after {:.1f} s, {}: {} servers, {:.1f} reads and {:.1f} writes a second before",
             now - self.began,
             "open" if self.opening.open else "in steps",
-            len(router.caches),
+            len(router.endpoints),
             learnt.reads,
             learnt.writes,
         )
@@ -689,7 +691,7 @@
             self.service.lifecycle.enter(Phase.READY, len(self.dispatcher.pending_operations))
 
     def _warmth(self, now: float) -> float:
-        caches, cold_time = self.dispatcher.router.caches, self.deployment.warm_up_time
+        caches, cold_time = self.dispatcher.router.endpoints, self.deployment.warm_up_time
         if not caches or not cold_time:
             return 1.0
         ages = [max(now - cache.started, 0.0) if cache.started else inf for cache in caches.values()]
@@ -702,8 +704,8 @@
             return
         self.learnt_at = now
         router, old = self.dispatcher.router, self.learnt
-        reads = router.rate.read(now)
-        writes = max(sum(router.used) - reads, 0.0)
+        reads = router.responses_per_second(now)
+        writes = max(router.operations_per_second() - reads, 0.0)
         self.learnt = Learnt(_towards(old.reads, reads, span), _towards(old.writes, writes, span))
 
     def _flush_log(self) -> None:
--- a/gaugehinge/rehearsal/brokenterms.py
+++ b/gaugehinge/rehearsal/brokenterms.py
@@ -9,12 +9,13 @@
 from collections.abc import Callable
 from math import inf
 
-from ..net import discovery
+from ..net import discovery_schedule
 from ..net.client_connection import ClientConnection
 from ..net.client_server import ClientServer
-from ..net.connection_pool import RequestPayload
+from ..net.codec import RequestPayload
 from ..net.connection_registry import ConnectionRegistry
-from ..net.discovery import DiscoveryClient, Watch
+from ..net.discovery import DiscoveryClient
+from ..net.discovery_watch import Watch
 from ..net.dispatcher import Dispatcher
 from ..routing.types import Operation
 
@@ -27,17 +28,17 @@
 
 def deaf() -> None:
     """It never begins a watch anew that fell silent."""
-    right = Watch.call
+    right = Watch.poll
 
-    async def call(self: Watch, target: str, most_time: float) -> object:
+    async def poll(self: Watch, target: str, time_limit: float) -> object:
         return await right(self, target, inf)
 
-    Watch.call = call
+    Watch.poll = poll
 
 
 def sleeps() -> None:
     """After an outage it takes its time to ask its agent again."""
-    discovery.NEAR_PAUSE = ASLEEP
+    discovery_schedule.AGENT_RETRY_DELAY = ASLEEP
 
 
 def unmoved() -> None:
--- a/tests/test_crossings_generated.py
+++ b/tests/test_crossings_generated.py
@@ -9,7 +9,8 @@
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.reply_writer import ReplyWriter
 from gaugehinge.net.service import Service
-from gaugehinge.routing.router import Router
+from gaugehinge.routing import retry_safety
+from gaugehinge.routing.endpoint_table import EndpointTable
 from gaugehinge.routing.types import EndpointState
 from tests import crossings
 from tests.crossings import (
@@ -69,38 +70,38 @@
 
 def copies_kept(monkeypatch):
     """Bytes that nobody asked for are taken for the next attempt's answer."""
-    incoming = ConnectionPool._incoming
+    incoming = ConnectionPool._on_data
 
     def keep(self, line, data):
-        if line.pending is None and data and hasattr(line.parser, "feed"):
-            line.parser.feed(data)
+        if line.pending is None and data and hasattr(line.codec_state, "feed"):
+            line.codec_state.feed(data)
         else:
             incoming(self, line, data)
 
-    monkeypatch.setattr(ConnectionPool, "_incoming", keep)
+    monkeypatch.setattr(ConnectionPool, "_on_data", keep)
 
 
 def written_forgotten(monkeypatch):
     """An attempt whose connection broke counts as never written."""
-    lose = ConnectionPool._lose
+    lose = ConnectionPool._on_connection_ended
 
-    def forget(self, line, spoilt):
-        line.written = False
-        lose(self, line, spoilt)
+    def forget(self, line, malformed):
+        line.request_sent = False
+        lose(self, line, malformed)
 
-    monkeypatch.setattr(ConnectionPool, "_lose", forget)
+    monkeypatch.setattr(ConnectionPool, "_on_connection_ended", forget)
 
 
 def window_forgotten(monkeypatch):
     """Repeats go out however long ago the first attempt ran."""
-    monkeypatch.setattr(Router, "_may_repeat", lambda self, operation, now: True)
-    monkeypatch.setattr(ConnectionPool, "_may_go", lambda self, attempt: True)
+    monkeypatch.setattr(retry_safety, "may_retry", lambda operation, now: True)
+    monkeypatch.setattr(ConnectionPool, "_may_send", lambda self, attempt: True)
 
 
 def always_dropped(monkeypatch):
     """Each server counts as one that drops repeats, of whatever effect."""
     window_forgotten(monkeypatch)
-    monkeypatch.setattr(Router, "_drops_repeats", lambda self, cache, operation: True)
+    monkeypatch.setattr(retry_safety, "is_retry_harmless", lambda endpoint, operation: True)
 
 
 def presence_unread(monkeypatch):
@@ -120,13 +121,13 @@
 
 def drains_unheard(monkeypatch):
     """A server that drains stays among those to choose from."""
-    hear = Router._hear_server
+    hear = EndpointTable._apply_entry
 
     def deaf(self, listing, now):
         if listing.state is not EndpointState.DRAINING:
             hear(self, listing, now)
 
-    monkeypatch.setattr(Router, "_hear_server", deaf)
+    monkeypatch.setattr(EndpointTable, "_apply_entry", deaf)
 
 
 def close_untold(monkeypatch):
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -40,17 +40,19 @@
 )
 from gaugehinge.drains.router import RouterDrains
 from gaugehinge.forms.units import Seconds
-from gaugehinge.net.connection_pool import ConnectionPool, RequestPayload, RespCodec
+from gaugehinge.net.codec import RequestPayload
+from gaugehinge.net.connection_pool import ConnectionPool
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
+from gaugehinge.net.resp_codec import RespCodec
 from gaugehinge.net.timer_queue import Clock, TimerQueue
 from gaugehinge.placement.shards import Terms
 from gaugehinge.rehearsal.drainsplay import woken, written_ago
 from gaugehinge.rehearsal.hostedplay import CHEAP
 from gaugehinge.rehearsal.plays import run_many
 from gaugehinge.routing.types import Attempt, EndpointEntry, EndpointState, Outcome
-from gaugehinge.store.keeper import StoreKeeper
-from gaugehinge.store.store import Full
-from gaugehinge.tenancy.credentials import Attempts
+from gaugehinge.store.async_store import AsyncStore
+from gaugehinge.store.errors import DiskFullError
+from gaugehinge.tenancy.attempt_limiter import AttemptLimiter
 from gaugehinge.tenancy.feed import Report
 
 LIMITS = {ORIGIN: 12, SERVERS: 8}
@@ -485,10 +487,10 @@
         )
         part.closing = 30.0
         tell(part, time, 1, granted)
-        server = SimpleNamespace(ident=1, origin=False, presence=EndpointState.UP)
+        server = SimpleNamespace(ident=1, origin=False, state=EndpointState.UP)
 
         def send(time_out=5.0):
-            attempt = Attempt(SimpleNamespace(over=False, latest=inf), server, 0, clock())
+            attempt = Attempt(SimpleNamespace(finished=False, retry_deadline=inf), server, 0, clock())
             payload = RequestPayload(b"i", b"k", (b"d=", b""), b"", b"*4\r\n$6\r\nKV.GET\r\n", b"", None)
             pool.send(attempt, payload, time_out, RespCodec())
             return attempt
@@ -584,9 +586,9 @@
 @asynccontextmanager
 async def desk_of(path, **figures):
     """A keeper with its part, and the API as `root` calls it."""
-    keeper = StoreKeeper(path / "store.db")
+    keeper = AsyncStore(path / "store.db")
     try:
-        admin = Administration(keeper, CHEAP, Attempts(1, keeper.clock()))
+        admin = Administration(keeper, CHEAP, AttemptLimiter(1, keeper.clock()))
         await admin.ready()
         root = await admin.first_operator() or (path / "root").read_text()
         (path / "root").write_text(root)
@@ -648,16 +650,16 @@
 
 
 def test_a_keeper_that_is_started_on_a_full_disk_begins_when_there_is_room(tmp_path, monkeypatch):
-    planned, failed = StoreKeeper.apply_planned, []
+    planned, failed = AsyncStore.apply_planned, []
 
     async def full(self, plan, who, **more):
         if who == "drains" and len(failed) < 2:
             failed.append(who)
-            raise Full("disk I/O error")
+            raise DiskFullError("disk I/O error")
         return await planned(self, plan, who, **more)
 
     async def scene():
-        monkeypatch.setattr(StoreKeeper, "apply_planned", full)
+        monkeypatch.setattr(AsyncStore, "apply_planned", full)
         monkeypatch.setattr("gaugehinge.drains.keeper.TICK", 0.01)
         async with desk_of(tmp_path) as all_:
             assert len(failed) == 2
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -11,7 +11,9 @@
 from gaugehinge.net import connection_pool
 from gaugehinge.net.endpoint_list import read_endpoint_list
 from gaugehinge.net.resp import bulk
-from gaugehinge.routing.router import Router
+from gaugehinge.routing import retry_safety
+from gaugehinge.routing.endpoint_selection import EndpointSelection
+from gaugehinge.routing.endpoint_table import EndpointTable
 from tests.helper import SETTINGS, Cache, fleet
 
 OLD = SETTINGS
@@ -168,30 +170,30 @@
 
 
 @pytest.mark.parametrize(
-    "rule, name, wrong",
+    "rule, owner, name, wrong",
     [
-        ("effects", "_may_repeat", lambda self, operation, now: True),
-        ("drain", "_hear_server", None),
-        ("cold", "_may_take", None),
+        ("effects", retry_safety, "may_retry", lambda operation, now: True),
+        ("drain", EndpointTable, "_apply_entry", None),
+        ("cold", EndpointSelection, "_may_serve", None),
     ],
 )
-def test_the_mixed_test_sees_a_rule_that_is_broken(tmp_path, monkeypatch, rule, name, wrong):
-    right = getattr(Router, name)
-    if name == "_hear_server":
+def test_the_mixed_test_sees_a_rule_that_is_broken(tmp_path, monkeypatch, rule, owner, name, wrong):
+    right = getattr(owner, name)
+    if name == "_apply_entry":
 
         def wrong(self, listing, now):
             right(self, listing._replace(state=type(listing.state).UP), now)
-    elif name == "_may_take":
+    elif name == "_may_serve":
 
         def wrong(self, cache, operation, key):
             return (
                 cache not in operation.tried_endpoints
-                and cache.share < 1.0
+                and cache.warm_up_share < 1.0
                 or right(self, cache, operation, key)
             )
 
-    monkeypatch.setattr(Router, name, wrong)
-    if name == "_may_repeat":
-        monkeypatch.setattr(Router, "_drops_repeats", lambda self, cache, operation: True)
-        monkeypatch.setattr(connection_pool, "WAY", -1e9)  # nor does the pool look
+    monkeypatch.setattr(owner, name, wrong)
+    if owner is retry_safety:
+        monkeypatch.setattr(retry_safety, "is_retry_harmless", lambda endpoint, operation: True)
+        monkeypatch.setattr(connection_pool, "RETRY_DEADLINE_MARGIN", -1e9)  # nor does the pool look
     assert rule in run(tmp_path, ["old", "new"]).broken()
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -48,7 +48,7 @@
             assert now <= operation.deadline, "answered after the abandon time"
             ran = [attempt for attempt in operation.attempts if attempt in self.may_have_run]
             if answer.action is Action.REJECT:
-                assert operation.traffic_type is not ONCE or not ran, "bounced though it may have run"
+                assert operation.traffic_type is not ONCE or not ran, "rejected though it may have run"
             self.finals.add(operation.ident)
 
     def check_attempt(self, operation, attempt, now) -> None:
@@ -57,7 +57,7 @@
         assert not [each for each in others if each.in_flight], "two attempts at once"
         server = attempt.endpoint.ident
         if server != ORIGIN:
-            assert self.presence.get(server) is EndpointState.UP, "a leg to a draining or gone cache"
+            assert self.presence.get(server) is EndpointState.UP, "an attempt at a draining or gone endpoint"
             self.count_cold(server, now)
         ran = [each for each in operation.attempts if each in self.may_have_run]
         if ran:
@@ -71,7 +71,7 @@
         age = now - self.started.get(server, -1e9)
         if age < 5.0:
             self.sent_cold[server] = self.sent_cold.get(server, 0) + 1
-            fair = (0.5 if self.sparse else 25.0) * age / max(len(self.bench.router.ready), 1)
+            fair = (0.5 if self.sparse else 25.0) * age / max(len(self.bench.router.table.ready), 1)
             most = (2 if self.sparse else 4) + 1.2 * fair
             assert self.sent_cold[server] <= most, "a cold cache pushed over"
 
@@ -110,8 +110,8 @@
             self.overdue()
         assert not self.open and not self.attempts
         router = self.bench.router
-        assert not router.fetches and not router.gate.out
-        assert all(c.out == 0 for c in router.caches.values())
+        assert not router.fetches.waiting and not router.origin_limit.in_flight
+        assert all(c.in_flight == 0 for c in router.endpoints.values())
 
     def move_on(self) -> None:
         now = self.bench.now
@@ -185,5 +185,7 @@
     rules = Rules(seed, routers=400)
     rules.run(2500)
     router = rules.bench.router
-    assert rules.bench.now > 150.0 and not router.active.keys() - router.caches.keys()
-    assert router.rate.read(rules.bench.now) < 5.0 and all(used < 20.0 for used in router.used)
+    assert rules.bench.now > 150.0 and not router.load.active.keys() - router.endpoints.keys()
+    assert router.load.completion_rate.value_at(rules.bench.now) < 5.0 and all(
+        used < 20.0 for used in router.quotas.usage
+    )
