--- a/gaugehinge/drains/build.py
+++ b/gaugehinge/drains/build.py
@@ -1,4 +1,4 @@
-"""The installation file's `drains` to a part of a router that follows. The keeper's is made in keeper.py."""
+"""The router's side of the subsystem, by the installation file."""
 
 from __future__ import annotations
 
@@ -6,25 +6,32 @@
 
 import trio
 
-from ..hosted.follower import Follower
+from ..hosted.control_plane_watch import ControlPlaneWatch
 from ..installation.form import Installation
 from ..net.service import Service
-from .files import NodeFile, Taken
-from .router import RouterDrains
+from .node_file import NodeFile, NodeFileLockedError
+from .router import DrainsAgent
 
 
-def draining(told: Installation) -> Callable[[Service, trio.Nursery, Follower], RouterDrains]:
-    """What adds the part to a follower; this run is counted on its file now. Raises Taken."""
-    entry = told.drains
-    files = NodeFile(entry.file)
+def drains_builder(
+    installation: Installation,
+) -> Callable[[Service, trio.Nursery, ControlPlaneWatch], DrainsAgent]:
+    """What adds drains to a router that follows a control plane; this run is counted on its state file now.
 
-    def extend(service: Service, nursery: trio.Nursery, follower: Follower) -> RouterDrains:
-        part = RouterDrains(service, follower, files, nursery, told.tier.zone, entry.build, entry.labels)
-        follower.parts.append(part)
-        nursery.start_soon(part.run)
-        return part
+    Raises NodeFileLockedError.
+    """
+    entry = installation.drains
+    node_file = NodeFile(entry.file)
 
-    return extend
+    def build(service: Service, nursery: trio.Nursery, follower: ControlPlaneWatch) -> DrainsAgent:
+        agent = DrainsAgent(
+            service, nursery, follower, node_file, installation.tier.zone, entry.build, entry.labels
+        )
+        follower.add_part(agent)
+        nursery.start_soon(agent.run)
+        return agent
 
+    return build
 
-__all__ = ["Taken", "draining"]
+
+__all__ = ["NodeFileLockedError", "drains_builder"]
--- a/gaugehinge/hosted/front.py
+++ b/gaugehinge/hosted/front.py
@@ -34,8 +34,8 @@
     parse_labels,
 )
 from ..net.resp import BULK, Frame, Message, bulk
-from .gate import Gate
-from .roster import Bearer
+from .authenticator import Authenticator
+from .principal import Principal
 
 MAX_LABELS_BYTES = 4096
 AUTHENTICATION_REQUIRED = "authentication required"
@@ -59,17 +59,17 @@
 class HostedConnection(ClientConnection):
     """One connection, and the tenant that authenticated on it."""
 
-    bearer: Bearer | None = None
+    bearer: Principal | None = None
     credential: str = ""
 
 
 class HostedClientServer(ClientServer):
     """All connections of the platform's protocol at a hosted router."""
 
-    gate: Gate
+    gate: Authenticator
     wall_clock: Callable[[], float]
 
-    def require_authentication(self, gate: Gate, wall_clock: Callable[[], float]) -> None:
+    def require_authentication(self, gate: Authenticator, wall_clock: Callable[[], float]) -> None:
         """From now on connections authenticate. `wall_clock`: Unix time, by which credentials expire."""
         self.gate, self.wall_clock = gate, wall_clock
         self.commands[b"AUTH"] = self._authenticate
@@ -89,14 +89,14 @@
         bearer = self._authenticated_bearer(cast(HostedConnection, client))
         rewritten = rewrite_request(message, is_write, bearer)
         request = super().parse_request(client, rewritten, is_write, arrived_at)
-        request.operation.tenant = bearer.place
+        request.operation.tenant = bearer.tenant_index
         return request
 
-    def _authenticated_bearer(self, client: HostedConnection) -> Bearer:
+    def _authenticated_bearer(self, client: HostedConnection) -> Principal:
         bearer = client.bearer
         if bearer is None:
             raise TenantRefusedError(AUTHENTICATION_REQUIRED)
-        problem = bearer.why_not(client.credential, self.wall_clock())
+        problem = bearer.rejection_reason(client.credential, self.wall_clock())
         if problem:
             if problem == AUTHENTICATION_REQUIRED:
                 client.bearer = None
@@ -129,7 +129,7 @@
             answer(reply)  # one that is not answered holds up all behind it
 
 
-def rewrite_request(message: Message, is_write: bool, bearer: Bearer) -> Message:
+def rewrite_request(message: Message, is_write: bool, bearer: Principal) -> Message:
     """A command as it goes on: key, request ID, idempotency key and tenant are the bearer's own.
 
     Raises RequestError.
@@ -146,16 +146,21 @@
     if is_write and max_value_bytes and len(parts[4].body) > max_value_bytes:
         raise ValueTooLargeError(max_value_bytes)
     if labels.get(IDEMPOTENCY_KEY_LABEL):
-        labels[IDEMPOTENCY_KEY_LABEL] = bearer.marks.decode() + labels[IDEMPOTENCY_KEY_LABEL]
+        labels[IDEMPOTENCY_KEY_LABEL] = bearer.id_prefix.decode() + labels[IDEMPOTENCY_KEY_LABEL]
     labels[TENANT_LABEL] = bearer.name
     rewritten_labels = ",".join(f"{name}={value}" for name, value in labels.items()).encode()
-    bodies = [parts[0].body, bearer.keys + parts[1].body, bearer.marks + parts[2].body, rewritten_labels]
+    bodies = [
+        parts[0].body,
+        bearer.key_prefix + parts[1].body,
+        bearer.id_prefix + parts[2].body,
+        rewritten_labels,
+    ]
     if is_write:
         bodies.append(parts[4].body)
     return _encode(message, parts, bodies)
 
 
-def _rewrite_class_and_wait(labels: dict[str, str], bearer: Bearer) -> None:
+def _rewrite_class_and_wait(labels: dict[str, str], bearer: Principal) -> None:
     """Check the labels against the tenant's rules and put the installation's values in place."""
     if labels.get(TENANT_LABEL, bearer.name) != bearer.name:
         raise InvalidLabelError(TENANT_LABEL, "not the tenant of this connection")
--- a/gaugehinge/rehearsal/hostedplay.py
+++ b/gaugehinge/rehearsal/hostedplay.py
@@ -18,22 +18,25 @@
 
 from ..admin.app import Api
 from ..admin.service import Administration
-from ..cluster.build import extension
+from ..cluster.build import build_cluster
 from ..emulator.directory import Directory, Entry
 from ..emulator.doors import DirectoryDoor
 from ..emulator.ports import Ports
 from ..emulator.shelf import Shelves
 from ..forms.units import Seconds
-from ..hosted.build import following
-from ..hosted.follower import Follower
+from ..hosted.build import control_plane_watch_builder, tenant_of_connection
+from ..hosted.control_plane_watch import ControlPlaneWatch
 from ..hosted.front import HostedClientServer
 from ..installation.build import configuration_of
 from ..installation.form import DiscoveryAt, FollowEntry, Installation, Listen, Rules, Tier, TrafficEntry
+from ..net.extensions import Extensions
 from ..net.resp import Parser, bulk
 from ..net.service import Service
 from ..net.sockets import shut
 from ..net.timer_queue import Clock, TimerQueue
+from ..placement.build import build_placement
 from ..store.async_store import AsyncStore
+from ..subsystems import Subsystems
 from ..tenancy.attempt_limiter import AttemptLimiter
 from ..tenancy.credentials import SecretHasher
 
@@ -97,11 +100,10 @@
     keeping: trio.CancelScope = field(default_factory=trio.CancelScope)
     files: list[Installation] = field(default_factory=list)
     services: list[Service] = field(default_factory=list)
-    followers: list[Follower] = field(default_factory=list)
+    followers: list[ControlPlaneWatch] = field(default_factory=list)
     scopes: list[trio.CancelScope] = field(default_factory=list)
     lease: float = 0.0  # seconds that the keeper gives routers; 0: none
     parts: tuple[Callable[[Administration], Any], ...] = ()  # at the keeper
-    dress: Callable[[Any], Any] = lambda follow: follow  # what a router has beside its following
 
     # -- the keeper
 
@@ -164,16 +166,21 @@
         """Start one, or start it again after a crash: with nothing but its files."""
         told = self.files[number]
         configuration = configuration_of(told)
-        follow = self.dress(following(told, CHEAP))
+        build_watch = control_plane_watch_builder(told, CHEAP)
         scope = trio.CancelScope()
 
-        def extend(service: Service, nursery: trio.Nursery) -> None:
-            if told.cluster.listen:
-                extension(told)(service, nursery)
-            self.followers[number] = follow(service, nursery)
+        def build(service: Service, nursery: trio.Nursery) -> Extensions:
+            fleet = build_cluster(service, nursery, told)
+            follower = self.followers[number] = build_watch(service, nursery)
+            placement = build_placement(service, follower) if told.placement.on else None
+            return Subsystems(fleet, follower, placement).extensions()
 
         service = Service(
-            configuration, lambda: configuration, new_door, extend=extend, kind=HostedClientServer
+            configuration,
+            lambda: configuration,
+            partial(new_door, tenant_of=tenant_of_connection) if new_door is not None else None,
+            build_extensions=build,
+            client_server_class=HostedClientServer,
         )
         self.services[number], self.scopes[number] = service, scope
         self.nursery.start_soon(self._run, service, scope)
@@ -187,9 +194,9 @@
         """It is gone at once, with all that it had in hand."""
         self.scopes[number].cancel()
         service = self.services[number]
-        for clients, listening in service.fronts:
-            shut(listening)
-            for client in clients.connections:
+        for front in service.fronts:
+            shut(front.listening)
+            for client in front.clients.connections:
                 shut(client.sock)
 
     async def client(self, number: int, *secret: str, source: str = HOST) -> Client:
@@ -212,7 +219,7 @@
         with trio.fail_after(wait):
             while not all(
                 follower is not None
-                and follower.roster.revision >= self.keeper.revision
+                and follower.registry.revision >= self.keeper.revision
                 and service.dispatcher.router.endpoints
                 for follower, service, scope in zip(self.followers, self.services, self.scopes, strict=True)
                 if not scope.cancel_called
@@ -232,7 +239,6 @@
     zones: tuple[str, ...] = ("a",),
     lease: float = 0.0,
     parts: tuple[Any, ...] = (),
-    dress: Any = lambda follow: follow,
     **changes: Any,
 ) -> AsyncIterator[Hosted]:
     """A keeper with `root` and routers that follow it; ended with the block.
@@ -255,7 +261,6 @@
                 directory,
                 lease=lease,
                 parts=parts,
-                dress=dress,
             )
             for number in range(servers):
                 listeners = await nursery.start(
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -30,8 +30,9 @@
 
 from gaugehinge.net import client_server, connection_pool, idle_reaper, sockets
 from gaugehinge.net.client_connection import ClientConnection
+from gaugehinge.net.graceful_shutdown import KILL_SLACK
 from gaugehinge.net.resp import MAX_REPLY_BYTES, Malformed, Parser, bulk
-from gaugehinge.net.service import KILL_SLACK, Service
+from gaugehinge.net.service import Service
 from tests.helper import SETTINGS, fleet
 
 LONGEST = 0.6  # the longest wait of the settings
@@ -1018,7 +1019,7 @@
         if event.pick:
             os.kill(os.getpid(), signal.SIGHUP)
         else:
-            self.made.service._reread()
+            self.made.service.reload()
 
     async def _leave(self, name: str, customer: Customer, awaited: bool) -> None:
         if name == "quit":
