--- a/gaugehinge/drains/restart_service.py
+++ b/gaugehinge/drains/restart_service.py
@@ -53,7 +53,7 @@
             fleet.shutdown_orders = {name: order for name, order in standing if orders.get(name) == order}
             return changes
 
-        await self.leases.administration.keeper.apply_planned(plan, AUTHOR)
+        await self.leases.control_plane.store_writer.apply_planned(plan, AUTHOR)
         fleet.shutdown_orders = orders  # only now that it is in the store
         for line in log:
             logger.info(line)
@@ -63,7 +63,7 @@
             statuses = self.leases.fleet.statuses(store, now)
             has_room_for = self._room_for_successors(store)
         self.planner.is_last_of_shard = last_of_shard(
-            pinned_zones(self.leases.administration), statuses["servers"]
+            pinned_zones(self.leases.control_plane), statuses["servers"]
         )
         restarts = [stored.record for stored in table.restarts.values()]
         return self.planner.plan(restarts, table.steps, statuses, now, wall, has_room_for)
