--- a/gaugehinge/door/door.py
+++ b/gaugehinge/door/door.py
@@ -15,7 +15,8 @@
 
 from loguru import logger
 
-from ..net.client_server import ClientConnection, ClientServer
+from ..net.client_connection import ClientConnection
+from ..net.client_server import ClientServer
 from ..net.codec import RequestPayload
 from ..net.dispatcher import BUSY_REPLY, Dispatcher, busy_reply
 from ..routing.types import Operation
@@ -322,7 +323,7 @@
         flows = [flow for line in self.queue.lines for flow in line.flows.values()]
         return [waiting for flow in flows for waiting in flow.entries if not waiting.out]
 
-    def fail_rest(self) -> None:
+    def reject_queued(self) -> None:
         """The router ends: what waits never ran."""
         for waiting in self.waiting():
             self.queue.leave(waiting, "end")
@@ -367,7 +368,7 @@
 
     # -- connections
 
-    def reader(self, clients: ClientServer) -> Turnstile:
+    def new_reader(self, clients: ClientServer) -> Turnstile:
         """What reads the connections."""
         self.turnstile = Turnstile(clients, self.turns, self.tap, self._at_first_look)
         return self.turnstile
@@ -388,19 +389,19 @@
         wait = self.queue.wait_of(tenant) + self.queue.pressure(tenant)
         return busy_reply(self.come_back.time(wait, seen.repeat))
 
-    def more(self) -> bool:
+    def may_accept(self) -> bool:
         """Whether one more connection may be accepted now."""
         return self.pace.accept(self.clock())
 
-    def accepted(self, cpu: float) -> None:
+    def on_accepted(self, cpu: float) -> None:
         """Connections were accepted, in so many seconds of CPU."""
         self.pace.took(cpu)
 
-    def crowded(self, connections: Iterable[H]) -> list[H]:
+    def order_of_eviction(self, connections: Iterable[H]) -> list[H]:
         """Connections in the order in which they should yield their places."""
         return yielding(connections)
 
-    def crowds(self, tenant: int, connections: Iterable[Holder], most: int) -> bool:
+    def exceeds_connection_quota(self, tenant: int, connections: Iterable[Holder], most: int) -> bool:
         """Whether a connection over the limit is one too many for its tenant: not while it holds less
         than its part.
 
@@ -413,7 +414,7 @@
         spoke = sum(number != NEVER_SPOKE for number in self._held)
         return self._held[tenant] >= most / max(spoke, 1)
 
-    def full(self, operation: Operation) -> bytes:
+    def overload_reply(self, operation: Operation) -> bytes:
         """What an operation is told that finds no place, or no memory for it."""
         self._count(operation.tenant, "place")
         return busy_reply(self._stay_away(operation))
--- a/gaugehinge/hosted/build.py
+++ b/gaugehinge/hosted/build.py
@@ -12,7 +12,7 @@
 import trio
 
 from ..installation.form import Installation
-from ..net.client_server import ClientConnection
+from ..net.client_connection import ClientConnection
 from ..net.service import Service
 from ..tenancy.attempt_limiter import AttemptLimiter
 from ..tenancy.credentials import SecretHasher
@@ -23,7 +23,7 @@
 from .endpoint_overrides import EndpointOverrides
 from .errors import SecretFileError
 from .feed_snapshot import FeedSnapshot
-from .front import HostedClients
+from .front import HostedClientServer
 from .interfaces import AuthenticatingServer
 from .tenant_registry import TenantRegistry
 
@@ -79,12 +79,12 @@
 
 def _authenticate_clients(service: Service, registry: TenantRegistry, hasher: SecretHasher) -> None:
     """From now on clients of each front say who they are, whichever dialect it speaks."""
-    if not isinstance(service.clients, HostedClients):
+    if not isinstance(service.clients, HostedClientServer):
         raise TypeError("its clients cannot say who they are")
     attempts = AttemptLimiter(service.configuration.settings.deployment.seed, time.time())
     authenticator = Authenticator(registry, hasher, attempts, time.time)
     for front in service.fronts:
-        cast(AuthenticatingServer, front.clients).let_in_by(authenticator, time.time)
+        cast(AuthenticatingServer, front.clients).require_authentication(authenticator, time.time)
 
 
 def _http_client(address: str, secret: str) -> httpx.AsyncClient:
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -414,7 +414,7 @@
         """Notify peers where nothing is in flight, and write the snapshot."""
         service = self.service
         in_hand = len(self.dispatcher.pending_operations) + len(service.pool.pending)
-        in_hand += sum(front.clients.owe() for front in service.fronts)
+        in_hand += sum(front.clients.has_pending_replies() for front in service.fronts)
         self.mind = evidence.leave(self.mind, in_hand)
         how = f"with {in_hand} in hand" if in_hand else "in order"
         logger.info("recovery: run {} ends {}", self.mind.run, how)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -596,12 +596,12 @@
     return repr(
         (
             router_figures,
-            sorted(clients.idents_open),
-            sorted(clients.idents | clients.idents_before),
-            clients.held,
-            clients.most,
-            clients.most_held,
-            clients.most_in_hand,
+            sorted(clients.request_ids.open),
+            sorted(clients.request_ids.closed | clients.request_ids.closed_before),
+            clients.limits.reserved_bytes,
+            clients.limits.max_connections,
+            clients.limits.max_reserved_bytes,
+            clients.limits.max_in_flight,
             pool.open_connections,
             pool.max_connections,
             pool.connect_timeout,
@@ -646,7 +646,8 @@
                 assert words and not any(foreign in word for word in words)
             # Each has the limits of its own settings.
             assert (ours.service.pool.connect_timeout, theirs.service.pool.connect_timeout) == (2.0, 0.7)
-            assert theirs.service.clients.most_in_hand == 2 < ours.service.clients.most_in_hand
+            their_limits, our_limits = theirs.service.clients.limits, ours.service.clients.limits
+            assert their_limits.max_in_flight == 2 < our_limits.max_in_flight
             assert [m.service.configuration.settings.max_client_wait for m in (ours, theirs)] == [0.5, 1.2]
 
     play(scene)
@@ -815,7 +816,7 @@
     assert uses == [
         "from ..net.sockets import SPACE",
         "self._space = SPACE[:READ_MOST]",
-        "size = client.raw.recv_into(self._space)",
+        "size = client.sock.recv_into(self._space)",
         "if size == len(self._space) or number in self._ending:",
         "data = bytes(self._space[:size])",
     ]
@@ -831,7 +832,6 @@
 ORDINARY = {
     "read": "English, of bytes, lists and settings; as a class it would stand alone in a string",
     "move": "DiscoveryClient.move, and English; as a class it would stand alone in a string",
-    "put": "ClientServer.put answers a command; as a class it would stand alone in a string",
 }
 # These two deploy files are installations of their own, for `gaugehinge serve`: what they name they declare.
 INSTALLATIONS = ("deploy/cluster.toml", "deploy/hosted.toml")
