--- a/Makefile
+++ b/Makefile
@@ -17,6 +17,7 @@
 lint: build
 	$(BIN)/ruff check .
 	$(BIN)/ruff format --check .
+	$(BIN)/mypy
 	$(BIN)/lint-imports
 
 demo: build
