--- a/gaugehinge/net/graceful_shutdown.py
+++ b/gaugehinge/net/graceful_shutdown.py
@@ -47,7 +47,7 @@
 
     async def _serve_on(self) -> None:
         closing = max(self.end - CLOSING_TIME, self.began + STILL_COMING)
-        # A poll on purpose: connections end in many places, and an event for the last of them would say no more.
+        # A poll on purpose: connections end in many places, and an event for the last one would say no more.
         while self.clock() < closing and (  # noqa: ASYNC110
             self._connections() or self.clock() < self.began + STILL_COMING
         ):
