--- a/gaugehinge/cli/serve_extensions.py
+++ b/gaugehinge/cli/serve_extensions.py
@@ -15,7 +15,8 @@
     from ..drains.router import DrainsAgent
     from ..hosted.control_plane_watch import ControlPlaneWatch
     from ..installation.form import Installation
-    from ..net.client_server import AdmissionControl, ClientServer
+    from ..net.admission_control import AdmissionControl
+    from ..net.client_server import ClientServer
     from ..net.extensions import ExtensionBuilder, Extensions
     from ..net.service import Service
     from ..placement.router import RouterPlacement
@@ -40,9 +41,9 @@
 def client_server_class(installation: Installation) -> type[ClientServer]:
     """What serves the platform's clients."""
     if installation.follow.keeper:
-        from ..hosted.front import HostedClients
+        from ..hosted.front import HostedClientServer
 
-        return HostedClients
+        return HostedClientServer
     from ..net.client_server import ClientServer
 
     return ClientServer
--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -13,7 +13,8 @@
 from loguru import logger
 
 from ..settings import Settings
-from .client_server import AdmissionControl, ClientServer
+from .admission_control import AdmissionControl
+from .client_server import ClientServer
 from .configuration import Configuration
 from .connection_pool import ConnectionPool
 from .discovery import DiscoveryClient
--- a/gaugehinge/rehearsal/brokenterms.py
+++ b/gaugehinge/rehearsal/brokenterms.py
@@ -9,8 +9,10 @@
 from math import inf
 
 from ..net import discovery_schedule
-from ..net.client_server import ClientConnection, ClientServer, _no_more
+from ..net.client_connection import ClientConnection
+from ..net.client_server import ClientServer
 from ..net.codec import RequestPayload
+from ..net.connection_registry import ConnectionRegistry
 from ..net.discovery import DiscoveryClient
 from ..net.discovery_watch import Watch
 from ..net.dispatcher import NO_HANDLE, Dispatcher
@@ -56,19 +58,20 @@
 
     Dispatcher.submit = submit
     Dispatcher.client_gone = lambda self, handle, on_released=None: None
-    ClientServer.present = lambda self, client: True  # either of the two finds out
+    ClientServer.is_client_present = lambda self, client: True  # either of the two finds out
 
 
 def reads_on() -> None:
     """It tells a client that no answer follows, and goes on reading commands for a moment."""
 
-    def cut(self: ClientServer, client: ClientConnection) -> None:
-        _no_more(client)
-        client.quiet_since = inf  # not again
-        self.dispatcher.timers.call_at(self.clock() + READS_ON, self._stop, client)
+    def shut_down(self: ConnectionRegistry, client: ClientConnection) -> None:
+        client.half_close()
+        client.idle_since = inf  # not again
+        self.timers.call_at(self.clock() + READS_ON, self.close_soon, client)
 
-    ClientServer._cut = cut
-    ClientServer.present = lambda self, client: True  # else most are found gone before they are sent on
+    ConnectionRegistry.shut_down = shut_down
+    # Else most are found gone before they are sent on.
+    ClientServer.is_client_present = lambda self, client: True
 
 
 MODES = {each.__name__: each for each in (deaf, sleeps, unmoved, stays, reads_on)}
--- a/gaugehinge/rehearsal/hostedplay.py
+++ b/gaugehinge/rehearsal/hostedplay.py
@@ -26,7 +26,7 @@
 from ..forms.units import Seconds
 from ..hosted.build import control_plane_watch_builder, tenant_of_connection
 from ..hosted.control_plane_watch import ControlPlaneWatch
-from ..hosted.front import HostedClients
+from ..hosted.front import HostedClientServer
 from ..installation.build import configuration_of
 from ..installation.form import DiscoveryAt, FollowEntry, Installation, Listen, Rules, Tier, TrafficEntry
 from ..net.extensions import Extensions
@@ -180,7 +180,7 @@
             lambda: configuration,
             partial(new_door, tenant_of=tenant_of_connection) if new_door is not None else None,
             build_extensions=build,
-            client_server_class=HostedClients,
+            client_server_class=HostedClientServer,
         )
         self.services[number], self.scopes[number] = service, scope
         self.nursery.start_soon(self._run, service, scope)
@@ -197,7 +197,7 @@
         for front in service.fronts:
             shut(front.listening)
             for client in front.clients.connections:
-                shut(client.raw)
+                shut(client.sock)
 
     async def client(self, number: int, *secret: str, source: str = HOST) -> Client:
         """A client at a router; with a secret (and a name before it), let in by that."""
--- a/tests/test_crossings_generated.py
+++ b/tests/test_crossings_generated.py
@@ -5,8 +5,10 @@
 from gaugehinge.net import graceful_shutdown
 from gaugehinge.net.client_server import ClientServer
 from gaugehinge.net.connection_pool import ConnectionPool
+from gaugehinge.net.connection_registry import ConnectionRegistry
 from gaugehinge.net.dispatcher import Dispatcher
-from gaugehinge.net.service import Service
+from gaugehinge.net.graceful_shutdown import GracefulShutdown
+from gaugehinge.net.reply_writer import ReplyWriter
 from gaugehinge.routing import retry_safety
 from gaugehinge.routing.endpoint_table import EndpointTable
 from gaugehinge.routing.types import EndpointState
@@ -41,14 +43,14 @@
 
 def answer_twice(monkeypatch):
     """Each answer to a request goes out a second time."""
-    write = ClientServer._write
+    write = ReplyWriter._write
 
     def twice(self, client, answer):
         if answer.startswith(b"$"):
             write(self, client, answer)
         return write(self, client, answer)
 
-    monkeypatch.setattr(ClientServer, "_write", twice)
+    monkeypatch.setattr(ReplyWriter, "_write", twice)
 
 
 def no_forfeit(monkeypatch):
@@ -60,10 +62,10 @@
     """Connections are closed at the end whatever they are owed."""
 
     def cut(self, client):
-        self._cut(client)
+        self.shut_down(client)
         return True
 
-    monkeypatch.setattr(ClientServer, "_hang_up", cut)
+    monkeypatch.setattr(ConnectionRegistry, "close_if_idle", cut)
 
 
 def copies_kept(monkeypatch):
@@ -130,15 +132,19 @@
 
 def close_untold(monkeypatch):
     """The dispatch is not told that a client has gone, nor finds that out before an attempt."""
-    monkeypatch.setattr(ClientServer, "close_ticket", lambda self, ticket: self._close_ident(ticket.ident))
-    monkeypatch.setattr(ClientServer, "present", lambda self, client: True)
+
+    def abandon(self, pending_reply):
+        self.request_ids.close(pending_reply.request_id)
+
+    monkeypatch.setattr(ClientServer, "abandon_reply", abandon)
+    monkeypatch.setattr(ClientServer, "is_client_present", lambda self, client: True)
 
 
 def never_ends(monkeypatch):
     """It takes the time that it has for longer than it is, and no connection for idle."""
     monkeypatch.setattr(graceful_shutdown, "KILL_SLACK", 3.0)
-    monkeypatch.setattr(ClientServer, "owe", lambda self: True)
-    monkeypatch.setattr(ClientServer, "leave", lambda self, quiet: None)
+    monkeypatch.setattr(ClientServer, "has_pending_replies", lambda self: True)
+    monkeypatch.setattr(ClientServer, "close_idle", lambda self, idle_grace: None)
 
 
 def raises(monkeypatch):
@@ -147,7 +153,7 @@
     async def fail(self, accepting):
         raise RuntimeError("at the end")
 
-    monkeypatch.setattr(Service, "_leave", fail)
+    monkeypatch.setattr(GracefulShutdown, "run", fail)
 
 
 def has(names, steps=crossings.STEPS, kinds=("read", "once", "mark")):
