--- a/tests/test_crossings_generated.py
+++ b/tests/test_crossings_generated.py
@@ -8,7 +8,6 @@
 from gaugehinge.net.connection_registry import ConnectionRegistry
 from gaugehinge.net.dispatcher import Dispatcher
 from gaugehinge.net.reply_writer import ReplyWriter
-from gaugehinge.net.service import Service
 from gaugehinge.routing import retry_safety
 from gaugehinge.routing.endpoint_table import EndpointTable
 from gaugehinge.routing.types import EndpointState
@@ -153,7 +152,7 @@
     async def fail(self, accepting):
         raise RuntimeError("at the end")
 
-    monkeypatch.setattr(Service, "_leave", fail)
+    monkeypatch.setattr(graceful_shutdown.GracefulShutdown, "run", fail)
 
 
 def has(names, steps=crossings.STEPS, kinds=("read", "once", "mark")):
