--- a/gaugehinge/cli/control_plane_command.py
+++ b/gaugehinge/cli/control_plane_command.py
@@ -42,9 +42,9 @@
     """The extensions that the configuration switches on; those that are off are not imported."""
     extensions: list[ExtensionFactory] = []
     if config.placement.on:
-        from ..placement.build import keeping as placement
+        from ..placement.build import control_plane_factory
 
-        extensions.append(placement(config))
+        extensions.append(control_plane_factory(config))
     if config.drains.on:
         from ..drains.part import control_plane_part as drains
 
--- a/gaugehinge/cli/serve_extensions.py
+++ b/gaugehinge/cli/serve_extensions.py
@@ -19,7 +19,7 @@
     from ..net.client_server import ClientServer
     from ..net.extensions import ExtensionBuilder, Extensions
     from ..net.service import Service
-    from ..placement.router import Placing
+    from ..placement.router import RouterPlacement
     from ..recovery.driver import Recovery
 
 WatchBuilder = Callable[["Service", "trio.Nursery"], "ControlPlaneWatch"]
@@ -98,7 +98,9 @@
         raise BadInput(f"{file}: follow.secret_file: {error}") from error
 
 
-def _placement_builder(installation: Installation) -> Callable[[Service, ControlPlaneWatch], Placing] | None:
+def _placement_builder(
+    installation: Installation,
+) -> Callable[[Service, ControlPlaneWatch], RouterPlacement] | None:
     if not (installation.follow.keeper and installation.placement.on):
         return None
     from ..placement.build import build_placement
--- a/gaugehinge/drains/shard_pinning.py
+++ b/gaugehinge/drains/shard_pinning.py
@@ -13,12 +13,12 @@
 def pinned_zones(control_plane: ControlPlane) -> Iterable[frozenset[str]]:
     """The zones of each shard that may be served nowhere else, as placement has them."""
     placement: Any = next((part for part in control_plane.extensions if part.name == "placement"), None)
-    rows = placement.desk.rows.values() if placement is not None else ()
+    rows = placement.index.shards.values() if placement is not None else ()
     return {
         frozenset(zone for region in terms.zones for zone in region)
         for row, _ in rows
-        for terms in (row.now, row.then)
-        if terms and terms.only
+        for terms in (row.current, row.target)
+        if terms and terms.required
     }
 
 
--- a/gaugehinge/rehearsal/broken.py
+++ b/gaugehinge/rehearsal/broken.py
@@ -223,10 +223,10 @@
 
 def wanders() -> None:
     """It sends keys of pinned shards anywhere, and tells the keeper that it follows."""
-    from ..placement.router import Placing
+    from ..placement.router import RouterPlacement
 
-    Placing.constrain = lambda self, operation: None
-    Placing.may_send = lambda self, attempt: True
+    RouterPlacement.constrain = lambda self, operation: None
+    RouterPlacement.may_send = lambda self, attempt: True
 
 
 def opens() -> None:
--- a/tests/test_crossings_generated.py
+++ b/tests/test_crossings_generated.py
@@ -7,6 +7,7 @@
 from gaugehinge.net.connection_pool import ConnectionPool
 from gaugehinge.net.connection_registry import ConnectionRegistry
 from gaugehinge.net.dispatcher import Dispatcher
+from gaugehinge.net.graceful_shutdown import GracefulShutdown
 from gaugehinge.net.reply_writer import ReplyWriter
 from gaugehinge.routing import retry_safety
 from gaugehinge.routing.endpoint_table import EndpointTable
@@ -152,7 +153,7 @@
     async def fail(self, accepting):
         raise RuntimeError("at the end")
 
-    monkeypatch.setattr(graceful_shutdown.GracefulShutdown, "run", fail)
+    monkeypatch.setattr(GracefulShutdown, "run", fail)
 
 
 def has(names, steps=crossings.STEPS, kinds=("read", "once", "mark")):
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -15,7 +15,7 @@
 from gaugehinge.net.endpoint_list import read_endpoint_list
 from gaugehinge.net.lifecycle import Phase
 from gaugehinge.placement.build import build_placement
-from gaugehinge.placement.forms import KeeperTold, RouterTold
+from gaugehinge.placement.messages import ControlPlaneUpdate, RouterReport
 from gaugehinge.recovery.driver import Recovery
 from gaugehinge.recovery.evidence import Verdict
 from gaugehinge.recovery.opening import Stage
@@ -58,12 +58,12 @@
             return httpx.Response(401)
         report = msgspec.json.decode(request.content, type=Report)
         self.waits.append(report.max_wait)
-        said = msgspec.json.decode(report.parts["placement"], type=RouterTold)
-        self.lists += [said.servers.servers] if said.servers is not None else []
+        said = msgspec.json.decode(report.parts["placement"], type=RouterReport)
+        self.lists += [said.server_chunk.servers] if said.server_chunk is not None else []
         if len(self.waits) == 3:
             self.fed.set()
         await trio.sleep(min(report.max_wait, 0.05))
-        told = KeeperTold(1, "mark", report.known_revision == 0, [], [], LEASE, 2 * LEASE, [], "")
+        told = ControlPlaneUpdate(1, "mark", report.known_revision == 0, [], [], LEASE, 2 * LEASE, [], "")
         feed = Feed("store", 1, True, [], parts={"placement": msgspec.Raw(msgspec.json.encode(told))})
         return httpx.Response(200, content=msgspec.json.encode(feed))
 
@@ -96,7 +96,7 @@
         )
         while made.recovery.mind.verdict is Verdict.DECIDING or not all_.service.dispatcher.router.endpoints:
             await trio.sleep(0.01)
-        assert {told[3] for told in made.placing.servers.values()} == {5.0}
+        assert {server.started_at for server in made.placing.servers.current.values()} == {5.0}
         told = [target.entry.started for target in made.follower.overrides.discovered if target.entry.started]
         assert set(told) == {5.0}
         believed = {cache.started for cache in all_.service.dispatcher.router.endpoints.values()}
@@ -118,7 +118,7 @@
         assert recovery.uptime() >= 1.0 and Stage.PARTS.value in recovery.order.missing
         failed = recovery.opening.writes.failed
         client = await all_.client()
-        while made.placing.bounced < 3:
+        while made.placing.rejected < 3:
             assert (await client.put()).startswith(b"-BUSY")
         assert recovery.opening.writes.failed == failed == 0
         made.placing.lease.renew(trio.current_time(), 60.0)
