--- a/tests/test_crossings_generated.py
+++ b/tests/test_crossings_generated.py
@@ -6,7 +6,6 @@
 from gaugehinge.net.client_server import ClientServer
 from gaugehinge.net.connection_pool import ConnectionPool
 from gaugehinge.net.dispatcher import Dispatcher
-from gaugehinge.net.service import Service
 from gaugehinge.routing import retry_safety
 from gaugehinge.routing.endpoint_table import EndpointTable
 from gaugehinge.routing.types import EndpointState
@@ -147,7 +146,7 @@
     async def fail(self, accepting):
         raise RuntimeError("at the end")
 
-    monkeypatch.setattr(Service, "_leave", fail)
+    monkeypatch.setattr(graceful_shutdown.GracefulShutdown, "run", fail)
 
 
 def has(names, steps=crossings.STEPS, kinds=("read", "once", "mark")):
