--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -20,15 +20,17 @@
 
 from helper import READ, Bench, Outcome, origin_row, row  # noqa: E402
 
-from gaugehinge.placement.desk import Desk  # noqa: E402
-from gaugehinge.placement.forms import Pinned  # noqa: E402
-from gaugehinge.placement.shards import Row, Table, Terms  # noqa: E402
+from gaugehinge.placement.affinity import RegionAffinity  # noqa: E402
+from gaugehinge.placement.lifecycle import Stage  # noqa: E402
+from gaugehinge.placement.records import ShardRecord  # noqa: E402
+from gaugehinge.placement.shard_index import ShardIndex  # noqa: E402
+from gaugehinge.placement.shard_table import ShardAssignment, ShardTable  # noqa: E402
 
 TENANT_SHARDS = 64
 ROUNDS, EACH = 7, 20_000
 
 
-def rows(count: int) -> list[Row]:
+def rows(count: int) -> list[ShardAssignment]:
     draw = random.Random(count)
     made = []
     for n in range(count):
@@ -36,11 +38,11 @@
         names = tuple(f"region-{z[0]}" for z in zones)
         prefix = f"shard-{n % TENANT_SHARDS}/" + "x" * draw.randrange(8)
         made.append(
-            Row(
+            ShardAssignment(
                 1 + n // TENANT_SHARDS,
                 f"s{n % TENANT_SHARDS}",
                 (prefix,),
-                Terms(True, names, zones),
+                RegionAffinity(True, names, zones),
                 False,
                 n + 1,
             )
@@ -64,8 +66,8 @@
     it takes over the whole, and one row."""
     told = rows(count)
     tracemalloc.start()
-    table = Table()
-    table.change(told, [], whole=True)
+    table = ShardTable()
+    table.update(told, [], is_complete=True)
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     tenants = max(count // TENANT_SHARDS, 1)
@@ -79,9 +81,9 @@
     ]
     others = [b"%x/other-%d" % (1 + draw.randrange(tenants), n) for n in range(2000)]
     began = time.process_time()
-    table.change(told, [], whole=True)
+    table.update(told, [], is_complete=True)
     whole = 1e3 * (time.process_time() - began)
-    one = each(lambda n: table.change(told[:1], []), 200) / 1e3
+    one = each(lambda n: table.update(told[:1], []), 200) / 1e3
     hit, miss = each(lambda n: table.find(keys[n % 2000])), each(lambda n: table.find(others[n % 2000]))
     return hit, miss, memory, whole, one
 
@@ -115,22 +117,30 @@
 
 def keeper(count: int) -> tuple[float, float, int]:
     """Of the keeper's table: milliseconds of telling the whole, and nothing new; bytes of the whole."""
-    desk = Desk(rev=count + 1)
+    index = ShardIndex(revision=count + 1)
     for told in rows(count):
-        terms = told.terms
-        desk._take(
+        terms = told.affinity
+        index.apply(
             f"{told.incarnation}/{told.shard}",
-            told.rev,
+            told.revision,
             msgspec.json.encode(
-                Pinned(
-                    told.incarnation, "t", told.shard, told.prefixes, 1.0, told.rev, "confined", 0.0, terms
+                ShardRecord(
+                    told.incarnation,
+                    "t",
+                    told.shard,
+                    told.prefixes,
+                    1.0,
+                    told.revision,
+                    Stage.CONFINED,
+                    0.0,
+                    terms,
                 )
             ),
         )
     began = time.process_time()
-    body = msgspec.json.encode(desk.told(0)[1])
+    body = msgspec.json.encode(index.changes_since(0).assignments)
     whole = time.process_time() - began
-    nothing = each(lambda n: desk.told(count + 1), 200) / 1e3
+    nothing = each(lambda n: index.changes_since(count + 1), 200) / 1e3
     return 1e3 * whole, nothing, len(body)
 
 
--- a/gaugehinge/cli/serve_extensions.py
+++ b/gaugehinge/cli/serve_extensions.py
@@ -15,10 +15,11 @@
     from ..drains.router import DrainsAgent
     from ..hosted.control_plane_watch import ControlPlaneWatch
     from ..installation.form import Installation
-    from ..net.client_server import AdmissionControl, ClientServer
+    from ..net.admission_control import AdmissionControl
+    from ..net.client_server import ClientServer
     from ..net.extensions import ExtensionBuilder, Extensions
     from ..net.service import Service
-    from ..placement.router import Placing
+    from ..placement.router import RouterPlacement
     from ..recovery.driver import Recovery
 
 WatchBuilder = Callable[["Service", "trio.Nursery"], "ControlPlaneWatch"]
@@ -40,9 +41,9 @@
 def client_server_class(installation: Installation) -> type[ClientServer]:
     """What serves the platform's clients."""
     if installation.follow.keeper:
-        from ..hosted.front import HostedClients
+        from ..hosted.front import HostedClientServer
 
-        return HostedClients
+        return HostedClientServer
     from ..net.client_server import ClientServer
 
     return ClientServer
@@ -97,7 +98,9 @@
         raise BadInput(f"{file}: follow.secret_file: {error}") from error
 
 
-def _placement_builder(installation: Installation) -> Callable[[Service, ControlPlaneWatch], Placing] | None:
+def _placement_builder(
+    installation: Installation,
+) -> Callable[[Service, ControlPlaneWatch], RouterPlacement] | None:
     if not (installation.follow.keeper and installation.placement.on):
         return None
     from ..placement.build import build_placement
--- a/gaugehinge/drains/restarts_api.py
+++ b/gaugehinge/drains/restarts_api.py
@@ -2,16 +2,17 @@
 
 from __future__ import annotations
 
-import hashlib
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
 from starlette.requests import Request
 from starlette.responses import Response
 
-from ..admin.app import MOST_KEY, answer, read
-from ..admin.service import Caller, Wrong
+from ..admin.caller import Caller
+from ..admin.errors import InvalidRequestError, NotFoundError, ResourceConflictError
+from ..admin.http import json_response, read_json
+from ..admin.idempotency import run_once
+from ..admin.transactions import IdempotencyKey
 from ..store.records import Mutation, encode
 from ..store.store import Store
 from .api_types import RestartPage, RestartView, StepView
@@ -39,51 +40,58 @@
     def __init__(self, controller: DrainsController) -> None:
         """The controller whose restarts are shown and changed."""
         self.controller = controller
-        self.administration = controller.leases.administration
+        self.control_plane = controller.leases.control_plane
 
     # -- reads
 
     async def list_restarts(self, request: Request, caller: Caller) -> Response:
         """GET /v1/rolls."""
-        caller.need("reader")
-        keeper = self.administration.keeper
-        table = await keeper.run_sync(load_restarts, keeper.store)
+        caller.require_role("reader")
+        store_writer = self.control_plane.store_writer
+        table = await store_writer.run_sync(load_restarts, store_writer.store)
         idents = sorted(table.restarts, key=lambda ident: table.restarts[ident].record.number)
-        return answer(RestartPage([_view(table, ident) for ident in idents]))
+        return json_response(RestartPage([_view(table, ident) for ident in idents]))
 
     async def get_restart(self, request: Request, caller: Caller) -> Response:
         """GET /v1/rolls/{id}."""
-        caller.need("reader")
+        caller.require_role("reader")
         return await self._one(request.path_params["id"])
 
     async def _one(self, ident: str) -> Response:
         view = await self._read_one(ident)
-        return answer(view, etag=view.revision)
+        return json_response(view, etag=view.revision)
 
     async def _read_one(self, ident: str) -> RestartView:
-        keeper = self.administration.keeper
+        store_writer = self.control_plane.store_writer
         return _view(
-            _known(await keeper.run_sync(load_restarts, keeper.store), ident), ident, with_steps=True
+            _known(await store_writer.run_sync(load_restarts, store_writer.store), ident),
+            ident,
+            with_steps=True,
         )
 
     # -- creation
 
     async def create(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls."""
-        caller.need("operator")
-        order, body = await read(request, RestartOrder)
+        caller.require_role("operator")
+        order, body = await read_json(request, RestartOrder)
         created = _Created()
 
         def plan(store: Store, now: float) -> list[Mutation]:
             return self._plan_creation(store, order, caller, now, created)
 
-        async def make(**key: Any) -> Response:
-            await self.administration._change(plan, caller.name, **key)
+        async def make(idempotency: IdempotencyKey | None) -> Response:
+            await self.control_plane.commit(
+                plan, caller.name, idempotency, lambda rows: created.ident.encode()
+            )
             self.controller.request_plan()
             view = await self._read_one(created.ident)
-            return answer(view, 201, view.revision, Location=f"/v1/rolls/{view.id}")
+            return json_response(view, 201, view.revision, {"Location": f"/v1/rolls/{view.id}"})
 
-        return await self._create_once(request, caller, body, make, created)
+        async def replay(stored: bytes) -> Response:
+            return await self._one(stored.decode())
+
+        return await run_once(self.control_plane.store_writer, request, caller, body, make, replay)
 
     def _plan_creation(
         self, store: Store, order: RestartOrder, caller: Caller, now: float, created: _Created
@@ -94,11 +102,11 @@
         try:
             names = select_nodes(order, nodes.values())
         except InvalidOrderError as error:
-            raise Wrong(422, "invalid", str(error), error.field) from None
+            raise InvalidRequestError(str(error), error.field) from None
         table = load_restarts(store)
         number = max((stored.record.number for stored in table.restarts.values()), default=0) + 1
         # With the run's mark no identity of a lost store is used again.
-        created.ident = f"roll-{number:06d}-{self.administration.run_mark[:RUN_MARK_LENGTH]}"
+        created.ident = f"roll-{number:06d}-{self.control_plane.run_id[:RUN_MARK_LENGTH]}"
         restart = RollingRestart(created.ident, number, order, created_by=caller.name, created_at=now)
         steps = [
             Mutation(STEP, step_ident(created.ident, name), encode(RestartStep(name, position)), 0)
@@ -106,29 +114,6 @@
         ]
         return [Mutation(RESTART, created.ident, encode(restart), 0), *steps, *_evictions(table)]
 
-    async def _create_once(
-        self,
-        request: Request,
-        caller: Caller,
-        body: bytes,
-        make: Callable[..., Awaitable[Response]],
-        created: _Created,
-    ) -> Response:
-        """Carry out a call with an idempotency key once; a repeated call is shown what the first one made."""
-        key = request.headers.get("idempotency-key", "")
-        if len(key) > MOST_KEY:
-            raise Wrong(422, "invalid", f"over {MOST_KEY} characters", "Idempotency-Key")
-        if not key:
-            return await make()
-        digest = hashlib.sha256(f"POST {request.url.path}\n".encode() + body).digest()
-        keeper = self.administration.keeper
-        held = await keeper.run_sync(keeper.store.recorded_response, caller.name, key)
-        if held is None:
-            return await make(key=key, request=digest, answer=lambda rows: created.ident.encode())
-        if held[0] != digest:
-            raise Wrong(422, "invalid", "another call had this key", "Idempotency-Key")
-        return await self._one(held[1].decode())
-
     # -- actions
 
     async def pause(self, request: Request, caller: Caller) -> Response:
@@ -148,7 +133,7 @@
         return await self._act(request, caller, roll_back)
 
     async def _act(self, request: Request, caller: Caller, action: Action) -> Response:
-        caller.need("operator")
+        caller.require_role("operator")
         ident = request.path_params["id"]
 
         def plan(store: Store, now: float) -> list[Mutation]:
@@ -157,27 +142,27 @@
             try:
                 change = action(before, table.steps[ident])
             except InvalidOrderError as error:
-                raise Wrong(409, "conflict", str(error), error.field) from None
+                raise ResourceConflictError(str(error), error.field) from None
             restarts = {ident: change.restart} if change.restart != before else {}
             changes = RestartPlan({ident: change.steps}, restarts, [], change.servers_to_restore)
             return table.changes(store, changes)
 
-        await self.administration._change(plan, caller.name)
+        await self.control_plane.commit(plan, caller.name)
         self.controller.request_plan()
         return await self._one(ident)
 
 
 def _known(table: RestartTable, ident: str) -> RestartTable:
-    """The table, which has this restart. Raises Wrong where it has not."""
+    """The table, which has this restart. Raises ApiError where it has not."""
     if ident not in table.restarts:
-        raise Wrong(404, "not found", f"no roll {ident}")
+        raise NotFoundError(f"no roll {ident}")
     return table
 
 
 def _evictions(table: RestartTable) -> list[Mutation]:
     """Rows that make room for one more restart: the oldest that ended are removed.
 
-    Raises Wrong where too few have ended.
+    Raises ApiError where too few have ended.
     """
     ended = sorted(
         (stored.record.number, ident)
@@ -186,7 +171,7 @@
     )
     excess = max(len(table.restarts) + 1 - MAX_RESTARTS, 0)
     if excess > len(ended):
-        raise Wrong(409, "conflict", f"{MAX_RESTARTS} rolls stand")
+        raise ResourceConflictError(f"{MAX_RESTARTS} rolls stand")
     return [row for _, ident in ended[:excess] for row in table.removal(ident)]
 
 
--- a/gaugehinge/hosted/control_plane_watch.py
+++ b/gaugehinge/hosted/control_plane_watch.py
@@ -218,7 +218,7 @@
             admission_control.share([*shares, *[0.0] * (self.tenant_slots - len(shares))])
 
     def _admission_control(self) -> TenantAdmission | None:
-        return cast("TenantAdmission | None", self.service.clients.door)
+        return cast("TenantAdmission | None", self.service.clients.admission_control)
 
     def _flush_logs(self) -> None:
         for log in (self.registry.log, self.overrides.log):
--- a/gaugehinge/hosted/interfaces.py
+++ b/gaugehinge/hosted/interfaces.py
@@ -11,7 +11,9 @@
 class AuthenticatingServer(Protocol):
     """A client server of whichever dialect whose clients say who they are."""
 
-    def let_in_by(self, authenticator: Authenticator, unix_clock: Callable[[], float], /) -> None:
+    def require_authentication(
+        self, authenticator: Authenticator, unix_clock: Callable[[], float], /
+    ) -> None:
         """Authenticate clients from now on. `unix_clock`: the time by which credentials end."""
 
 
--- a/gaugehinge/net/graceful_shutdown.py
+++ b/gaugehinge/net/graceful_shutdown.py
@@ -54,31 +54,31 @@
         accepting.cancel()
         await trio.lowlevel.checkpoint()
         for front in self.service.fronts:
-            front.clients.accept_rest(front.listening)  # what the machine has taken already
+            front.clients.accept_pending(front.listening)  # what the machine has taken already
             shut(front.listening)
 
     async def _close_connections(self) -> None:
         while self._connections():
             if self.clock() > self.end - LAST_PART:
                 self._answer_rest()
-            owed = any(front.clients.owe() for front in self.service.fronts)
+            owed = any(front.clients.has_pending_replies() for front in self.service.fronts)
             if self.clock() > self.end:
                 return  # what is left stands within a command that never comes whole, or is not read
             for front in self.service.fronts:
-                front.clients.leave(0.0)
+                front.clients.close_idle(0.0)
             # A client may have sent hundreds of commands; what was read of them is given up some at a time.
             await trio.sleep(LAST_LOOK if owed and self.clock() > self.end - LAST_PART else LOOK_EVERY)
 
     def _answer_rest(self) -> None:
         for front in self.service.fronts:
-            if front.clients.door is not None:
-                front.clients.door.fail_rest()
+            if front.clients.admission_control is not None:
+                front.clients.admission_control.reject_queued()
         self.service.dispatcher.fail_rest()
 
     def _forget_connections(self) -> None:
         for front in self.service.fronts:
             for client in front.clients.connections:
-                front.clients.forget(client)
+                front.clients.close(client)
 
     def _connections(self) -> int:
         return sum(len(front.clients.connections) for front in self.service.fronts)
--- a/gaugehinge/net/resource_limits.py
+++ b/gaugehinge/net/resource_limits.py
@@ -19,7 +19,8 @@
     count, left = len(fronts), configuration.sockets - RESERVED_SOCKETS
     for front in fronts:
         clients = front.clients
-        clients.limit(int(configuration.sockets * CLIENT_SHARE) // count, configuration.memory // count)
-        left -= clients.most + clients.spare
+        max_connections = int(configuration.sockets * CLIENT_SHARE) // count
+        clients.set_limits(max_connections, configuration.memory // count)
+        left -= clients.limits.max_accepted
     most = min(int(configuration.sockets * SERVER_SHARE), left)
     pool.set_limit(max(most, LEAST_SERVER_CONNECTIONS))
--- a/gaugehinge/subsystems.py
+++ b/gaugehinge/subsystems.py
@@ -15,7 +15,7 @@
     from .cluster.fleet import SlotFleet
     from .drains.router import DrainsAgent
     from .hosted.control_plane_watch import ControlPlaneWatch
-    from .placement.router import Placing
+    from .placement.router import RouterPlacement
     from .recovery.driver import Recovery
 
 T = TypeVar("T")
@@ -27,7 +27,7 @@
 
     slot_fleet: SlotFleet | None = None
     watch: ControlPlaneWatch | None = None
-    placement: Placing | None = None
+    placement: RouterPlacement | None = None
     drains: DrainsAgent | None = None
     recovery: Recovery | None = None
 
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -14,7 +14,7 @@
 
 from gaugehinge.door.door import Door
 from gaugehinge.door.turnstile import READ_MOST
-from gaugehinge.net import client_server
+from gaugehinge.net import connection_registry, reply_writer, request_reader
 from gaugehinge.net.extensions import Extensions
 from gaugehinge.net.graceful_shutdown import KILL_SLACK
 from gaugehinge.net.lifecycle import Phase
@@ -104,7 +104,7 @@
     By a task each connections are closed before; the turnstile leaves them to the process: the test's."""
     await made.ended.wait()
     for one in made.service.clients.connections:
-        one.raw.close()
+        one.sock.close()
 
 
 class Holding(Cache):
@@ -145,8 +145,8 @@
     return (
         len(parts.clients.connections) == 0
         and len(parts.dispatcher.pending_operations) == 0
-        and parts.clients.held == 0
-        and not parts.clients.idents_open
+        and parts.clients.limits.reserved_bytes == 0
+        and not parts.clients.request_ids.open
     )
 
 
@@ -222,7 +222,7 @@
             [one] = made.service.clients.connections
             for n in range(3):
                 now(client, put(f"o{n}") + get(f"r{n}"))
-            await until(lambda: one.drained == 3 * len(put("o0") + get("r0")))
+            await until(lambda: one.discarded_bytes == 3 * len(put("o0") + get("r0")))
             await until(lambda: len(made.service.clients.connections) == 0)
             assert sent_on(made) == [] and nothing_left(made)
 
@@ -251,14 +251,14 @@
             await client.stream.send_all(get("r0"))
             await until(lambda: cache.streams)
             made.service.lifecycle.enter(Phase.CLOSING, 1)
-            send = client_server.send_some
+            send = reply_writer.send_some
 
             def crossed(raw, data):
                 sent = send(raw, data)
                 now(client, put("o0"))  # between the write and the end
                 return sent
 
-            monkeypatch.setattr(client_server, "send_some", crossed)
+            monkeypatch.setattr(reply_writer, "send_some", crossed)
             cache.release.set()
             assert await rest_of(client) == [b"$4\r\nheld\r\n"]
             await until(lambda: nothing_left(made))
@@ -276,10 +276,10 @@
     async def scene():
         cache = Holding()
         async with fleet(tmp_path, [cache]) as made:
-            client, door = await made.client(), made.service.clients
+            client, server = await made.client(), made.service.clients
             await client.stream.send_all(get("r0"))
             await until(lambda: cache.streams)
-            silent, crossed = client_server.silent, []
+            silent, crossed = reply_writer.silent, []
 
             def look(raw):
                 found = silent(raw)
@@ -292,12 +292,12 @@
                 cache.release.set()
                 assert await client.answer() == b"$4\r\nheld\r\n"
                 await until(lambda: len(made.service.dispatcher.pending_operations) == 0)
-                monkeypatch.setattr(client_server, "silent", look)
-                door.leave(0.0)
+                monkeypatch.setattr(connection_registry, "silent", look)
+                server.close_idle(0.0)
                 assert await client.answer() is None
             else:
                 made.service.lifecycle.enter(Phase.CLOSING, 1)
-                monkeypatch.setattr(client_server, "silent", look)
+                monkeypatch.setattr(reply_writer, "silent", look)
                 cache.release.set()
                 assert await rest_of(client) == [b"$4\r\nheld\r\n"]
             assert crossed
@@ -324,29 +324,30 @@
     async def scene():
         cache = Holding(b"v" * LONG)
         async with fleet(tmp_path, [cache]) as made:
-            client, door = await narrow_client(made), made.service.clients
+            client, server = await narrow_client(made), made.service.clients
             await client.stream.send_all(get("r0") + (request("QUIT") if crossing == "quit" else b""))
             await until(lambda: cache.streams)
-            [one] = door.connections
+            [one] = server.connections
             if crossing in ("nothing", "in hand"):
                 made.service.lifecycle.enter(Phase.CLOSING, 1)
             cache.release.set()
             await until(lambda: not one.pending_replies)  # all of it is with the kernel
-            assert not one.stuck and unsent(one.raw)
+            assert not one.write_blocked and unsent(one.sock)
             if crossing == "idle":
                 made.service.lifecycle.enter(Phase.CLOSING, 0)
-            look = door._make_room if crossing == "crowded" else partial(door.leave, 0.0)
-            ends = trio.current_time() + (3 * client_server.LINGER if crossing == "quit" else 0.3)
+            make_room = server.idle_reaper.close_one_idle
+            look = make_room if crossing == "crowded" else partial(server.close_idle, 0.0)
+            ends = trio.current_time() + (3 * reply_writer.LINGER_INTERVAL if crossing == "quit" else 0.3)
             while trio.current_time() < ends:
                 look()
                 await trio.sleep(0.01)
-            assert len(door.connections) == 1  # nothing of it has been read yet
+            assert len(server.connections) == 1  # nothing of it has been read yet
             if crossing != "nothing":
                 now(client, put("o0"))
             async with trio.open_nursery() as nursery:
 
                 async def looks():
-                    while len(door.connections):
+                    while len(server.connections):
                         look()
                         await trio.sleep(0.01)
 
@@ -392,7 +393,7 @@
             await until(lambda: cache.streams)
             cache.release.set()
             [one] = made.service.clients.connections
-            await until(lambda: one.stuck)
+            await until(lambda: one.write_blocked)
             began = trio.current_time()
             signalled()
             await made.ended.wait()
@@ -413,7 +414,7 @@
             await until(lambda: cache.streams)
             cache.release.set()
             [one] = made.service.clients.connections
-            await until(lambda: one.stuck)
+            await until(lambda: one.write_blocked)
             signalled()
             await until(lambda: made.service.lifecycle.phase is Phase.CLOSING)
             assert len(await read_all(client)) == len(bulk(b"v" * LONG))
@@ -439,19 +440,19 @@
         origin = HoldingWeb()
         async with fleet(tmp_path, [Cache()]) as made:
             made.origin.answer = origin.answer  # the stand-in's connections, held
-            client, door = await made.client(), made.service.clients
+            client, server = await made.client(), made.service.clients
             assert await client.get("k0", "first") == b"$5\r\nof k0\r\n"
-            [one] = door.connections
+            [one] = server.connections
             if in_hand:
                 await client.stream.send_all(put("o0"))
                 await until(lambda: b"o0" in sent_on(made))
 
             def gone():
-                return door.connections.get(one.slot) is None
+                return server.connections.get(one.handle) is None
 
             noticed = {
                 "S": lambda: made.service.lifecycle.phase is not Phase.READY,
-                "Q": lambda: one.last,
+                "Q": lambda: one.draining,
                 "F": gone,
             }
             for step in order:
@@ -537,7 +538,8 @@
             assert len(sent) < READ_MOST
             await client.stream.send_all(sent)
             [one] = made.service.clients.connections
-            await until(lambda: one.paused and len(one.pending_replies) == client_server.MOST_PIPELINED)
+            most = request_reader.MAX_PIPELINED_REQUESTS
+            await until(lambda: one.paused and len(one.pending_replies) == most)
             signalled()
             await end_of_process(made)
             answers = await rest_of(client)
