--- a/gaugehinge/hosted/authenticator.py
+++ b/gaugehinge/hosted/authenticator.py
@@ -17,10 +17,10 @@
 from .principal import UNAUTHENTICATED, Principal
 from .tenant_registry import TenantRegistry
 
-MOST_KNOWN = 4096  # secrets that were found right; the oldest goes first
+MAX_KNOWN = 4096  # secrets that were found right; the oldest goes first
 CHECKS = 2  # at a time: each takes a thread and its memory
-MOST_WAITING = 256  # checks that wait for one of these; more are told to come again
-LEAST_RETRY_AFTER = 100  # milliseconds
+MAX_WAITING = 256  # checks that wait for one of these; more are told to come again
+MIN_RETRY_AFTER = 100  # milliseconds
 OK = b"+OK\r\n"
 WRONG = b"-WRONGPASS invalid username-password pair or user is disabled.\r\n"  # whatever is wrong with it
 LOADING = b"-LOADING tenants are not known yet\r\n"
@@ -80,8 +80,8 @@
         """
         now = self.clock()
         wait = self.attempts.acquire(source, pair, now)
-        if wait or self._checks.statistics().tasks_waiting >= MOST_WAITING:
-            return b"-BUSY %d\r\n" % max(int(wait * 1000), LEAST_RETRY_AFTER)
+        if wait or self._checks.statistics().tasks_waiting >= MAX_WAITING:
+            return b"-BUSY %d\r\n" % max(int(wait * 1000), MIN_RETRY_AFTER)
         credentials = list(principal.credentials.values()) if principal is not None else []
         found = await trio.to_thread.run_sync(
             self.hasher.find_match, secret, credentials, now, limiter=self._checks
@@ -92,7 +92,7 @@
         return None
 
     def _remember(self, digest: bytes, ident: str) -> None:
-        while len(self._known) >= MOST_KNOWN:
+        while len(self._known) >= MAX_KNOWN:
             del self._known[next(iter(self._known))]
         self._known[digest] = ident
 
--- a/gaugehinge/hosted/control_plane_client.py
+++ b/gaugehinge/hosted/control_plane_client.py
@@ -13,7 +13,7 @@
 
 FEED_PATH = "/v1/feed"
 CONNECT_TIME = 2.0  # seconds
-MOST_FEED = 16 << 20  # bytes
+MAX_FEED = 16 << 20  # bytes
 
 
 class ControlPlaneClient:
@@ -38,7 +38,7 @@
                 self.http.headers["Authorization"] = f"Bearer {self.read_secret()}"
             if answer.status_code != httpx.codes.OK:
                 raise ControlPlaneError(f"status {answer.status_code}")
-            if len(answer.content) > MOST_FEED:
+            if len(answer.content) > MAX_FEED:
                 raise FeedError("too long")
             return msgspec.json.decode(answer.content, type=Feed)
         raise ControlPlaneError("no answer in time")
--- a/gaugehinge/hosted/control_plane_watch.py
+++ b/gaugehinge/hosted/control_plane_watch.py
@@ -29,9 +29,9 @@
 from .interfaces import TenantAdmission
 from .tenant_registry import RegistryChange, TenantRegistry
 
-FIRST_BACKOFF, MOST_BACKOFF = 0.2, 0.8  # seconds after a call that failed; doubled, a part of it by chance:
+FIRST_BACKOFF, MAX_BACKOFF = 0.2, 0.8  # seconds after a call that failed; doubled, a part of it by chance:
 # one that was cut off is to know within a second what it missed
-MOST_DOUBLINGS = 8
+MAX_DOUBLINGS = 8
 SLACK = 5.0  # seconds over the wait, for an answer
 SAVE_REST = 0.1  # seconds between two snapshots: of many changes at once the last one counts
 
@@ -183,8 +183,8 @@
             logger.warning("control plane unreachable: {}; serving on by {}", what, state)
         self._failures += 1
         chance = crc32(f"{self.run_mark} {self._failures}".encode()) / 0x100000000
-        backoff = FIRST_BACKOFF * 2.0 ** min(self._failures - 1, MOST_DOUBLINGS)
-        return min(backoff, MOST_BACKOFF) * (0.5 + 0.5 * chance)
+        backoff = FIRST_BACKOFF * 2.0 ** min(self._failures - 1, MAX_DOUBLINGS)
+        return min(backoff, MAX_BACKOFF) * (0.5 + 0.5 * chance)
 
     def _on_followed(self, former_revision: int) -> None:
         revision = self.registry.revision
--- a/gaugehinge/net/configuration.py
+++ b/gaugehinge/net/configuration.py
@@ -12,8 +12,8 @@
 
 Address = tuple[str, int]
 
-LEAST_SOCKETS = 64  # with fewer there is no room for clients beside the attempts
-LEAST_MEMORY_MB = 32
+MIN_SOCKETS = 64  # with fewer there is no room for clients beside the attempts
+MIN_MEMORY_MB = 32
 MAX_PORT = 65535
 MEGABYTE = 1 << 20
 
@@ -73,8 +73,8 @@
         listen=address(page.text("listen", environment.get("LB_LISTEN")), "listen"),
         discovery=address(page.text("discovery", environment.get("LB_DISCOVERY")), "discovery"),
         settings=settings,
-        memory=limits.count("memory_mb", 2048, least=LEAST_MEMORY_MB) * MEGABYTE,
-        sockets=limits.count("sockets", 4096, least=LEAST_SOCKETS),
+        memory=limits.count("memory_mb", 2048, least=MIN_MEMORY_MB) * MEGABYTE,
+        sockets=limits.count("sockets", 4096, least=MIN_SOCKETS),
         peer_listen=address(peer_listen, "peer_listen") if peer_listen else None,
         peers=tuple(address(peer, f"peers[{i}]") for i, peer in enumerate(page.row("peers", []))),
         known=page.values.get("known"),
--- a/gaugehinge/net/dispatcher.py
+++ b/gaugehinge/net/dispatcher.py
@@ -30,7 +30,7 @@
 SUCCESSOR_TIME = 0.5  # seconds by which a router that ends has a successor
 OVERDUE_GRACE = 0.005  # seconds behind the deadline that the decisions keep, still before the client's own
 FAILED_TASK_WAIT = 1.0  # seconds until a background task that failed is run again
-LEAST_TASK_WAIT = 0.001
+MIN_TASK_WAIT = 0.001
 
 
 def busy_reply(retry_after: float) -> bytes:
@@ -322,7 +322,7 @@
             wait = self.router.time_until_recheck(task, self.clock())
         except Exception:
             logger.exception("a background task failed")
-        self.timers.call_at(self.clock() + max(wait, LEAST_TASK_WAIT), self._run_background_task, task)
+        self.timers.call_at(self.clock() + max(wait, MIN_TASK_WAIT), self._run_background_task, task)
         self._flush_log()
 
     def _poll_discovery(self) -> None:
--- a/gaugehinge/net/graceful_shutdown.py
+++ b/gaugehinge/net/graceful_shutdown.py
@@ -16,13 +16,14 @@
     from .service import Service
 
 # All in seconds.
-STILL_COMING = 0.5  # new connections go on coming for less than this after the signal
-KILL_SLACK = 0.7  # a platform kills a router no sooner than the longest wait and this after the signal,
-MOST_WAITED = 3.0  # of which it counts no more than this
-CLOSING_TIME = 0.9  # the last part of that, in which connections are closed,
-LAST_PART = 0.35  # and the last of it, by when all is answered
-LOOK_EVERY = 0.02
-LAST_LOOK = 0.001  # in that last part
+ACCEPT_GRACE = 0.5  # new connections go on coming for less than this after the signal
+# A platform kills a router no sooner than the longest wait of a client and this after the signal.
+KILL_SLACK = 0.7
+MAX_COUNTED_WAIT = 3.0  # of the longest wait, the platform counts no more than this
+CLOSING_TIME = 0.9  # the last part of the time before the kill, in which connections are closed
+FINAL_ANSWER_TIME = 0.35  # the last part of the closing time, by the begin of which all is answered
+CHECK_INTERVAL = 0.02
+FINAL_CHECK_INTERVAL = 0.001  # while answers are still owed in the last part
 
 
 class GracefulShutdown:
@@ -34,7 +35,7 @@
         self.clock = service.clock
         self.began = self.clock()
         longest_wait = service.configuration.settings.max_client_wait
-        self.end = self.began + min(longest_wait, MOST_WAITED) + KILL_SLACK
+        self.end = self.began + min(longest_wait, MAX_COUNTED_WAIT) + KILL_SLACK
 
     async def run(self, accepting: trio.CancelScope) -> None:
         """Serve on, then answer and close. `accepting`: cancelled once no more connections are taken."""
@@ -46,12 +47,12 @@
         self._forget_connections()
 
     async def _serve_on(self) -> None:
-        closing = max(self.end - CLOSING_TIME, self.began + STILL_COMING)
+        closing = max(self.end - CLOSING_TIME, self.began + ACCEPT_GRACE)
         # A poll on purpose: connections end in many places, and an event for the last one would say no more.
         while self.clock() < closing and (  # noqa: ASYNC110
-            self._connections() or self.clock() < self.began + STILL_COMING
+            self._connections() or self.clock() < self.began + ACCEPT_GRACE
         ):
-            await trio.sleep(LOOK_EVERY)
+            await trio.sleep(CHECK_INTERVAL)
 
     async def _stop_accepting(self, accepting: trio.CancelScope) -> None:
         accepting.cancel()
@@ -62,7 +63,7 @@
 
     async def _close_connections(self) -> None:
         while self._connections():
-            if self.clock() > self.end - LAST_PART:
+            if self.clock() > self.end - FINAL_ANSWER_TIME:
                 self._answer_rest()
             owed = any(front.clients.has_pending_replies() for front in self.service.fronts)
             if self.clock() > self.end:
@@ -70,7 +71,11 @@
             for front in self.service.fronts:
                 front.clients.close_idle(0.0)
             # A client may have sent hundreds of commands; what was read of them is given up some at a time.
-            await trio.sleep(LAST_LOOK if owed and self.clock() > self.end - LAST_PART else LOOK_EVERY)
+            await trio.sleep(
+                FINAL_CHECK_INTERVAL
+                if owed and self.clock() > self.end - FINAL_ANSWER_TIME
+                else CHECK_INTERVAL
+            )
 
     def _answer_rest(self) -> None:
         for front in self.service.fronts:
--- a/gaugehinge/net/resource_limits.py
+++ b/gaugehinge/net/resource_limits.py
@@ -11,7 +11,7 @@
 CLIENT_SHARE = 0.4  # of the descriptors, with a quarter of that again to answer BUSY from
 SERVER_SHARE = 0.4  # to servers; the rest is for listeners, discovery, peers and the interpreter,
 RESERVED_SOCKETS = 14  # this many at least: short of them, connections to servers and to discovery fail
-LEAST_SERVER_CONNECTIONS = 8
+MIN_SERVER_CONNECTIONS = 8
 
 
 def divide_resources(configuration: Configuration, fronts: Sequence[Front], pool: ConnectionPool) -> None:
@@ -23,4 +23,4 @@
         clients.set_limits(max_connections, configuration.memory // count)
         left -= clients.limits.max_accepted
     most = min(int(configuration.sockets * SERVER_SHARE), left)
-    pool.set_limit(max(most, LEAST_SERVER_CONNECTIONS))
+    pool.set_limit(max(most, MIN_SERVER_CONNECTIONS))
