--- a/gaugehinge/routing/attempt_results.py
+++ b/gaugehinge/routing/attempt_results.py
@@ -37,12 +37,12 @@
         """
         endpoint = attempt.endpoint
         self._load.on_attempt_ended(endpoint, outcome, elapsed, now)
-        self._ejection.record_contact(attempt, outcome, now)
+        self._ejection.record_reachability(attempt, outcome, now)
         if outcome in RESPONSES:
             self._load.record_response(endpoint, now)
         self._record_health(attempt, outcome, elapsed, now)
         self._limits.record_duration(endpoint, elapsed, now)
-        if not self._retries.excuses(attempt, outcome) and outcome not in NO_LOAD_EVIDENCE:
+        if not self._retries.try_excuse_timeout(attempt, outcome) and outcome not in NO_LOAD_EVIDENCE:
             self._shedder.record_lateness(attempt, outcome, elapsed + own_lag)
         self._load.reassess(endpoint, now)
 
--- a/gaugehinge/routing/concurrency_limits.py
+++ b/gaugehinge/routing/concurrency_limits.py
@@ -21,12 +21,12 @@
 MIN_CONCURRENCY = 2
 # Many sparse routers crowd an endpoint with two each: one where it is known to be slow or crowded.
 MIN_SLOW_CONCURRENCY = 1
-SLOW_MULTIPLIER = 1.5  # of latency, relative to the fleet's: from here on an endpoint is slow
-CROWDED_LATENESS = 0.25  # an endpoint is crowded whose attempts take this share of the latency objective
+SLOW_LATENCY_MULTIPLIER = 1.5  # of latency, relative to the fleet's: from here on an endpoint is slow
+CONGESTED_LATENESS = 0.25  # an endpoint is crowded whose attempts take this share of the latency objective
 MAX_LATENESS = 1.5  # of one attempt
-CROWDING_DECAY = 0.8  # kept of that measure, an attempt
+CONGESTION_DECAY = 0.8  # kept of that measure, an attempt
 # A crowded endpoint rests so many times its last attempt's time; else the minima alone keep it full.
-CROWDED_PAUSE_FACTOR = 1.0
+CONGESTION_PAUSE_FACTOR = 1.0
 # Seconds, about, for which an endpoint that rejected an attempt is passed: some of its queue drains.
 REJECTION_PAUSE = 0.1
 
@@ -46,31 +46,33 @@
         self._has_peers = deployment.router_count > 1
         self._objective = deployment.shortest_objective
         # A second attempt opens a connection, and its time-out costs that: endpoints were crowded with them.
-        is_single = deployment.one_attempt_per_connection
-        self._min_concurrency = MIN_SLOW_CONCURRENCY if is_single else MIN_CONCURRENCY
+        single_attempt = deployment.one_attempt_per_connection
+        self._min_concurrency = MIN_SLOW_CONCURRENCY if single_attempt else MIN_CONCURRENCY
 
     def is_full(self, endpoint: Endpoint, now: float) -> bool:
         """Whether an endpoint holds all the attempts that it answers in time."""
-        is_quick = endpoint.latency_multiplier < SLOW_MULTIPLIER and endpoint.lateness < CROWDED_LATENESS
-        least = self._min_concurrency if is_quick else MIN_SLOW_CONCURRENCY
-        if endpoint.in_flight < least:
+        is_fast = (
+            endpoint.latency_multiplier < SLOW_LATENCY_MULTIPLIER and endpoint.lateness < CONGESTED_LATENESS
+        )
+        min_concurrency = self._min_concurrency if is_fast else MIN_SLOW_CONCURRENCY
+        if endpoint.in_flight < min_concurrency:
             return False
         rate = endpoint.completion_rate.value_at(now)
         return endpoint.in_flight >= rate * IN_FLIGHT_OBJECTIVE_SHARE * self._objective
 
-    def has_room_over_quota(self, endpoint: Endpoint, now: float) -> bool:
+    def admits_over_quota(self, endpoint: Endpoint, now: float) -> bool:
         """Whether what is over a tenant's quota may go to its home endpoint."""
         if self._has_peers and not self._gossip.has_rates():
             return True  # untold by peers, a run of one tenant's at a sparse router is no proof of too much
         rate = endpoint.completion_rate.value_at(now)
-        room = max(rate * OVER_QUOTA_OBJECTIVE_SHARE * self._objective, MIN_SLOW_CONCURRENCY)
+        limit = max(rate * OVER_QUOTA_OBJECTIVE_SHARE * self._objective, MIN_SLOW_CONCURRENCY)
         lateness = max(endpoint.lateness, self._shedder.current_lateness())
-        return lateness <= OVER_QUOTA_MAX_LATENESS and endpoint.in_flight < room
+        return lateness <= OVER_QUOTA_MAX_LATENESS and endpoint.in_flight < limit
 
     @staticmethod
-    def mark_crowded(endpoint: Endpoint) -> None:
+    def mark_congested(endpoint: Endpoint) -> None:
         """Give an endpoint that comes back one attempt, and more as it answers in time."""
-        endpoint.lateness = CROWDED_LATENESS
+        endpoint.lateness = CONGESTED_LATENESS
 
     def on_rejected(self, endpoint: Endpoint, now: float) -> None:
         """Pass an endpoint for a while that rejected an attempt.
@@ -85,7 +87,7 @@
         Held at even one attempt from each of many routers, a crowded endpoint that slows down stays crowded.
         """
         lateness = min(elapsed / self._objective, MAX_LATENESS)
-        endpoint.lateness += (1.0 - CROWDING_DECAY) * (lateness - endpoint.lateness)
-        if endpoint.lateness > CROWDED_LATENESS:
-            pause = CROWDED_PAUSE_FACTOR * elapsed * self._random.fraction()
+        endpoint.lateness += (1.0 - CONGESTION_DECAY) * (lateness - endpoint.lateness)
+        if endpoint.lateness > CONGESTED_LATENESS:
+            pause = CONGESTION_PAUSE_FACTOR * elapsed * self._random.fraction()
             endpoint.full_until = max(endpoint.full_until, now + pause)
--- a/gaugehinge/routing/endpoint_queue.py
+++ b/gaugehinge/routing/endpoint_queue.py
@@ -11,7 +11,8 @@
 
 MAX_QUEUE_LENGTH = 64  # operations that wait for capacity at the only server of their key
 QUEUE_RECHECK_INTERVAL = 0.05  # seconds after which each looks whether waiting still makes sense
-QUEUED_AHEAD = 2.0  # attempts' times that an operation waits and runs for, beyond those queued before it
+# Attempts' times that an operation waits and runs for, beyond those queued before it.
+WAIT_AND_RUN_DURATIONS = 2.0
 
 
 class EndpointQueues:
@@ -38,32 +39,32 @@
         if not operation.allowed_endpoints:
             return False
         endpoint = self._table.get(operation.allowed_endpoints[0])
-        if endpoint is None or not self._may_wait(endpoint, operation) or not endpoint.in_flight:
+        if endpoint is None or not self._may_queue(endpoint, operation) or not endpoint.in_flight:
             return False
         # Its completion rate of late says little of a quiet one: by an attempt's time, and how
         # many go at a time.
-        turns = QUEUED_AHEAD + len(endpoint.queue) / endpoint.in_flight
-        wait = turns * self._load.usual_duration(operation.traffic_type)
-        if len(endpoint.queue) >= MAX_QUEUE_LENGTH or now + wait > end_of_waiting(operation):
+        durations = WAIT_AND_RUN_DURATIONS + len(endpoint.queue) / endpoint.in_flight
+        expected_time = durations * self._load.usual_duration(operation.traffic_type)
+        if len(endpoint.queue) >= MAX_QUEUE_LENGTH or now + expected_time > end_of_waiting(operation):
             return False
         endpoint.queue.append(operation)
         operation.queued_at = endpoint
         return True
 
     @staticmethod
-    def _may_wait(endpoint: Endpoint, operation: Operation) -> bool:
-        is_sound = endpoint.state is EndpointState.UP and not endpoint.ejected_until
+    def _may_queue(endpoint: Endpoint, operation: Operation) -> bool:
+        is_available = endpoint.state is EndpointState.UP and not endpoint.ejected_until
         # The budget of an endpoint that warms up is not waited for.
         has_budget = endpoint.warm_up_share >= 1.0 or endpoint.warm_up_budget >= 1.0
-        is_allowed = not operation.over_quota and endpoint not in operation.tried_endpoints
-        return is_sound and has_budget and is_allowed
+        is_eligible = not operation.over_quota and endpoint not in operation.tried_endpoints
+        return is_available and has_budget and is_eligible
 
-    def still_waits(self, operation: Operation, now: float) -> bool:
+    def may_keep_waiting(self, operation: Operation, now: float) -> bool:
         """Whether waiting still makes sense: the list or a failure may have taken the endpoint away."""
         endpoint = operation.queued_at
         if endpoint is None or now >= end_of_waiting(operation):
             return False
-        return self._may_wait(endpoint, operation)
+        return self._may_queue(endpoint, operation)
 
     def time_until_recheck(self, operation: Operation, now: float) -> float:
         """Return the time until a queued operation is to be looked at again."""
--- a/gaugehinge/routing/endpoint_selection.py
+++ b/gaugehinge/routing/endpoint_selection.py
@@ -26,7 +26,7 @@
 MIN_LOAD_BOUND = 2.0  # below two in flight a bound would scatter the keys of a quiet router
 MAX_HOPS = 10  # endpoints looked at before the least loaded one is taken
 # Endpoints passed in all, with those that may not serve the key: a full fleet is not searched whole.
-MAX_PASSED = 12
+MAX_VISITED = 12
 # Where a new connection has a price, a walk may start at one of so many endpoints of a key.
 START_CANDIDATES = 4
 
@@ -61,7 +61,7 @@
     def select(self, operation: Operation, now: float) -> Endpoint | None:
         """Choose within the first of the operation's regions where an endpoint may serve it."""
         for region in operation.regions:
-            endpoint = self._select_in(operation, now, region)
+            endpoint = self._select_in_region(operation, now, region)
             if endpoint is not None:
                 return endpoint
             # What is over a quota goes to its home only, which is in the first region with any endpoint.
@@ -69,7 +69,9 @@
                 return None
         return None
 
-    def _select_in(self, operation: Operation, now: float, region: frozenset[str] | None) -> Endpoint | None:
+    def _select_in_region(
+        self, operation: Operation, now: float, region: frozenset[str] | None
+    ) -> Endpoint | None:
         """Choose on the whole ring, or on the part of it in a region."""
         if self._ring.is_empty():
             return None
@@ -85,84 +87,86 @@
         """Walk clockwise from the key's place, past each endpoint over the bound."""
         now = operation.routed_at
         owners, limits = self._ring.owner_by_point(), self._limits
-        most = min(self._table.count(), MAX_PASSED)
+        max_visited = min(self._table.count(), MAX_VISITED)
         self._walk_number = walk = self._walk_number + 1
-        passed = hops = 0
-        least = spare = None
+        visited = hops = 0
+        least_loaded = cold = None
         if len(rings) > 1 and stable_fraction(key) >= self._table.own_zone_figures().key_share:
             rings = rings[1:]  # a crowded zone gives up keys, always the same ones
         for points in rings:
-            start = self._start(points, key, now)
-            for place in range(start - len(points), start):
-                endpoint = owners[points[place]]
+            start = self._start_index(points, key, now)
+            for index in range(start - len(points), start):
+                endpoint = owners[points[index]]
                 if endpoint.last_walk == walk:
                     continue
                 endpoint.last_walk = walk
-                passed += 1
-                if passed == 1 and operation.over_quota and not limits.has_room_over_quota(endpoint, now):
+                visited += 1
+                if visited == 1 and operation.over_quota and not limits.admits_over_quota(endpoint, now):
                     return None
                 if self._may_serve(endpoint, operation, key):
                     load = endpoint.load
                     if load <= bound and self._stays_despite_report(endpoint, key, now):
                         return endpoint
                     hops += 1
-                    if least is None or load < least.load:
-                        least = endpoint
-                elif spare is None and endpoint.warm_up_share < 1.0 and self._has_budget(endpoint, operation):
-                    spare = endpoint
-                if passed >= most or hops >= MAX_HOPS:
+                    if least_loaded is None or load < least_loaded.load:
+                        least_loaded = endpoint
+                elif cold is None and endpoint.warm_up_share < 1.0 and self._has_budget(endpoint, operation):
+                    cold = endpoint
+                if visited >= max_visited or hops >= MAX_HOPS:
                     break
-            most, hops = passed + most, 0
-        return least or spare  # one that warms up, within its budget, rather than none
+            max_visited, hops = visited + max_visited, 0
+        return least_loaded or cold  # one that warms up, within its budget, rather than none
 
     def _select_among(self, operation: Operation, key: int, bound: float) -> Endpoint | None:
         """Choose where servers say who serves a key: past its owner over the bound, on to its replicas."""
         now = operation.routed_at
-        least = spare = None
-        for place, ident in enumerate(operation.allowed_endpoints or ()):
+        least_loaded = cold = None
+        for index, ident in enumerate(operation.allowed_endpoints or ()):
             endpoint = self._table.get(ident)
             if endpoint is None or endpoint.state is not EndpointState.UP:
                 continue
-            is_owner = place == 0
-            if is_owner and operation.over_quota and not self._limits.has_room_over_quota(endpoint, now):
+            is_owner = index == 0
+            if is_owner and operation.over_quota and not self._limits.admits_over_quota(endpoint, now):
                 return None
             if self._may_serve(endpoint, operation, key):
                 if endpoint.load <= bound:
                     return endpoint
-                if least is None or endpoint.load < least.load:
-                    least = endpoint
-            elif spare is None and endpoint.warm_up_share < 1.0 and self._has_budget(endpoint, operation):
-                spare = endpoint
-        return least or spare
+                if least_loaded is None or endpoint.load < least_loaded.load:
+                    least_loaded = endpoint
+            elif cold is None and endpoint.warm_up_share < 1.0 and self._has_budget(endpoint, operation):
+                cold = endpoint
+        return least_loaded or cold
 
     # -- where a walk starts
 
-    def _start(self, points: list[int], key: int, now: float) -> int:
+    def _start_index(self, points: list[int], key: int, now: float) -> int:
         """Return the place on a ring where the walk starts.
 
         While the origin has no place for what misses, each key has one start: keys spread wide miss more.
         """
-        place = bisect_left(points, key)
+        home_index = bisect_left(points, key)
         if self.start_candidates == 1 or self._origin_limit.is_under_pressure(now):
-            return place
-        return self._start_at_candidate(points, key, place)
+            return home_index
+        return self._candidate_start_index(points, key, home_index)
 
-    def _start_at_candidate(self, points: list[int], key: int, place: int) -> int:
+    def _candidate_start_index(self, points: list[int], key: int, home_index: int) -> int:
         """Start at one of the key's few candidates: with an idle connection first, then that reports least.
 
         A sparse router that asks each key's one home opens a connection for nearly each attempt, and hundreds
         of them crowd the home of a hot key before any has seen it over its bound.
         """
         owners = self._ring.owner_by_point()
-        found: dict[Endpoint, int] = {}
-        for number in range(place - len(points), place):
-            found.setdefault(owners[points[number]], number % len(points))
-            if len(found) >= self.start_candidates:
+        candidates: dict[Endpoint, int] = {}
+        for index in range(home_index - len(points), home_index):
+            candidates.setdefault(owners[points[index]], index % len(points))
+            if len(candidates) >= self.start_candidates:
                 break
         draw = stable_number(key ^ self._salt)  # the same ones for this key at this router
-        turns = [(number - draw) % len(found) for number in range(len(found))]
-        costs = [(each.connections <= each.in_flight, each.reported_load) for each in found]
-        return min(zip(costs, turns, found.values(), strict=True))[-1]
+        ranks = [(index - draw) % len(candidates) for index in range(len(candidates))]
+        costs = [
+            (endpoint.connections <= endpoint.in_flight, endpoint.reported_load) for endpoint in candidates
+        ]
+        return min(zip(costs, ranks, candidates.values(), strict=True))[-1]
 
     # -- which endpoints may serve an operation
 
@@ -179,12 +183,12 @@
         share = endpoint.warm_up_share
         if operation.allowed_endpoints is None:
             share = share * endpoint.label_figures.key_share
-        if share < 1.0 and not self._has_key(endpoint, key, share):
+        if share < 1.0 and not self._keeps_key(endpoint, key, share):
             return False
         return retry_safety.may_be_sent_to(endpoint, operation)
 
     @staticmethod
-    def _has_key(endpoint: Endpoint, key: int, share: float) -> bool:
+    def _keeps_key(endpoint: Endpoint, key: int, share: float) -> bool:
         """Whether a key is among the share of its keys that an endpoint keeps, and has budget left for it.
 
         The draw is tied to the key: an endpoint warms up with the keys that it will keep. Without a
@@ -196,9 +200,9 @@
     @staticmethod
     def _has_budget(endpoint: Endpoint, operation: Operation) -> bool:
         """Whether an endpoint that warms up has budget left for a key that its draw does not give it yet."""
-        is_free = endpoint.warm_up_budget >= 1.0 and not endpoint.ejected_until
+        is_available = endpoint.warm_up_budget >= 1.0 and not endpoint.ejected_until
         is_untried = endpoint not in operation.tried_endpoints
-        return is_free and is_untried and retry_safety.may_be_sent_to(endpoint, operation)
+        return is_available and is_untried and retry_safety.may_be_sent_to(endpoint, operation)
 
     def _stays_despite_report(self, endpoint: Endpoint, key: int, now: float) -> bool:
         """Whether this router stays at an endpoint that reports more load than the bound.
--- a/gaugehinge/routing/fetch_coalescing.py
+++ b/gaugehinge/routing/fetch_coalescing.py
@@ -45,12 +45,12 @@
         """Return how long an operation may wait and still fetch by itself in time."""
         return max(end_of_waiting(operation) - fetch_time - now, self._clock_granularity)
 
-    def end(self, operation: Operation, stored: bool, steps: list[Step], now: float, route: Route) -> None:
+    def end(self, operation: Operation, succeeded: bool, steps: list[Step], now: float, route: Route) -> None:
         """End the fetch of an operation: route those that waited, and add the steps that follow.
 
         After a failed fetch one of them fetches in its place; all at once would pile up at the origin.
         """
-        if steps and _is_going_on(steps[0].decision) and not operation.finished:
+        if steps and _is_in_progress(steps[0].decision) and not operation.finished:
             return  # the same operation fetches again
         waiting = self.waiting.pop(operation.key, [])
         while waiting:
@@ -58,14 +58,14 @@
             waiter.waiting_for_fetch = False
             if waiter.finished:
                 continue
-            waiter.wants_origin = not stored
+            waiter.wants_origin = not succeeded
             waiter.tried_endpoints.clear()
             decision = route(waiter, now)
             steps.append(Step(waiter, decision))
-            if not stored and _is_going_on(decision):
+            if not succeeded and _is_in_progress(decision):
                 self.waiting.setdefault(operation.key, []).extend(waiting)
                 return
 
 
-def _is_going_on(decision: Decision) -> bool:
+def _is_in_progress(decision: Decision) -> bool:
     return decision.action in (Action.SEND, Action.WAIT)
--- a/gaugehinge/routing/outlier_ejection.py
+++ b/gaugehinge/routing/outlier_ejection.py
@@ -57,7 +57,7 @@
         self._log = log
         self._next_readmission_at = inf
 
-    def record_contact(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
+    def record_reachability(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         """Note whether an ended attempt's endpoint answered, or fell silent."""
         endpoint = attempt.endpoint
         if outcome in CONNECTION_FAILURES or (
@@ -100,10 +100,10 @@
         if endpoint.ejected_until or endpoint.failure_score < EJECTION_THRESHOLD:
             return
         ejected_count = len(self._table.ejected()) + 1
-        if endpoint.state is EndpointState.UP and ejected_count <= self._most_ejected(endpoint, now):
+        if endpoint.state is EndpointState.UP and ejected_count <= self._max_ejected(endpoint, now):
             self._eject(endpoint, ejected_count, now)
 
-    def _most_ejected(self, endpoint: Endpoint, now: float) -> float:
+    def _max_ejected(self, endpoint: Endpoint, now: float) -> float:
         """Never the whole fleet: what fails everywhere is no fault of one endpoint."""
         # With a zone lost, attempts would go on to the dead ones above the cap and fail one by one.
         share = MAX_SILENT_EJECTED_SHARE if endpoint.is_silent(now) else MAX_EJECTED_SHARE
@@ -124,7 +124,7 @@
         for endpoint in due:
             endpoint.ejected_until = 0.0
             endpoint.failure_score = READMISSION_SCORE
-            self._limits.mark_crowded(endpoint)
+            self._limits.mark_congested(endpoint)
             endpoint.latency = DecayedLatency(now)
             self._log.append(f"endpoint {endpoint.ident} readmitted")
         still_ejected = (endpoint.ejected_until for endpoint in self._table.ejected())
--- a/gaugehinge/routing/retries.py
+++ b/gaugehinge/routing/retries.py
@@ -16,7 +16,7 @@
 from .types import FAIL, Action, Attempt, Decision, Deployment, Effect, Operation, Outcome
 
 FIRST_ATTEMPT_SHARE = 0.6  # of the time left, that one attempt may take while another is possible
-MIN_FIRST_DURATIONS = 3.0  # usual durations; with less than this the attempt gets all the time left
+MIN_FIRST_ATTEMPT_DURATIONS = 3.0  # usual durations; with less than this the attempt gets all the time left
 MIN_ATTEMPT_TIMEOUT = 0.001  # seconds
 # Of a retry after a time-out, that a successful attempt earns, up to the budget: where most attempts
 # time out, retries are what keeps the fleet overrun.
@@ -24,7 +24,7 @@
 MAX_RETRY_BUDGET = 3.0
 # Time-outs at silent endpoints that a success excuses, up to the maximum: dead endpoints are no load,
 # but where most attempts time out they are what an overrun fleet looks like.
-EXCUSED_PER_SUCCESS = 2.0
+EXCUSED_TIMEOUTS_PER_SUCCESS = 2.0
 MAX_EXCUSED_TIMEOUTS = 6.0
 MAX_REJECTIONS = 2  # endpoints that may reject an operation before it is given up
 MAX_REDIRECTS = 5  # a slot that moves on while it is asked for takes two or three; a loop takes all
@@ -32,7 +32,7 @@
 MIN_RETRY_AFTER = 0.1
 RETRY_AFTER_JITTER = 0.2
 # While operations are shed, at least this part of the longest time to come back, and up to all of it.
-MIN_SHEDDING_PART = 0.5
+MIN_SHEDDING_RETRY_SHARE = 0.5
 
 
 class RetryPolicy:
@@ -63,9 +63,11 @@
     def record_success(self) -> None:
         """Earn a part of a retry, and excuse some time-outs at silent endpoints."""
         self.retry_budget = min(self.retry_budget + RETRIES_PER_SUCCESS, MAX_RETRY_BUDGET)
-        self.excused_timeouts = min(self.excused_timeouts + EXCUSED_PER_SUCCESS, MAX_EXCUSED_TIMEOUTS)
+        self.excused_timeouts = min(
+            self.excused_timeouts + EXCUSED_TIMEOUTS_PER_SUCCESS, MAX_EXCUSED_TIMEOUTS
+        )
 
-    def excuses(self, attempt: Attempt, outcome: Outcome) -> bool:
+    def try_excuse_timeout(self, attempt: Attempt, outcome: Outcome) -> bool:
         """Excuse a time-out at a silent endpoint, so that it does not count as lateness, where one is left.
 
         A lost zone's time-outs made all routers shed load, and kept them at it long after it.
@@ -92,14 +94,19 @@
 
     def attempt_timeout(self, operation: Operation, now: float) -> float:
         """Return how long an attempt may take: time is left for another where one may follow."""
-        left = time_left(operation, now)
+        remaining = time_left(operation, now)
         is_last = len(operation.attempts) + 2 > self._max_attempts
         is_last = is_last or max(self.retry_budget, self.excused_timeouts) < 1.0
         if is_last or operation.traffic_type.effect is not Effect.IDEMPOTENT:
-            return left
-        usual = self._load.usual_duration(operation.traffic_type)
-        first = FIRST_ATTEMPT_SHARE * (end_of_waiting(operation) - now)
-        return left if first < MIN_FIRST_DURATIONS * usual or first + usual > left else first
+            return remaining
+        usual_duration = self._load.usual_duration(operation.traffic_type)
+        first_timeout = FIRST_ATTEMPT_SHARE * (end_of_waiting(operation) - now)
+        return (
+            remaining
+            if first_timeout < MIN_FIRST_ATTEMPT_DURATIONS * usual_duration
+            or first_timeout + usual_duration > remaining
+            else first_timeout
+        )
 
     def follow_redirect(self, operation: Operation) -> bool:
         """Whether a redirect, which ran nothing, is followed.
@@ -117,26 +124,26 @@
     def may_retry(self, attempt: Attempt, outcome: Outcome, now: float) -> bool:
         """Whether another attempt follows a failed one."""
         operation = attempt.operation
-        concerns_origin = outcome in (Outcome.CANCELLED, Outcome.NOT_SENT) or attempt.endpoint.origin
-        if concerns_origin and not self._may_ask_origin_again(operation, outcome, now):
+        involves_origin = outcome in (Outcome.CANCELLED, Outcome.NOT_SENT) or attempt.endpoint.origin
+        if involves_origin and not self._may_retry_at_origin(operation, outcome, now):
             return False
-        usual = self._load.usual_duration(operation.traffic_type)
-        would_be_late = now + usual > operation.give_up_at
+        usual_duration = self._load.usual_duration(operation.traffic_type)
+        would_be_late = now + usual_duration > operation.give_up_at
         if would_be_late or operation.rejections >= MAX_REJECTIONS:
             return False
         if not retry_safety.may_retry(operation, now):
             return False
         return outcome is not Outcome.TIMED_OUT or self._may_retry_timeout(attempt)
 
-    def _may_ask_origin_again(self, operation: Operation, outcome: Outcome, now: float) -> bool:
+    def _may_retry_at_origin(self, operation: Operation, outcome: Outcome, now: float) -> bool:
         # A full origin is not asked again for a read: retries are what keeps it full.
         is_full = outcome in (Outcome.REJECTED, Outcome.TIMED_OUT) and not operation.is_write
         return not is_full and now + self._origin_limit.expected_latency() <= operation.give_up_at
 
     def _may_retry_timeout(self, attempt: Attempt) -> bool:
         # A silent endpoint that others do not share runs nothing of it: a retry elsewhere adds no load.
-        is_free = attempt.endpoint.last_answer_at <= attempt.sent_at and self.excused_timeouts >= 1.0
-        if is_free:
+        is_excused = attempt.endpoint.last_answer_at <= attempt.sent_at and self.excused_timeouts >= 1.0
+        if is_excused:
             return True
         if self.retry_budget < 1.0:
             return False
@@ -153,12 +160,14 @@
         return Decision(Action.REJECT, retry_after=retry_after)
 
     def _retry_after(self) -> float:
-        longest = self._max_retry_after
+        max_retry_after = self._max_retry_after
         if self._shedder.is_shedding():
-            retry_after = longest * (MIN_SHEDDING_PART + MIN_SHEDDING_PART * self._random.fraction())
+            retry_after = max_retry_after * (
+                MIN_SHEDDING_RETRY_SHARE + MIN_SHEDDING_RETRY_SHARE * self._random.fraction()
+            )
         else:
             retry_after = MIN_RETRY_AFTER + RETRY_AFTER_JITTER * self._random.fraction()
-        return min(retry_after, longest)
+        return min(retry_after, max_retry_after)
 
 
 def start_attempt(operation: Operation, endpoint: Endpoint, timeout: float, now: float) -> Decision:
--- a/gaugehinge/routing/router.py
+++ b/gaugehinge/routing/router.py
@@ -86,9 +86,9 @@
         self.deadlines = Deadlines(deployment)
         self.control_interval = ControlInterval(now)
         self.background_tasks: list[BackgroundTask] = []
-        self._begin_background_tasks(now)
+        self._start_background_tasks(now)
 
-    def _begin_background_tasks(self, now: float) -> None:
+    def _start_background_tasks(self, now: float) -> None:
         if self.deployment.must_poll:
             self.background_tasks.append(self.polling.task)
         gossip_task = self.gossip.begin(self.quotas.tenant_count() > 0, now)
@@ -122,39 +122,39 @@
 
     # -- the three calls
 
-    def route(self, thing: Operation | BackgroundTask, now: float) -> Decision:
+    def route(self, item: Operation | BackgroundTask, now: float) -> Decision:
         """Say where to send this operation, or not yet, or never."""
         if self.load.is_bucket_over(now):
             self._start_bucket(now)
-        if isinstance(thing, BackgroundTask):
-            return self._run_background_task(thing, now)
-        if thing.finished:
+        if isinstance(item, BackgroundTask):
+            return self._run_background_task(item, now)
+        if item.finished:
             return NO_ACTION
-        if not thing.admitted:
-            return self._admit(thing, now)
-        if thing.queued_at is not None:
-            return self._recheck_queued(thing, now)
-        if not thing.waiting_for_fetch:
+        if not item.admitted:
+            return self._admit(item, now)
+        if item.queued_at is not None:
+            return self._recheck_queued(item, now)
+        if not item.waiting_for_fetch:
             # Freed before its wait was over: its attempt is in flight, and asking again
             # would send a second one.
             return NO_ACTION
-        self.fetches.leave(thing)
-        return self._route(thing, now)
+        self.fetches.leave(item)
+        return self._route(item, now)
 
     def on_attempt_finished(
         self,
         attempt: Attempt,
         outcome: Outcome,
         elapsed: float,
-        over: bool,
+        is_final: bool,
         now: float,
-        held: float | None = None,
+        reported_load: float | None = None,
         own_lag: float = 0.0,
     ) -> list[Step]:
         """Say what to do after an outcome, for its operation and for those that it frees.
 
-        `over` tells whether the operation got its answer, `held` what the server reported that it holds,
-        `own_lag` for how many seconds beyond `elapsed` the reply waited for this router.
+        `is_final` tells whether the operation got its answer, `reported_load` what the server reported that
+        it holds, `own_lag` for how many seconds beyond `elapsed` the reply waited for this router.
         """
         if self.load.is_bucket_over(now):
             self._start_bucket(now)
@@ -164,10 +164,10 @@
         if endpoint.origin:
             self.origin_limit.on_attempt_ended(attempt, outcome, elapsed, now)
         else:
-            if held is not None:
-                self.load.record_load_report(endpoint, held, now)
+            if reported_load is not None:
+                self.load.record_load_report(endpoint, reported_load, now)
             self.results.record(attempt, outcome, elapsed, now, own_lag)
-        operation.finished = operation.finished or over
+        operation.finished = operation.finished or is_final
         if not operation.finished:
             retry_safety.record_possible_run(attempt, outcome)
             steps.append(Step(operation, self._after_failed_attempt(attempt, outcome, now)))
@@ -177,23 +177,23 @@
             self.queues.release(endpoint, steps, now, self._route)
         return steps
 
-    def time_until_recheck(self, thing: Operation | BackgroundTask, now: float) -> float:
+    def time_until_recheck(self, item: Operation | BackgroundTask, now: float) -> float:
         """Return how long to wait before asking again."""
-        if isinstance(thing, BackgroundTask):
-            return thing.time_until_due(now)
-        if thing.queued_at is not None:
-            return self.queues.time_until_recheck(thing, now)
-        return self.fetches.time_until_recheck(thing, self.origin_limit.expected_latency(), now)
+        if isinstance(item, BackgroundTask):
+            return item.time_until_due(now)
+        if item.queued_at is not None:
+            return self.queues.time_until_recheck(item, now)
+        return self.fetches.time_until_recheck(item, self.origin_limit.expected_latency(), now)
 
     # -- notices
 
     def on_endpoints_changed(
-        self, entries: Sequence[EndpointEntry], whole: bool, held: bool, now: float
+        self, entries: Sequence[EndpointEntry], is_full_list: bool, is_restored: bool, now: float
     ) -> None:
-        """Follow the endpoint list or its changes; `held` is a list that was kept over a restart."""
-        if not held:
+        """Follow the endpoint list or its changes; `is_restored` is a list that was kept over a restart."""
+        if not is_restored:
             self.polling.on_list_received()
-        self.table.apply(entries, whole, now)
+        self.table.apply(entries, is_full_list, now)
         changed = self.table.take_changed()
         if changed:
             self.load.forget_unlisted(changed)
@@ -209,9 +209,9 @@
         """Ask elsewhere for the endpoint list from now on."""
         self.polling.on_discovery_changed(now)
 
-    def on_tenants_changed(self, tenants: tuple[Tenant, ...], anew: Container[int]) -> None:
-        """Follow the tenants; what is known of the places in `anew`, which changed hands, is emptied."""
-        self.quotas.on_tenants_changed(tenants, anew)
+    def on_tenants_changed(self, tenants: tuple[Tenant, ...], reassigned: Container[int]) -> None:
+        """Follow the tenants; what is known of the `reassigned` places, which changed hands, is emptied."""
+        self.quotas.on_tenants_changed(tenants, reassigned)
 
     def on_gossip(self, number: int, payload: bytes, now: float) -> None:
         """Take over a peer's rates of operations for each tenant."""
@@ -297,10 +297,10 @@
         if outcome is Outcome.CACHE_MISS and not attempt.endpoint.origin:
             return self._after_miss(operation, now)
         if outcome in REDIRECTS:
-            goes_on = self.retries.follow_redirect(operation)
+            may_continue = self.retries.follow_redirect(operation)
         else:
-            goes_on = self.retries.may_retry(attempt, outcome, now)
-        return self._route(operation, now) if goes_on else self._give_up(operation, now)
+            may_continue = self.retries.may_retry(attempt, outcome, now)
+        return self._route(operation, now) if may_continue else self._give_up(operation, now)
 
     def _after_miss(self, operation: Operation, now: float) -> Decision:
         operation.wants_origin = True
@@ -309,7 +309,7 @@
         return WAIT if self.fetches.try_join(operation) else self._route(operation, now)
 
     def _recheck_queued(self, operation: Operation, now: float) -> Decision:
-        if self.queues.still_waits(operation, now):
+        if self.queues.may_keep_waiting(operation, now):
             return WAIT
         self.queues.leave(operation)
         return self._route(operation, now)
