--- a/gaugehinge/routing/attempt_results.py
+++ b/gaugehinge/routing/attempt_results.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt at an endpoint teaches the parts of the router, in a fixed order. No state."""
+"""Reports the results of attempts at endpoints to the components of the router, in a fixed order. No state."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AttemptResults:
-    """Tells each part of an ended attempt what concerns it."""
+    """Reports each ended attempt to the components that learn from it."""
 
     def __init__(
         self,
@@ -31,9 +31,11 @@
     def record(
         self, attempt: Attempt, outcome: Outcome, elapsed: float, now: float, own_lag: float = 0.0
     ) -> None:
-        """Take in an attempt that ended; the order matters, since parts draw random numbers.
+        """Record an attempt that ended.
 
-        The router's own lag, in seconds, makes its load late, which sheds; it is no server's latency.
+        The order of the calls matters, since components draw from one sequence of random numbers. `own_lag`,
+        in seconds, is the delay that the router itself added. It counts as lateness for load shedding, but
+        not as latency of the endpoint.
         """
         endpoint = attempt.endpoint
         self._load.on_attempt_ended(endpoint, outcome, elapsed, now)
@@ -58,7 +60,8 @@
         elif outcome in CONNECTION_FAILURES:
             self._ejection.record_connection_failure(endpoint, elapsed, now)
         elif outcome is Outcome.TIMED_OUT and endpoint.has_answered_lately(attempt.sent_at, now):
-            # It answers others: it is loaded, not at fault. Ejected, it would only load the next one.
+            # The endpoint answers other attempts: it is loaded, not failing. Ejecting it would only move
+            # its load to the next endpoint.
             self._load.record_latency(endpoint, self._load.relative_duration(elapsed), now)
         elif outcome in SERVER_FAILURES:
             self._ejection.record_server_failure(endpoint, elapsed, now)
--- a/gaugehinge/routing/endpoint_selection.py
+++ b/gaugehinge/routing/endpoint_selection.py
@@ -1,8 +1,8 @@
-"""Endpoint selection: a walk round the hash ring from the key's place, past endpoints with too much load.
+"""Endpoint selection: consistent hashing with bounded loads.
 
-The mechanism is consistent hashing with bounded loads: a key goes to the first endpoint clockwise that
-may serve it and whose load is under a bound, which is a factor over the mean. docs/design.md has the
-departures from it.
+A walk goes clockwise round the hash ring from the key's position. The key goes to the first endpoint that may
+serve it and whose load is within a bound, a factor times the mean load. docs/design.md lists the differences
+from the published algorithm.
 """
 
 from __future__ import annotations
@@ -22,19 +22,22 @@
 from .seeded_random import stable_fraction, stable_number
 from .types import Deployment, EndpointState, Operation
 
-BALANCE_FACTOR = 1.25  # an endpoint over this times the ready endpoints' mean load is walked past
-MIN_LOAD_BOUND = 2.0  # below two in flight a bound would scatter the keys of a quiet router
-MAX_HOPS = 10  # endpoints looked at before the least loaded one is taken
-# Endpoints passed in all, with those that may not serve the key: a full fleet is not searched whole.
+BALANCE_FACTOR = 1.25  # load bound, as a multiple of the mean load of the ready endpoints
+# Attempts in flight. A lower bound would scatter the keys of a router with little traffic.
+MIN_LOAD_BOUND = 2.0
+MAX_HOPS = 10  # eligible endpoints skipped for their load before the least loaded of them is selected
+# Endpoints visited in total, including those that may not serve the key, so that a walk does not search an
+# entire fleet that is full.
 MAX_VISITED = 12
-# Where a new connection has a price, a walk may start at one of so many endpoints of a key.
+# Where a new connection has a price, the walk for a key starts at one of this many endpoints.
 START_CANDIDATES = 4
 
 
 class EndpointSelection:
-    """Chooses the endpoint for an operation's next attempt.
+    """Selects the endpoint for an operation's next attempt.
 
-    State: the number of the last walk, by which endpoints know whether it came past; it only grows.
+    State: the number of the last walk, which only grows. Each endpoint stores the number of the last walk
+    that visited it, so that a walk visits no endpoint twice.
     """
 
     def __init__(
@@ -59,12 +62,13 @@
         self._walk_number = 0
 
     def select(self, operation: Operation, now: float) -> Endpoint | None:
-        """Choose within the first of the operation's regions where an endpoint may serve it."""
+        """Select in the first of the operation's regions that has an endpoint for it, or return `None`."""
         for region in operation.regions:
             endpoint = self._select_in_region(operation, now, region)
             if endpoint is not None:
                 return endpoint
-            # What is over a quota goes to its home only, which is in the first region with any endpoint.
+            # An operation over its quota goes to its home endpoint only, which is in the first region that
+            # has any endpoint.
             if operation.over_quota and region and self._ring.rings_within(region):
                 return None
         return None
@@ -72,7 +76,7 @@
     def _select_in_region(
         self, operation: Operation, now: float, region: frozenset[str] | None
     ) -> Endpoint | None:
-        """Choose on the whole ring, or on the part of it in a region."""
+        """Select on the whole ring, or on the part of it in a region."""
         if self._ring.is_empty():
             return None
         operation.routed_at = now
@@ -84,7 +88,11 @@
         return self._walk(operation, key, rings, bound)
 
     def _walk(self, operation: Operation, key: int, rings: list[list[int]], bound: float) -> Endpoint | None:
-        """Walk clockwise from the key's place, past each endpoint over the bound."""
+        """Walk clockwise from the key's position to the first endpoint whose load is within the bound.
+
+        Without one, the least loaded endpoint visited is selected, or else an endpoint in slow start that has
+        budget left.
+        """
         now = operation.routed_at
         owners, limits = self._ring.owner_by_point(), self._limits
         max_visited = min(self._table.count(), MAX_VISITED)
@@ -92,7 +100,7 @@
         visited = hops = 0
         least_loaded = cold = None
         if len(rings) > 1 and stable_fraction(key) >= self._table.own_zone_figures().key_share:
-            rings = rings[1:]  # a crowded zone gives up keys, always the same ones
+            rings = rings[1:]  # a slow own zone gives up a stable subset of its keys
         for points in rings:
             start = self._start_index(points, key, now)
             for index in range(start - len(points), start):
@@ -115,10 +123,13 @@
                 if visited >= max_visited or hops >= MAX_HOPS:
                     break
             max_visited, hops = visited + max_visited, 0
-        return least_loaded or cold  # one that warms up, within its budget, rather than none
+        return least_loaded or cold
 
     def _select_among(self, operation: Operation, key: int, bound: float) -> Endpoint | None:
-        """Choose where servers say who serves a key: past its owner over the bound, on to its replicas."""
+        """Select among the endpoints that the servers name for a key: the owner, then its replicas.
+
+        An endpoint over the bound is skipped while another one is within it.
+        """
         now = operation.routed_at
         least_loaded = cold = None
         for index, ident in enumerate(operation.allowed_endpoints or ()):
@@ -140,9 +151,10 @@
     # -- where a walk starts
 
     def _start_index(self, points: list[int], key: int, now: float) -> int:
-        """Return the place on a ring where the walk starts.
+        """Return the index on a ring where the walk starts.
 
-        While the origin has no place for what misses, each key has one start: keys spread wide miss more.
+        While the origin has no capacity for cache misses, all walks for a key start at its home: keys spread
+        over more endpoints miss more often.
         """
         home_index = bisect_left(points, key)
         if self.start_candidates == 1 or self._origin_limit.is_under_pressure(now):
@@ -150,10 +162,12 @@
         return self._candidate_start_index(points, key, home_index)
 
     def _candidate_start_index(self, points: list[int], key: int, home_index: int) -> int:
-        """Start at one of the key's few candidates: with an idle connection first, then that reports least.
+        """Return the index of the best of the key's candidates.
 
-        A sparse router that asks each key's one home opens a connection for nearly each attempt, and hundreds
-        of them crowd the home of a hot key before any has seen it over its bound.
+        A candidate with an idle connection comes first, then the one with the lowest reported load.
+        A router with little traffic that always started at a key's home would open a connection for almost
+        every attempt. Hundreds of such routers overload the home of a hot key before any of them sees it over
+        the bound.
         """
         owners = self._ring.owner_by_point()
         candidates: dict[Endpoint, int] = {}
@@ -161,7 +175,7 @@
             candidates.setdefault(owners[points[index]], index % len(points))
             if len(candidates) >= self.start_candidates:
                 break
-        draw = stable_number(key ^ self._salt)  # the same ones for this key at this router
+        draw = stable_number(key ^ self._salt)  # stable for this key at this router
         ranks = [(index - draw) % len(candidates) for index in range(len(candidates))]
         costs = [
             (endpoint.connections <= endpoint.in_flight, endpoint.reported_load) for endpoint in candidates
@@ -171,7 +185,7 @@
     # -- which endpoints may serve an operation
 
     def _may_serve(self, endpoint: Endpoint, operation: Operation, key: int) -> bool:
-        """Whether an endpoint is there for this key at all, whatever its load."""
+        """Return whether an endpoint may serve the key, regardless of its load relative to the bound."""
         if endpoint.ejected_until or endpoint in operation.tried_endpoints:
             return False
         zone = endpoint.zone_figures
@@ -189,26 +203,27 @@
 
     @staticmethod
     def _keeps_key(endpoint: Endpoint, key: int, share: float) -> bool:
-        """Whether a key is among the share of its keys that an endpoint keeps, and has budget left for it.
+        """Return whether a key is in the share that an endpoint keeps, and the endpoint has budget for it.
 
-        The draw is tied to the key: an endpoint warms up with the keys that it will keep. Without a
-        budget the overflow of others' walks, or one hot key, would overload a cold endpoint.
+        The draw depends on the key, so that an endpoint warms up with the keys that it will keep. Without a
+        budget, walks that overflow from other endpoints, or one hot key, would overload a cold endpoint.
         """
         has_budget = endpoint.warm_up_share >= 1.0 or endpoint.warm_up_budget >= 1.0
         return stable_fraction(key ^ endpoint.salt) < share and has_budget
 
     @staticmethod
     def _has_budget(endpoint: Endpoint, operation: Operation) -> bool:
-        """Whether an endpoint that warms up has budget left for a key that its draw does not give it yet."""
+        """Return whether an endpoint in slow start has budget for a key outside its current share."""
         is_available = endpoint.warm_up_budget >= 1.0 and not endpoint.ejected_until
         is_untried = endpoint not in operation.tried_endpoints
         return is_available and is_untried and retry_safety.may_be_sent_to(endpoint, operation)
 
     def _stays_despite_report(self, endpoint: Endpoint, key: int, now: float) -> bool:
-        """Whether this router stays at an endpoint that reports more load than the bound.
+        """Return whether this router uses an endpoint although it may report more load than the bound.
 
-        All routers hear the same late report: past the bound by that alone, they would all leave and all come
-        back. So each key of each router has a draw, and as many stay as the endpoint would bear.
+        All routers act on the same delayed report. If the report alone decided, they would all leave the
+        endpoint and all return together. So each key has a stable draw at each router, and the fraction that
+        stays is the bound over the reported load, which is what the endpoint can take.
         """
         if not endpoint.reported_load:
             return True
--- a/gaugehinge/routing/router.py
+++ b/gaugehinge/routing/router.py
@@ -1,13 +1,14 @@
-"""The decisions of one router: which server, whether to retry, when to reject.
+"""The decision core of one router: which server to use, whether to retry, and when to reject.
 
-Ask `route(thing, now)` for an operation that came in or whose wait is over,
-`on_attempt_finished(attempt, outcome, ...)` when an attempt ended, `time_until_recheck(thing, now)` when
-the decision was to wait. Notify it of what happened with the other `on_...` calls and `cancel`.
-`background_tasks` are its own standing tasks and go through the same calls. Time and events come in,
-plain values go out: it does no I/O and has no clock. A router shares nothing with others in its process.
+The caller invokes `route(item, now)` for an operation that has arrived or whose wait is over,
+`on_attempt_finished(attempt, outcome, ...)` when an attempt has ended, and `time_until_recheck(item, now)`
+when the decision was to wait. The other `on_...` methods and `cancel` report events. `background_tasks` lists
+the router's own recurring tasks, which go through the same calls. The caller passes in the time and the
+events, and gets plain values back: the router does no I/O and has no clock. It shares no state with other
+routers in the same process.
 
-The parts, one module each, own what they measure; this module only asks them in the right order. The reasons
-for what they do are in docs/design.md.
+Each component has a module of its own and owns its measurements; this module only calls them in the right
+order. docs/design.md gives the reasons for their behaviour.
 """
 
 from __future__ import annotations
@@ -54,10 +55,10 @@
 
 
 class Router:
-    """The decisions of one router.
+    """Makes all decisions of one router.
 
-    State: its parts, each of which says what empties it, and the log lines of the call, which the caller
-    empties.
+    State: the components, each of which documents when its state is cleared, and the log lines of the current
+    call, which the caller clears.
     """
 
     def __init__(self, deployment: Deployment, now: float) -> None:
@@ -95,35 +96,35 @@
         if gossip_task is not None:
             self.background_tasks.append(gossip_task)
 
-    # -- what is read of a router from outside
+    # -- read access for callers
 
     @property
     def endpoints(self) -> Mapping[int, Endpoint]:
-        """The listed endpoints by number, without the origin; the same mapping at all times."""
+        """The listed endpoints by number, without the origin; always the same mapping object."""
         return self.table.endpoints
 
     @property
     def origin(self) -> Endpoint | None:
-        """The origin, where one is listed."""
+        """The origin, or `None` if none is listed."""
         return self.table.origin
 
     @property
     def tenants(self) -> tuple[Tenant, ...]:
-        """The tenants of the last change."""
+        """The current tenants, as set by the last change."""
         return self.quotas.tenants
 
     def responses_per_second(self, now: float) -> float:
-        """Return the rate of attempts that endpoints answered."""
+        """Return the rate of attempts answered by endpoints."""
         return self.load.responses_per_second(now)
 
     def operations_per_second(self) -> float:
-        """Return the rate of all tenants' operations."""
+        """Return the rate of operations of all tenants together."""
         return self.quotas.operations_per_second()
 
-    # -- the three calls
+    # -- routing
 
     def route(self, item: Operation | BackgroundTask, now: float) -> Decision:
-        """Say where to send this operation, or not yet, or never."""
+        """Decide whether to send an operation and to which endpoint, to let it wait, or to end it."""
         if self.load.is_bucket_over(now):
             self._start_bucket(now)
         if isinstance(item, BackgroundTask):
@@ -135,8 +136,8 @@
         if item.queued_at is not None:
             return self._recheck_queued(item, now)
         if not item.waiting_for_fetch:
-            # Freed before its wait was over: its attempt is in flight, and asking again
-            # would send a second one.
+            # It was released before its timer fired, and its attempt is already in flight: routing
+            # it again would send a second one.
             return NO_ACTION
         self.fetches.leave(item)
         return self._route(item, now)
@@ -151,10 +152,11 @@
         reported_load: float | None = None,
         own_lag: float = 0.0,
     ) -> list[Step]:
-        """Say what to do after an outcome, for its operation and for those that it frees.
+        """Return the next steps after an attempt: for its operation and for the operations it releases.
 
-        `is_final` tells whether the operation got its answer, `reported_load` what the server reported that
-        it holds, `own_lag` for how many seconds beyond `elapsed` the reply waited for this router.
+        `elapsed` is in seconds. `is_final` tells whether the operation has its answer, `reported_load` is the
+        load that the server reported, if it did. `own_lag` is the time in seconds, on top of `elapsed`, that
+        the reply stood unread because this router was late.
         """
         if self.load.is_bucket_over(now):
             self._start_bucket(now)
@@ -178,19 +180,23 @@
         return steps
 
     def time_until_recheck(self, item: Operation | BackgroundTask, now: float) -> float:
-        """Return how long to wait before asking again."""
+        """Return the number of seconds to wait before calling `route` again."""
         if isinstance(item, BackgroundTask):
             return item.time_until_due(now)
         if item.queued_at is not None:
             return self.queues.time_until_recheck(item, now)
         return self.fetches.time_until_recheck(item, self.origin_limit.expected_latency(), now)
 
-    # -- notices
+    # -- events
 
     def on_endpoints_changed(
         self, entries: Sequence[EndpointEntry], is_full_list: bool, is_restored: bool, now: float
     ) -> None:
-        """Follow the endpoint list or its changes; `is_restored` is a list that was kept over a restart."""
+        """Apply an endpoint list, or changes to it.
+
+        `is_full_list` tells a full list from changes, `is_restored` a list kept over a restart from one that
+        discovery sent.
+        """
         if not is_restored:
             self.polling.on_list_received()
         self.table.apply(entries, is_full_list, now)
@@ -202,23 +208,26 @@
             self._advance_slow_start(now, 0.0)
 
     def on_poll_failed(self, now: float) -> None:
-        """Keep the last list after a failed poll, and poll again later."""
+        """Keep the last endpoint list after a failed poll, and schedule the next poll."""
         self.polling.on_poll_failed(now)
 
     def on_discovery_changed(self, now: float) -> None:
-        """Ask elsewhere for the endpoint list from now on."""
+        """Poll for the endpoint list again, since discovery is at another address from now on."""
         self.polling.on_discovery_changed(now)
 
     def on_tenants_changed(self, tenants: tuple[Tenant, ...], reassigned: Container[int]) -> None:
-        """Follow the tenants; what is known of the `reassigned` places, which changed hands, is emptied."""
+        """Set the tenants; clear the state of the `reassigned` table indexes, which belong to new tenants."""
         self.quotas.on_tenants_changed(tenants, reassigned)
 
     def on_gossip(self, number: int, payload: bytes, now: float) -> None:
-        """Take over a peer's rates of operations for each tenant."""
+        """Store the rate of operations for each tenant that a peer sent."""
         self.gossip.receive(number, payload, self.quotas.tenant_count(), now)
 
     def cancel(self, operation: Operation) -> list[Attempt]:
-        """End an operation whose client left; return the attempts to cancel."""
+        """End an operation whose client disconnected; return the attempts to cancel.
+
+        No attempt is returned where the deployment does not allow cancelling.
+        """
         operation.finished = True
         self.fetches.leave(operation)
         self.queues.leave(operation)
@@ -226,7 +235,7 @@
             return []
         return [attempt for attempt in operation.attempts if attempt.in_flight]
 
-    # -- what happens by time
+    # -- periodic work
 
     def _start_bucket(self, now: float) -> None:
         self.load.start_bucket(now)
@@ -253,21 +262,21 @@
             return self.gossip.send(task, self.quotas.usage_by_tenant(), now)
         return self.polling.poll(now)
 
-    # -- the ways of an operation
+    # -- routing of one operation
 
     def _admit(self, operation: Operation, now: float) -> Decision:
-        """Set a new operation's times, count it against its quota, and shed it or route it."""
+        """Set a new operation's deadlines, count it against its tenant's quota, then shed or route it."""
         operation.admitted = True
         self.deadlines.assign(operation)
         operation.over_quota = self.quotas.is_over_quota(operation.tenant)
-        # A write asks nothing of the endpoints: shedding it would lose it and relieve nobody.
+        # These writes put no load on the endpoints: shedding one would lose it and relieve no endpoint.
         bypasses_endpoints = operation.is_write and self.deployment.cache_aside
         if not bypasses_endpoints and self.shedder.sheds(operation):
             return self._give_up(operation, now)
         return self._route(operation, now)
 
     def _route(self, operation: Operation, now: float) -> Decision:
-        """Send an operation to an endpoint or the origin, let it queue, or give it up."""
+        """Send an operation to an endpoint or the origin, queue it, or give it up."""
         if not self.retries.may_start_attempt(operation, now):
             return self._give_up(operation, now)
         if self.deployment.cache_aside and (operation.wants_origin or operation.is_write):
@@ -281,7 +290,7 @@
         return start_attempt(operation, endpoint, self.retries.attempt_timeout(operation, now), now)
 
     def _route_to_origin(self, operation: Operation, now: float) -> Decision:
-        """Send an operation to the origin, where it has a place now, or give it up."""
+        """Send an operation to the origin if its concurrency limit allows that now, or give it up."""
         origin = self.table.available_origin()
         if origin is None or not retry_safety.may_be_sent_to(origin, operation):
             return self._give_up(operation, now)
@@ -292,7 +301,7 @@
         return start_attempt(operation, origin, time_left(operation, now), now)
 
     def _after_failed_attempt(self, attempt: Attempt, outcome: Outcome, now: float) -> Decision:
-        """Say what follows an attempt that did not end its operation."""
+        """Decide what follows an attempt that did not end its operation."""
         operation = attempt.operation
         if outcome is Outcome.CACHE_MISS and not attempt.endpoint.origin:
             return self._after_miss(operation, now)
@@ -315,7 +324,7 @@
         return self._route(operation, now)
 
     def _give_up(self, operation: Operation, now: float) -> Decision:
-        """End an operation at once."""
+        """End an operation without an answer from a server, and return the decision for its client."""
         operation.finished = True
         self.queues.leave(operation)
         return self.retries.final_decision(operation, now)
