--- a/gaugehinge/routing/attempt_results.py
+++ b/gaugehinge/routing/attempt_results.py
@@ -1,4 +1,4 @@
-"""Reports the results of attempts at endpoints to the components of the router, in a fixed order. No state."""
+"""Reports the result of each attempt at an endpoint to the router's components in a fixed order. No state."""
 
 from __future__ import annotations
 
--- a/gaugehinge/routing/retries.py
+++ b/gaugehinge/routing/retries.py
@@ -1,7 +1,7 @@
-"""Retries: whether an operation gets another attempt, how long one may take, and what is said at the end.
+"""Retries: whether an operation gets another attempt, attempt time-outs, and the final decision.
 
-Retries after time-outs are earned by successes: where running work is not cancelled, they are what keeps an
-overrun fleet overrun.
+Retries after time-outs draw on a budget that successes fill: where work in progress is not cancelled, such
+retries keep an overloaded fleet overloaded.
 """
 
 from __future__ import annotations
@@ -15,30 +15,32 @@
 from .seeded_random import SeededRandom
 from .types import FAIL, Action, Attempt, Decision, Deployment, Effect, Operation, Outcome
 
-FIRST_ATTEMPT_SHARE = 0.6  # of the time left, that one attempt may take while another is possible
-MIN_FIRST_ATTEMPT_DURATIONS = 3.0  # usual durations; with less than this the attempt gets all the time left
+FIRST_ATTEMPT_SHARE = 0.6  # share of the time left that an attempt may take while another may follow
+# Usual attempt durations; an attempt whose share would be shorter than this gets all the time left.
+MIN_FIRST_ATTEMPT_DURATIONS = 3.0
 MIN_ATTEMPT_TIMEOUT = 0.001  # seconds
-# Of a retry after a time-out, that a successful attempt earns, up to the budget: where most attempts
-# time out, retries are what keeps the fleet overrun.
+# Part of a retry after a time-out that a successful attempt earns, up to the maximum budget. Where most
+# attempts time out, retries would keep the fleet overloaded.
 RETRIES_PER_SUCCESS = 0.1
 MAX_RETRY_BUDGET = 3.0
-# Time-outs at silent endpoints that a success excuses, up to the maximum: dead endpoints are no load,
-# but where most attempts time out they are what an overrun fleet looks like.
+# Time-outs at silent endpoints that a success excuses, up to the maximum. Dead endpoints are no load, but
+# where most attempts time out, the fleet is assumed to be overloaded.
 EXCUSED_TIMEOUTS_PER_SUCCESS = 2.0
 MAX_EXCUSED_TIMEOUTS = 6.0
-MAX_REJECTIONS = 2  # endpoints that may reject an operation before it is given up
-MAX_REDIRECTS = 5  # a slot that moves on while it is asked for takes two or three; a loop takes all
-# Seconds until a client may come back while nothing is shed, and a random part of the jitter.
+MAX_REJECTIONS = 2  # rejections by endpoints after which an operation is given up
+MAX_REDIRECTS = 5  # a slot that migrates during the operation takes two or three; a loop uses all of them
+# Retry-After in seconds while nothing is shed: the minimum, plus a random part of the jitter.
 MIN_RETRY_AFTER = 0.1
 RETRY_AFTER_JITTER = 0.2
-# While operations are shed, at least this part of the longest time to come back, and up to all of it.
+# While operations are shed, Retry-After is at least this share of its maximum, and at most the maximum.
 MIN_SHEDDING_RETRY_SHARE = 0.5
 
 
 class RetryPolicy:
-    """Decides about further attempts.
+    """Decides whether operations get further attempts.
 
-    State: the retry budget and the excused time-outs, both raised by successes and used up by time-outs.
+    State: the retry budget and the number of time-outs that may be excused; successes raise both, time-outs
+    use them up.
     """
 
     def __init__(
@@ -61,16 +63,17 @@
     # -- budgets
 
     def record_success(self) -> None:
-        """Earn a part of a retry, and excuse some time-outs at silent endpoints."""
+        """Add to the retry budget and to the number of time-outs that may be excused."""
         self.retry_budget = min(self.retry_budget + RETRIES_PER_SUCCESS, MAX_RETRY_BUDGET)
         self.excused_timeouts = min(
             self.excused_timeouts + EXCUSED_TIMEOUTS_PER_SUCCESS, MAX_EXCUSED_TIMEOUTS
         )
 
     def try_excuse_timeout(self, attempt: Attempt, outcome: Outcome) -> bool:
-        """Excuse a time-out at a silent endpoint, so that it does not count as lateness, where one is left.
+        """Excuse a time-out at a silent endpoint if one may still be excused; return whether it was.
 
-        A lost zone's time-outs made all routers shed load, and kept them at it long after it.
+        An excused time-out does not count as lateness. The time-outs of a lost zone made all routers shed
+        load, and kept them shedding long after the outage.
         """
         is_silent_timeout = (
             outcome is Outcome.TIMED_OUT and attempt.endpoint.last_answer_at <= attempt.sent_at
@@ -83,17 +86,20 @@
     # -- attempts
 
     def may_start_attempt(self, operation: Operation, now: float) -> bool:
-        """Whether an attempt may start now; a miss or another's fetch may have taken the time for it."""
+        """Return whether an attempt may start now.
+
+        A cache miss or the wait for another operation's fetch may have used up the time for it.
+        """
         started = len(operation.attempts) - operation.redirect_count
         has_time = started < self._max_attempts and now < operation.give_up_at
         return has_time and retry_safety.may_retry(operation, now)
 
     def has_attempts_left(self, operation: Operation) -> bool:
-        """Whether an operation that waits for another's fetch would have an attempt to end the wait with."""
+        """Return whether an operation would have an attempt left after waiting for another's fetch."""
         return len(operation.attempts) < self._max_attempts
 
     def attempt_timeout(self, operation: Operation, now: float) -> float:
-        """Return how long an attempt may take: time is left for another where one may follow."""
+        """Return the time-out of an attempt in seconds, with time kept for another where one may follow."""
         remaining = time_left(operation, now)
         is_last = len(operation.attempts) + 2 > self._max_attempts
         is_last = is_last or max(self.retry_budget, self.excused_timeouts) < 1.0
@@ -109,9 +115,9 @@
         )
 
     def follow_redirect(self, operation: Operation) -> bool:
-        """Whether a redirect, which ran nothing, is followed.
+        """Follow a redirect, if that is allowed; return whether it is. A redirected attempt did not run.
 
-        Servers that each name the other would be asked until the deadline.
+        Without a limit, two servers that redirect to each other would be tried until the deadline.
         """
         operation.redirect_count += 1
         if operation.redirect_count > MAX_REDIRECTS or not operation.allowed_endpoints:
@@ -122,7 +128,7 @@
         return True
 
     def may_retry(self, attempt: Attempt, outcome: Outcome, now: float) -> bool:
-        """Whether another attempt follows a failed one."""
+        """Return whether another attempt follows a failed one; a time-out may use up retry budget."""
         operation = attempt.operation
         involves_origin = outcome in (Outcome.CANCELLED, Outcome.NOT_SENT) or attempt.endpoint.origin
         if involves_origin and not self._may_retry_at_origin(operation, outcome, now):
@@ -136,12 +142,13 @@
         return outcome is not Outcome.TIMED_OUT or self._may_retry_timeout(attempt)
 
     def _may_retry_at_origin(self, operation: Operation, outcome: Outcome, now: float) -> bool:
-        # A full origin is not asked again for a read: retries are what keeps it full.
+        # A read is not retried at a full origin: retries would keep it full.
         is_full = outcome in (Outcome.REJECTED, Outcome.TIMED_OUT) and not operation.is_write
         return not is_full and now + self._origin_limit.expected_latency() <= operation.give_up_at
 
     def _may_retry_timeout(self, attempt: Attempt) -> bool:
-        # A silent endpoint that others do not share runs nothing of it: a retry elsewhere adds no load.
+        # An endpoint that is silent while others answer does not run the attempt: a retry elsewhere adds no
+        # load.
         is_excused = attempt.endpoint.last_answer_at <= attempt.sent_at and self.excused_timeouts >= 1.0
         if is_excused:
             return True
@@ -153,7 +160,7 @@
     # -- the end of an operation
 
     def final_decision(self, operation: Operation, now: float) -> Decision:
-        """Return the last word on an operation: a rejection where a retry by its client does no harm."""
+        """Return the final decision: a rejection where a retry by the client is safe, else a failure."""
         retry_after = self._retry_after()
         if not retry_safety.may_client_retry(operation, now + retry_after):
             return FAIL
@@ -171,7 +178,7 @@
 
 
 def start_attempt(operation: Operation, endpoint: Endpoint, timeout: float, now: float) -> Decision:
-    """Send an operation to an endpoint."""
+    """Record a new attempt of an operation at an endpoint, and return the decision to send it."""
     attempt = Attempt(operation, endpoint, len(operation.attempts), now)
     operation.attempts.append(attempt)
     operation.tried_endpoints.append(endpoint)
