--- a/gaugehinge/routing/concurrency_limits.py
+++ b/gaugehinge/routing/concurrency_limits.py
@@ -1,6 +1,6 @@
-"""Concurrency limits: whether an endpoint may hold one more attempt of this router.
+"""Concurrency limits: whether this router may have one more attempt in flight at an endpoint.
 
-A queue shows in what is in flight against what comes back long before it shows in latencies.
+The number of attempts in flight, compared with the completion rate, reveals a queue long before latencies do.
 """
 
 from __future__ import annotations
@@ -11,30 +11,35 @@
 from .seeded_random import SeededRandom
 from .types import Deployment
 
-# An endpoint holds no more attempts than it answers in this share of the shortest latency objective.
+# An endpoint gets no more attempts in flight than it answers within this share of the shortest latency
+# objective.
 IN_FLIGHT_OBJECTIVE_SHARE = 0.3
-# What is over a quota only goes to a home endpoint that answers within this share,
+# Operations over their quota go to their home endpoint only, and only while it answers its attempts in flight
+# within this share of the objective
 OVER_QUOTA_OBJECTIVE_SHARE = 0.15
-# and whose attempts take less than this share of the objective.
+# and the smoothed share of the objective that attempts take is at most this.
 OVER_QUOTA_MAX_LATENESS = 0.25
-# An endpoint may hold so many attempts however few it answered: a sparse router learns by them.
+# Attempts that an endpoint may have in flight at any completion rate: a router with little traffic learns the
+# rate from them.
 MIN_CONCURRENCY = 2
-# Many sparse routers crowd an endpoint with two each: one where it is known to be slow or crowded.
+# The same for an endpoint known to be slow or congested: two attempts from each of many routers with little
+# traffic overload it.
 MIN_SLOW_CONCURRENCY = 1
-SLOW_LATENCY_MULTIPLIER = 1.5  # of latency, relative to the fleet's: from here on an endpoint is slow
-CONGESTED_LATENESS = 0.25  # an endpoint is crowded whose attempts take this share of the latency objective
-MAX_LATENESS = 1.5  # of one attempt
-CONGESTION_DECAY = 0.8  # kept of that measure, an attempt
-# A crowded endpoint rests so many times its last attempt's time; else the minima alone keep it full.
+SLOW_LATENCY_MULTIPLIER = 1.5  # latency relative to the fleet's from which on an endpoint is slow
+CONGESTED_LATENESS = 0.25  # smoothed share of the latency objective from which on an endpoint is congested
+MAX_LATENESS = 1.5  # share of the objective that one attempt counts as at most
+CONGESTION_DECAY = 0.8  # part of the smoothed lateness kept with each attempt
+# A congested endpoint is paused for up to this many times the duration of its last attempt; otherwise the
+# minimum concurrency of each router alone would keep it full.
 CONGESTION_PAUSE_FACTOR = 1.0
-# Seconds, about, for which an endpoint that rejected an attempt is passed: some of its queue drains.
+# Seconds, before jitter, for which an endpoint that rejected an attempt gets no more: some of its queue drains.
 REJECTION_PAUSE = 0.1
 
 
 class ConcurrencyLimits:
-    """Limits of the attempts in flight at each endpoint.
+    """Limits the attempts in flight at each endpoint.
 
-    State: none of its own; how crowded an endpoint is, and until when it is passed, stand in the endpoint.
+    State: none of its own; the lateness of an endpoint and the end of its pause are stored in the `Endpoint`.
     """
 
     def __init__(
@@ -45,12 +50,13 @@
         self._random = random
         self._has_peers = deployment.router_count > 1
         self._objective = deployment.shortest_objective
-        # A second attempt opens a connection, and its time-out costs that: endpoints were crowded with them.
+        # There a second attempt opens another connection, which is lost if the attempt times out: such
+        # attempts overloaded endpoints.
         single_attempt = deployment.one_attempt_per_connection
         self._min_concurrency = MIN_SLOW_CONCURRENCY if single_attempt else MIN_CONCURRENCY
 
     def is_full(self, endpoint: Endpoint, now: float) -> bool:
-        """Whether an endpoint holds all the attempts that it answers in time."""
+        """Return whether an endpoint has as many attempts in flight as it can answer in time."""
         is_fast = (
             endpoint.latency_multiplier < SLOW_LATENCY_MULTIPLIER and endpoint.lateness < CONGESTED_LATENESS
         )
@@ -61,9 +67,11 @@
         return endpoint.in_flight >= rate * IN_FLIGHT_OBJECTIVE_SHARE * self._objective
 
     def admits_over_quota(self, endpoint: Endpoint, now: float) -> bool:
-        """Whether what is over a tenant's quota may go to its home endpoint."""
+        """Return whether a home endpoint admits an operation that is over its tenant's quota."""
         if self._has_peers and not self._gossip.has_rates():
-            return True  # untold by peers, a run of one tenant's at a sparse router is no proof of too much
+            # Without rates from peers, a burst of one tenant at a router with little traffic does not prove
+            # that the tenant uses too much.
+            return True
         rate = endpoint.completion_rate.value_at(now)
         limit = max(rate * OVER_QUOTA_OBJECTIVE_SHARE * self._objective, MIN_SLOW_CONCURRENCY)
         lateness = max(endpoint.lateness, self._shedder.current_lateness())
@@ -71,20 +79,21 @@
 
     @staticmethod
     def mark_congested(endpoint: Endpoint) -> None:
-        """Give an endpoint that comes back one attempt, and more as it answers in time."""
+        """Mark a readmitted endpoint as congested: it gets one attempt, and more once it answers in time."""
         endpoint.lateness = CONGESTED_LATENESS
 
     def on_rejected(self, endpoint: Endpoint, now: float) -> None:
-        """Pass an endpoint for a while that rejected an attempt.
+        """Send nothing for a while to an endpoint that rejected an attempt.
 
-        Sent on from endpoint to endpoint, rejected attempts were most of the work of a full fleet.
+        Rejected attempts that were sent on from endpoint to endpoint were most of the work of a full fleet.
         """
         endpoint.full_until = now + REJECTION_PAUSE * (0.5 + self._random.fraction())
 
     def record_duration(self, endpoint: Endpoint, elapsed: float, now: float) -> None:
-        """Learn from an attempt's time how crowded its endpoint is, and let a crowded one rest.
+        """Update an endpoint's lateness from an attempt's duration, and pause a congested endpoint.
 
-        Held at even one attempt from each of many routers, a crowded endpoint that slows down stays crowded.
+        Without a pause, even one attempt from each of many routers would keep a congested endpoint that slows
+        down congested.
         """
         lateness = min(elapsed / self._objective, MAX_LATENESS)
         endpoint.lateness += (1.0 - CONGESTION_DECAY) * (lateness - endpoint.lateness)
--- a/gaugehinge/routing/fetch_coalescing.py
+++ b/gaugehinge/routing/fetch_coalescing.py
@@ -1,6 +1,6 @@
 """Request coalescing: of the reads that miss on one key, one fetches from the origin and the others wait.
 
-A second fetch of the same key would only load the origin. Behind the fetch, those that waited go to the cache
+A second fetch of the same key would only load the origin. After the fetch, the waiting reads go to the cache
 server that now holds the key.
 """
 
@@ -11,10 +11,10 @@
 
 
 class FetchCoalescing:
-    """The fetches in flight, by key, and the operations that wait for each.
+    """Tracks the fetches in flight by key, and the operations waiting for each.
 
-    State: these. A key leaves when its fetch ends, an operation also when it is cancelled or its wait is
-    over.
+    State: both of these. A key is removed when its fetch ends; an operation is also removed when it is
+    cancelled or its wait is over.
     """
 
     def __init__(self, clock_granularity: float) -> None:
@@ -22,11 +22,11 @@
         self.waiting: dict[bytes, list[Operation]] = {}
 
     def begin(self, key: bytes) -> None:
-        """Note that a fetch of a key is in flight."""
+        """Record that a fetch of a key is in flight."""
         self.waiting.setdefault(key, [])
 
     def try_join(self, operation: Operation) -> bool:
-        """Let an operation wait for a fetch of its key, where one is in flight."""
+        """Let an operation wait for a fetch of its key if one is in flight; return whether it waits."""
         waiting = self.waiting.get(operation.key)
         if waiting is None or operation.is_write:
             return False
@@ -35,23 +35,24 @@
         return True
 
     def leave(self, operation: Operation) -> None:
-        """Let an operation wait no longer."""
+        """Remove an operation from those waiting for a fetch."""
         waiting = self.waiting.get(operation.key)
         if waiting is not None and operation in waiting:
             waiting.remove(operation)
         operation.waiting_for_fetch = False
 
     def time_until_recheck(self, operation: Operation, fetch_time: float, now: float) -> float:
-        """Return how long an operation may wait and still fetch by itself in time."""
+        """Return for how many seconds an operation may wait and still complete a fetch of its own in time."""
         return max(end_of_waiting(operation) - fetch_time - now, self._clock_granularity)
 
     def end(self, operation: Operation, succeeded: bool, steps: list[Step], now: float, route: Route) -> None:
-        """End the fetch of an operation: route those that waited, and add the steps that follow.
+        """End an operation's fetch: route the operations that waited for it, and append the resulting steps.
 
-        After a failed fetch one of them fetches in its place; all at once would pile up at the origin.
+        After a failed fetch, only one of them fetches again and the others keep waiting: all at once would
+        overload the origin.
         """
         if steps and _is_in_progress(steps[0].decision) and not operation.finished:
-            return  # the same operation fetches again
+            return  # the same operation retries the fetch
         waiting = self.waiting.pop(operation.key, [])
         while waiting:
             waiter = waiting.pop(0)
--- a/gaugehinge/routing/outlier_ejection.py
+++ b/gaugehinge/routing/outlier_ejection.py
@@ -1,7 +1,7 @@
-"""Outlier ejection: endpoints that fail are left out for a while, zones of which nobody answers are spared.
+"""Outlier ejection: failing endpoints get no attempts for a while, and silent zones one attempt at a time.
 
-Each endpoint has a failure score, which failures raise and successes lower. Past a threshold it is
-ejected, and readmitted a little later with a single attempt.
+Each endpoint has a failure score, which failures raise and successes lower. An endpoint whose score reaches a
+threshold is ejected, and readmitted after a short time with a single attempt.
 """
 
 from __future__ import annotations
@@ -17,29 +17,31 @@
 from .seeded_random import SeededRandom
 from .types import Attempt, EndpointState, Outcome
 
-# Each failure adds a step, of what is left to 1, to the endpoint's failure score.
+# Each failure raises the endpoint's failure score by this share of the distance to 1.
 FAILURE_STEP = 0.25
-# A connection that fails at a silent endpoint: two in a row eject it.
+# The same for a connection failure at a silent endpoint: two in a row eject it.
 CONNECTION_FAILURE_STEP = 0.45
-# At one that answers others it is most often the network's fault, or an old connection's.
+# The same at an endpoint that answers other attempts: there the cause is mostly the network or a stale
+# connection.
 SPORADIC_FAILURE_STEP = 0.1
-SUCCESS_DECAY = 0.85  # what a successful attempt leaves of the score
+SUCCESS_DECAY = 0.85  # share of the score kept after a successful attempt
 EJECTION_THRESHOLD = 0.5
 READMISSION_SCORE = EJECTION_THRESHOLD / 2
-EJECTION_TIME = 2.0  # seconds until an ejected endpoint is readmitted, and a random part of the jitter
+EJECTION_TIME = 2.0  # seconds until an ejected endpoint is readmitted, plus a random part of the jitter
 EJECTION_JITTER = 1.0
-MAX_EJECTED_SHARE = 0.34  # of the fleet at once: the rest would be overrun
-# The same for endpoints that answered nothing lately: a lost zone bears no load anyway.
+MAX_EJECTED_SHARE = 0.34  # of the fleet at once; with more ejected, the rest would be overloaded
+# The same when the endpoint has answered nothing lately: a lost zone carries no load anyway.
 MAX_SILENT_EJECTED_SHARE = 0.75
-# So many endpoints of a zone failed, and none has answered since: one attempt at a time goes there.
+# After this many endpoints of a zone have failed and none has answered since, the zone gets one attempt at a
+# time.
 ZONE_FAILURE_THRESHOLD = 3
 
 
 class OutlierEjection:
-    """Ejects endpoints that fail, and readmits them.
+    """Ejects failing endpoints and readmits them.
 
-    State: when the next endpoint is readmitted. Scores and times stand in the endpoints, the failed
-    endpoints of a zone in its figures: they are emptied when one of the zone answers.
+    State: the time of the next readmission. Scores and ejection times are stored in the `Endpoint`s, the
+    failed endpoints of a zone in its `ZoneFigures`; that set is cleared when an endpoint of the zone answers.
     """
 
     def __init__(
@@ -58,7 +60,7 @@
         self._next_readmission_at = inf
 
     def record_reachability(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
-        """Note whether an ended attempt's endpoint answered, or fell silent."""
+        """Record whether the endpoint of an ended attempt answered or is silent."""
         endpoint = attempt.endpoint
         if outcome in CONNECTION_FAILURES or (
             outcome is Outcome.TIMED_OUT and endpoint.last_answer_at <= attempt.sent_at
@@ -69,10 +71,10 @@
             endpoint.zone_figures.failed.clear()
 
     def is_zone_suspected(self, zone: ZoneFigures) -> bool:
-        """Whether a zone may be lost: several endpoints failed, and none has answered since.
+        """Return whether a zone may be lost: several endpoints failed, and none has answered since.
 
-        Learnt endpoint by endpoint, a lost zone costs a sparse router its time-outs as often as it has
-        endpoints.
+        If the loss of a zone were detected endpoint by endpoint, a router with little traffic would suffer
+        the time-outs once for each endpoint of the zone.
         """
         return len(zone.failed) >= ZONE_FAILURE_THRESHOLD and self._table.has_several_zones()
 
@@ -90,10 +92,10 @@
         self.record_failure(endpoint, FAILURE_STEP, elapsed, now)
 
     def record_failure(self, endpoint: Endpoint, step: float, elapsed: float, now: float) -> None:
-        """Raise a failure score by a step, and eject the endpoint past the threshold.
+        """Raise a failure score by a step, and eject the endpoint when the score reaches the threshold.
 
-        A quick error would make its endpoint look light and draw more keys to it: its time counts as at least
-        the mean.
+        The attempt's duration counts as at least the mean: fast errors would otherwise make the endpoint look
+        lightly loaded and attract more keys to it.
         """
         self._load.record_latency(endpoint, max(self._load.relative_duration(elapsed), 1.0), now)
         endpoint.failure_score += step * (1.0 - endpoint.failure_score)
@@ -104,8 +106,11 @@
             self._eject(endpoint, ejected_count, now)
 
     def _max_ejected(self, endpoint: Endpoint, now: float) -> float:
-        """Never the whole fleet: what fails everywhere is no fault of one endpoint."""
-        # With a zone lost, attempts would go on to the dead ones above the cap and fail one by one.
+        """Return how many endpoints may be ejected at once.
+
+        Never the whole fleet: a failure that occurs everywhere is not the fault of one endpoint.
+        """
+        # When a zone is lost, a low cap would leave dead endpoints in use, where attempts fail one by one.
         share = MAX_SILENT_EJECTED_SHARE if endpoint.is_silent(now) else MAX_EJECTED_SHARE
         return share * self._table.count()
 
@@ -117,7 +122,7 @@
         self._table.refresh_ready()
 
     def readmit_due(self, now: float) -> None:
-        """Readmit the endpoints whose time is over."""
+        """Readmit the endpoints whose ejection time is over."""
         if now < self._next_readmission_at:
             return
         due = [endpoint for endpoint in self._table.ejected() if now >= endpoint.ejected_until]
