--- a/gaugehinge/routing/concurrency_limits.py
+++ b/gaugehinge/routing/concurrency_limits.py
@@ -14,13 +14,13 @@
 # An endpoint gets no more attempts in flight than it answers within this share of the shortest latency
 # objective.
 IN_FLIGHT_OBJECTIVE_SHARE = 0.3
-# Operations over their quota go to their home endpoint only, and only while it answers its attempts in flight
-# within this share of the objective
+# An operation over its tenant's quota is sent only to its home endpoint, and only while that endpoint answers
+# its attempts in flight within this share of the shortest latency objective.
 OVER_QUOTA_OBJECTIVE_SHARE = 0.15
-# and the smoothed share of the objective that attempts take is at most this.
+# Such an operation is also held back while attempts take more than this share of the objective.
 OVER_QUOTA_MAX_LATENESS = 0.25
-# Attempts that an endpoint may have in flight at any completion rate: a router with little traffic learns the
-# rate from them.
+# An endpoint may have this many attempts in flight however low its completion rate is: a router with little
+# traffic learns the rate from them.
 MIN_CONCURRENCY = 2
 # The same for an endpoint known to be slow or congested: two attempts from each of many routers with little
 # traffic overload it.
@@ -32,7 +32,8 @@
 # A congested endpoint is paused for up to this many times the duration of its last attempt; otherwise the
 # minimum concurrency of each router alone would keep it full.
 CONGESTION_PAUSE_FACTOR = 1.0
-# Seconds, before jitter, for which an endpoint that rejected an attempt gets no more: some of its queue drains.
+# Seconds, before jitter, for which an endpoint that rejected an attempt gets no more, so that some of its
+# queue drains.
 REJECTION_PAUSE = 0.1
 
 
@@ -50,8 +51,8 @@
         self._random = random
         self._has_peers = deployment.router_count > 1
         self._objective = deployment.shortest_objective
-        # There a second attempt opens another connection, which is lost if the attempt times out: such
-        # attempts overloaded endpoints.
+        # With one attempt per connection, a second attempt opens a connection, which is lost if the attempt
+        # times out: such attempts overloaded endpoints.
         single_attempt = deployment.one_attempt_per_connection
         self._min_concurrency = MIN_SLOW_CONCURRENCY if single_attempt else MIN_CONCURRENCY
 
--- a/gaugehinge/routing/endpoint_selection.py
+++ b/gaugehinge/routing/endpoint_selection.py
@@ -23,7 +23,7 @@
 from .types import Deployment, EndpointState, Operation
 
 BALANCE_FACTOR = 1.25  # load bound, as a multiple of the mean load of the ready endpoints
-# Attempts in flight. A lower bound would scatter the keys of a router with little traffic.
+# A bound below two attempts in flight would scatter the keys of a router with little traffic.
 MIN_LOAD_BOUND = 2.0
 MAX_HOPS = 10  # eligible endpoints skipped for their load before the least loaded of them is selected
 # Endpoints visited in total, including those that may not serve the key, so that a walk does not search an
