--- a/tests/test_routing_concurrency_limits.py
+++ b/tests/test_routing_concurrency_limits.py
@@ -1,4 +1,4 @@
-"""Concurrency limits: endpoints that are full or crowded."""
+"""Concurrency limits: endpoints that are full, slow or congested."""
 
 from helper import Action, Bench, Outcome
 
@@ -23,8 +23,8 @@
 
 
 def test_with_one_attempt_per_connection_an_endpoint_gets_one_attempt_until_its_rate_is_known():
-    """Two attempts of each of many routers were more than a cache could answer in time, and a connection
-    each."""
+    """Two attempts from each of many routers were more than an endpoint could answer in time, and each opened
+    a connection."""
     bench = Bench(caches=1, one_attempt_per_connection=True)
     first, second = bench.ask("a"), bench.ask("b")
     assert first[1].action is Action.SEND and second[1].action is Action.REJECT
--- a/tests/test_routing_endpoint_queue.py
+++ b/tests/test_routing_endpoint_queue.py
@@ -1,4 +1,4 @@
-"""The queue before an endpoint that alone serves a key."""
+"""The queue at an endpoint that alone may serve a key."""
 
 from helper import Action, Bench, EndpointState, Outcome, row
 from routing_cases import ask_restricted, three_zone_bench
@@ -13,8 +13,8 @@
     attempts = [answer.attempt for _, answer in results if answer.attempt]
     assert [answer.action for _, answer in results] == [Action.SEND] * 2 + [Action.WAIT] * 4
     assert bench.router.time_until_recheck(results[2][0], bench.now) <= QUEUE_RECHECK_INTERVAL
-    assert bench.router.route(results[3][0], bench.now).action is Action.WAIT  # a look changes nothing
-    bench.router.cancel(results[4][0])  # its client left
+    assert bench.router.route(results[3][0], bench.now).action is Action.WAIT  # a recheck changes nothing
+    bench.router.cancel(results[4][0])  # its client disconnected
     steps = bench.end(attempts[0], Outcome.SUCCEEDED, 0.02)
     assert [(step[0], step[1].action) for step in steps] == [(results[2][0], Action.SEND)]
     bench.hear([row(1, EndpointState.DRAINING)], whole=False)
@@ -33,7 +33,7 @@
 
 
 def test_release_routes_each_queued_operation_of_a_silent_zone_once():
-    """Released in a loop until it was empty, those that lined up anew kept the router in it for good."""
+    """While `release` looped until the queue was empty, operations that queued again kept it looping."""
     bench = three_zone_bench(cache_aside=False)
     results = [ask_restricted(bench, (4,), f"k{i}") for i in range(6)]
     for ident in (4, 7, 10):
--- a/tests/test_routing_fetch_coalescing.py
+++ b/tests/test_routing_fetch_coalescing.py
@@ -1,4 +1,4 @@
-"""Request coalescing: reads that miss on one key while it is fetched."""
+"""Request coalescing: reads that miss on a key while it is being fetched."""
 
 from helper import ORIGIN, Action, Bench, Outcome
 
--- a/tests/test_routing_outlier_ejection.py
+++ b/tests/test_routing_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: servers that fail, and zones that fall silent."""
+"""Outlier ejection: failing endpoints and silent zones."""
 
 from helper import ORIGIN, Action, Bench, Decision, Outcome
 from routing_cases import ask_restricted, three_zone_bench
@@ -69,7 +69,7 @@
         [(_, further)] = bench.end(
             answer.attempt, Outcome.MALFORMED_RESPONSE if malformed else Outcome.CACHE_MISS
         )
-        assert further.action is Action.SEND  # a read may go again
+        assert further.action is Action.SEND  # a read may be retried
         if not malformed:
             [(_, further)] = bench.end(further.attempt, Outcome.MALFORMED_RESPONSE)
         bench.end(further.attempt, Outcome.SUCCEEDED)
@@ -78,12 +78,12 @@
     last = bench.router.table.ready[0]
     for _ in range(4):
         bench.router.ejection.record_failure(last, FAILURE_STEP, 0.01, bench.now)
-    assert last.ejected_until  # one that garbles all is ejected still
+    assert last.ejected_until  # one that only sends malformed responses is still ejected
 
 
 def test_resets_do_not_eject_an_answering_endpoint_but_eject_a_silent_one_quickly():
     bench = Bench(4)
-    for i in range(200):  # two attempts in ten are reset, one behind the other
+    for i in range(200):  # two consecutive attempts in ten are reset
         bench.now += 0.01
         _, answer = bench.ask("k")
         bench.end(answer.attempt, Outcome.CONNECTION_LOST if i % 10 in (5, 6) else Outcome.SUCCEEDED, 0.005)
@@ -97,7 +97,7 @@
 
 
 def test_a_timeout_shorter_than_the_silence_threshold_is_not_a_failure():
-    """At five attempts a second, a wait of 0.2 s sees no answer by chance: sound caches were ejected."""
+    """At five attempts a second, no answer within 0.2 s happens by chance: healthy endpoints were ejected."""
     bench = Bench(caches=4)
     for i in range(30):
         _, answer = bench.ask(f"key-{i}")
@@ -115,8 +115,10 @@
 
 
 def simulate_zone_loss(bench, zone, seconds, outcome=Outcome.TIMED_OUT):
-    """Ten reads a second, each attempt to a zone lost a second later; how many were out there at once at
-    most."""
+    """Route ten reads a second; each attempt to the zone ends with `outcome` after one second.
+
+    Returns the maximum of attempts in flight to the zone at once, and how many were sent there.
+    """
     pending, max_in_flight, sent, count, end = [], 0, 0, 0, bench.now + seconds
     while bench.now < end:
         count += 1
@@ -136,7 +138,7 @@
 
 
 def test_a_silent_zone_gets_one_attempt_at_a_time():
-    """Learnt cache by cache, a lost zone cost each of many routers two time-outs a cache."""
+    """Detected endpoint by endpoint, a lost zone cost each of many routers two time-outs per endpoint."""
     bench = three_zone_bench()
     simulate_zone_loss(bench, "b", 3.0)
     max_in_flight, sent = simulate_zone_loss(bench, "b", 10.0)
--- a/tests/test_routing_retries.py
+++ b/tests/test_routing_retries.py
@@ -1,4 +1,4 @@
-"""Retries: what may be sent again, how often, and redirects."""
+"""Retries: which operations may be sent again and how often, and redirects."""
 
 import pytest
 from helper import MARKED, ONCE, Action, Bench, EndpointState, Outcome, row
@@ -31,7 +31,7 @@
     assert bench.end(answer.attempt, Outcome.SERVER_ERROR)[0].decision.action is Action.SEND
     bench.now += MARKED.deduplication_window
     step = bench.end(operation.attempts[-1], Outcome.SERVER_ERROR)[0].decision
-    assert step.action is Action.FAIL and operation.finished  # its client may not come again either
+    assert step.action is Action.FAIL and operation.finished  # its client may not retry either
 
 
 @pytest.mark.parametrize("by", ["a miss", "a joined fetch"])
@@ -63,8 +63,8 @@
 
 
 def test_retries_stop_when_most_attempts_time_out():
-    """Each early time-out sent a second attempt while the first went on: the repeats kept the fleet
-    overrun."""
+    """Each early time-out sent a second attempt while the first was still running: these retries kept the
+    fleet overloaded."""
     bench = Bench()
     for i in range(30):
         bench.settle(f"key-{i}")
@@ -75,7 +75,7 @@
         if answer.attempt:
             steps = bench.end(answer.attempt, Outcome.TIMED_OUT, 0.1)
             retries += steps[0].decision.action is Action.SEND
-    # At silent caches a few more, by what settled before: they would run nothing of it.
+    # Earlier successes excuse a few more time-outs at silent endpoints, which do not run the attempts.
     assert 0 < retries <= MAX_RETRY_BUDGET + MAX_EXCUSED_TIMEOUTS
 
 
--- a/tests/test_routing_selection.py
+++ b/tests/test_routing_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: the bounded walk, where it starts, and load reports."""
+"""Endpoint selection: the walk with bounded loads, where it starts, and load reports."""
 
 from helper import Action, Bench, EndpointState, Outcome, origin_row, row
 from routing_cases import ask_restricted, homes
@@ -55,7 +55,8 @@
 
 
 def test_an_endpoint_that_reports_high_load_is_skipped_by_some_of_the_routers():
-    """Hundreds of sparse routers crowded a hot key's home: none saw it over its bound by its own attempts."""
+    """Hundreds of routers with little traffic overloaded a hot key's home: none saw it over the bound
+    from its own attempts alone."""
     stayed = 0
     for seed in range(40):
         bench = Bench(seed=seed)
@@ -67,7 +68,7 @@
             if settle_with_report(bench, "hot", 12.0) != home:
                 break
         stayed += bench.settle("hot") == home
-        bench.now += 6 * REPORT_LIFETIME  # a late report steers nobody for long
+        bench.now += 6 * REPORT_LIFETIME  # an old report soon loses its effect
         assert bench.settle("hot") == home
     assert 4 <= stayed <= 30
 
@@ -81,7 +82,7 @@
         other = Bench(one_attempt_per_connection=True, connection_price=0.1, seed=seed)
         found.add(other.settle("k"))
     assert 2 <= len(found) <= START_CANDIDATES
-    assert {Bench(seed=seed).settle("k") for seed in range(9)} <= found  # the home is one of them
+    assert {Bench(seed=seed).settle("k") for seed in range(9)} <= found  # the home is one of the candidates
 
 
 def test_while_the_origin_is_under_pressure_all_walks_for_a_key_start_at_its_home():
@@ -131,7 +132,7 @@
             bench.router.table.own_zone.key_share = 0.5
             if bench.settle(key) % 2:
                 found[-1].add(key)
-    assert found[0] == found[1] and 25 < len(found[0]) < 80  # of 100 given up, those at home there
+    assert found[0] == found[1] and 25 < len(found[0]) < 80  # of 100 given up, those whose home is in zone b
 
 
 def test_a_key_with_allowed_endpoints_goes_to_its_owner_and_then_to_its_replicas():
