--- a/tests/test_routing_selection.py
+++ b/tests/test_routing_selection.py
@@ -47,10 +47,10 @@
     assert bench.settle("k") != home
 
 
-def settle_with_report(bench, key, held):
+def settle_with_report(bench, key, reported_load):
     _, answer = bench.ask(key)
     bench.now += 0.02
-    bench.router.on_attempt_finished(answer.attempt, Outcome.SUCCEEDED, 0.02, True, bench.now, held)
+    bench.router.on_attempt_finished(answer.attempt, Outcome.SUCCEEDED, 0.02, True, bench.now, reported_load)
     return answer.attempt.endpoint.ident
 
 
