--- a/gaugehinge/routing/endpoint_table.py
+++ b/gaugehinge/routing/endpoint_table.py
@@ -33,7 +33,7 @@
         self.zones: dict[str, ZoneFigures] = {}
         self.own_zone = ZoneFigures(group_latency(now))
         self.labels: dict[str, DecayedLatency] = {}
-        self._usual_weight = 0.0  # of the first list that has weights; only their ratios mean something
+        self._median_weight = 0.0  # of the first list that has weights; only their ratios mean something
         self._changed: list[Endpoint] = []  # emptied by `take_changed`
         self.ready: list[Endpoint] = []
         self._ready_by_region: dict[frozenset[str], list[Endpoint]] = {}  # emptied by `refresh_ready`
@@ -45,13 +45,13 @@
 
     def apply(self, entries: Sequence[EndpointEntry], whole: bool, now: float) -> None:
         """Follow a whole endpoint list, or changes of it."""
-        if self._deployment.has_endpoint_weights and not self._usual_weight:
+        if self._deployment.has_endpoint_weights and not self._median_weight:
             weights = sorted(entry.weight for entry in entries if entry.weight > 0.0)
-            self._usual_weight = weights[len(weights) // 2] if weights else 0.0
+            self._median_weight = weights[len(weights) // 2] if weights else 0.0
         for entry in entries:
             self._apply_entry(entry, now)
         if whole:
-            self._remove_all_but({entry.ident for entry in entries})
+            self._remove_unlisted({entry.ident for entry in entries})
 
     def take_changed(self) -> list[Endpoint]:
         """Return the endpoints that came, changed or left since the last call."""
@@ -59,7 +59,7 @@
         return changed
 
     def _apply_entry(self, entry: EndpointEntry, now: float) -> None:
-        known = self._known(entry)
+        known = self._find(entry)
         if entry.state is EndpointState.GONE:
             if known is not None:
                 self._remove(known)
@@ -76,7 +76,7 @@
         known.state = entry.state
         self._changed.append(known)
 
-    def _known(self, entry: EndpointEntry) -> Endpoint | None:
+    def _find(self, entry: EndpointEntry) -> Endpoint | None:
         if self._is_origin(entry) and self.origin is not None and self.origin.ident == entry.ident:
             return self.origin
         return self.endpoints.get(entry.ident)
@@ -101,8 +101,8 @@
             silent_since=now,
             salt=xxh64_intdigest(b"fade-%d" % entry.ident),
         )
-        if self._usual_weight and entry.weight > 0.0:
-            relative = max(entry.weight / self._usual_weight, 1 / MAX_RELATIVE_WEIGHT)
+        if self._median_weight and entry.weight > 0.0:
+            relative = max(entry.weight / self._median_weight, 1 / MAX_RELATIVE_WEIGHT)
             added.weight = min(relative, MAX_RELATIVE_WEIGHT)
         self._slow_start.begin(added, now)
         if is_origin:
@@ -116,10 +116,10 @@
         figures = self.own_zone if is_own else ZoneFigures(group_latency(now))
         return figures if is_origin else self.zones.setdefault(entry.zone, figures)
 
-    def _remove_all_but(self, named: set[int]) -> None:
-        for ident in [ident for ident in self.endpoints if ident not in named]:
+    def _remove_unlisted(self, listed: set[int]) -> None:
+        for ident in [ident for ident in self.endpoints if ident not in listed]:
             self._remove(self.endpoints[ident])
-        if self.origin is not None and self.origin.ident not in named:
+        if self.origin is not None and self.origin.ident not in listed:
             self._remove(self.origin)
 
     def _remove(self, endpoint: Endpoint) -> None:
@@ -168,7 +168,7 @@
 
     def has_weights(self) -> bool:
         """Whether the list tells weights that are heeded."""
-        return bool(self._usual_weight)
+        return bool(self._median_weight)
 
     def ejected(self) -> list[Endpoint]:
         """Return the listed endpoints that are ejected."""
@@ -184,14 +184,14 @@
             for endpoint in self.endpoints.values()
             if endpoint.state is EndpointState.UP and not endpoint.ejected_until
         ]
-        self._slow_start.follow(self.ready)
+        self._slow_start.set_ready(self.ready)
         self.total_load = sum(endpoint.load * endpoint.weight for endpoint in self.ready)
         self._ready_weight = sum(endpoint.weight for endpoint in self.ready)
         self._set_effective_weight(sum(endpoint.warm_up_share * endpoint.weight for endpoint in self.ready))
 
     def advance_slow_start(self, fleet_rate: float, now: float, span: float) -> None:
         """Let the ready endpoints warm up, and count their weights anew."""
-        if self._slow_start.has_endpoints():
+        if self._slow_start.is_active():
             self._set_effective_weight(self._slow_start.advance(fleet_rate, self._ready_weight, now, span))
 
     def _set_effective_weight(self, weight: float) -> None:
--- a/gaugehinge/routing/hash_ring.py
+++ b/gaugehinge/routing/hash_ring.py
@@ -34,30 +34,32 @@
 
     def update(self, changed: Iterable[Endpoint], is_listed: Callable[[Endpoint], bool]) -> None:
         """Move the points of endpoints that came, changed or left; sorting all for each list is too dear."""
-        gone: set[int] = set()
-        new: list[int] = []
+        removed_points: set[int] = set()
+        added_points: list[int] = []
         for endpoint in changed:
             if endpoint.origin:
                 continue
             points = _points_of(endpoint)
             if not is_listed(endpoint) or endpoint.state is not EndpointState.UP:
-                gone.update(points)
+                removed_points.update(points)
                 continue
-            gone.difference_update(points)  # of its process before, which may have had more points
-            new += [point for point in points if point not in self.owners]
+            removed_points.difference_update(points)  # of its process before, which may have had more points
+            added_points += [point for point in points if point not in self.owners]
             self.owners.update(dict.fromkeys(points, endpoint))
-        for point in gone:
+        for point in removed_points:
             self.owners.pop(point, None)
-        if gone or new:
-            self.points = sorted([point for point in self.points if point not in gone] + new)
+        if removed_points or added_points:
+            self.points = sorted(
+                [point for point in self.points if point not in removed_points] + added_points
+            )
         self._rings = self._walk_order()
         self._rings_by_region.clear()
 
     def _walk_order(self) -> list[list[int]]:
         if self._prefers_own_zone:
-            own = [point for point in self.points if self.owners[point].zone == self._zone]
-            if own:
-                return [own, self.points]
+            own_zone_points = [point for point in self.points if self.owners[point].zone == self._zone]
+            if own_zone_points:
+                return [own_zone_points, self.points]
         return [self.points]
 
     def is_empty(self) -> bool:
--- a/gaugehinge/routing/key_shares.py
+++ b/gaugehinge/routing/key_shares.py
@@ -36,11 +36,11 @@
 
     def _update_labels(self, mean: float) -> None:
         labels = self._table.label_latencies()
-        quickest = min((label.with_prior(mean) for label in labels if label.count), default=mean)
+        fastest = min((label.with_prior(mean) for label in labels if label.count), default=mean)
         has_weights = self._table.has_weights()
         exponent = WEIGHTED_LABEL_SHARE_EXPONENT if has_weights else LABEL_SHARE_EXPONENT
         for label in labels:
-            label.key_share = max((quickest / label.with_prior(mean)) ** exponent, MIN_KEY_SHARE)
+            label.key_share = max((fastest / label.with_prior(mean)) ** exponent, MIN_KEY_SHARE)
 
     def _update_own_zone(self, mean: float) -> None:
         own_zone = self._table.own_zone_figures()
--- a/gaugehinge/routing/load_measurement.py
+++ b/gaugehinge/routing/load_measurement.py
@@ -82,8 +82,8 @@
         else:
             mean = self.fleet_latency.with_prior(1.0)
             label_mean = endpoint.label_figures.with_prior(mean)
-            relative = endpoint.latency.with_prior(label_mean) / mean
-            endpoint.latency_multiplier = min(relative, MAX_LATENCY_MULTIPLIER)
+            relative_latency = endpoint.latency.with_prior(label_mean) / mean
+            endpoint.latency_multiplier = min(relative_latency, MAX_LATENCY_MULTIPLIER)
         self._update_load(endpoint)
 
     def _is_stuck(self, endpoint: Endpoint, now: float) -> bool:
@@ -92,8 +92,8 @@
     def _update_load(self, endpoint: Endpoint) -> None:
         occupancy = endpoint.busy_time / WINDOW_TIME
         in_flight = endpoint.in_flight
-        used = in_flight if in_flight > occupancy else occupancy
-        self._table.set_load(endpoint, used * endpoint.latency_multiplier / endpoint.weight)
+        concurrency = in_flight if in_flight > occupancy else occupancy
+        self._table.set_load(endpoint, concurrency * endpoint.latency_multiplier / endpoint.weight)
 
     def forget_unlisted(self, endpoints: list[Endpoint]) -> None:
         """Stop measuring those of these endpoints that left the list."""
@@ -153,25 +153,25 @@
             self.mean_duration = elapsed
         self.record_latency(endpoint, elapsed / durations[row], now)
 
-    def record_latency(self, endpoint: Endpoint, relative: float, now: float) -> None:
+    def record_latency(self, endpoint: Endpoint, relative_latency: float, now: float) -> None:
         """Count a latency, relative to the usual one, for the endpoint, its label, its zone and the fleet."""
-        endpoint.latency.add(relative, now)
-        endpoint.label_figures.add(relative, now)
-        self.fleet_latency.add(relative, now)
+        endpoint.latency.add(relative_latency, now)
+        endpoint.label_figures.add(relative_latency, now)
+        self.fleet_latency.add(relative_latency, now)
         if self._ring.starts_in_own_zone():
-            endpoint.zone_figures.latency.add(relative, now)
+            endpoint.zone_figures.latency.add(relative_latency, now)
 
     # -- load reports
 
-    def record_load_report(self, endpoint: Endpoint, held: float, now: float) -> None:
+    def record_load_report(self, endpoint: Endpoint, reported_load: float, now: float) -> None:
         """Take over what an endpoint says that it holds for all routers."""
-        held = held / endpoint.weight
-        kept = 0.0
+        reported_load = reported_load / endpoint.weight
+        decay = 0.0
         if endpoint.reported_at:
-            kept = REPORT_DECAY * exp((endpoint.reported_at - now) / REPORT_LIFETIME)
-        endpoint.reported_load += (1.0 - kept) * (held - endpoint.reported_load)
+            decay = REPORT_DECAY * exp((endpoint.reported_at - now) / REPORT_LIFETIME)
+        endpoint.reported_load += (1.0 - decay) * (reported_load - endpoint.reported_load)
         endpoint.reported_at = now
-        self.mean_reported_load += REPORT_GAIN * (held - self.mean_reported_load)
+        self.mean_reported_load += REPORT_GAIN * (reported_load - self.mean_reported_load)
 
     @staticmethod
     def decayed_report(endpoint: Endpoint, now: float) -> float:
@@ -188,7 +188,7 @@
         """Return the mean duration of an attempt of this type; of all where none of it succeeded yet."""
         return self.mean_durations[traffic_type.row] or self.mean_duration
 
-    def duration_of_row(self, row: int) -> float:
+    def mean_duration_of_row(self, row: int) -> float:
         """Return the mean duration of an attempt of a traffic type, 1 where none succeeded yet."""
         return self.mean_durations[row] or 1.0
 
--- a/gaugehinge/routing/load_shedding.py
+++ b/gaugehinge/routing/load_shedding.py
@@ -49,9 +49,9 @@
 
     def sheds(self, operation: Operation) -> bool:
         """Count an operation that arrived; whether it is to be rejected."""
-        place = 2 * operation.traffic_type.row + operation.over_quota
-        self.demand[place] += 1.0
-        probability = self.shed_probabilities[place]
+        class_index = 2 * operation.traffic_type.row + operation.over_quota
+        self.demand[class_index] += 1.0
+        probability = self.shed_probabilities[class_index]
         return bool(probability) and self._random.fraction() < probability
 
     def is_shedding(self) -> bool:
@@ -99,19 +99,20 @@
             self.shed_probabilities = [0.0] * len(self.shed_probabilities)
             return
         work = [
-            arrivals * self._load.duration_of_row(place // 2) for place, arrivals in enumerate(self.demand)
+            arrivals * self._load.mean_duration_of_row(class_index // 2)
+            for class_index, arrivals in enumerate(self.demand)
         ]
-        left = self.shed_level * sum(work)
-        for place in sorted(range(len(work)), key=self._priority):
-            part = min(left / work[place], 1.0) if work[place] > 0.0 else 0.0
-            self.shed_probabilities[place] = part
-            left -= part * work[place]
-
-    def _priority(self, place: int) -> tuple[float, int]:
-        traffic_type = self._deployment.traffic_types[place // 2]
-        is_over_quota = place % 2
+        remaining_work = self.shed_level * sum(work)
+        for class_index in sorted(range(len(work)), key=self._priority):
+            probability = min(remaining_work / work[class_index], 1.0) if work[class_index] > 0.0 else 0.0
+            self.shed_probabilities[class_index] = probability
+            remaining_work -= probability * work[class_index]
+
+    def _priority(self, class_index: int) -> tuple[float, int]:
+        traffic_type = self._deployment.traffic_types[class_index // 2]
+        is_over_quota = class_index % 2
         weight = self._deployment.over_quota_weight if is_over_quota else 1.0
         priority = traffic_type.priority_weight * weight
         if not self._deployment.weight_by_work:
-            priority /= self._load.duration_of_row(traffic_type.row)
-        return priority, place
+            priority /= self._load.mean_duration_of_row(traffic_type.row)
+        return priority, class_index
--- a/gaugehinge/routing/quotas.py
+++ b/gaugehinge/routing/quotas.py
@@ -11,7 +11,7 @@
 USAGE_DECAY = 0.95  # kept of a tenant's measured rate, a control interval
 MIN_BURST = 6.0  # operations of a tenant at once: few come through a sparse router, in random runs
 QUOTA_HEADROOM = 1.25  # times its quota of this router's traffic, where no peer tells the tenants' rates
-FIRST_TOKENS = 1.0
+INITIAL_TOKENS = 1.0
 
 
 class Quotas:
@@ -26,16 +26,18 @@
         self.tenants = tenants
         self.usage = [0.0] * len(tenants)  # operations a second
         self.arrivals = [0] * len(tenants)
-        self.tokens = [FIRST_TOKENS] * len(tenants)
+        self.tokens = [INITIAL_TOKENS] * len(tenants)
 
-    def on_tenants_changed(self, tenants: tuple[Tenant, ...], anew: Container[int]) -> None:
+    def on_tenants_changed(self, tenants: tuple[Tenant, ...], reassigned: Container[int]) -> None:
         """Take over the tenants from now on, and empty what is known of the places that changed hands."""
-        kept = [place < len(self.tenants) and place not in anew for place in range(len(tenants))]
+        kept = [index < len(self.tenants) and index not in reassigned for index in range(len(tenants))]
         self.tenants = tenants
         self._gossip.forget()
-        self.usage = [self.usage[place] if keeps else 0.0 for place, keeps in enumerate(kept)]
-        self.arrivals = [self.arrivals[place] if keeps else 0 for place, keeps in enumerate(kept)]
-        self.tokens = [self.tokens[place] if keeps else FIRST_TOKENS for place, keeps in enumerate(kept)]
+        self.usage = [self.usage[index] if is_kept else 0.0 for index, is_kept in enumerate(kept)]
+        self.arrivals = [self.arrivals[index] if is_kept else 0 for index, is_kept in enumerate(kept)]
+        self.tokens = [
+            self.tokens[index] if is_kept else INITIAL_TOKENS for index, is_kept in enumerate(kept)
+        ]
 
     def is_over_quota(self, tenant: int) -> bool:
         """Count an operation of a tenant, and take a token for it; whether there was none."""
@@ -49,19 +51,19 @@
 
     def refill(self, span: float) -> None:
         """Measure the tenants' rates over the time since the last call, and refill their tokens."""
-        for place, count in enumerate(self.arrivals):
+        for index, count in enumerate(self.arrivals):
             gain = 1.0 - USAGE_DECAY ** intervals_in(span)
-            self.usage[place] += gain * (count / span - self.usage[place])
-            self.arrivals[place] = 0
-        for place, tenant in enumerate(self.tenants):
-            rate = self._refill_rate(place, tenant)
-            self.tokens[place] = min(self.tokens[place] + rate * span, max(MIN_BURST, rate))
+            self.usage[index] += gain * (count / span - self.usage[index])
+            self.arrivals[index] = 0
+        for index, tenant in enumerate(self.tenants):
+            rate = self._refill_rate(index, tenant)
+            self.tokens[index] = min(self.tokens[index] + rate * span, max(MIN_BURST, rate))
 
-    def _refill_rate(self, place: int, tenant: Tenant) -> float:
-        elsewhere = self._gossip.rate_elsewhere(place)
-        if elsewhere is not None:
-            everywhere = self.usage[place] + elsewhere
-            return tenant.rate_limit * (self.usage[place] / everywhere if everywhere else 1.0)
+    def _refill_rate(self, index: int, tenant: Tenant) -> float:
+        rate_elsewhere = self._gossip.rate_elsewhere(index)
+        if rate_elsewhere is not None:
+            total_rate = self.usage[index] + rate_elsewhere
+            return tenant.rate_limit * (self.usage[index] / total_rate if total_rate else 1.0)
         return QUOTA_HEADROOM * tenant.quota * sum(self.usage)
 
     def tenant_count(self) -> int:
--- a/gaugehinge/routing/slow_start.py
+++ b/gaugehinge/routing/slow_start.py
@@ -39,11 +39,11 @@
             endpoint.warm_up_share = 0.0
             endpoint.warm_up_budget = self._random.fraction()
 
-    def follow(self, ready: list[Endpoint]) -> None:
+    def set_ready(self, ready: list[Endpoint]) -> None:
         """Take over the endpoints that are ready from now on."""
         self._warming_up = [endpoint for endpoint in ready if endpoint.warm_up_share < 1.0]
 
-    def has_endpoints(self) -> bool:
+    def is_active(self) -> bool:
         """Whether any ready endpoint warms up."""
         return bool(self._warming_up)
 
@@ -64,14 +64,14 @@
 
     def _refill_budget(self, endpoint: Endpoint, fair_rate: float, age: float, span: float) -> None:
         deployment = self._deployment
-        warmth = min(age / deployment.warm_up_time, 1.0) if deployment.warm_up_time else 1.0
-        capacity = deployment.cold_capacity + (1.0 - deployment.cold_capacity) * warmth
+        progress = min(age / deployment.warm_up_time, 1.0) if deployment.warm_up_time else 1.0
+        capacity = deployment.cold_capacity + (1.0 - deployment.cold_capacity) * progress
         # A floor for each router, or a first whole attempt, overloads a cold endpoint where
         # routers are hundreds.
         rate = max(fair_rate * endpoint.weight, MIN_WARM_UP_RATE / deployment.router_count) * capacity
-        saved = fair_rate * endpoint.weight * capacity * deployment.overload_time * BUDGET_TIME_FACTOR
+        burst = fair_rate * endpoint.weight * capacity * deployment.overload_time * BUDGET_TIME_FACTOR
         refill = rate * OVERLOAD_SAFETY_FACTOR * deployment.overload_multiple * span
-        endpoint.warm_up_budget = min(endpoint.warm_up_budget + refill, max(1.0, saved))
+        endpoint.warm_up_budget = min(endpoint.warm_up_budget + refill, max(1.0, burst))
         # What hundreds of routers saved up, an attempt each, overloads a cold endpoint that all
         # come to at once.
         overload_time = deployment.overload_time or 1.0
--- a/gaugehinge/routing/types.py
+++ b/gaugehinge/routing/types.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from .endpoint import Endpoint
 
-DEFAULT_OBJECTIVE = 1.0  # seconds, of a deployment that states no traffic type
+DEFAULT_LATENCY_OBJECTIVE = 1.0  # seconds, of a deployment that states no traffic type
 MAX_TASK_WAIT = 0.5  # seconds between two looks at a standing task: events may make it due sooner
 
 
@@ -146,7 +146,7 @@
     def shortest_objective(self) -> float:
         """The shortest latency objective: a queue holds up all that pass through it."""
         objectives = (traffic_type.latency_objective for traffic_type in self.traffic_types)
-        return min(objectives, default=DEFAULT_OBJECTIVE)
+        return min(objectives, default=DEFAULT_LATENCY_OBJECTIVE)
 
 
 class EndpointEntry(NamedTuple):
--- a/tests/test_routing_hash_ring.py
+++ b/tests/test_routing_hash_ring.py
@@ -15,7 +15,7 @@
     assert moved and all(before[k] == 3 for k in moved)
 
 
-def test_a_full_join_takes_keys_only_for_itself():
+def test_a_join_moves_keys_only_to_the_joined_endpoint():
     bench = Bench()
     before = homes(bench)
     bench.hear([row(20)], whole=False)
@@ -24,7 +24,7 @@
     assert 0 < len(moved) < 80 and all(after[k] == 20 for k in moved)
 
 
-def test_the_ring_follows_the_list_as_if_it_were_made_anew():
+def test_incremental_updates_give_the_same_ring_as_a_full_rebuild():
     bench = Bench()
     bench.hear([row(3, EndpointState.DRAINING), row(20), row(4, started=bench.now)], whole=False)
     bench.hear([row(5, EndpointState.GONE)], whole=False)
@@ -36,21 +36,21 @@
     assert bench.router.ring.owners[ring[0][0]] is bench.router.endpoints[ring[0][1]]
 
 
-def shares(bench, keys=600):
+def key_counts(bench, keys=600):
     found = homes(bench, keys)
     return {ident: sum(1 for home in found.values() if home == ident) for ident in range(1, 9)}
 
 
-def test_an_endpoint_takes_keys_by_its_listed_weight_over_the_usual_one():
+def test_endpoints_get_keys_in_proportion_to_their_listed_weights():
     """Taken for alike, slow caches were overrun at half load."""
     bench = Bench(caches=0, has_endpoint_weights=True)
     bench.hear([row(i, weight=40.0 if i < 6 else 10.0) for i in range(1, 9)] + [origin_row()])
-    found = shares(bench)
+    found = key_counts(bench)
     small, large = [found[i] for i in (6, 7, 8)], [found[i] for i in range(1, 6)]
     assert max(small) < min(large) and 2.5 < sum(large) / 5 / (sum(small) / 3) < 6.0
 
 
-def test_weights_that_are_none_or_not_to_be_heeded_change_nothing():
+def test_absent_equal_or_ignored_weights_do_not_move_keys():
     plain = homes(Bench())
     for weighted, weights in ((False, [1.0, 5.0]), (True, [0.0, 0.0]), (True, [7.0, 7.0])):
         bench = Bench(caches=0, has_endpoint_weights=weighted)
@@ -58,7 +58,7 @@
         assert homes(bench) == plain
 
 
-def test_an_endpoint_that_starts_anew_with_another_weight_leaves_no_points_behind():
+def test_a_restart_with_another_weight_leaves_no_stale_points():
     bench = Bench(caches=0, has_endpoint_weights=True)
     listed = [row(i, weight=1.0) for i in range(1, 9)] + [origin_row()]
     bench.hear(listed)
--- a/tests/test_routing_load_measurement.py
+++ b/tests/test_routing_load_measurement.py
@@ -4,7 +4,7 @@
 from routing_cases import homes
 
 
-def test_an_endpoint_with_few_attempts_is_judged_beside_those_of_its_label():
+def test_an_endpoint_without_attempts_takes_the_latency_of_its_label():
     bench = Bench(caches=0)
     bench.hear([row(i, kind="old" if i < 5 else "new") for i in range(1, 9)] + [origin_row()])
     unseen = bench.router.endpoints[1]
@@ -17,7 +17,7 @@
     assert unseen.latency_multiplier > 1.3
 
 
-def test_a_sparse_router_measures_rates_by_the_clock_not_by_its_events():
+def test_a_router_with_little_traffic_measures_rates_by_elapsed_time():
     """Counted by events, one operation in two seconds came out as ten a second and refilled budgets so."""
     bench = Bench(tenants=(Tenant(1.0, 50.0),))
     for i in range(40):
@@ -33,7 +33,7 @@
     assert len(bench.router.load.active) == 1
 
 
-def test_endpoints_of_a_slow_label_give_up_keys_before_each_was_seen():
+def test_endpoints_of_a_slow_label_give_up_keys_before_each_was_measured():
     bench = Bench(caches=0)
     bench.hear([row(i, kind="old" if i % 2 else "new") for i in range(1, 41)] + [origin_row()])
     for i in range(60):
@@ -45,7 +45,7 @@
     assert [c.label_figures.key_share for c in bench.router.table.ready[1::2]] == [1.0] * 20
 
 
-def test_where_weights_tell_a_slow_label_keeps_the_plain_ratio_and_does_not_flutter():
+def test_with_listed_weights_the_key_share_of_a_slow_label_is_the_latency_ratio_and_stable():
     """Over a second of uneven attempts kept shares went from 0.5 to 1.0 at each router, and keys left
     home."""
     bench = Bench(caches=0, has_endpoint_weights=True)
--- a/tests/test_routing_origin_limit.py
+++ b/tests/test_routing_origin_limit.py
@@ -19,7 +19,7 @@
     assert bench.end(answer.attempt, Outcome.CACHE_MISS)[0].decision.action is Action.REJECT
 
 
-def test_without_capacity_at_the_origin_a_miss_and_a_write_are_rejected_at_once():
+def test_misses_and_writes_are_rejected_at_once_when_the_origin_limit_is_reached():
     """Held for a place they came late, and the client waited for nothing."""
     bench = Bench()
     attempts = [bench.ask(f"key-{i}")[1].attempt for i in range(3)]
@@ -31,13 +31,13 @@
 
 
 def test_uneven_latency_at_the_origin_is_not_taken_for_a_queue():
-    gate = OriginConcurrencyLimit(SeededRandom(7), [], queue_allowance=QUEUE_OBJECTIVE_SHARE)
+    origin_limit = OriginConcurrencyLimit(SeededRandom(7), [], queue_allowance=QUEUE_OBJECTIVE_SHARE)
     for i in range(200):
-        gate.adapt(0.05 if i % 5 else 0.6, False, True, 100.0 + i)
-    assert gate.limit > 2 * MIN_ORIGIN_LIMIT
+        origin_limit.adapt(0.05 if i % 5 else 0.6, False, True, 100.0 + i)
+    assert origin_limit.limit > 2 * MIN_ORIGIN_LIMIT
 
 
-def test_where_routers_are_many_each_has_a_part_of_an_attempt_at_a_failing_origin():
+def test_with_many_routers_the_limit_of_each_at_a_failing_origin_falls_below_one_attempt():
     """With four attempts each, fifty routers kept the origin full of work that nobody waited for any more."""
     bench = Bench(router_count=100)
     asked = sent = 0
@@ -62,7 +62,7 @@
     assert bench.router.origin_limit.limit > 1.0
 
 
-def test_resets_at_the_origin_are_no_queue_there():
+def test_connection_resets_at_the_origin_do_not_cut_the_limit():
     bench = Bench()
     bench.router.origin_limit.limit = 20.0
     for _ in range(20):
@@ -71,7 +71,7 @@
     assert bench.router.origin_limit.limit >= 20.0 and not bench.router.origin_limit.is_reduced
 
 
-def test_a_time_out_at_an_origin_that_answers_others_is_no_queue_there():
+def test_a_timeout_at_an_origin_that_answers_others_does_not_cut_the_limit():
     bench = Bench()
     bench.router.origin_limit.limit = 20.0
     for _ in range(20):
@@ -85,7 +85,7 @@
     assert bench.router.origin_limit.limit < 20.0
 
 
-def test_an_origin_that_refuses_connections_is_asked_now_and_then_and_reads_are_rejected_at_once():
+def test_an_origin_that_refuses_connections_gets_few_reads_and_the_others_are_rejected_at_once():
     """Sixteen routers asked an origin that had stopped four thousand times a second, five attempts each."""
     bench = Bench()
     bench.router.origin_limit.smoothed_latency = 0.05
--- a/tests/test_routing_quotas.py
+++ b/tests/test_routing_quotas.py
@@ -8,7 +8,7 @@
 from gaugehinge.routing.gossip import GOSSIP_FANOUT, PEER_EXPIRY
 
 
-def test_over_its_quota_a_tenant_is_rejected_at_a_busy_home_and_others_are_not():
+def test_a_tenant_over_its_quota_is_rejected_at_a_busy_home_endpoint_and_others_are_not():
     bench = Bench(tenants=(Tenant(0.5, 5.0), Tenant(0.5, 5.0)), over_quota_weight=0.05, router_count=1)
     bench.router.quotas.tokens = [0.0, 9.0]
     attempts = [bench.ask("k", tenant=0)[1].attempt for _ in range(MIN_SLOW_CONCURRENCY)]
@@ -17,24 +17,24 @@
     assert bench.ask("k", tenant=1)[1].action is Action.SEND
 
 
-def test_a_router_tells_a_few_peers_and_scales_up_what_it_hears():
+def test_gossip_goes_to_a_few_peers_and_received_rates_are_scaled_up():
     bench = Bench(tenants=(Tenant(1.0, 50.0),), router_count=400, router_number=399, may_gossip=True)
     task = bench.router.background_tasks[-1]
-    told = set()
+    receivers = set()
     for number in range(40):
         bench.router.on_gossip(number, struct.pack("<f", 2.0), bench.now)
         bench.router.on_gossip(number, b"short", bench.now)
         bench.now = task.due
         answer = bench.router.route(task, bench.now)
         assert len(set(answer.peers)) == GOSSIP_FANOUT and set(answer.peers) < set(range(399))
-        told.update(answer.peers)
-    assert len(told) > 100 and abs(bench.router.gossip.rates_elsewhere[0] - 399 * 2.0) < 1e-6
+        receivers.update(answer.peers)
+    assert len(receivers) > 100 and abs(bench.router.gossip.rates_elsewhere[0] - 399 * 2.0) < 1e-6
     bench.now += 2 * PEER_EXPIRY
     bench.router.route(task, bench.now)
     assert not bench.router.gossip.rates_elsewhere and not bench.router.gossip.peers
 
 
-def test_over_a_quota_an_unseen_endpoint_is_not_asked_while_attempts_are_late():
+def test_over_quota_operations_are_rejected_at_an_unmeasured_endpoint_while_attempts_are_late():
     """A sparse router has seen no single cache, and hundreds of them sent each one what nobody pays for."""
     bench = Bench(tenants=(Tenant(1.0, 0.0),), router_count=1)
     bench.router.quotas.tokens = [0.0]
@@ -44,7 +44,7 @@
     assert bench.ask("third")[1].action is Action.SEND
 
 
-def test_tenants_may_change_in_service_and_a_place_that_changes_hands_begins_from_nothing():
+def test_tenants_can_change_at_run_time_and_a_reassigned_index_starts_empty():
     bench = Bench(tenants=(Tenant(1.0, 10.0), Tenant(1.0, 10.0)), may_gossip=True)
     router = bench.router
     router.quotas.usage[:], router.quotas.arrivals[:], router.quotas.tokens[:] = (
@@ -69,7 +69,7 @@
     assert len(router.quotas.usage) == 1
 
 
-def test_untold_by_peers_a_run_of_one_tenant_is_not_held_to_its_home():
+def test_without_rates_from_peers_a_burst_over_quota_is_not_limited_at_its_home_endpoint():
     bench = Bench(tenants=(Tenant(0.5, 5.0), Tenant(0.5, 5.0)), over_quota_weight=0.05, router_count=300)
     bench.router.quotas.tokens = [0.0, 9.0]
     assert all(bench.ask("k", tenant=0)[1].action is Action.SEND for _ in range(4))
--- a/tests/test_routing_slow_start.py
+++ b/tests/test_routing_slow_start.py
@@ -5,7 +5,7 @@
 from gaugehinge.routing.slow_start import MIN_WARM_UP_RATE, WARM_UP_EXPONENT
 
 
-def test_an_endpoint_that_joins_warms_up_along_the_curve():
+def test_the_key_share_of_a_joining_endpoint_rises_along_the_warm_up_curve():
     bench = Bench()
     bench.hear([row(20, started=bench.now)], whole=False)
     shares = []
@@ -17,13 +17,13 @@
     assert abs(shares[14] - (15 / 20.0) ** WARM_UP_EXPONENT) < 0.05
 
 
-def test_a_restarted_router_knows_from_the_list_who_is_cold():
+def test_a_restarted_router_learns_from_the_kept_list_which_endpoints_are_cold():
     bench = Bench()
     bench.hear([row(20, started=bench.now - 1.0)], held=True)
     assert bench.router.endpoints[20].warm_up_share < 0.5
 
 
-def test_a_whole_cold_fleet_is_not_sent_what_a_warm_one_bears():
+def test_an_entirely_cold_fleet_is_not_sent_the_load_of_a_warm_one():
     bench = Bench(caches=4)
     bench.hear([row(i, started=bench.now) for i in range(11, 15)] + [origin_row()])
     sent = 0
@@ -46,7 +46,7 @@
     assert bench.router.load.completion_rate.value == 0.0
 
 
-def test_hundreds_of_routers_together_send_a_cold_endpoint_what_one_busy_router_may():
+def test_hundreds_of_routers_together_stay_near_the_minimum_warm_up_rate_of_a_cold_endpoint():
     """With a first token each, 300 routers sent 300 attempts at once and pushed the cache over."""
     sent = 0
     for seed in range(300):
