--- a/gaugehinge/routing/endpoint_table.py
+++ b/gaugehinge/routing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that the endpoint list names, those of them that are ready, and sums over these."""
+"""The endpoints of the endpoint list, the subset that is ready, and totals over the ready ones."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 from .slow_start import SlowStart
 from .types import Deployment, EndpointEntry, EndpointState
 
-# A listed weight counts as at most this many times the usual one, and at least this part of it.
+# A listed weight relative to the median weight is limited to this, and to its reciprocal from below.
 MAX_RELATIVE_WEIGHT = 8.0
-MIN_EFFECTIVE_WEIGHT = 0.01  # divides the total load: a fleet that is all cold still has a mean
+# The effective weight divides the total load: the mean load stays defined when every server is cold.
+MIN_EFFECTIVE_WEIGHT = 0.01
 
 
 class EndpointTable:
-    """Endpoints by number, the origin, zones and labels.
+    """Endpoints by `ident`, the origin, zones and labels.
 
-    State: follows the endpoint list. An endpoint leaves when the list says it is gone or, whole, does
-    not name it, and is replaced by an empty one when its server started anew. Zones and labels stay:
-    there are as many as the lists named so far. The ready endpoints (up and not ejected) and the sums
-    over them are made anew by `refresh_ready`.
+    State: follows the endpoint list. An endpoint is removed when the list reports it as gone, or when a full
+    list does not contain it. It is replaced by one without statistics when its server restarted. Zones and
+    labels are never removed: there are as many as all lists so far have named. The ready endpoints (up and
+    not ejected) and the totals over them are recomputed by `refresh_ready`.
     """
 
     def __init__(self, deployment: Deployment, slow_start: SlowStart, now: float) -> None:
@@ -33,18 +34,19 @@
         self.zones: dict[str, ZoneFigures] = {}
         self.own_zone = ZoneFigures(group_latency(now))
         self.labels: dict[str, DecayedLatency] = {}
-        self._median_weight = 0.0  # of the first list that has weights; only their ratios mean something
-        self._changed: list[Endpoint] = []  # emptied by `take_changed`
+        # Of the first list with weights, 0 before: only the ratios of listed weights mean something.
+        self._median_weight = 0.0
+        self._changed: list[Endpoint] = []  # since the last `take_changed`
         self.ready: list[Endpoint] = []
-        self._ready_by_region: dict[frozenset[str], list[Endpoint]] = {}  # emptied by `refresh_ready`
+        self._ready_by_region: dict[frozenset[str], list[Endpoint]] = {}  # cache, cleared by `refresh_ready`
         self.total_load = 0.0  # of the ready endpoints, by weight
-        self._ready_weight = 1.0  # the sum of their weights
-        self.effective_weight = 1.0  # the sum of their weights, each by its share while it warms up
+        self._ready_weight = 1.0  # the sum of the weights of the ready endpoints
+        self.effective_weight = 1.0  # the same sum, each weight times its warm-up share
 
     # -- the endpoint list
 
     def apply(self, entries: Sequence[EndpointEntry], whole: bool, now: float) -> None:
-        """Follow a whole endpoint list, or changes of it."""
+        """Apply a full endpoint list, or changes to it."""
         if self._deployment.has_endpoint_weights and not self._median_weight:
             weights = sorted(entry.weight for entry in entries if entry.weight > 0.0)
             self._median_weight = weights[len(weights) // 2] if weights else 0.0
@@ -54,7 +56,7 @@
             self._remove_unlisted({entry.ident for entry in entries})
 
     def take_changed(self) -> list[Endpoint]:
-        """Return the endpoints that came, changed or left since the last call."""
+        """Return the endpoints that were added, changed or removed since the last call."""
         changed, self._changed = self._changed, []
         return changed
 
@@ -65,7 +67,7 @@
                 self._remove(known)
             return
         if known is not None and entry.started <= known.started:
-            # An entry of the process before undoes no drain of this one.
+            # A late entry for the previous server process must not undo a drain of the current one.
             is_stale = entry.started < known.started and entry.state is EndpointState.UP
             if is_stale or entry.state is known.state:
                 return
@@ -130,44 +132,44 @@
             del self.endpoints[endpoint.ident]
             self._changed.append(endpoint)
 
-    # -- questions
+    # -- queries
 
     def get(self, ident: int) -> Endpoint | None:
-        """Return the endpoint of this number, or none where it is not listed."""
+        """Return the endpoint with this `ident`, or None if it is not listed."""
         return self.endpoints.get(ident)
 
     def count(self) -> int:
-        """Return how many endpoints are listed, without the origin."""
+        """Return the number of listed endpoints, not counting the origin."""
         return len(self.endpoints)
 
     def is_listed(self, endpoint: Endpoint) -> bool:
-        """Whether the list still names this endpoint, and its server has not started anew."""
+        """Whether the list still contains this endpoint and its server has not restarted."""
         return self.endpoints.get(endpoint.ident) is endpoint
 
     def available_origin(self) -> Endpoint | None:
-        """Return the origin where it may be sent to."""
+        """Return the origin if it is up, otherwise None."""
         if self.origin is None or self.origin.state is not EndpointState.UP:
             return None
         return self.origin
 
     def has_several_zones(self) -> bool:
-        """Whether endpoints of more than one zone were listed so far."""
+        """Whether endpoints of more than one zone have been listed so far."""
         return len(self.zones) > 1
 
     def own_zone_figures(self) -> ZoneFigures:
-        """Return the figures of the zone where this router stands."""
+        """Return the statistics of this router's zone."""
         return self.own_zone
 
     def other_zones(self) -> list[ZoneFigures]:
-        """Return the figures of all other zones that were listed so far."""
+        """Return the statistics of all other zones that have been listed so far."""
         return [zone for zone in self.zones.values() if zone is not self.own_zone]
 
     def label_latencies(self) -> Collection[DecayedLatency]:
-        """Return the mean latencies of all labels that were listed so far."""
+        """Return the mean latencies of all labels that have been listed so far."""
         return self.labels.values()
 
     def has_weights(self) -> bool:
-        """Whether the list tells weights that are heeded."""
+        """Whether the list has given weights, and the deployment uses them."""
         return bool(self._median_weight)
 
     def ejected(self) -> list[Endpoint]:
@@ -177,7 +179,10 @@
     # -- the ready endpoints
 
     def refresh_ready(self) -> None:
-        """Find the ready endpoints and their sums anew, after a change of the list or an ejection."""
+        """Recompute the ready endpoints and their totals.
+
+        Called after a change of the list, an ejection or a readmission.
+        """
         self._ready_by_region.clear()
         self.ready = [
             endpoint
@@ -190,7 +195,7 @@
         self._set_effective_weight(sum(endpoint.warm_up_share * endpoint.weight for endpoint in self.ready))
 
     def advance_slow_start(self, fleet_rate: float, now: float, span: float) -> None:
-        """Let the ready endpoints warm up, and count their weights anew."""
+        """Advance the warm-up of the ready endpoints and recompute their effective weight."""
         if self._slow_start.is_active():
             self._set_effective_weight(self._slow_start.advance(fleet_rate, self._ready_weight, now, span))
 
@@ -198,13 +203,13 @@
         self.effective_weight = max(weight, MIN_EFFECTIVE_WEIGHT)
 
     def set_load(self, endpoint: Endpoint, load: float) -> None:
-        """Set the load of an endpoint, and move the total by it."""
+        """Set the load of an endpoint and adjust the total load."""
         if endpoint.state is EndpointState.UP and not endpoint.ejected_until:
             self.total_load += (load - endpoint.load) * endpoint.weight
         endpoint.load = load
 
     def recount_load(self, loaded: Iterable[Endpoint]) -> None:
-        """Sum up the total load anew, from the endpoints that have any."""
+        """Recompute the total load from the endpoints that have any load."""
         self.total_load = sum(
             endpoint.load * endpoint.weight
             for endpoint in loaded
@@ -212,7 +217,7 @@
         )
 
     def mean_load(self, factor: float, region: frozenset[str] | None = None) -> float:
-        """Return a factor times the mean load of the ready endpoints by weight; of those in a region only."""
+        """Return `factor` times the weighted mean load of the ready endpoints, or of those in `region`."""
         if region is None:
             return factor * self.total_load / self.effective_weight
         ready = self._ready_in(region)
--- a/gaugehinge/routing/hash_ring.py
+++ b/gaugehinge/routing/hash_ring.py
@@ -1,7 +1,7 @@
-"""The consistent-hash ring: which endpoint owns which part of the keys.
+"""The consistent-hash ring, which assigns keys to endpoints.
 
-Each endpoint that is up stands at many points of the ring, by its weight; a key belongs to the owner of the
-next point clockwise. A join or a removal moves only its own keys.
+Each endpoint that is up owns a number of points on the ring in proportion to its weight. A key belongs to the
+owner of the next point clockwise. When an endpoint joins or is removed, only its own keys move.
 """
 
 from __future__ import annotations
@@ -13,15 +13,17 @@
 from .endpoint import Endpoint
 from .types import Deployment, EndpointState
 
-POINTS_PER_ENDPOINT = 100  # times its weight
-MIN_CROSS_ZONE_PRICE = 0.05  # crossing zones at this price is dearer than the hits of one pool for all zones
+POINTS_PER_ENDPOINT = 100  # at weight 1
+# From this price on, attempts to other zones cost more than the additional cache hits of one pool for all
+# zones are worth.
+MIN_CROSS_ZONE_PRICE = 0.05
 
 
 class HashRing:
-    """Points on the ring and their owners; the rings of the own zone and of regions.
+    """Points on the ring and their owners, and the rings of the router's own zone and of regions.
 
-    State: follows the endpoints that are up, one `update` for each change of the endpoint list. The rings of
-    regions are emptied with each of them.
+    State: follows the endpoints that are up, with one `update` for each change of the endpoint list. Each
+    `update` clears the cached rings of regions.
     """
 
     def __init__(self, deployment: Deployment) -> None:
@@ -29,11 +31,14 @@
         self._prefers_own_zone = deployment.cross_zone_price >= MIN_CROSS_ZONE_PRICE
         self.points: list[int] = []
         self.owners: dict[int, Endpoint] = {}  # by point
-        self._rings: list[list[int]] = []  # walked one after the other: all, or the own zone's before all
+        self._rings: list[list[int]] = []  # in walk order: all zones, or the own zone and then all zones
         self._rings_by_region: dict[frozenset[str], list[list[int]]] = {}
 
     def update(self, changed: Iterable[Endpoint], is_listed: Callable[[Endpoint], bool]) -> None:
-        """Move the points of endpoints that came, changed or left; sorting all for each list is too dear."""
+        """Update the points of endpoints that were added, changed or removed.
+
+        Incremental, because rebuilding the ring for each list is too expensive.
+        """
         removed_points: set[int] = set()
         added_points: list[int] = []
         for endpoint in changed:
@@ -43,7 +48,7 @@
             if not is_listed(endpoint) or endpoint.state is not EndpointState.UP:
                 removed_points.update(points)
                 continue
-            removed_points.difference_update(points)  # of its process before, which may have had more points
+            removed_points.difference_update(points)  # its previous process may have had more points
             added_points += [point for point in points if point not in self.owners]
             self.owners.update(dict.fromkeys(points, endpoint))
         for point in removed_points:
@@ -71,15 +76,15 @@
         return self.owners
 
     def starts_in_own_zone(self) -> bool:
-        """Whether walks go through the own zone before they go through all zones."""
+        """Whether walks visit the endpoints of the own zone before those of all zones."""
         return len(self._rings) > 1
 
     def rings(self) -> list[list[int]]:
-        """Return the sorted points of the rings to be walked, one ring after the other."""
+        """Return the sorted points of each ring, in the order in which the rings are walked."""
         return self._rings
 
     def rings_within(self, region: frozenset[str]) -> list[list[int]]:
-        """Return the same as far as it lies in a region's zones; nothing where no endpoint of it is up."""
+        """Return `rings` limited to the zones of a region; no ring if none of its endpoints is up."""
         rings = self._rings_by_region.get(region)
         if rings is None:
             parts = [[point for point in ring if self.owners[point].zone in region] for ring in self._rings]
--- a/gaugehinge/routing/load_measurement.py
+++ b/gaugehinge/routing/load_measurement.py
@@ -1,9 +1,9 @@
-"""Load measurement: what this router's own attempts and the servers' reports say of each endpoint's load.
+"""Load measurement: the load of each endpoint, from this router's own attempts and the servers' reports.
 
-An endpoint's load is the larger of its attempts in flight and its occupancy (busy time over a short window),
-times its latency relative to the fleet's, over its weight. Endpoints with nothing in flight and nothing
-in the window have no load; only the others are looked at, so that an event costs nearly the same in any
-fleet.
+The load of an endpoint is the larger of its attempts in flight and its occupancy (busy time in a short window
+over the length of the window), times its latency relative to the fleet's, divided by its weight. Endpoints
+with no attempt in flight and no busy time in the window have no load. Only the others are updated, so that
+the cost of an event hardly depends on the size of the fleet.
 """
 
 from __future__ import annotations
@@ -24,22 +24,23 @@
 from .time_buckets import BUCKET_COUNT, WINDOW_TIME, bucket_at, bucket_end
 from .types import Deployment, Outcome, TrafficType
 
-STUCK_AFTER_MEANS = 4.0  # silent for so many mean durations with attempts in flight: stuck, not quiet
-MIN_STUCK_TIME = 0.1  # seconds; never judged stuck before this
-MIN_BUSY_TIME = 1e-9  # seconds; less than this in the window is rounding
-DURATION_GAIN = 0.02  # of a new duration in the mean durations
-MIN_FIRST_DURATION = 1e-4  # seconds; a mean divides others
-REPORT_DECAY = 0.8  # of the reports before, each report: one alone is late and noisy
-REPORT_LIFETIME = 10.0  # seconds in which reports decay: late ones steer nobody for long
-REPORT_GAIN = 1.0 - LATENCY_DECAY  # of a new report in the fleet's mean
+STUCK_AFTER_MEANS = 4.0  # with attempts in flight, silent for so many mean durations: stuck
+MIN_STUCK_TIME = 0.1  # seconds; no endpoint counts as stuck sooner
+MIN_BUSY_TIME = 1e-9  # seconds; less than this in the window is rounding error
+DURATION_GAIN = 0.02  # weight of a new duration in the mean durations
+MIN_FIRST_DURATION = 1e-4  # seconds; the means are divisors and must not be zero
+REPORT_DECAY = 0.8  # weight of earlier reports when one comes in: a single one is late and noisy
+REPORT_LIFETIME = 10.0  # seconds; time constant of the decay: an outdated report must not count for long
+REPORT_GAIN = 1.0 - LATENCY_DECAY  # weight of a new report in the mean of the fleet
 
 
 class LoadMeasurement:
-    """Loads of the endpoints and the means of the fleet.
+    """Loads of the endpoints and means over the fleet.
 
-    State: the bucket of the occupancy window; the active endpoints (one leaves when nothing of it is in
-    flight nor in the window, or with the endpoint list); the fleet's decayed latency and completion
-    rate; the mean duration of successful attempts, of all and by traffic type; the mean reported load.
+    State: the newest bucket of the occupancy window; the active endpoints (one is removed when it has no
+    attempt in flight and no busy time in the window, or when it leaves the endpoint list); the fleet's
+    decayed latency and completion rate; the mean duration of successful attempts, overall and by traffic
+    type; the mean reported load.
     """
 
     def __init__(self, deployment: Deployment, table: EndpointTable, ring: HashRing, now: float) -> None:
@@ -57,16 +58,16 @@
     # -- the occupancy window
 
     def is_bucket_over(self, now: float) -> bool:
-        """Whether the newest bucket is full."""
+        """Whether the time of the newest bucket is over."""
         return now >= self.next_bucket_at
 
     def start_bucket(self, now: float) -> None:
-        """Begin a new bucket."""
+        """Start a new bucket."""
         self._bucket = bucket_at(now)
         self.next_bucket_at = bucket_end(self._bucket)
 
     def reassess_active(self, now: float) -> None:
-        """Weigh the active endpoints anew, and let those rest that have no load left."""
+        """Recompute the loads of the active endpoints and deactivate those that have none left."""
         for endpoint in list(self.active.values()):
             self.reassess(endpoint, now)
             if not endpoint.in_flight and endpoint.busy_time < MIN_BUSY_TIME:
@@ -75,7 +76,7 @@
         self._table.recount_load(self.active.values())
 
     def reassess(self, endpoint: Endpoint, now: float) -> None:
-        """Move the window of one endpoint on, and weigh its latency against that of all."""
+        """Advance the window of one endpoint; recompute its relative latency and its load."""
         endpoint.advance_to(self._bucket)
         if endpoint.in_flight and self._is_stuck(endpoint, now):
             endpoint.latency_multiplier = MAX_LATENCY_MULTIPLIER
@@ -96,7 +97,7 @@
         self._table.set_load(endpoint, concurrency * endpoint.latency_multiplier / endpoint.weight)
 
     def forget_unlisted(self, endpoints: list[Endpoint]) -> None:
-        """Stop measuring those of these endpoints that left the list."""
+        """Deactivate those of the given endpoints that have left the endpoint list."""
         for endpoint in endpoints:
             if not endpoint.origin and not self._table.is_listed(endpoint):
                 self.active.pop(endpoint.ident, None)
@@ -104,7 +105,7 @@
     # -- attempts
 
     def on_attempt_started(self, endpoint: Endpoint, now: float) -> None:
-        """Count an attempt in flight."""
+        """Count an attempt as in flight."""
         if not endpoint.in_flight:
             endpoint.silent_since = now
         endpoint.in_flight += 1
@@ -117,7 +118,7 @@
             self._update_load(endpoint)
 
     def on_attempt_ended(self, endpoint: Endpoint, outcome: Outcome, elapsed: float, now: float) -> None:
-        """Count an attempt that is no longer in flight, and the time that it took."""
+        """Count an attempt as no longer in flight, and add its duration to the busy time."""
         endpoint.in_flight -= 1
         endpoint.zone_figures.in_flight -= 1
         endpoint.silent_since = now
@@ -130,23 +131,24 @@
     def record_response(self, endpoint: Endpoint, now: float) -> None:
         """Count an answered attempt.
 
-        Only these measure what an endpoint can bear: rejected attempts and retries swell with an
-        overload, and would raise the budgets of cold endpoints just then.
+        Only answered attempts show an endpoint's capacity. Rejected attempts and retries grow in number
+        during an overload, and would raise the budgets of cold endpoints just then.
         """
         self.completion_rate.add(now)
         endpoint.completion_rate.add(now)
 
     def record_success(self, endpoint: Endpoint, row: int, elapsed: float, now: float) -> None:
-        """Learn the usual duration from a successful attempt of a traffic type, and its relative latency.
+        """Update the mean durations and the relative latencies from a successful attempt.
 
-        Misses are left out: they come back at once, and an empty endpoint would look the quickest.
+        Cache misses do not count: they are answered at once, so an empty endpoint would look the fastest.
         """
         durations = self.mean_durations
         if durations[row]:
             durations[row] += DURATION_GAIN * (elapsed - durations[row])
         else:
             durations[row] = max(elapsed, MIN_FIRST_DURATION)
-        # From nought it would take a sparse router minutes, and each time-out would look many means long.
+        # Starting from 0, the mean of a router with little traffic would take minutes to rise, and each
+        # time-out would look many means long until then.
         if self.mean_duration:
             self.mean_duration += DURATION_GAIN * (elapsed - self.mean_duration)
         else:
@@ -154,7 +156,7 @@
         self.record_latency(endpoint, elapsed / durations[row], now)
 
     def record_latency(self, endpoint: Endpoint, relative_latency: float, now: float) -> None:
-        """Count a latency, relative to the usual one, for the endpoint, its label, its zone and the fleet."""
+        """Add a latency, relative to the mean, for the endpoint, its label, its zone and the fleet."""
         endpoint.latency.add(relative_latency, now)
         endpoint.label_figures.add(relative_latency, now)
         self.fleet_latency.add(relative_latency, now)
@@ -164,7 +166,7 @@
     # -- load reports
 
     def record_load_report(self, endpoint: Endpoint, reported_load: float, now: float) -> None:
-        """Take over what an endpoint says that it holds for all routers."""
+        """Record how many operations an endpoint reports in flight for all routers."""
         reported_load = reported_load / endpoint.weight
         decay = 0.0
         if endpoint.reported_at:
@@ -175,25 +177,25 @@
 
     @staticmethod
     def decayed_report(endpoint: Endpoint, now: float) -> float:
-        """Return an endpoint's reported load, less by its age."""
+        """Return an endpoint's reported load, decayed by its age."""
         return endpoint.reported_load * exp((endpoint.reported_at - now) / REPORT_LIFETIME)
 
     def mean_report(self, factor: float) -> float:
-        """Return a factor times the mean reported load."""
+        """Return `factor` times the mean reported load."""
         return factor * self.mean_reported_load
 
-    # -- questions
+    # -- queries
 
     def usual_duration(self, traffic_type: TrafficType) -> float:
-        """Return the mean duration of an attempt of this type; of all where none of it succeeded yet."""
+        """Return the mean duration of this type, or of all types while none of its attempts has succeeded."""
         return self.mean_durations[traffic_type.row] or self.mean_duration
 
     def mean_duration_of_row(self, row: int) -> float:
-        """Return the mean duration of an attempt of a traffic type, 1 where none succeeded yet."""
+        """Return the mean duration of a traffic type, 1 while none of its attempts has succeeded."""
         return self.mean_durations[row] or 1.0
 
     def relative_duration(self, elapsed: float) -> float:
-        """Return a duration relative to the mean, 1 where nothing succeeded yet."""
+        """Return a duration relative to the mean, 1 while no attempt has succeeded."""
         return elapsed / self.mean_duration if self.mean_duration else 1.0
 
     def mean_latency(self) -> float:
@@ -201,5 +203,5 @@
         return self.fleet_latency.with_prior(1.0)
 
     def responses_per_second(self, now: float) -> float:
-        """Return the rate of answered attempts."""
+        """Return the rate of answered attempts, in attempts per second."""
         return self.completion_rate.value_at(now)
