--- a/gaugehinge/routing/__init__.py
+++ b/gaugehinge/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions: which server serves an operation, whether it is retried, and when it is rejected."""
+"""Routing decisions: which server serves an operation, and whether to retry or to reject it."""
--- a/gaugehinge/routing/control_interval.py
+++ b/gaugehinge/routing/control_interval.py
@@ -1,4 +1,4 @@
-"""The control interval: how often budgets are refilled and the load shedder moves."""
+"""The control interval, at which budgets are refilled and the shed level is updated."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 
 class ControlInterval:
-    """When the last control interval began.
+    """Tracks the control intervals of one router.
 
-    State: that moment, moved on by `start_next`.
+    State: the start of the current interval, which `start_next` advances.
     """
 
     def __init__(self, now: float) -> None:
         self.started_at = now
 
     def is_over(self, now: float) -> bool:
-        """Whether it is time for the next interval."""
+        """Whether the current interval is over."""
         return now - self.started_at >= CONTROL_INTERVAL
 
     def start_next(self, now: float) -> float:
-        """Begin the next interval; return how long the last one was, in seconds."""
+        """Start the next interval; return the length of the last one in seconds."""
         span = now - self.started_at
         self.started_at = now
         return span
 
 
 def intervals_in(span: float) -> float:
-    """Return how many control intervals a span is: what decays does so by the time that passed."""
+    """Convert seconds to control intervals, so that decay depends on the time that passed."""
     return span / CONTROL_INTERVAL
--- a/gaugehinge/routing/hash_ring.py
+++ b/gaugehinge/routing/hash_ring.py
@@ -37,7 +37,7 @@
     def update(self, changed: Iterable[Endpoint], is_listed: Callable[[Endpoint], bool]) -> None:
         """Update the points of endpoints that were added, changed or removed.
 
-        Incremental, because rebuilding the ring for each list is too expensive.
+        Incremental: sorting all points from scratch for each list is too expensive.
         """
         removed_points: set[int] = set()
         added_points: list[int] = []
--- a/gaugehinge/routing/key_shares.py
+++ b/gaugehinge/routing/key_shares.py
@@ -1,7 +1,8 @@
-"""Which share of their keys slow endpoints keep: those of a slow label, and those of the own zone.
+"""Key shares: the share of their keys that endpoints of a slow label, and those of the own zone, keep.
 
-A sparse router sees few of its attempts at each endpoint. When all endpoints of a slow label are overrun, it
-has seen few of them; so the label's endpoints give up keys, always the same ones, before each was seen.
+A router with little traffic makes few attempts at each endpoint. By the time all endpoints of a slow label
+are overloaded, it has measured few of them. So all endpoints of such a label give up keys, always the same
+ones, before each of them was measured.
 """
 
 from __future__ import annotations
@@ -10,16 +11,18 @@
 from .hash_ring import HashRing
 from .load_measurement import LoadMeasurement
 
-MIN_KEY_SHARE = 0.2  # a slow label or zone keeps this share, or could never show that it recovered
-LABEL_SHARE_EXPONENT = 2  # of the quickest label's latency over its own: few attempts' means draw it near one
-WEIGHTED_LABEL_SHARE_EXPONENT = 1  # where weights are listed: they hold part of the slowness already
-ZONE_SHARE_EXPONENT = 3  # of the quickest other zone's latency over the own zone's
+MIN_KEY_SHARE = 0.2  # a slow label or zone keeps this share: without attempts it could not show a recovery
+# Of the ratio of the fastest label's latency to the label's own. Means of few attempts pull the ratio towards
+# one, which the square makes up for.
+LABEL_SHARE_EXPONENT = 2
+WEIGHTED_LABEL_SHARE_EXPONENT = 1  # the same with listed weights, which account for part of the slowness
+ZONE_SHARE_EXPONENT = 3  # of the ratio of the fastest other zone's latency to that of the own zone
 
 
 class KeyShares:
-    """Sets the key shares of labels and of the own zone, once each control interval.
+    """Sets the key shares of labels and of the own zone once per control interval.
 
-    State: none but these shares, which stand with the labels' and the zone's figures.
+    State: none of its own; the shares are kept with the statistics of the labels and of the zone.
     """
 
     def __init__(self, table: EndpointTable, ring: HashRing, load: LoadMeasurement) -> None:
@@ -28,7 +31,7 @@
         self._load = load
 
     def update(self) -> None:
-        """Set the shares by the latencies measured so far."""
+        """Set the shares from the latencies measured so far."""
         mean = self._load.mean_latency()
         self._update_labels(mean)
         if self._ring.starts_in_own_zone():
--- a/gaugehinge/routing/load_shedding.py
+++ b/gaugehinge/routing/load_shedding.py
@@ -1,6 +1,7 @@
-"""Load shedding: while attempts take too much of their latency objective, operations are rejected on arrival.
+"""Load shedding: rejects operations on arrival while attempts take too much of their latency objective.
 
-What has the least priority for the work that it takes is shed first, and what is over a quota before all.
+Operations with the least priority for the work that they take are shed first, and those over a tenant's quota
+before all others, as far as the over-quota weight lowers their priority.
 """
 
 from __future__ import annotations
@@ -10,24 +11,26 @@
 from .seeded_random import SeededRandom
 from .types import Attempt, Deployment, Operation, Outcome
 
-TARGET_LATENESS = 0.45  # mean share of the latency objective that an attempt may take before anything is shed
-SHED_RISE = 0.06  # of the shed level, a control interval at twice the target or more
-SHED_FALL = 0.06  # of the shed level, a control interval with no lateness at all
+TARGET_LATENESS = 0.45  # mean share of the latency objective that attempts take before anything is shed
+SHED_RISE = 0.06  # of the shed level per control interval, at twice the target lateness or more
+SHED_FALL = 0.06  # of the shed level per control interval, at no lateness
 MAX_SHED_LEVEL = 0.95
-MAX_LATENESS = 1.5  # of one attempt
-REJECTED_LATENESS = 1.0  # what a rejected attempt counts as
-LATENESS_DECAY = 0.8  # kept of the lateness measured, an interval with attempts,
-IDLE_LATENESS_DECAY = 0.98  # and an interval without: a sparse router must remember from attempt to attempt
-DEMAND_DECAY = 0.95  # kept of the arrivals, an interval
+MAX_LATENESS = 1.5  # one attempt counts as at most this
+REJECTED_LATENESS = 1.0  # a rejected attempt counts as this
+LATENESS_DECAY = 0.8  # weight of the smoothed lateness per control interval with attempts
+# The same without attempts: a router with little traffic must not forget its lateness between two attempts.
+IDLE_LATENESS_DECAY = 0.98
+DEMAND_DECAY = 0.95  # weight of earlier arrivals per control interval
 
 
 class LoadShedder:
     """The shed level, and the probability with which each class of operations is shed.
 
-    A class is a traffic type within its tenants' quotas, or over them: class 2n and 2n + 1 for type n.
+    Each traffic type n has two classes: 2n for operations within their tenant's quota, 2n + 1 for those over
+    it.
 
-    State: the smoothed lateness and what was measured since the last interval; the shed level, the part
-    of all work that is to be shed; decayed arrivals and the shed probability of each class.
+    State: the smoothed lateness, and the sum and count measured since the last interval; the shed level,
+    which is the fraction of all work to shed; the decayed arrivals and the shed probability of each class.
     """
 
     def __init__(
@@ -48,22 +51,22 @@
     # -- operations
 
     def sheds(self, operation: Operation) -> bool:
-        """Count an operation that arrived; whether it is to be rejected."""
+        """Count an operation that arrived; return whether to reject it."""
         class_index = 2 * operation.traffic_type.row + operation.over_quota
         self.demand[class_index] += 1.0
         probability = self.shed_probabilities[class_index]
         return bool(probability) and self._random.fraction() < probability
 
     def is_shedding(self) -> bool:
-        """Whether anything is shed now."""
+        """Whether any work is being shed."""
         return bool(self.shed_level)
 
     def current_lateness(self) -> float:
-        """Return the smoothed share of their latency objective that attempts take."""
+        """Return the smoothed share of the latency objective that attempts take."""
         return self.lateness
 
     def record_lateness(self, attempt: Attempt, outcome: Outcome, elapsed: float) -> None:
-        """Count the share of its latency objective that an attempt took."""
+        """Record the share of its latency objective that an attempt took."""
         share = min(elapsed / attempt.operation.traffic_type.latency_objective, MAX_LATENESS)
         self.lateness_sum += REJECTED_LATENESS if outcome is Outcome.REJECTED else share
         self.lateness_count += 1
@@ -71,7 +74,7 @@
     # -- control intervals
 
     def update_lateness(self, span: float) -> None:
-        """Smooth the lateness measured since the last interval."""
+        """Update the smoothed lateness with what was measured since the last interval."""
         if self.lateness_count:
             latest = (1 - LATENESS_DECAY) * self.lateness_sum / self.lateness_count
             self.lateness = LATENESS_DECAY * self.lateness + latest
@@ -80,7 +83,7 @@
             self.lateness *= IDLE_LATENESS_DECAY ** intervals_in(span)
 
     def update(self, span: float) -> None:
-        """Move the shed level: it rises by evidence, that is by interval, and falls by time."""
+        """Update the shed level: it rises once per call, when there is evidence, and falls with time."""
         intervals = intervals_in(span)
         was_shedding = self.is_shedding()
         excess = self.lateness / TARGET_LATENESS - 1.0
@@ -93,7 +96,7 @@
         self._update_probabilities(intervals)
 
     def _update_probabilities(self, intervals: float) -> None:
-        """Shed the level's part of all work, the classes of the lowest priority first."""
+        """Distribute the work to shed over the classes, lowest priority first."""
         self.demand = [arrivals * DEMAND_DECAY**intervals for arrivals in self.demand]
         if not self.shed_level:
             self.shed_probabilities = [0.0] * len(self.shed_probabilities)
--- a/gaugehinge/routing/origin_limit.py
+++ b/gaugehinge/routing/origin_limit.py
@@ -1,7 +1,7 @@
 """The origin's adaptive concurrency limit: how many attempts this router may have in flight there.
 
-Every read that missed and every write goes to the origin. The limit grows while it is used, and is cut
-when the latency shows a queue there, or attempts fail.
+Every read that missed the cache and every write goes to the origin. The limit grows while it is used, and is
+cut when the latency shows a queue at the origin or when attempts fail.
 """
 
 from __future__ import annotations
@@ -10,47 +10,53 @@
 from .seeded_random import SeededRandom
 from .types import Attempt, Deployment, Outcome
 
-# The least limit, and the first. A slow origin still bears what it bore: fewer attempts only starve it.
+# Minimum limit, where it also starts. A slow origin still has its capacity: fewer attempts leave it idle.
 MIN_ORIGIN_LIMIT = 4.0
-# Of many routers each has only its part of this, below one attempt if need be.
+# Minimum of all routers together: among many, each has only its part, below one attempt if need be.
 SHARED_ORIGIN_LIMIT = 20.0
-LIMIT_GROWTH = 2.0  # over the limit, an attempt,
-MAX_LIMIT_GROWTH = 0.25  # and at most this part of the limit
+LIMIT_GROWTH = 2.0  # growth per attempt, divided by the limit
+MAX_LIMIT_GROWTH = 0.25  # growth per attempt at most, as a fraction of the limit
 LIMIT_CUT_FACTOR = 0.75
-USED_SHARE = 0.5  # of the limit in flight: it is used, and may grow
-RECOVERY_FACTOR = 2  # times the least limit: past this a limit that was cut counts as recovered
-# A smoothed latency over this times its floor means a queue at the origin,
+USED_SHARE = 0.5  # with this share of the limit in flight it counts as used, and may grow
+RECOVERY_FACTOR = 2  # times the minimum limit: from this on a limit that was cut counts as recovered
+# A smoothed latency over this multiple of its floor means a queue at the origin.
 QUEUE_LATENCY_RATIO = 2.5
-# but not before it took this share of the shortest latency objective: latencies vary by nature.
+# It also has to exceed the floor by this share of the shortest latency objective: latencies vary even
+# without a queue.
 QUEUE_OBJECTIVE_SHARE = 0.3
-ORIGIN_LATENCY_DECAY = 0.95  # kept of the smoothed latency, an attempt
-LATENCY_FLOOR_EPOCH = 15.0  # seconds; the latency floor is the least of the last two epochs
-# Seconds, about, between reads sent to an origin that answers nothing and refuses connections.
+ORIGIN_LATENCY_DECAY = 0.95  # weight of the smoothed latency when an attempt ends
+LATENCY_FLOOR_EPOCH = 15.0  # seconds; the latency floor is the minimum over the last two epochs
+# Mean seconds between reads sent to an origin that answers nothing and refuses connections.
 UNREACHABLE_ORIGIN_PAUSE = 0.2
-# Seconds after the origin lacked a place for an operation: keys that are spread wide miss more.
+# Seconds for which the origin counts as under pressure after the limit rejected an operation. Meanwhile keys
+# are spread over fewer endpoints, since keys that are spread widely miss more.
 PRESSURE_TIME = 5.0
 
 
 class OriginConcurrencyLimit:
-    """Attempts in flight at the origin, and how many there may be.
+    """The number of attempts in flight at the origin, and its limit.
 
-    State: the count in flight; the limit; the smoothed latency and its floor, which is forgotten after
-    two epochs; when the next read may go and until when the origin counts as under pressure.
+    State: the count in flight; the limit; the smoothed latency and its floor, which is forgotten after two
+    epochs; when the next read may be sent; until when the origin counts as under pressure.
     """
 
     def __init__(
         self, random: SeededRandom, log: list[str], queue_allowance: float, router_count: int = 1
     ) -> None:
-        """Begin at the least limit; `queue_allowance` is the latency over the floor that is no queue yet."""
+        """Start at the minimum limit.
+
+        `queue_allowance`: seconds by which the latency may exceed its floor without meaning a queue.
+        """
         self._random = random
         self._log = log
         self._queue_allowance = queue_allowance
-        # Four attempts of each of fifty routers kept a slow origin full of work that nobody waited for.
+        # With four attempts each, fifty routers kept a slow origin busy with work that no client waited for.
         self._min_limit = min(MIN_ORIGIN_LIMIT, SHARED_ORIGIN_LIMIT / router_count)
         self.limit = max(self._min_limit, 1.0)
         self.in_flight = 0
         self.smoothed_latency = 0.0
-        self._next_read_at = 0.0  # below one attempt, reads wait for this
+        # No read is sent before this while the limit is below one attempt or the origin refuses connections.
+        self._next_read_at = 0.0
         self._latency_floor = 0.0
         self._next_floor = 0.0
         self._floor_expires_at = 0.0
@@ -64,7 +70,7 @@
     ) -> OriginConcurrencyLimit:
         """Return the limit of one of a deployment's routers.
 
-        A queue holds up all that pass through it: the shortest latency objective is what it is held to.
+        The queue allowance is a share of the shortest latency objective: a queue delays all operations.
         """
         allowance = QUEUE_OBJECTIVE_SHARE * deployment.shortest_objective
         return cls(random, log, allowance, deployment.router_count)
@@ -72,10 +78,10 @@
     # -- capacity
 
     def try_acquire(self, is_write: bool, now: float) -> bool:
-        """Take a place for an attempt, where there is one now.
+        """Count an attempt as in flight and return True, or return False if the limit does not allow it.
 
-        There is no queue for places: with one, crowded days were served less (docs/standing.md; why was not
-        measured).
+        Operations do not queue for capacity: with a queue, fewer operations were served on days with overload
+        (docs/standing.md; the cause was not measured).
         """
         has_capacity = self.in_flight < max(self.limit, 1.0) and (is_write or now >= self._next_read_at)
         if not has_capacity:
@@ -85,40 +91,42 @@
         return True
 
     def is_under_pressure(self, now: float) -> bool:
-        """Whether an operation was rejected lately because the origin had no place for it."""
+        """Whether the limit has rejected an operation recently."""
         return now < self.pressed_until
 
     def expected_latency(self) -> float:
-        """Return about how long an attempt at the origin takes."""
+        """Return the expected seconds that an attempt at the origin takes."""
         return self.smoothed_latency
 
-    # -- what ended attempts show
+    # -- results of attempts
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome, elapsed: float, now: float) -> None:
-        """Give back an attempt's place, and learn from its outcome."""
+        """Count an attempt as ended, and adapt the limit to its outcome."""
         origin = attempt.endpoint
         self.in_flight -= 1
         if outcome in RESPONSES:
             origin.last_answer_at = now
-        # It answers others: this one's connection fell silent. Taken for a queue, a few such
-        # closed the limit.
+        # The origin has answered others since: only this connection fell silent. Taken as a sign of a queue,
+        # a few such time-outs reduced the limit to its minimum.
         is_lone_timeout = outcome is Outcome.TIMED_OUT and origin.last_answer_at > attempt.sent_at
         if is_lone_timeout or outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
         limit_before = self.limit
         if outcome in CONNECTION_FAILURES:
-            # Refused at once, attempts tell nothing of its time; dead, it got thousands of them a second.
+            # Attempts refused at once say nothing about the latency. Without a pause, an origin that was down
+            # got thousands of attempts per second.
             elapsed = max(elapsed, self.smoothed_latency)
             if origin.is_silent(now):
                 self._next_read_at = now + UNREACHABLE_ORIGIN_PAUSE * (0.5 + self._random.fraction())
-        # Malformed answers and resets show no queue: cut for each, the limit sank and reads waited in vain.
+        # Malformed answers and resets are no sign of a queue: when each cut the limit, it sank and reads
+        # waited for nothing.
         has_failed = outcome not in NO_QUEUE_EVIDENCE
         is_used = self.in_flight + 1 >= USED_SHARE * self.limit
         self.adapt(elapsed, has_failed, is_used, now)
         self._log_change(limit_before)
 
     def adapt(self, elapsed: float, has_failed: bool, is_used: bool, now: float) -> None:
-        """Move the limit by what an ended attempt shows of a queue at the origin."""
+        """Raise or cut the limit by what an ended attempt shows about a queue at the origin."""
         self._smooth_latency(elapsed, now)
         if has_failed or self._has_queue():
             if now >= self._next_cut_at:
--- a/gaugehinge/routing/quotas.py
+++ b/gaugehinge/routing/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants: a token bucket for each, refilled at this router's part of the tenant's rate limit."""
+"""Tenant quotas: one token bucket per tenant, refilled at this router's part of the tenant's rate limit."""
 
 from __future__ import annotations
 
@@ -8,28 +8,30 @@
 from .gossip import Gossip
 from .types import Tenant
 
-USAGE_DECAY = 0.95  # kept of a tenant's measured rate, a control interval
-MIN_BURST = 6.0  # operations of a tenant at once: few come through a sparse router, in random runs
-QUOTA_HEADROOM = 1.25  # times its quota of this router's traffic, where no peer tells the tenants' rates
+USAGE_DECAY = 0.95  # weight of a tenant's smoothed rate per control interval
+# Operations; least burst of a tenant: at a router with little traffic its few operations come in random runs.
+MIN_BURST = 6.0
+# A tenant may use this multiple of its quota of this router's traffic while no peer reports tenant rates.
+QUOTA_HEADROOM = 1.25
 INITIAL_TOKENS = 1.0
 
 
 class Quotas:
-    """What each tenant used at this router, and what it may still use.
+    """The usage and the remaining tokens of each tenant at this router.
 
-    State: by the tenant's place in the table, its smoothed rate, its arrivals since the last refill and its
-    tokens. All three start anew at a place that changes hands, and leave with the place.
+    State: by the tenant's index in the table, its smoothed rate, its arrivals since the last refill and its
+    tokens. All three are reset when the index is reassigned to another tenant, and removed with the index.
     """
 
     def __init__(self, tenants: tuple[Tenant, ...], gossip: Gossip) -> None:
         self._gossip = gossip
         self.tenants = tenants
-        self.usage = [0.0] * len(tenants)  # operations a second
+        self.usage = [0.0] * len(tenants)  # operations per second, smoothed
         self.arrivals = [0] * len(tenants)
         self.tokens = [INITIAL_TOKENS] * len(tenants)
 
     def on_tenants_changed(self, tenants: tuple[Tenant, ...], reassigned: Container[int]) -> None:
-        """Take over the tenants from now on, and empty what is known of the places that changed hands."""
+        """Replace the tenants; reset the state of the indexes that now belong to another tenant."""
         kept = [index < len(self.tenants) and index not in reassigned for index in range(len(tenants))]
         self.tenants = tenants
         self._gossip.forget()
@@ -40,7 +42,7 @@
         ]
 
     def is_over_quota(self, tenant: int) -> bool:
-        """Count an operation of a tenant, and take a token for it; whether there was none."""
+        """Count an operation of a tenant and take a token for it; return whether there was none left."""
         if tenant < 0:
             return False
         self.arrivals[tenant] += 1
@@ -50,7 +52,7 @@
         return True
 
     def refill(self, span: float) -> None:
-        """Measure the tenants' rates over the time since the last call, and refill their tokens."""
+        """Update the tenants' rates and refill their tokens; `span` is the seconds since the last call."""
         for index, count in enumerate(self.arrivals):
             gain = 1.0 - USAGE_DECAY ** intervals_in(span)
             self.usage[index] += gain * (count / span - self.usage[index])
@@ -67,13 +69,13 @@
         return QUOTA_HEADROOM * tenant.quota * sum(self.usage)
 
     def tenant_count(self) -> int:
-        """Return how many places the table of tenants has."""
+        """Return the number of tenants in the table."""
         return len(self.tenants)
 
     def usage_by_tenant(self) -> Sequence[float]:
-        """Return each tenant's rate of operations at this router."""
+        """Return each tenant's operations per second at this router."""
         return self.usage
 
     def operations_per_second(self) -> float:
-        """Return the rate of all tenants' operations at this router."""
+        """Return the operations per second of all tenants at this router."""
         return sum(self.usage)
