--- a/tests/test_routing_hash_ring.py
+++ b/tests/test_routing_hash_ring.py
@@ -1,4 +1,4 @@
-"""The hash ring: which keys move with the endpoint list, and weights."""
+"""The hash ring: which keys move when the endpoint list changes, and the effect of weights."""
 
 from helper import Bench, EndpointState, origin_row, row
 from routing_cases import homes
@@ -42,7 +42,7 @@
 
 
 def test_endpoints_get_keys_in_proportion_to_their_listed_weights():
-    """Taken for alike, slow caches were overrun at half load."""
+    """Treated as equal to fast ones, slow cache servers were overloaded at half load."""
     bench = Bench(caches=0, has_endpoint_weights=True)
     bench.hear([row(i, weight=40.0 if i < 6 else 10.0) for i in range(1, 9)] + [origin_row()])
     found = key_counts(bench)
--- a/tests/test_routing_load_measurement.py
+++ b/tests/test_routing_load_measurement.py
@@ -1,4 +1,4 @@
-"""Load measurement: latencies beside those of the like, rates by the clock, shares of slow labels."""
+"""Load measurement: latencies of a label, rates by elapsed time, key shares of slow labels."""
 
 from helper import Bench, Outcome, Tenant, origin_row, row
 from routing_cases import homes
@@ -18,7 +18,7 @@
 
 
 def test_a_router_with_little_traffic_measures_rates_by_elapsed_time():
-    """Counted by events, one operation in two seconds came out as ten a second and refilled budgets so."""
+    """Measured by events, one operation in two seconds counted as ten per second, also in budget refills."""
     bench = Bench(tenants=(Tenant(1.0, 50.0),))
     for i in range(40):
         bench.now += 2.0
@@ -41,13 +41,15 @@
         _, answer = bench.ask(f"key-{i}")
         bench.end(answer.attempt, Outcome.SUCCEEDED, 0.12 if answer.attempt.endpoint.ident % 2 else 0.03)
     old = sum(home % 2 for home in homes(bench, 200).values())
-    assert 20 < old < 85  # of 200; alike they would take about 100
+    assert 20 < old < 85  # of 200; at equal key shares about 100
     assert [c.label_figures.key_share for c in bench.router.table.ready[1::2]] == [1.0] * 20
 
 
 def test_with_listed_weights_the_key_share_of_a_slow_label_is_the_latency_ratio_and_stable():
-    """Over a second of uneven attempts kept shares went from 0.5 to 1.0 at each router, and keys left
-    home."""
+    """With latencies averaged over one second, attempts of uneven work made the key share swing.
+
+    It went from 0.5 to 1.0 at each router, and keys left their home endpoints.
+    """
     bench = Bench(caches=0, has_endpoint_weights=True)
     listed = [row(i, kind="old" if i % 2 else "new", weight=1.0) for i in range(1, 41)]
     bench.hear([*listed, origin_row()])
@@ -59,4 +61,4 @@
         bench.end(answer.attempt, Outcome.SUCCEEDED, (0.1 if i % 10 else 9.1) * base)  # uneven work
         if i > 600:
             found.append(bench.router.table.labels["old"].key_share)
-    assert min(found) > 0.45 and max(found) - min(found) < 0.45  # the square would be 0.25
+    assert min(found) > 0.45 and max(found) - min(found) < 0.45  # squared, the ratio would be 0.25
--- a/tests/test_routing_load_shedding.py
+++ b/tests/test_routing_load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: what makes the router reject on arrival, and what it spares."""
+"""Load shedding: what makes the router reject operations on arrival, and what does not."""
 
 from helper import MARKED, Action, Bench, Outcome
 
@@ -11,7 +11,7 @@
 
 
 def max_shed_level(bench, seconds, silent_share):
-    """Reads for some seconds, of which a part meets caches that answer nothing; the highest shed level."""
+    """Run reads for some seconds, a share of the endpoints being silent; return the highest shed level."""
     highest, end, count = 0.0, bench.now + seconds, 0
     while bench.now < end:
         count += 1
@@ -26,7 +26,7 @@
 
 
 def test_time_outs_at_a_few_silent_endpoints_shed_nothing():
-    """A lost zone's time-outs made all routers shed load that the other zones could bear."""
+    """Time-outs at a failed zone made all routers shed load that the other zones could have served."""
     assert max_shed_level(Bench(), 20.0, 0.375) == 0.0
 
 
--- a/tests/test_routing_origin_limit.py
+++ b/tests/test_routing_origin_limit.py
@@ -1,4 +1,4 @@
-"""The origin's concurrency limit: what shows a queue there, and what does not."""
+"""The origin's concurrency limit: what is taken as a sign of a queue at the origin, and what is not."""
 
 from helper import MARKED, ONCE, Action, Bench, EndpointState, Outcome, origin_row
 
@@ -20,7 +20,7 @@
 
 
 def test_misses_and_writes_are_rejected_at_once_when_the_origin_limit_is_reached():
-    """Held for a place they came late, and the client waited for nothing."""
+    """Operations that queued for capacity were answered too late, so the client waited for nothing."""
     bench = Bench()
     attempts = [bench.ask(f"key-{i}")[1].attempt for i in range(3)]
     bench.router.origin_limit.in_flight = 99
@@ -38,7 +38,7 @@
 
 
 def test_with_many_routers_the_limit_of_each_at_a_failing_origin_falls_below_one_attempt():
-    """With four attempts each, fifty routers kept the origin full of work that nobody waited for any more."""
+    """With four attempts each, fifty routers kept the origin busy with work that no client waited for."""
     bench = Bench(router_count=100)
     asked = sent = 0
     for i in range(200):
@@ -81,12 +81,13 @@
         bench.end(hung.attempt, Outcome.TIMED_OUT, 1.0)
     assert bench.router.origin_limit.limit >= 20.0 and bench.router.origin_limit.smoothed_latency < 0.03
     _, hung = bench.ask("w", ONCE)
-    bench.end(hung.attempt, Outcome.TIMED_OUT, 1.0)  # nothing was answered since: that is one
+    # Nothing was answered since this attempt was sent, so its time-out cuts the limit.
+    bench.end(hung.attempt, Outcome.TIMED_OUT, 1.0)
     assert bench.router.origin_limit.limit < 20.0
 
 
 def test_an_origin_that_refuses_connections_gets_few_reads_and_the_others_are_rejected_at_once():
-    """Sixteen routers asked an origin that had stopped four thousand times a second, five attempts each."""
+    """Sixteen routers sent a stopped origin four thousand attempts per second, five for each operation."""
     bench = Bench()
     bench.router.origin_limit.smoothed_latency = 0.05
     bench.now += 1.0
@@ -99,7 +100,7 @@
             steps = bench.end(steps[0].decision.attempt, Outcome.CONNECT_FAILED, 0.001)
         assert steps[0].decision.action is Action.REJECT
         bench.now += 0.005
-    assert 4 <= sent <= 16 and bench.router.origin_limit.smoothed_latency >= 0.05  # in 1.2 s
+    assert 4 <= sent <= 16 and bench.router.origin_limit.smoothed_latency >= 0.05  # sent in 1.2 s
     bench.now += 2 * UNREACHABLE_ORIGIN_PAUSE
     _, answer = bench.ask("k")
     [(_, answer)] = bench.end(answer.attempt, Outcome.CACHE_MISS)
--- a/tests/test_routing_quotas.py
+++ b/tests/test_routing_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants, and the gossip of their rates."""
+"""Tenant quotas, and the gossip of tenant rates between routers."""
 
 import struct
 
@@ -35,7 +35,10 @@
 
 
 def test_over_quota_operations_are_rejected_at_an_unmeasured_endpoint_while_attempts_are_late():
-    """A sparse router has seen no single cache, and hundreds of them sent each one what nobody pays for."""
+    """A router with little traffic has measured no endpoint.
+
+    Hundreds of them together sent each endpoint operations over the quota, which nobody pays for.
+    """
     bench = Bench(tenants=(Tenant(1.0, 0.0),), router_count=1)
     bench.router.quotas.tokens = [0.0]
     assert bench.ask("k", tenant=0)[1].action is Action.SEND
@@ -59,8 +62,8 @@
         [3, 0, 0],
         [0.0, 1.0, 1.0],
     )
-    assert not router.gossip.peers, "figures of a peer that follows another list are of other tenants"
-    router.on_gossip(1, struct.pack("<2f", 2.0, 3.0), bench.now)  # it has not heard yet
+    assert not router.gossip.peers, "a peer that follows another tenant list reports rates of other tenants"
+    router.on_gossip(1, struct.pack("<2f", 2.0, 3.0), bench.now)  # the peer still has the old tenants
     bench.now += 0.3
     router._start_control_interval(bench.now)
     assert 0.0 < router.quotas.tokens[0] <= 6.0
--- a/tests/test_routing_slow_start.py
+++ b/tests/test_routing_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what a cache server that just started is sent."""
+"""Slow start: what is sent to a cache server that just started."""
 
 from helper import Action, Bench, EndpointState, Outcome, origin_row, row
 
@@ -47,7 +47,7 @@
 
 
 def test_hundreds_of_routers_together_stay_near_the_minimum_warm_up_rate_of_a_cold_endpoint():
-    """With a first token each, 300 routers sent 300 attempts at once and pushed the cache over."""
+    """With a whole first attempt each, 300 routers sent 300 attempts at once and overloaded the server."""
     sent = 0
     for seed in range(300):
         bench = Bench(caches=4, seed=seed, router_count=300)
