--- a/gaugehinge/routing/load_measurement.py
+++ b/gaugehinge/routing/load_measurement.py
@@ -24,7 +24,7 @@
 from .time_buckets import BUCKET_COUNT, WINDOW_TIME, bucket_at, bucket_end
 from .types import Deployment, Outcome, TrafficType
 
-STUCK_AFTER_MEANS = 4.0  # with attempts in flight, silent for so many mean durations: stuck
+STUCK_AFTER_MEANS = 4.0  # silent for so many mean durations with attempts in flight: stuck, not idle
 MIN_STUCK_TIME = 0.1  # seconds; no endpoint counts as stuck sooner
 MIN_BUSY_TIME = 1e-9  # seconds; less than this in the window is rounding error
 DURATION_GAIN = 0.02  # weight of a new duration in the mean durations
--- a/gaugehinge/routing/load_shedding.py
+++ b/gaugehinge/routing/load_shedding.py
@@ -13,7 +13,7 @@
 
 TARGET_LATENESS = 0.45  # mean share of the latency objective that attempts take before anything is shed
 SHED_RISE = 0.06  # of the shed level per control interval, at twice the target lateness or more
-SHED_FALL = 0.06  # of the shed level per control interval, at no lateness
+SHED_FALL = 0.06  # of the shed level per control interval, with no lateness at all
 MAX_SHED_LEVEL = 0.95
 MAX_LATENESS = 1.5  # one attempt counts as at most this
 REJECTED_LATENESS = 1.0  # a rejected attempt counts as this
--- a/gaugehinge/routing/origin_limit.py
+++ b/gaugehinge/routing/origin_limit.py
@@ -28,8 +28,8 @@
 LATENCY_FLOOR_EPOCH = 15.0  # seconds; the latency floor is the minimum over the last two epochs
 # Mean seconds between reads sent to an origin that answers nothing and refuses connections.
 UNREACHABLE_ORIGIN_PAUSE = 0.2
-# Seconds for which the origin counts as under pressure after the limit rejected an operation. Meanwhile keys
-# are spread over fewer endpoints, since keys that are spread widely miss more.
+# Seconds for which the origin counts as under pressure after the limit rejected an operation. Meanwhile each
+# key has only one start on the ring, since keys that are spread widely miss more.
 PRESSURE_TIME = 5.0
 
 
--- a/gaugehinge/routing/slow_start.py
+++ b/gaugehinge/routing/slow_start.py
@@ -78,8 +78,8 @@
         burst = fair_rate * endpoint.weight * capacity * deployment.overload_time * BUDGET_TIME_FACTOR
         refill = rate * OVERLOAD_SAFETY_FACTOR * deployment.overload_multiple * span
         endpoint.warm_up_budget = min(endpoint.warm_up_budget + refill, max(1.0, burst))
-        # A saved attempt is dropped at random: hundreds of routers that each have one saved and turn to the
-        # same cold endpoint at once would overload it.
+        # A saved attempt is dropped at random: hundreds of routers that each have one saved would overload a
+        # cold endpoint that all of them turn to at once.
         overload_time = deployment.overload_time or 1.0
         if endpoint.warm_up_budget >= 1.0 and self._random.fraction() * overload_time < span:
             endpoint.warm_up_budget -= 1.0
--- a/gaugehinge/routing/types.py
+++ b/gaugehinge/routing/types.py
@@ -128,11 +128,12 @@
     max_attempts: int
     cold_capacity: float  # capacity of a server that just started, as a fraction of that of a warm one
     warm_up_time: float  # seconds; 0 where none is stated
-    overload_multiple: float  # a cold server fails that is sent more than this multiple of its capacity
-    overload_time: float  # for this many seconds
+    # A cold server fails when it is sent more than this multiple of its capacity for `overload_time` seconds.
+    overload_multiple: float
+    overload_time: float
     may_cancel: bool  # attempts in flight may be cancelled
     may_gossip: bool  # routers may send each other messages
-    must_poll: bool  # the endpoint list is not pushed, only polled
+    must_poll: bool  # the router only gets the endpoint list by polling
     max_retry_after: float  # seconds; 0 where clients ignore Retry-After
     over_quota_weight: float  # factor on the priority weight of operations that are over a quota
     weight_by_work: bool  # priority weights are per unit of work, not per operation
