--- a/gaugehinge/net/configuration.py
+++ b/gaugehinge/net/configuration.py
@@ -63,8 +63,8 @@
     except (OSError, UnicodeDecodeError) as error:
         raise SettingsError(f"LB_CONFIG: cannot read {path}: {type(error).__name__}") from error
     page = SettingsReader(parse_json(text))
-    limits = page.page("limits", {})
-    settings = read_settings(_seed(page), page.page("settings").values, "settings")
+    limits = page.section("limits", {})
+    settings = read_settings(_seed(page), page.section("settings").values, "settings")
     # Over HTTP nothing comes unasked, whatever the bench does for this deployment.
     settings = replace(settings, deployment=replace(settings.deployment, must_poll=True))
     peer_listen = page.text("peer_listen", "")
@@ -73,10 +73,10 @@
         listen=address(page.text("listen", environment.get("LB_LISTEN")), "listen"),
         discovery=address(page.text("discovery", environment.get("LB_DISCOVERY")), "discovery"),
         settings=settings,
-        memory=limits.count("memory_mb", 2048, least=MIN_MEMORY_MB) * MEGABYTE,
-        sockets=limits.count("sockets", 4096, least=MIN_SOCKETS),
+        memory=limits.count("memory_mb", 2048, minimum=MIN_MEMORY_MB) * MEGABYTE,
+        sockets=limits.count("sockets", 4096, minimum=MIN_SOCKETS),
         peer_listen=address(peer_listen, "peer_listen") if peer_listen else None,
-        peers=tuple(address(peer, f"peers[{i}]") for i, peer in enumerate(page.row("peers", []))),
+        peers=tuple(address(peer, f"peers[{i}]") for i, peer in enumerate(page.array("peers", []))),
         known=page.values.get("known"),
     )
 
--- a/gaugehinge/net/endpoint_list.py
+++ b/gaugehinge/net/endpoint_list.py
@@ -42,7 +42,7 @@
     return EndpointListUpdate(
         int(reader.number("rev")),
         reader.flag("all"),
-        tuple(_read_target(entry) for entry in reader.pages("targets")),
+        tuple(_read_target(entry) for entry in reader.sections("targets")),
     )
 
 
@@ -55,7 +55,7 @@
     uid = reader.text("uid")
     ident = xxh64_intdigest(uid.encode())
     started = reader.number("boot_ms", 0) / MILLISECONDS
-    cell = int(reader.number("pod_group", 0, least=NO_CELL))
+    cell = int(reader.number("pod_group", 0, minimum=NO_CELL))
     weight = _read_weight(reader)
     zone, kind = reader.text("az", ""), reader.text("model", "")
     entry = EndpointEntry(ident, zone, kind, cell, state, started, weight)
--- a/gaugehinge/settings.py
+++ b/gaugehinge/settings.py
@@ -23,14 +23,15 @@
     "cell": DeduplicationScope.CELL,
 }
 # Weights that follow the load would move keys with every list: they count as none.
-WEIGHTS = {"off": False, "nominal": True, "rough": True, "live": False}
-SOURCES = {"off": False, "inline": True, "on_probe": False}  # whether load reports come with answers
+WEIGHT_MODES = {"off": False, "nominal": True, "rough": True, "live": False}
+# whether load reports come with answers
+LOAD_REPORT_SOURCES = {"off": False, "inline": True, "on_probe": False}
 REQUIRED = object()  # the default of a field that must be there
 
-MICROSECONDS = 1e6  # in a second
-WHOLE = "the whole"  # the path of the outermost object in an error's text
+MICROSECONDS_PER_SECOND = 1e6  # in a second
+ROOT_PATH = "the whole"  # the path of the outermost object in an error's text
 DEFAULT_CLIENT_WAIT = 3.0  # seconds, where no traffic type is stated
-UNLIMITED_STREAMS = 2  # attempts of a connection at once where no number is stated: more than one
+DEFAULT_MAX_STREAMS = 2  # attempts of a connection at once where no number is stated: more than one
 
 
 class SettingsError(ValueError):
@@ -52,7 +53,7 @@
     def __init__(self, values: Any, path: str = "") -> None:
         """Read an object; anything else is an error."""
         if not isinstance(values, dict):
-            raise SettingsError(f"{path or WHOLE}: not an object")
+            raise SettingsError(f"{path or ROOT_PATH}: not an object")
         self.values = values
         self.path = path
 
@@ -70,22 +71,22 @@
     def _error(self, name: str, problem: str) -> SettingsError:
         return SettingsError(f"{self._path_of(name)}: {problem}")
 
-    def number(self, name: str, default: Any = REQUIRED, least: float = 0.0) -> float:
-        """Read a finite number of at least `least`."""
+    def number(self, name: str, default: Any = REQUIRED, minimum: float = 0.0) -> float:
+        """Read a finite number of at least `minimum`."""
         value = self._value(name, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value):
             raise self._error(name, "not a number")
-        if value < least:
-            raise self._error(name, f"{value} is under {least:g}")
+        if value < minimum:
+            raise self._error(name, f"{value} is under {minimum:g}")
         return float(value)
 
     def seconds(self, name: str, default: Any = REQUIRED) -> float:
         """Read a number of microseconds as seconds."""
-        return self.number(name, default) / MICROSECONDS
+        return self.number(name, default) / MICROSECONDS_PER_SECOND
 
-    def count(self, name: str, default: Any = REQUIRED, least: int = 0) -> int:
+    def count(self, name: str, default: Any = REQUIRED, minimum: int = 0) -> int:
         """Read a number as an integer."""
-        return int(self.number(name, default, least))
+        return int(self.number(name, default, minimum))
 
     def flag(self, name: str, default: Any = REQUIRED) -> bool:
         """Read true or false."""
@@ -101,18 +102,18 @@
             raise self._error(name, "not text")
         return value
 
-    def word(self, name: str, known: dict[str, Any], default: str) -> Any:
+    def choice(self, name: str, choices: dict[str, Any], default: str) -> Any:
         """Read one of the known words, and return what it stands for."""
         value = self._value(name, default)
-        if not isinstance(value, str) or value not in known:
-            raise self._error(name, f"none of {', '.join(known)}")
-        return known[value]
+        if not isinstance(value, str) or value not in choices:
+            raise self._error(name, f"none of {', '.join(choices)}")
+        return choices[value]
 
-    def page(self, name: str, default: Any = REQUIRED) -> SettingsReader:
+    def section(self, name: str, default: Any = REQUIRED) -> SettingsReader:
         """Read an object."""
         return SettingsReader(self._value(name, default), self._path_of(name))
 
-    def row(self, name: str, default: Any = REQUIRED) -> list[Any]:
+    def array(self, name: str, default: Any = REQUIRED) -> list[Any]:
         """Read a list of anything."""
         value = self._value(name, default)
         if not isinstance(value, list):
@@ -121,17 +122,17 @@
 
     def texts(self, name: str, default: Any = REQUIRED) -> list[str]:
         """Read a list of strings."""
-        found = self.row(name, default)
-        for place, value in enumerate(found):
+        values = self.array(name, default)
+        for index, value in enumerate(values):
             if not isinstance(value, str):
-                raise self._error(f"{name}[{place}]", "not text")
-        return found
+                raise self._error(f"{name}[{index}]", "not text")
+        return values
 
-    def pages(self, name: str, default: Any = REQUIRED) -> list[SettingsReader]:
+    def sections(self, name: str, default: Any = REQUIRED) -> list[SettingsReader]:
         """Read a list of objects."""
         path = self._path_of(name)
-        found = self.row(name, default)
-        return [SettingsReader(value, f"{path}[{place}]") for place, value in enumerate(found)]
+        values = self.array(name, default)
+        return [SettingsReader(value, f"{path}[{index}]") for index, value in enumerate(values)]
 
 
 def read_reported_load(text: str, separator: str) -> float | None:
@@ -172,45 +173,46 @@
 
 def read_settings(seed: int, settings: Any, path: str = "") -> Settings:
     """Read the settings object."""
-    page = SettingsReader(settings, path)
-    allowed = page.page("allowed", {})
-    types = page.pages("trafficTypes", [])
-    parties = page.pages("parties", [])
-    report = page.page("report", {})
-    report_names = report.texts("names", [])
+    reader = SettingsReader(settings, path)
+    allowed = reader.section("allowed", {})
+    traffic_types = reader.sections("trafficTypes", [])
+    tenants = reader.sections("parties", [])
+    load_report = reader.section("report", {})
+    load_report_names = load_report.texts("names", [])
     return Settings(
-        deployment=_read_deployment(seed, page, allowed, types, parties),
-        traffic_type_rows=_places_by_name(types),
-        tenant_indexes=_places_by_name(parties),
+        deployment=_read_deployment(seed, reader, allowed, traffic_types, tenants),
+        traffic_type_rows=_indexes_by_name(traffic_types),
+        tenant_indexes=_indexes_by_name(tenants),
         connect_timeout=allowed.seconds("connectTimeoutUs", 250_000),
         idle_timeout=allowed.seconds("connIdleUs", 10_000_000),
-        max_in_flight=allowed.count("openCap", 20_000, least=1),
-        max_client_wait=_longest_client_wait(types),
-        reports_load=report.word("source", SOURCES, "off") and "active" in report_names,
-        endpoints_pushed=page.text("discovery", "") == "pushed",
-        drain_grace=page.page("rules", {}).seconds("drainGraceUs", 0),
+        max_in_flight=allowed.count("openCap", 20_000, minimum=1),
+        max_client_wait=_longest_client_wait(traffic_types),
+        reports_load=load_report.choice("source", LOAD_REPORT_SOURCES, "off")
+        and "active" in load_report_names,
+        endpoints_pushed=reader.text("discovery", "") == "pushed",
+        drain_grace=reader.section("rules", {}).seconds("drainGraceUs", 0),
     )
 
 
 def _read_deployment(
     seed: int,
-    page: SettingsReader,
+    reader: SettingsReader,
     allowed: SettingsReader,
-    types: list[SettingsReader],
-    parties: list[SettingsReader],
+    traffic_types: list[SettingsReader],
+    tenants: list[SettingsReader],
 ) -> Deployment:
-    rules = page.page("rules", {})
-    domain = page.page("domain", {})
-    prices = page.page("prices", {})
+    rules = reader.section("rules", {})
+    domain = reader.section("domain", {})
+    prices = reader.section("prices", {})
     return Deployment(
         seed=seed,
-        router_number=page.count("me", 0),
-        router_count=page.count("replicasOfMe", 1, least=1),
-        traffic_types=tuple(_read_traffic_type(row, entry) for row, entry in enumerate(types)),
-        tenants=tuple(_read_tenant(entry) for entry in parties),
+        router_number=reader.count("me", 0),
+        router_count=reader.count("replicasOfMe", 1, minimum=1),
+        traffic_types=tuple(_read_traffic_type(row, entry) for row, entry in enumerate(traffic_types)),
+        tenants=tuple(_read_tenant(entry) for entry in tenants),
         cache_aside=domain.text("mode", "") == "aside",
-        origin_kind=_read_origin_kind(page, domain),
-        clock_granularity=page.seconds("granularityUs", 1000),
+        origin_kind=_read_origin_kind(reader, domain),
+        clock_granularity=reader.seconds("granularityUs", 1000),
         max_attempts=allowed.count("mostLegs", 1),
         cold_capacity=rules.number("coldFrom", 0.1),
         warm_up_time=rules.seconds("coldUs", 30_000_000),
@@ -218,42 +220,42 @@
         overload_time=rules.seconds("fallUs", 1_000_000),
         may_cancel=allowed.flag("mayCancel", False),
         may_gossip=allowed.flag("peers", False),
-        must_poll=page.text("discovery", "") == "on_request",
+        must_poll=reader.text("discovery", "") == "on_request",
         max_retry_after=_read_max_retry_after(allowed),
-        over_quota_weight=page.number("beyondSharePayoff", 1.0),
-        weight_by_work=page.text("payoffBy", "") == "work",
-        has_endpoint_weights=page.word("weights", WEIGHTS, "off"),
-        zone=page.text("az", ""),
+        over_quota_weight=reader.number("beyondSharePayoff", 1.0),
+        weight_by_work=reader.text("payoffBy", "") == "work",
+        has_endpoint_weights=reader.choice("weights", WEIGHT_MODES, "off"),
+        zone=reader.text("az", ""),
         cross_zone_price=prices.number("crossZone", 0.0),
-        one_attempt_per_connection=allowed.count("maxStreams", UNLIMITED_STREAMS, least=1) == 1,
+        one_attempt_per_connection=allowed.count("maxStreams", DEFAULT_MAX_STREAMS, minimum=1) == 1,
         connection_price=prices.number("handshake", 0.0),
         poll_deadline=rules.seconds("askWithinUs", 10_000_000),
     )
 
 
-def _read_traffic_type(row: int, page: SettingsReader) -> TrafficType:
+def _read_traffic_type(row: int, reader: SettingsReader) -> TrafficType:
     """Read a traffic type; an effect that is not known counts as one that must not be repeated."""
-    scope = page.text("group", "")
+    scope = reader.text("group", "")
     return TrafficType(
         row=row,
-        effect=EFFECTS.get(page.text("effect", ""), Effect.NON_IDEMPOTENT),
+        effect=EFFECTS.get(reader.text("effect", ""), Effect.NON_IDEMPOTENT),
         deduplication_scope=DEDUPLICATION_SCOPES.get(scope, DeduplicationScope.CELL),
-        deduplication_window=page.seconds("windowUs", 0),
-        latency_objective=page.seconds("promisedTimeUs"),
-        priority_weight=page.number("payoff", 1.0),
-        late_weight=page.number("overduePayoff", 0.0),
+        deduplication_window=reader.seconds("windowUs", 0),
+        latency_objective=reader.seconds("promisedTimeUs"),
+        priority_weight=reader.number("payoff", 1.0),
+        late_weight=reader.number("overduePayoff", 0.0),
     )
 
 
-def _read_tenant(page: SettingsReader) -> Tenant:
-    return Tenant(quota=page.number("share", 0.0), rate_limit=page.number("allowancePerS", 0.0))
+def _read_tenant(reader: SettingsReader) -> Tenant:
+    return Tenant(quota=reader.number("share", 0.0), rate_limit=reader.number("allowancePerS", 0.0))
 
 
-def _read_origin_kind(page: SettingsReader, domain: SettingsReader) -> Any:
-    """Read which kind of server the origin is: the domain names it by its place among all kinds."""
-    kinds = page.row("shapes", [])
-    place = int(domain.number("originKind", -1, least=-1))
-    return kinds[place] if 0 <= place < len(kinds) else None
+def _read_origin_kind(reader: SettingsReader, domain: SettingsReader) -> Any:
+    """Read which kind of server the origin is: the domain names it by its index among all kinds."""
+    kinds = reader.array("shapes", [])
+    index = int(domain.number("originKind", -1, minimum=-1))
+    return kinds[index] if 0 <= index < len(kinds) else None
 
 
 def _read_max_retry_after(allowed: SettingsReader) -> float:
@@ -261,13 +263,13 @@
     return allowed.seconds("maxRetryAfterUs", 0) if heeds_retry_after else 0.0
 
 
-def _longest_client_wait(types: list[SettingsReader]) -> float:
-    waits = (entry.seconds("abandonTimeUs", 3_000_000) for entry in types)
+def _longest_client_wait(traffic_types: list[SettingsReader]) -> float:
+    waits = (entry.seconds("abandonTimeUs", 3_000_000) for entry in traffic_types)
     return max(waits, default=DEFAULT_CLIENT_WAIT)
 
 
-def _places_by_name(entries: list[SettingsReader]) -> dict[str, int]:
-    return {entry.text("name"): place for place, entry in enumerate(entries)}
+def _indexes_by_name(entries: list[SettingsReader]) -> dict[str, int]:
+    return {entry.text("name"): index for index, entry in enumerate(entries)}
 
 
 def parse_json(text: str) -> Any:
@@ -275,4 +277,4 @@
     try:
         return json.loads(text)
     except (ValueError, RecursionError):
-        raise SettingsError(f"{WHOLE}: not JSON") from None
+        raise SettingsError(f"{ROOT_PATH}: not JSON") from None
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -695,8 +695,8 @@
 HARMLESS = {
     "settings.EFFECTS": "the operators' words for effects, read only: the test of that is below",
     "settings.DEDUPLICATION_SCOPES": "the operators' words for groups, read only",
-    "settings.WEIGHTS": "the operators' words for weights, read only",
-    "settings.SOURCES": "the operators' words for sources of load reports, read only",
+    "settings.WEIGHT_MODES": "the operators' words for weights, read only",
+    "settings.LOAD_REPORT_SOURCES": "the operators' words for sources of load reports, read only",
     "net.endpoint_list.ENDPOINT_STATES": "discovery's words for states, read only",
     "net.sockets.SPACE": "filled by recv_into and copied to bytes in one expression, with no wait between",
     "simhost.host.EVENTS": "the wire's names to types and functions of classes, read only",
