--- a/gaugehinge/__main__.py
+++ b/gaugehinge/__main__.py
@@ -5,7 +5,7 @@
 
 from .net.signals import EarlyHangup, ignore_while_exiting
 
-FORM = "{time:HH:mm:ss.SSS} {level.name} {message}"
+LOG_FORMAT = "{time:HH:mm:ss.SSS} {level.name} {message}"
 
 
 def main() -> int:
@@ -30,11 +30,11 @@
     from .settings import SettingsError
 
     logger.remove()
-    logger.add(sys.stderr, format=FORM, level="INFO", diagnose=False)
+    logger.add(sys.stderr, format=LOG_FORMAT, level="INFO", diagnose=False)
     try:
         configuration = read_configuration(os.environ)
-    except SettingsError as bad:
-        print(f"bad configuration: {bad}", file=sys.stderr)
+    except SettingsError as error:
+        print(f"bad configuration: {error}", file=sys.stderr)
         return 2
     return run(configuration, partial(read_configuration, os.environ), early_hangup=early_hangup)
 
--- a/gaugehinge/simhost/host.py
+++ b/gaugehinge/simhost/host.py
@@ -35,8 +35,8 @@
         self.source = source
         self.sink = sink
         self._instances: dict[str, Instance] = {}
-        self._lists: dict[str, list[EndpointEntry]] = {}
-        self._lines: list[str] = []
+        self._endpoint_lists: dict[str, list[EndpointEntry]] = {}
+        self._reply_lines: list[str] = []
         self._now = 0.0
         self._line_number = 0
 
@@ -58,10 +58,10 @@
         self._start_batch(line.split("\t"))
         while (line := self._expect_line("a batch")) != "go":
             self._handle(line)
-        self._lines.append("ok\n")
-        self.sink.write("\n".join(self._lines))
+        self._reply_lines.append("ok\n")
+        self.sink.write("\n".join(self._reply_lines))
         self.sink.flush()
-        self._lines.clear()
+        self._reply_lines.clear()
         return True
 
     # -- lines in
@@ -98,9 +98,9 @@
             elif name == "hello":
                 self._add_instance(line)
             elif name == "list":
-                self._read_list(wire.parse_fields(parts))
+                self._read_endpoint_list(wire.parse_fields(parts))
             elif name == "fleet":
-                self._pass_list_on(wire.parse_fields(parts))
+                self._deliver_endpoint_list(wire.parse_fields(parts))
             elif name == "halt":
                 self._instances.pop(wire.parse_fields(parts)["i"], None)
             else:
@@ -118,49 +118,49 @@
         if instance is not None:
             parse, handler = EVENTS[parts[0]]
             message = parse(fields)
-            self._guard(instance, lambda: handler(instance, message, self._now))
+            self._call_instance(instance, lambda: handler(instance, message, self._now))
 
     def _add_instance(self, line: str) -> None:
         # The settings run to the end of the line, whatever they hold.
-        head, mark, info = line.partition("\tinfo=")
-        if not mark:
+        head, separator, info = line.partition("\tinfo=")
+        if not separator:
             raise WireError("hello: missing 'info'")
         fields = wire.parse_fields(head.split("\t"))
         fields["info"] = info
         number = fields["i"]
         int(number)
-        self._instances[number] = Instance(number, fields, self._now, self._lines)
+        self._instances[number] = Instance(number, fields, self._now, self._reply_lines)
 
-    def _read_list(self, fields: dict[str, str]) -> None:
+    def _read_endpoint_list(self, fields: dict[str, str]) -> None:
         entries = []
         for _ in range(int(fields["members"])):
             parts = self._expect_line("a list").split("\t")
             if parts[0] != "row":
                 raise WireError(f"a list holds 'row' lines, not {parts[0]!r}")
             entries.append(wire.parse_endpoint_entry(wire.parse_fields(parts)))
-        self._lists[fields["list"]] = entries
+        self._endpoint_lists[fields["list"]] = entries
 
-    def _pass_list_on(self, fields: dict[str, str]) -> None:
+    def _deliver_endpoint_list(self, fields: dict[str, str]) -> None:
         form = fields["form"]
-        entries = [] if form == POLL_FAILED else self._lists[fields["list"]]
+        entries = [] if form == POLL_FAILED else self._endpoint_lists[fields["list"]]
         instance = self._instances.get(fields["i"])
         if instance is not None:
-            self._guard(instance, lambda: instance.endpoint_list(form, entries, self._now))
+            self._call_instance(instance, lambda: instance.endpoint_list(form, entries, self._now))
 
-    def _guard(self, instance: Instance, call: Callable[[], None]) -> None:
+    def _call_instance(self, instance: Instance, call: Callable[[], None]) -> None:
         """Make a call; a mistake in the decisions is reported, and does not end the other instances."""
         try:
             call()
             if instance.router.log:
                 instance.flush_log()
         except Exception as error:
-            if not _is_from_decisions(error):
+            if not _is_raised_in_routing(error):
                 raise
             traceback.print_exc(file=sys.stderr)
-            self._lines.append(replies.fault(instance.number, error))
+            self._reply_lines.append(replies.fault(instance.number, error))
 
 
-def _is_from_decisions(error: Exception) -> bool:
+def _is_raised_in_routing(error: Exception) -> bool:
     """Whether an error rose within a module of the decisions."""
     trace = error.__traceback__
     while trace is not None:
--- a/gaugehinge/simhost/instance.py
+++ b/gaugehinge/simhost/instance.py
@@ -12,11 +12,11 @@
 from .messages import Answered, ClientLeft, Completed, PeerMessage, ProbeResult, Submit, TimerFired
 
 LOAD_REPORT_SEPARATOR = ":"  # between a name and its value
-NO_CONTENT = "-"
+EMPTY_CONTENT = "-"
 # Forms of what discovery sent. Any other is the whole list.
 POLL_FAILED = "error"
-CHANGES = "diff"
-KEPT_LIST = "disk"  # the whole list, as it was kept over a restart
+INCREMENTAL = "diff"
+CACHED_LIST = "disk"  # the whole list, as it was kept over a restart
 
 
 class Instance:
@@ -26,8 +26,8 @@
     until they are due.
     """
 
-    def __init__(self, number: str, fields: dict[str, str], now: float, lines: list[str]) -> None:
-        """Make the router of a `hello` line; what it tells goes to `lines`."""
+    def __init__(self, number: str, fields: dict[str, str], now: float, reply_lines: list[str]) -> None:
+        """Make the router of a `hello` line; what it tells goes to `reply_lines`."""
         self.number = number
         settings = read_settings(int(fields["randomSeed"]), parse_json(fields["info"]))
         self._traffic_types = settings.deployment.traffic_types
@@ -36,8 +36,8 @@
         self._reports_load = settings.reports_load
         self._operations: dict[str | int, Operation] = {}
         self._timers: dict[int, Operation | BackgroundTask] = {}
-        self._last_timer = 0
-        self._lines = lines
+        self._last_timer_id = 0
+        self._reply_lines = reply_lines
         self.router = Router(settings.deployment, now)
         self._has_started = False
 
@@ -69,9 +69,9 @@
             message.tenant and tenants and message.tenant not in tenants
         ):  # of another deployment: without a quota
             operation.finished = True
-            self._carry_out(operation, Decision(Action.FAIL), now)
+            self._apply_decision(operation, Decision(Action.FAIL), now)
             return
-        self._carry_out(operation, self.router.route(operation, now), now)
+        self._apply_decision(operation, self.router.route(operation, now), now)
 
     def completed(self, message: Completed, now: float) -> None:
         """Tell the router of an attempt that ended, unless it knows already."""
@@ -81,23 +81,23 @@
         attempt = operation.attempts[message.attempt]
         if not attempt.in_flight:
             return
-        held = None
+        reported_load = None
         if self._reports_load:
-            held = read_reported_load(message.load_report, LOAD_REPORT_SEPARATOR)
+            reported_load = read_reported_load(message.load_report, LOAD_REPORT_SEPARATOR)
         steps = self.router.on_attempt_finished(
-            attempt, message.outcome, message.elapsed, message.is_final, now, held
+            attempt, message.outcome, message.elapsed, message.is_final, now, reported_load
         )
         for step in steps:
-            self._carry_out(step.operation, step.decision, now)
-        self._drop_if_over(operation)
+            self._apply_decision(step.operation, step.decision, now)
+        self._remove_if_done(operation)
 
     def timer_fired(self, message: TimerFired, now: float) -> None:
         """Ask the router again about what waited."""
-        waiting = self._timers.pop(message.timer, None)
+        waiting = self._timers.pop(message.timer_id, None)
         if isinstance(waiting, BackgroundTask):
             self._run_background_task(waiting, now)
         elif waiting is not None and not waiting.finished:
-            self._carry_out(waiting, self.router.route(waiting, now), now)
+            self._apply_decision(waiting, self.router.route(waiting, now), now)
 
     def client_left(self, message: ClientLeft, now: float) -> None:
         """Cancel an operation and its attempts."""
@@ -105,8 +105,8 @@
         if operation is None or operation.finished:
             return
         for attempt in self.router.cancel(operation):
-            self._lines.append(replies.cancel(self.number, attempt))
-        self._drop_if_over(operation)
+            self._reply_lines.append(replies.cancel(self.number, attempt))
+        self._remove_if_done(operation)
 
     def answered(self, message: Answered, now: float) -> None:
         """Note that an operation has its answer."""
@@ -116,7 +116,7 @@
 
     def peer_message(self, message: PeerMessage, now: float) -> None:
         """Pass on a peer's message."""
-        payload = b"" if message.content == NO_CONTENT else b64decode(message.content)
+        payload = b"" if message.content == EMPTY_CONTENT else b64decode(message.content)
         self.router.on_gossip(message.peer, payload, now)
 
     def probe_result(self, message: ProbeResult, now: float) -> None:
@@ -127,44 +127,44 @@
         if form == POLL_FAILED:
             self.router.on_poll_failed(now)
         else:
-            self.router.on_endpoints_changed(entries, form != CHANGES, form == KEPT_LIST, now)
+            self.router.on_endpoints_changed(entries, form != INCREMENTAL, form == CACHED_LIST, now)
         self.start(now)
 
     # -- decisions
 
-    def _carry_out(self, operation: Operation, decision: Decision, now: float) -> None:
+    def _apply_decision(self, operation: Operation, decision: Decision, now: float) -> None:
         action = decision.action
         if action is Action.SEND and decision.attempt is not None:
-            self._lines.append(replies.send(self.number, decision.attempt, decision.timeout))
+            self._reply_lines.append(replies.send(self.number, decision.attempt, decision.timeout))
         elif action is Action.WAIT:
             self._set_timer(operation, self.router.time_until_recheck(operation, now))
         elif action is Action.REJECT:
-            self._lines.append(replies.reject(self.number, operation, decision.retry_after))
-            self._drop_if_over(operation)
+            self._reply_lines.append(replies.reject(self.number, operation, decision.retry_after))
+            self._remove_if_done(operation)
         elif action is Action.FAIL:
-            self._lines.append(replies.fail(self.number, operation))
-            self._drop_if_over(operation)
+            self._reply_lines.append(replies.fail(self.number, operation))
+            self._remove_if_done(operation)
 
     def _run_background_task(self, task: BackgroundTask, now: float) -> None:
         decision = self.router.route(task, now)
         if decision.action is Action.POLL:
-            self._lines.append(replies.poll(self.number))
+            self._reply_lines.append(replies.poll(self.number))
         elif decision.action is Action.GOSSIP:
             for peer in decision.peers:
-                self._lines.append(replies.tell_peer(self.number, peer, decision.payload))
+                self._reply_lines.append(replies.send_gossip(self.number, peer, decision.payload))
         self._set_timer(task, self.router.time_until_recheck(task, now))
 
     def _set_timer(self, waiting: Operation | BackgroundTask, wait: float) -> None:
-        self._last_timer += 1
-        self._timers[self._last_timer] = waiting
-        self._lines.append(replies.set_timer(self.number, self._last_timer, wait))
+        self._last_timer_id += 1
+        self._timers[self._last_timer_id] = waiting
+        self._reply_lines.append(replies.set_timer(self.number, self._last_timer_id, wait))
 
-    def _drop_if_over(self, operation: Operation) -> None:
+    def _remove_if_done(self, operation: Operation) -> None:
         if operation.finished and not any(attempt.in_flight for attempt in operation.attempts):
             self._operations.pop(operation.ident, None)
 
     def flush_log(self) -> None:
         """Tell the router's log lines of the last call."""
         for text in self.router.log:
-            self._lines.append(replies.log(self.number, text))
+            self._reply_lines.append(replies.log(self.number, text))
         self.router.log.clear()
--- a/gaugehinge/simhost/messages.py
+++ b/gaugehinge/simhost/messages.py
@@ -60,7 +60,7 @@
 class TimerFired(NamedTuple):
     """A timer is due."""
 
-    timer: int
+    timer_id: int
 
     @classmethod
     def parse(cls, fields: dict[str, str]) -> TimerFired:
--- a/gaugehinge/simhost/replies.py
+++ b/gaugehinge/simhost/replies.py
@@ -32,9 +32,9 @@
     return f"cancel\ti={instance}\tid={attempt.operation.ident}\ttrial={attempt.number}"
 
 
-def set_timer(instance: str, timer: int, wait: float) -> str:
+def set_timer(instance: str, timer_id: int, wait: float) -> str:
     """Set a timer, of a microsecond at least."""
-    return f"schedule\ti={instance}\tinUs={max(to_microseconds(wait), 1)}\tname={timer}"
+    return f"schedule\ti={instance}\tinUs={max(to_microseconds(wait), 1)}\tname={timer_id}"
 
 
 def poll(instance: str) -> str:
@@ -42,7 +42,7 @@
     return f"follow\ti={instance}\tactive=1"
 
 
-def tell_peer(instance: str, peer: int, payload: bytes) -> str:
+def send_gossip(instance: str, peer: int, payload: bytes) -> str:
     """Send a payload to another router."""
     return f"tell\ti={instance}\tto={peer}\tcontent={b64encode(payload).decode()}"
 
--- a/gaugehinge/simhost/wire.py
+++ b/gaugehinge/simhost/wire.py
@@ -5,7 +5,7 @@
 from ..routing.types import EndpointEntry, EndpointState, Outcome
 from ..settings import parse_non_negative
 
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS_PER_SECOND = 1e6  # in a second
 
 OUTCOMES = {
     "delivered": Outcome.SUCCEEDED,
@@ -35,12 +35,12 @@
 
 def parse_seconds(text: str) -> float:
     """Return a count of microseconds in seconds."""
-    return int(text) / MICROSECONDS
+    return int(text) / MICROSECONDS_PER_SECOND
 
 
 def to_microseconds(seconds: float) -> int:
     """Return seconds in whole microseconds."""
-    return int(seconds * MICROSECONDS)
+    return int(seconds * MICROSECONDS_PER_SECOND)
 
 
 def parse_endpoint_entry(fields: dict[str, str]) -> EndpointEntry:
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -11,7 +11,7 @@
 from gaugehinge.routing.router import Router
 from gaugehinge.routing.seeded_random import SeededRandom
 from gaugehinge.settings import SettingsError, parse_json
-from gaugehinge.simhost.host import Host, _is_from_decisions
+from gaugehinge.simhost.host import Host, _is_raised_in_routing
 
 INFO = json.dumps(
     {
@@ -33,27 +33,27 @@
 SUBMIT = "submit\ti=0\tid=00aa\tprofile=page\tleftUs=900000\tnameKey=k:1\tnovel=x\n"
 
 
-def play(text):
+def run_host(text):
     sink = io.StringIO()
     code = Host(io.StringIO(text), sink).run()
     return code, sink.getvalue()
 
 
 def test_an_operation_goes_to_its_cache_then_to_the_origin_and_ends():
-    done = "completed\ti=0\tid=00aa\tserver={}\ttrial={}\ttookUs=9000\tterminal={}\tstateCode={}\n"
-    code, out = play(
+    completed = "completed\ti=0\tid=00aa\tserver={}\ttrial={}\ttookUs=9000\tterminal={}\tstateCode={}\n"
+    code, out = run_host(
         START
         + "frame\tatTimeUs=1005000\n"
         + SUBMIT
         + "go\n"
         + "frame\tatTimeUs=1015000\n"
-        + done.format(1, 0, 0, "empty")
+        + completed.format(1, 0, 0, "empty")
         + "go\n"
         + "frame\tatTimeUs=1025000\n"
-        + done.format(2, 1, 1, "delivered")
+        + completed.format(2, 1, 1, "delivered")
         + "go\n"
         + "frame\tatTimeUs=1035000\n"
-        + done.format(2, 1, 1, "delivered")
+        + completed.format(2, 1, 1, "delivered")
         + "abandoned\ti=0\tid=00aa\ntimeout_fired\ti=0\tname=9\ngo\n"
     )
     replies = out.split("ok\n")
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, expected_error",
     [
         ("go\n", "line 1"),
         ("frame\tatTimeUs=x\ngo\n", "line 1"),
@@ -75,19 +75,19 @@
         ("frame\tatTimeUs=1\nlist\tlist=0\tmembers=2\nrow\tserver=1\n", "ends within a list"),
     ],
 )
-def test_bad_input_gets_one_plain_line_and_no_half_reply(text, told, capsys):
-    code, out = play(text)
-    said = capsys.readouterr().err
-    assert code == 1 and told in said and said.count("\n") == 1
+def test_bad_input_prints_one_error_line_and_no_partial_reply(text, expected_error, capsys):
+    code, out = run_host(text)
+    stderr = capsys.readouterr().err
+    assert code == 1 and expected_error in stderr and stderr.count("\n") == 1
     assert out == "" or out.endswith("ok\n")
 
 
-def test_the_end_between_batches_is_a_clean_exit():
-    assert play(START) == (0, "ok\n")
+def test_end_of_input_between_batches_exits_cleanly():
+    assert run_host(START) == (0, "ok\n")
 
 
 @pytest.mark.parametrize(
-    "mistake",
+    "raise_error",
     [
         lambda: HashRing(None),
         lambda: Gossip(None, None),
@@ -96,20 +96,20 @@
         lambda: Router(None, 0.0),
     ],
 )
-def test_a_mistake_in_any_module_of_the_decisions_is_known_as_one(mistake):
+def test_an_error_raised_in_any_routing_module_is_attributed_to_routing(raise_error):
     with pytest.raises((AttributeError, TypeError)) as caught:
-        mistake()
-    assert _is_from_decisions(caught.value)
+        raise_error()
+    assert _is_raised_in_routing(caught.value)
 
 
-def test_a_mistake_elsewhere_is_none_of_the_decisions():
+def test_an_error_raised_elsewhere_is_not_attributed_to_routing():
     with pytest.raises(SettingsError) as caught:
         parse_json("{")
-    assert not _is_from_decisions(caught.value)
+    assert not _is_raised_in_routing(caught.value)
 
 
-def test_a_mistake_in_the_decisions_becomes_a_fault(monkeypatch, capsys):
+def test_an_error_raised_in_routing_is_reported_as_a_fault(monkeypatch, capsys):
     monkeypatch.setattr(Router, "_route", lambda self, operation, now: 1 / {}["x"])
-    monkeypatch.setattr("gaugehinge.simhost.host._is_from_decisions", lambda bad: True)
-    code, out = play(START + "frame\tatTimeUs=1005000\n" + SUBMIT + "go\n")
+    monkeypatch.setattr("gaugehinge.simhost.host._is_raised_in_routing", lambda error: True)
+    code, out = run_host(START + "frame\tatTimeUs=1005000\n" + SUBMIT + "go\n")
     assert code == 0 and "fault\ti=0\tmsg=KeyError" in out and "Traceback" in capsys.readouterr().err
