--- a/gaugehinge/routing/discovery_polling.py
+++ b/gaugehinge/routing/discovery_polling.py
@@ -8,7 +8,7 @@
 POLL_BACKOFF = 0.4  # seconds after a failed poll, times how many failed in a row
 MAX_POLL_BACKOFF = 1.25  # seconds; a change counts as known 6 s after it
 MAX_DEADLINE_SHARE = 0.5  # of the time within which the list must be polled, as a bound of the backoff
-MIN_BACKOFF_PART = 0.5  # of the backoff at least, and a random part of it more
+MIN_BACKOFF_FRACTION = 0.5  # of the backoff at least, and a random part of it more
 DISCOVERY_CHANGE_JITTER = 0.5  # seconds; all routers learn at once that discovery is elsewhere from now on
 POLL_TIMEOUT = 4.0  # seconds; a poll with no answer for this long is made again
 
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, deployment: Deployment, random: SeededRandom, log: list[str], now: float) -> None:
-        self._longest_backoff = MAX_DEADLINE_SHARE * deployment.poll_deadline
+        self._max_deadline_backoff = MAX_DEADLINE_SHARE * deployment.poll_deadline
         self._random = random
         self._log = log
         self.is_list_held = False
@@ -35,8 +35,8 @@
     def on_poll_failed(self, now: float) -> None:
         """Poll again later, after a growing pause."""
         self.is_list_held, self._failures = False, self._failures + 1
-        backoff = min(POLL_BACKOFF * self._failures, MAX_POLL_BACKOFF, self._longest_backoff)
-        backoff *= MIN_BACKOFF_PART + self._random.fraction()
+        backoff = min(POLL_BACKOFF * self._failures, MAX_POLL_BACKOFF, self._max_deadline_backoff)
+        backoff *= MIN_BACKOFF_FRACTION + self._random.fraction()
         self.task.due = now + backoff
         if self._failures == 1:
             self._log.append(f"endpoint list poll failed, retry in {backoff:.1f} s")
--- a/gaugehinge/routing/gossip.py
+++ b/gaugehinge/routing/gossip.py
@@ -19,7 +19,7 @@
 from .types import Action, BackgroundTask, Decision, Deployment, TaskKind
 
 GOSSIP_INTERVAL = 1.0  # seconds
-MIN_INTERVAL_PART = 0.9  # of the interval at least, and a random part of the jitter
+MIN_INTERVAL_FRACTION = 0.9  # of the interval at least, and a random part of the jitter
 INTERVAL_JITTER = 0.2
 # Peers that get a message each time: all of a few routers, of hundreds a sample that does not grow with them.
 GOSSIP_FANOUT = 6
@@ -51,9 +51,9 @@
     def __init__(self, deployment: Deployment, random: SeededRandom) -> None:
         self._router_number = deployment.router_number
         self._peer_count = deployment.router_count - 1
-        self._is_allowed = deployment.may_gossip
+        self._may_gossip = deployment.may_gossip
         self._random = random
-        self._messages: dict[int, dict[int, PeerRates]] = {}  # by the part's number and the peer's
+        self._peer_rates: dict[int, dict[int, PeerRates]] = {}  # by the part's number and the peer's
         self.rates_elsewhere: list[float | None] = []  # None: no peer told of the tenant's part
         self._next_part = 0
         self._round_peers: tuple[int, ...] = ()
@@ -61,11 +61,11 @@
     @property
     def peers(self) -> dict[int, PeerRates]:
         """Messages of peers on the first part of the tenants: on all of them, where these are few."""
-        return self._messages.get(0, {})
+        return self._peer_rates.get(0, {})
 
     def begin(self, has_tenants: bool, now: float) -> BackgroundTask | None:
         """Return the standing task of sending messages, where there is any reason for one."""
-        if not (self._is_allowed and has_tenants and self._peer_count > 0):
+        if not (self._may_gossip and has_tenants and self._peer_count > 0):
             return None
         return BackgroundTask(TaskKind.GOSSIP, now + GOSSIP_INTERVAL * self._random.fraction())
 
@@ -80,15 +80,15 @@
         first, end = _part_bounds(part, tenant_count)
         if first >= end or len(payload) != RATE_BYTES * (end - first):
             return
-        rates = struct.unpack(_layout(end - first), payload)
+        rates = struct.unpack(_rates_format(end - first), payload)
         # One figure that is no number would stay in the tokens for good and end every tenant's quota.
         if all(0.0 <= rate < inf for rate in rates):
-            self._messages.setdefault(part, {})[peer] = PeerRates(now, rates)
+            self._peer_rates.setdefault(part, {})[peer] = PeerRates(now, rates)
 
     def send(self, task: BackgroundTask, rates: Sequence[float], now: float) -> Decision:
         """Send this router's rates, or the next part of them, to some peers, and sum up what peers sent."""
         part_count = _part_count(len(rates))
-        jitter = MIN_INTERVAL_PART + INTERVAL_JITTER * self._random.fraction()
+        jitter = MIN_INTERVAL_FRACTION + INTERVAL_JITTER * self._random.fraction()
         task.due = now + GOSSIP_INTERVAL * jitter / min(part_count, MAX_PARTS_PER_INTERVAL)
         self._summarize(len(rates), now)
         part = self._next_part if self._next_part < part_count else 0
@@ -96,7 +96,7 @@
         if part == 0:
             self._round_peers = self._choose_peers()
         first, end = _part_bounds(part, len(rates))
-        payload = struct.pack(_layout(end - first), *rates[first:end])
+        payload = struct.pack(_rates_format(end - first), *rates[first:end])
         if part_count > 1:
             payload = struct.pack(PART_NUMBER_FORMAT, part) + payload
         return Decision(Action.GOSSIP, payload=payload, peers=self._round_peers)
@@ -104,7 +104,7 @@
     def forget(self) -> None:
         """Forget all rates: the tenants are others from now on."""
         self.rates_elsewhere = []
-        self._messages.clear()
+        self._peer_rates.clear()
 
     def has_rates(self) -> bool:
         """Whether peers sent anything of late."""
@@ -117,23 +117,23 @@
     def _summarize(self, tenant_count: int, now: float) -> None:
         part_count = _part_count(tenant_count)
         expiry = PEER_EXPIRY + GOSSIP_INTERVAL * (part_count - 1) / MAX_PARTS_PER_INTERVAL
-        for part, messages in list(self._messages.items()):
-            recent = {peer: last for peer, last in messages.items() if now - last.received_at < expiry}
-            self._messages[part] = recent
+        for part, rates_by_peer in list(self._peer_rates.items()):
+            recent = {peer: last for peer, last in rates_by_peer.items() if now - last.received_at < expiry}
+            self._peer_rates[part] = recent
             if not recent:
-                del self._messages[part]
+                del self._peer_rates[part]
         self.rates_elsewhere = []
-        if self._messages:
+        if self._peer_rates:
             for part in range(part_count):
                 self.rates_elsewhere += self._sum_part(part, tenant_count)
 
     def _sum_part(self, part: int, tenant_count: int) -> Sequence[float | None]:
-        messages = self._messages.get(part)
-        if not messages:
+        rates_by_peer = self._peer_rates.get(part)
+        if not rates_by_peer:
             first, end = _part_bounds(part, tenant_count)
             return [None] * (end - first)
-        scale = self._peer_count / len(messages)
-        by_tenant = zip(*[last.rates for last in messages.values()], strict=True)
+        scale = self._peer_count / len(rates_by_peer)
+        by_tenant = zip(*[last.rates for last in rates_by_peer.values()], strict=True)
         return [scale * sum(rates) for rates in by_tenant]
 
     def _choose_peers(self) -> tuple[int, ...]:
@@ -158,5 +158,5 @@
     return part * PART_TENANTS, min((part + 1) * PART_TENANTS, tenant_count)
 
 
-def _layout(tenant_count: int) -> str:
+def _rates_format(tenant_count: int) -> str:
     return f"<{tenant_count}f"
--- a/tests/test_gossip_many_tenants.py
+++ b/tests/test_gossip_many_tenants.py
@@ -21,15 +21,15 @@
 
 ROUTERS = 6
 LIMIT = 20.0  # operations a second of a tenant over all routers
-TICK = 0.1
+TICK_SECONDS = 0.1
 DEMAND = 2.0  # times the limit
 
 
-def test_a_payload_leaves_the_channel_its_stamp():
+def test_the_longest_payload_leaves_room_for_the_stamp():
     assert MAX_PAYLOAD_BYTES + STAMP_BYTES == MAX_MESSAGE_BYTES
 
 
-class Tier:
+class RouterGroup:
     """Routers that send each other what they decide to, on one clock."""
 
     def __init__(self, tenants: int) -> None:
@@ -39,16 +39,16 @@
             for number in range(ROUTERS)
         ]
         self.now = 100.0
-        self.longest = 0
+        self.longest_payload = 0
 
     def tick(self) -> None:
-        self.now += TICK
+        self.now += TICK_SECONDS
         for number, bench in enumerate(self.benches):
             task = bench.router.background_tasks[-1]
-            bench.router.quotas.refill(TICK)
+            bench.router.quotas.refill(TICK_SECONDS)
             while task.due <= self.now:
                 decision = bench.router.gossip.send(task, bench.router.quotas.usage_by_tenant(), self.now)
-                self.longest = max(self.longest, len(decision.payload))
+                self.longest_payload = max(self.longest_payload, len(decision.payload))
                 for peer in decision.peers:
                     self.benches[peer].router.on_gossip(number, decision.payload, self.now)
 
@@ -57,32 +57,32 @@
 @pytest.mark.parametrize("tenants", [2, 63, 64, 200, 1000])
 def test_each_tenant_gets_its_rate_over_all_routers(tenants, even):
     """Within a tenth; unevenly: two routers have nine tenths of a tenant's operations."""
-    tier = Tier(tenants)
-    some = range(0, tenants, max(tenants // 40, 1))  # these ask, from all parts of the table
-    due = {(router, tenant): 0.0 for router in range(ROUTERS) for tenant in some}
-    admitted = dict.fromkeys(some, 0)
-    begin, end = tier.now + 25.0, tier.now + 55.0
-    while tier.now < end:
-        tier.tick()
-        for router, tenant in due:
+    group = RouterGroup(tenants)
+    active_tenants = range(0, tenants, max(tenants // 40, 1))  # these ask, from all parts of the table
+    pending = {(router, tenant): 0.0 for router in range(ROUTERS) for tenant in active_tenants}
+    admitted = dict.fromkeys(active_tenants, 0)
+    measured_from, end = group.now + 25.0, group.now + 55.0
+    while group.now < end:
+        group.tick()
+        for router, tenant in pending:
             share = 1.0 / ROUTERS
             if not even:
                 share = 0.45 if (router - tenant) % ROUTERS < 2 else 0.1 / (ROUTERS - 2)
-            due[router, tenant] += DEMAND * LIMIT * share * TICK
-            while due[router, tenant] >= 1.0:
-                due[router, tenant] -= 1.0
-                over = tier.benches[router].router.quotas.is_over_quota(tenant)
-                admitted[tenant] += not over and tier.now >= begin
-    rates = {tenant: count / (end - begin) for tenant, count in admitted.items()}
-    assert tier.longest <= MAX_PAYLOAD_BYTES
+            pending[router, tenant] += DEMAND * LIMIT * share * TICK_SECONDS
+            while pending[router, tenant] >= 1.0:
+                pending[router, tenant] -= 1.0
+                over_quota = group.benches[router].router.quotas.is_over_quota(tenant)
+                admitted[tenant] += not over_quota and group.now >= measured_from
+    rates = {tenant: count / (end - measured_from) for tenant, count in admitted.items()}
+    assert group.longest_payload <= MAX_PAYLOAD_BYTES
     assert min(rates.values()) >= 0.9 * LIMIT and max(rates.values()) <= 1.1 * LIMIT, rates
 
 
-def test_a_part_that_no_peer_told_of_late_goes_by_own_sight_and_the_others_do_not():
+def test_only_parts_without_a_recent_message_have_no_rates_of_peers():
     bench = Bench(tenants=(Tenant(0.01, 5.0),) * 100, router_count=3, router_number=0, may_gossip=True)
     gossip, task = bench.router.gossip, bench.router.background_tasks[-1]
-    second = struct.pack("<H", 1) + struct.pack(f"<{100 - PART_TENANTS}f", *[4.0] * (100 - PART_TENANTS))
-    bench.router.on_gossip(1, second, bench.now)
+    second_part = struct.pack("<H", 1) + struct.pack(f"<{100 - PART_TENANTS}f", *[4.0] * (100 - PART_TENANTS))
+    bench.router.on_gossip(1, second_part, bench.now)
     gossip.send(task, bench.router.quotas.usage_by_tenant(), bench.now)
     assert gossip.rate_elsewhere(0) is None and gossip.rate_elsewhere(PART_TENANTS) == 8.0
     bench.now += 3 * PEER_EXPIRY
@@ -102,13 +102,13 @@
         b"\0" * 4 * 100,
     ],
 )
-def test_a_message_that_is_no_part_of_the_table_says_nothing(payload):
+def test_a_message_that_is_no_valid_part_of_the_table_is_ignored(payload):
     bench = Bench(tenants=(Tenant(0.01, 5.0),) * 100, router_count=3, router_number=0, may_gossip=True)
     bench.router.on_gossip(1, payload, bench.now)
     assert not bench.router.gossip.peers
 
 
-def test_what_fits_one_datagram_goes_as_before():
+def test_a_table_that_fits_one_datagram_is_sent_undivided():
     count = MAX_UNDIVIDED_TENANTS
     bench = Bench(tenants=(Tenant(0.01, 5.0),) * count, router_count=3, router_number=0, may_gossip=True)
     task = bench.router.background_tasks[-1]
--- a/tests/test_routing_discovery_polling.py
+++ b/tests/test_routing_discovery_polling.py
@@ -3,14 +3,14 @@
 from helper import Action, Bench, EndpointState, Outcome, row
 
 
-def test_the_list_is_polled_again_before_what_is_missed_counts_as_told():
+def test_a_failed_poll_is_retried_well_before_the_poll_deadline():
     bench = Bench(must_poll=True, poll_deadline=5.0)
     for _ in range(200):
         bench.router.on_poll_failed(bench.now)
         assert 0.3 < bench.router.polling.task.due - bench.now < 0.8 * 5.0
 
 
-def test_a_failed_poll_empties_nothing_and_is_made_again():
+def test_a_failed_poll_keeps_the_endpoints_and_is_retried():
     bench = Bench(must_poll=True)
     task = bench.router.background_tasks[0]
     bench.router.on_poll_failed(bench.now)
@@ -19,9 +19,9 @@
     assert bench.router.route(task, bench.now).action is Action.POLL
 
 
-def test_a_draining_endpoint_gets_nothing_more_not_even_a_retry():
+def test_a_draining_endpoint_gets_no_new_attempt_not_even_a_retry():
     bench = Bench(caches=2)
-    _, answer = bench.ask("k")
-    other = 3 - answer.attempt.endpoint.ident
+    _, decision = bench.ask("k")
+    other = 3 - decision.attempt.endpoint.ident
     bench.hear([row(other, EndpointState.DRAINING)], whole=False)
-    assert bench.end(answer.attempt, Outcome.CONNECTION_LOST)[0].decision.action is Action.REJECT
+    assert bench.end(decision.attempt, Outcome.CONNECTION_LOST)[0].decision.action is Action.REJECT
