--- a/gaugehinge/__main__.py
+++ b/gaugehinge/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m gaugehinge`: one router, by the configuration that LB_CONFIG names."""
+"""`python -m gaugehinge`: runs one router with the configuration file that LB_CONFIG names."""
 
 import os
 import sys
@@ -9,9 +9,10 @@
 
 
 def main() -> int:
-    """Serve until ordered to end; the exit code: 2 for a bad configuration.
+    """Serve until a termination signal; return the exit code, which is 2 for a bad configuration.
 
-    All else is imported behind the handler of SIGHUP: without it the signal ends the process.
+    All other modules are imported after the SIGHUP handler is installed: without the handler the signal would
+    end the process.
     """
     early_hangup = EarlyHangup().listen()
     try:
--- a/gaugehinge/settings.py
+++ b/gaugehinge/settings.py
@@ -1,6 +1,7 @@
-"""The operators' JSON settings, read into types. Their names for things end here.
+"""Parses the operators' JSON settings into types.
 
-`read_settings` reads the settings object that both the simulator and a real router's configuration carry.
+`read_settings` reads the settings object that the simulator sends and that a router's configuration file
+holds. The operators' names for settings and their values are used in this module only.
 """
 
 from __future__ import annotations
@@ -22,36 +23,41 @@
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
-# Weights that follow the load would move keys with every list: they count as none.
+# Whether the endpoint weights of each mode are used. Live weights are ignored: they follow the load, so every
+# new endpoint list would move keys.
 WEIGHT_MODES = {"off": False, "nominal": True, "rough": True, "live": False}
-# whether load reports come with answers
+# Whether replies carry load reports.
 LOAD_REPORT_SOURCES = {"off": False, "inline": True, "on_probe": False}
-REQUIRED = object()  # the default of a field that must be there
+REQUIRED = object()  # the default of a field without which the settings are invalid
 
-MICROSECONDS_PER_SECOND = 1e6  # in a second
-ROOT_PATH = "the whole"  # the path of the outermost object in an error's text
-DEFAULT_CLIENT_WAIT = 3.0  # seconds, where no traffic type is stated
-DEFAULT_MAX_STREAMS = 2  # attempts of a connection at once where no number is stated: more than one
+MICROSECONDS_PER_SECOND = 1e6
+ROOT_PATH = "the whole"  # names the outermost object in error messages
+DEFAULT_CLIENT_WAIT = 3.0  # seconds; used if the settings define no traffic type
+# Concurrent attempts on a connection if the settings give no limit: any number over 1 has the same effect.
+DEFAULT_MAX_STREAMS = 2
 
 
 class SettingsError(ValueError):
-    """A field is missing or makes no sense; the text names it."""
+    """A field is missing or invalid; the message begins with its path."""
 
     @property
     def path(self) -> str:
-        """The path of the field, or of the object, that the text complains of."""
+        """The path of the invalid field or object: the part of the message before the first colon."""
         return str(self).partition(": ")[0]
 
 
 class SettingsReader:
-    """One JSON object and the path that leads to it, so that an error can name the field.
+    """Reads the fields of one JSON object, and knows the object's path so that an error can name the field.
 
-    Each method reads one field by its name: the default stands for a field that is missing or null, and is an
-    error itself where it is `REQUIRED`. All raise `SettingsError`.
+    Each method reads the field `name`. A field that is missing or null has the default; if the default is
+    `REQUIRED`, it is an error. All methods raise `SettingsError`.
     """
 
     def __init__(self, values: Any, path: str = "") -> None:
-        """Read an object; anything else is an error."""
+        """Wrap a decoded JSON object.
+
+        Raises `SettingsError` if `values` is anything else.
+        """
         if not isinstance(values, dict):
             raise SettingsError(f"{path or ROOT_PATH}: not an object")
         self.values = values
@@ -81,15 +87,15 @@
         return float(value)
 
     def seconds(self, name: str, default: Any = REQUIRED) -> float:
-        """Read a number of microseconds as seconds."""
+        """Read a duration in microseconds and return it in seconds."""
         return self.number(name, default) / MICROSECONDS_PER_SECOND
 
     def count(self, name: str, default: Any = REQUIRED, minimum: int = 0) -> int:
-        """Read a number as an integer."""
+        """Read a number of at least `minimum`, truncated to an integer."""
         return int(self.number(name, default, minimum))
 
     def flag(self, name: str, default: Any = REQUIRED) -> bool:
-        """Read true or false."""
+        """Read a boolean."""
         value = self._value(name, default)
         if value not in (True, False):
             raise self._error(name, "neither true nor false")
@@ -103,18 +109,18 @@
         return value
 
     def choice(self, name: str, choices: dict[str, Any], default: str) -> Any:
-        """Read one of the known words, and return what it stands for."""
+        """Read a string that is a key of `choices`, and return that key's value."""
         value = self._value(name, default)
         if not isinstance(value, str) or value not in choices:
             raise self._error(name, f"none of {', '.join(choices)}")
         return choices[value]
 
     def section(self, name: str, default: Any = REQUIRED) -> SettingsReader:
-        """Read an object."""
+        """Read a nested object."""
         return SettingsReader(self._value(name, default), self._path_of(name))
 
     def array(self, name: str, default: Any = REQUIRED) -> list[Any]:
-        """Read a list of anything."""
+        """Read a list without checking its elements."""
         value = self._value(name, default)
         if not isinstance(value, list):
             raise self._error(name, "not a list")
@@ -136,16 +142,16 @@
 
 
 def read_reported_load(text: str, separator: str) -> float | None:
-    """Return what a server's load report says that it holds; none where it is garbled.
+    """Return the number of active operations that a server's load report states, or None if it is malformed.
 
-    A report is a list of names and values, set apart by the separator.
+    A report is a comma-separated list of pairs, each a name and a value with `separator` between them.
     """
     fields = dict(part.split(separator, 1) for part in text.split(",") if separator in part)
     return parse_non_negative(fields.get("active", ""))
 
 
 def parse_non_negative(text: str) -> float | None:
-    """Return a figure that others sent, which is finite and not below nought, or none."""
+    """Return a received number, or None if the text is no number, or one that is negative or not finite."""
     try:
         value = float(text)
     except ValueError:
@@ -155,24 +161,29 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The deployment, and what the network and the simulator's host have to know besides."""
+    """The deployment, and the settings that only the network layer and the simulator's host use.
+
+    Times are in seconds.
+    """
 
     deployment: Deployment
-    traffic_type_rows: dict[str, int]  # rows of the traffic types by name
-    tenant_indexes: dict[str, int]  # places in the table of tenants by name
-    connect_timeout: float  # a connection that is not up by then never comes up
-    idle_timeout: float  # a server closes what stood idle for this long
-    max_in_flight: int  # operations in hand
-    max_client_wait: float  # of a client for an answer
-    reports_load: bool = False  # whether answers tell what their server holds
-    endpoints_pushed: bool = (
-        False  # lists are pushed to an agent at hand: what it has counts as known at once
-    )
-    drain_grace: float = 0.0  # for which operations may still go to a server that is listed as leaving
+    traffic_type_rows: dict[str, int]  # indexes into `deployment.traffic_types` by name
+    tenant_indexes: dict[str, int]  # indexes into `deployment.tenants` by name
+    connect_timeout: float  # a connection that takes longer to establish never succeeds
+    idle_timeout: float  # a server closes a connection that was idle for this long
+    max_in_flight: int  # operations
+    max_client_wait: float  # the longest that a client of any traffic type waits for a reply
+    reports_load: bool = False  # whether replies state how many operations their server has in flight
+    # Lists are pushed to a local agent; the router counts as notified of a list as soon as the agent has it.
+    endpoints_pushed: bool = False
+    drain_grace: float = 0.0  # a server listed as leaving may get new operations for this long
 
 
 def read_settings(seed: int, settings: Any, path: str = "") -> Settings:
-    """Read the settings object."""
+    """Read the settings object, which has the given path in its document.
+
+    Raises `SettingsError`.
+    """
     reader = SettingsReader(settings, path)
     allowed = reader.section("allowed", {})
     traffic_types = reader.sections("trafficTypes", [])
@@ -234,7 +245,7 @@
 
 
 def _read_traffic_type(row: int, reader: SettingsReader) -> TrafficType:
-    """Read a traffic type; an effect that is not known counts as one that must not be repeated."""
+    """Read a traffic type; one with an unknown effect counts as non-idempotent."""
     scope = reader.text("group", "")
     return TrafficType(
         row=row,
@@ -252,7 +263,7 @@
 
 
 def _read_origin_kind(reader: SettingsReader, domain: SettingsReader) -> Any:
-    """Read which kind of server the origin is: the domain names it by its index among all kinds."""
+    """Return the kind of server that is the origin: `originKind` is its index in `shapes`."""
     kinds = reader.array("shapes", [])
     index = int(domain.number("originKind", -1, minimum=-1))
     return kinds[index] if 0 <= index < len(kinds) else None
@@ -273,7 +284,10 @@
 
 
 def parse_json(text: str) -> Any:
-    """Return the values of a JSON text."""
+    """Decode a JSON text.
+
+    Raises `SettingsError` if it is not valid JSON or is nested too deeply.
+    """
     try:
         return json.loads(text)
     except (ValueError, RecursionError):
--- a/gaugehinge/subsystems.py
+++ b/gaugehinge/subsystems.py
@@ -1,7 +1,7 @@
-"""The subsystems of an installed router, and the order in which their extensions act.
+"""The optional subsystems of an installed router, and the order in which their extensions are called.
 
-This is the one place where that order is written down for `gaugehinge serve`, in whatever combination the
-installation file switches them on. It imports no subsystem; what is switched off costs nothing.
+This module alone defines that order for `gaugehinge serve`, for every combination of subsystems that an
+installation file enables. It imports no subsystem, so that a disabled one costs nothing.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Subsystems:
-    """What is switched on; None: it is not."""
+    """The subsystems of one router; None stands for a disabled one."""
 
     slot_fleet: SlotFleet | None = None
     watch: ControlPlaneWatch | None = None
@@ -32,11 +32,12 @@
     recovery: Recovery | None = None
 
     def extensions(self) -> Extensions:
-        """The extensions of a router with these subsystems, each kind in the order in which they act.
+        """Return the extensions of a router with these subsystems, each kind in the order of the calls.
 
-        Endpoint lists: nobody sees one that recovery still holds back; placement and the operators' orders
-        go by the starts that discovery told; the decisions alone go by the starts that recovery believes. An
-        order of operators begins behind `watch`, and reaches what comes after that.
+        Endpoint list transformers: `list_gate` is first, so that nothing else sees a list that recovery holds
+        back. `believed_starts` is last: placement and the operators' drain orders use the start times that
+        discovery stated, and only the routing decisions use those that recovery believes. The update that
+        follows from a new drain order enters the chain behind `watch`, so only what comes after it sees it.
         """
         recovery = self.recovery
         return Extensions(
