--- a/gaugehinge/simhost/__init__.py
+++ b/gaugehinge/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's host: the same decisions under simulated time, spoken to in lines on standard streams."""
+"""Runs the routing decisions in the simulator: simulated time, a line protocol on stdin and stdout."""
--- a/gaugehinge/simhost/__main__.py
+++ b/gaugehinge/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m gaugehinge.simhost`: the simulator's wire on standard input and output."""
+"""`python -m gaugehinge.simhost`: the simulator's line protocol on standard input and output."""
 
 import gc
 import io
@@ -6,11 +6,12 @@
 
 from .host import Host
 
-GC_THRESHOLDS = (50_000, 20, 20)  # few cycles arise; the default passes cost a tenth of the time
+# Few reference cycles arise, and collection at the default thresholds took a tenth of the run time.
+GC_THRESHOLDS = (50_000, 20, 20)
 
 
 def main() -> int:
-    """Run the host until its input ends; return the exit status."""
+    """Run the host until its input ends, and return the exit code."""
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     source = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
--- a/gaugehinge/simhost/host.py
+++ b/gaugehinge/simhost/host.py
@@ -1,4 +1,4 @@
-"""Hosts one instance for each router of a simulation: reads batches of events, writes batches of replies."""
+"""Hosts the routers of a simulation, one instance each: reads batches of events and writes the replies."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .instance import POLL_FAILED, Instance
 from .wire import WireError
 
-# Each event's name on the wire: how it is read, and which call of an instance it becomes.
+# For each event, by its name in the protocol: the function that parses it, and the method that handles it.
 EVENTS: dict[str, tuple[Callable[[dict[str, str]], Any], Callable[[Instance, Any, float], None]]] = {
     "submit": (messages.Submit.parse, Instance.submit),
     "completed": (messages.Completed.parse, Instance.completed),
@@ -26,9 +26,10 @@
 
 
 class Host:
-    """Reads batches, runs the instances, writes replies.
+    """Reads batches of events, calls the instances and writes their replies.
 
-    State: the instances (until `halt`), the endpoint lists by name, and the replies of the batch in hand.
+    State: the instances (each until its `halt`), the endpoint lists by name, and the replies, time and line
+    number of the current batch.
     """
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
@@ -41,7 +42,10 @@
         self._line_number = 0
 
     def run(self) -> int:
-        """Run batches until the input ends; return the exit status."""
+        """Process batches until the input ends.
+
+        Returns the exit code: 1 after a violation of the protocol, which is reported on standard error.
+        """
         try:
             while self.run_batch():
                 pass
@@ -51,7 +55,10 @@
         return 0
 
     def run_batch(self) -> bool:
-        """Run one batch; whether there was one."""
+        """Process one batch; return whether there was one.
+
+        Raises `WireError`.
+        """
         line = self._read_line()
         if line is None:
             return False
@@ -64,7 +71,7 @@
         self._reply_lines.clear()
         return True
 
-    # -- lines in
+    # -- input
 
     def _read_line(self) -> str | None:
         line = self.source.readline()
@@ -121,7 +128,7 @@
             self._call_instance(instance, lambda: handler(instance, message, self._now))
 
     def _add_instance(self, line: str) -> None:
-        # The settings run to the end of the line, whatever they hold.
+        # The settings extend to the end of the line, whatever characters they contain.
         head, separator, info = line.partition("\tinfo=")
         if not separator:
             raise WireError("hello: missing 'info'")
@@ -148,7 +155,7 @@
             self._call_instance(instance, lambda: instance.endpoint_list(form, entries, self._now))
 
     def _call_instance(self, instance: Instance, call: Callable[[], None]) -> None:
-        """Make a call; a mistake in the decisions is reported, and does not end the other instances."""
+        """Call an instance. An error raised by the routing decisions is reported; other instances go on."""
         try:
             call()
             if instance.router.log:
@@ -161,7 +168,7 @@
 
 
 def _is_raised_in_routing(error: Exception) -> bool:
-    """Whether an error rose within a module of the decisions."""
+    """Return whether an error was raised in, or passed through, a module of `gaugehinge.routing`."""
     trace = error.__traceback__
     while trace is not None:
         module = trace.tb_frame.f_globals.get("__name__", "")
--- a/gaugehinge/simhost/instance.py
+++ b/gaugehinge/simhost/instance.py
@@ -1,4 +1,7 @@
-"""One router of the simulation: messages become calls, decisions become lines. Nothing is decided here."""
+"""Adapts one router of the simulation to the line protocol; it makes no decisions itself.
+
+Messages become calls of the router, and its decisions become lines.
+"""
 
 from __future__ import annotations
 
@@ -11,23 +14,23 @@
 from . import replies
 from .messages import Answered, ClientLeft, Completed, PeerMessage, ProbeResult, Submit, TimerFired
 
-LOAD_REPORT_SEPARATOR = ":"  # between a name and its value
+LOAD_REPORT_SEPARATOR = ":"  # between a name and its value in a load report
 EMPTY_CONTENT = "-"
-# Forms of what discovery sent. Any other is the whole list.
+# Forms of a message from discovery. Any other form is a complete list.
 POLL_FAILED = "error"
 INCREMENTAL = "diff"
-CACHED_LIST = "disk"  # the whole list, as it was kept over a restart
+CACHED_LIST = "disk"  # a complete list that was stored before a restart
 
 
 class Instance:
-    """A router with the operations and timers in its hands.
+    """One router with its operations and timers.
 
-    State: operations (one leaves when it is finished and no attempt of it is in flight), and timers
-    until they are due.
+    State: operations (each until it is finished and has no attempt in flight), and timers (each until it
+    expires).
     """
 
     def __init__(self, number: str, fields: dict[str, str], now: float, reply_lines: list[str]) -> None:
-        """Make the router of a `hello` line; what it tells goes to `reply_lines`."""
+        """Create the router that a `hello` line describes; its replies are appended to `reply_lines`."""
         self.number = number
         settings = read_settings(int(fields["randomSeed"]), parse_json(fields["info"]))
         self._traffic_types = settings.deployment.traffic_types
@@ -42,7 +45,7 @@
         self._has_started = False
 
     def start(self, now: float) -> None:
-        """Begin the background tasks, after the first endpoint list."""
+        """Start the background tasks, unless they run already; called for each endpoint list."""
         if not self._has_started:
             self._has_started = True
             for task in self.router.background_tasks:
@@ -51,7 +54,7 @@
     # -- messages
 
     def submit(self, message: Submit, now: float) -> None:
-        """Route an operation that came in."""
+        """Route a new operation."""
         traffic_type = self._traffic_types[self._traffic_type_rows[message.traffic_type]]
         operation = Operation(
             ident=message.ident,
@@ -65,16 +68,15 @@
         )
         self._operations[message.ident] = operation
         tenants = self._tenant_indexes
-        if (
-            message.tenant and tenants and message.tenant not in tenants
-        ):  # of another deployment: without a quota
+        # A tenant of another deployment would be served without a quota.
+        if message.tenant and tenants and message.tenant not in tenants:
             operation.finished = True
             self._apply_decision(operation, Decision(Action.FAIL), now)
             return
         self._apply_decision(operation, self.router.route(operation, now), now)
 
     def completed(self, message: Completed, now: float) -> None:
-        """Tell the router of an attempt that ended, unless it knows already."""
+        """Report an attempt that ended to the router, unless it is unknown or has ended before."""
         operation = self._operations.get(message.ident)
         if operation is None or message.attempt >= len(operation.attempts):
             return
@@ -92,7 +94,7 @@
         self._remove_if_done(operation)
 
     def timer_fired(self, message: TimerFired, now: float) -> None:
-        """Ask the router again about what waited."""
+        """Route again the operation, or run the background task, that the timer was set for."""
         waiting = self._timers.pop(message.timer_id, None)
         if isinstance(waiting, BackgroundTask):
             self._run_background_task(waiting, now)
@@ -100,7 +102,7 @@
             self._apply_decision(waiting, self.router.route(waiting, now), now)
 
     def client_left(self, message: ClientLeft, now: float) -> None:
-        """Cancel an operation and its attempts."""
+        """Cancel an operation, and its attempts in flight if the deployment allows that."""
         operation = self._operations.get(message.ident)
         if operation is None or operation.finished:
             return
@@ -109,21 +111,21 @@
         self._remove_if_done(operation)
 
     def answered(self, message: Answered, now: float) -> None:
-        """Note that an operation has its answer."""
+        """Mark an operation as finished."""
         operation = self._operations.get(message.ident)
         if operation is not None:
             operation.finished = True
 
     def peer_message(self, message: PeerMessage, now: float) -> None:
-        """Pass on a peer's message."""
+        """Pass a gossip message of a peer to the router."""
         payload = b"" if message.content == EMPTY_CONTENT else b64decode(message.content)
         self.router.on_gossip(message.peer, payload, now)
 
     def probe_result(self, message: ProbeResult, now: float) -> None:
-        """Do nothing: no probes are sent, so none is awaited."""
+        """Do nothing: the router sends no probes."""
 
     def endpoint_list(self, form: str, entries: Sequence[EndpointEntry], now: float) -> None:
-        """Pass on an endpoint list, its changes, or that discovery failed to tell it."""
+        """Pass on an endpoint list, changes of it, or the failure of a poll."""
         if form == POLL_FAILED:
             self.router.on_poll_failed(now)
         else:
@@ -164,7 +166,7 @@
             self._operations.pop(operation.ident, None)
 
     def flush_log(self) -> None:
-        """Tell the router's log lines of the last call."""
+        """Send the log lines that the router has collected since the last call."""
         for text in self.router.log:
             self._reply_lines.append(replies.log(self.number, text))
         self.router.log.clear()
--- a/gaugehinge/simhost/messages.py
+++ b/gaugehinge/simhost/messages.py
@@ -1,4 +1,4 @@
-"""What the simulator sends to an instance, one type for each event."""
+"""The events that the simulator sends to an instance, one type for each."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class Submit(NamedTuple):
-    """A client's operation came in."""
+    """A client submitted an operation."""
 
     ident: str
-    tenant: str  # empty without
+    tenant: str  # empty if the event names none
     traffic_type: str
     key: str
     is_write: bool
     is_client_retry: bool
-    time_left: float  # seconds
+    time_left: float  # seconds until the deadline
 
     @classmethod
     def parse(cls, fields: dict[str, str]) -> Submit:
-        """Read the event."""
+        """Parse the fields of the event."""
         ident = fields["id"]
         return cls(
             ident=ident,
@@ -35,18 +35,18 @@
 
 
 class Completed(NamedTuple):
-    """An attempt ended."""
+    """An attempt ended, with or without success."""
 
     ident: str
     attempt: int
     outcome: Outcome
     elapsed: float  # seconds
-    is_final: bool  # the operation got its answer
-    load_report: str  # empty without
+    is_final: bool  # the operation has its reply
+    load_report: str  # empty if the event has none
 
     @classmethod
     def parse(cls, fields: dict[str, str]) -> Completed:
-        """Read the event."""
+        """Parse the fields of the event."""
         return cls(
             ident=fields["id"],
             attempt=int(fields["trial"]),
@@ -58,55 +58,55 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer is due."""
+    """A timer expired."""
 
     timer_id: int
 
     @classmethod
     def parse(cls, fields: dict[str, str]) -> TimerFired:
-        """Read the event."""
+        """Parse the fields of the event."""
         return cls(int(fields["name"]))
 
 
 class ClientLeft(NamedTuple):
-    """An operation's client waits no longer."""
+    """The client of an operation stopped waiting."""
 
     ident: str
 
     @classmethod
     def parse(cls, fields: dict[str, str]) -> ClientLeft:
-        """Read the event."""
+        """Parse the fields of the event."""
         return cls(fields["id"])
 
 
 class Answered(NamedTuple):
-    """An operation's client has its answer, though attempts may still be in flight."""
+    """The client of an operation has its reply; attempts may still be in flight."""
 
     ident: str
 
     @classmethod
     def parse(cls, fields: dict[str, str]) -> Answered:
-        """Read the event."""
+        """Parse the fields of the event."""
         return cls(fields["id"])
 
 
 class PeerMessage(NamedTuple):
-    """Another router sent something."""
+    """A peer sent a gossip message."""
 
     peer: int
-    content: str  # in base 64; "-" where there is none
+    content: str  # base64; "-" if empty
 
     @classmethod
     def parse(cls, fields: dict[str, str]) -> PeerMessage:
-        """Read the event."""
+        """Parse the fields of the event."""
         content = fields["content"]
         return cls(int(fields["srcPeer"]), content)
 
 
 class ProbeResult(NamedTuple):
-    """A health check ended. None are made here."""
+    """A health check ended. The router starts none, so this event is not expected."""
 
     @classmethod
     def parse(cls, fields: dict[str, str]) -> ProbeResult:
-        """Read the event, of which nothing is used."""
+        """Return the event; its fields are not used."""
         return cls()
--- a/gaugehinge/simhost/replies.py
+++ b/gaugehinge/simhost/replies.py
@@ -1,4 +1,4 @@
-"""What an instance sends to the simulator: one function for each line."""
+"""Formats the lines that an instance sends to the simulator: one function for each kind."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def send(instance: str, attempt: Attempt, timeout: float) -> str:
-    """Send an attempt."""
+    """Send an attempt; `timeout` is in seconds."""
     return (
         f"hand_off\ti={instance}\tid={attempt.operation.ident}\tserver={attempt.endpoint.ident}"
         f"\tlimitUs={to_microseconds(timeout)}"
@@ -17,41 +17,44 @@
 
 
 def reject(instance: str, operation: Operation, retry_after: float) -> str:
-    """Reject an operation; its client may come back after a while, where a time is stated."""
+    """Reject an operation.
+
+    `retry_after` is the time in seconds after which its client may retry; 0 leaves it out.
+    """
     hint = f"\tholdOffUs={to_microseconds(retry_after)}" if retry_after else ""
     return f"deny\ti={instance}\tid={operation.ident}{hint}"
 
 
 def fail(instance: str, operation: Operation) -> str:
-    """Give an operation up for good."""
+    """Fail an operation; its client may not retry."""
     return f"surrender\ti={instance}\tid={operation.ident}"
 
 
 def cancel(instance: str, attempt: Attempt) -> str:
-    """Cancel an attempt that is in flight."""
+    """Cancel an attempt in flight."""
     return f"cancel\ti={instance}\tid={attempt.operation.ident}\ttrial={attempt.number}"
 
 
 def set_timer(instance: str, timer_id: int, wait: float) -> str:
-    """Set a timer, of a microsecond at least."""
+    """Set a timer that expires after `wait` seconds, but after at least one microsecond."""
     return f"schedule\ti={instance}\tinUs={max(to_microseconds(wait), 1)}\tname={timer_id}"
 
 
 def poll(instance: str) -> str:
-    """Ask for the endpoint list, and for its changes from now on."""
+    """Request the endpoint list and its future changes."""
     return f"follow\ti={instance}\tactive=1"
 
 
 def send_gossip(instance: str, peer: int, payload: bytes) -> str:
-    """Send a payload to another router."""
+    """Send a gossip payload to a peer."""
     return f"tell\ti={instance}\tto={peer}\tcontent={b64encode(payload).decode()}"
 
 
 def log(instance: str, text: str) -> str:
-    """Write a line to the instance's log."""
+    """Write a line to the log of the instance."""
     return f"write_log\ti={instance}\tmsg={text}"
 
 
 def fault(instance: str, error: Exception) -> str:
-    """Report a mistake in the decisions."""
+    """Report an error raised by the routing decisions."""
     return f"fault\ti={instance}\tmsg={type(error).__name__}: {error}"
--- a/gaugehinge/simhost/wire.py
+++ b/gaugehinge/simhost/wire.py
@@ -1,11 +1,14 @@
-"""The simulator's wire: lines of tab-separated `name=value` fields. Its words stay in this package."""
+"""The simulator's line protocol: a message name, then `name=value` fields, all separated by tabs.
+
+The names of this protocol are used in this package only.
+"""
 
 from __future__ import annotations
 
 from ..routing.types import EndpointEntry, EndpointState, Outcome
 from ..settings import parse_non_negative
 
-MICROSECONDS_PER_SECOND = 1e6  # in a second
+MICROSECONDS_PER_SECOND = 1e6
 
 OUTCOMES = {
     "delivered": Outcome.SUCCEEDED,
@@ -22,11 +25,14 @@
 
 
 class WireError(Exception):
-    """The input is not the wire's; the text says what is wrong."""
+    """The input violates the line protocol; the message says how."""
 
 
 def parse_fields(parts: list[str]) -> dict[str, str]:
-    """Return the fields of a line, which stand behind its name."""
+    """Return the fields of a line that is split at its tabs; the first part is the message name.
+
+    Raises `WireError` if a part is no field.
+    """
     try:
         return dict([part.split("=", 1) for part in parts[1:]])
     except ValueError:
@@ -34,19 +40,22 @@
 
 
 def parse_seconds(text: str) -> float:
-    """Return a count of microseconds in seconds."""
+    """Parse a whole number of microseconds and return it in seconds.
+
+    Raises `ValueError`.
+    """
     return int(text) / MICROSECONDS_PER_SECOND
 
 
 def to_microseconds(seconds: float) -> int:
-    """Return seconds in whole microseconds."""
+    """Convert seconds to whole microseconds."""
     return int(seconds * MICROSECONDS_PER_SECOND)
 
 
 def parse_endpoint_entry(fields: dict[str, str]) -> EndpointEntry:
-    """Read one `row` of an endpoint list.
+    """Parse the fields of one `row` of an endpoint list.
 
-    A state that is not known may mean anything: nothing new is sent to such a server.
+    An unknown state counts as draining: it may mean anything, so no new attempts go to such a server.
     """
     return EndpointEntry(
         ident=int(fields["server"]),
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter: framing, bad input, a mistake in the decisions."""
+"""The simulator's host: framing, invalid input, and errors raised by the routing decisions."""
 
 import io
 import json
