--- a/gaugehinge/routing/seeded_random.py
+++ b/gaugehinge/routing/seeded_random.py
@@ -1,7 +1,7 @@
-"""The only source of randomness of the decisions: a seed and a counter, so that every run can be replayed.
+"""The only source of randomness of the routing decisions: a seed and a counter, so that runs can be replayed.
 
-Draws that must come out alike each time for the same key or server do not come from here in turn but from the
-`stable_*` functions, which spread a hash.
+Values that must be the same each time for the same key or server are not drawn from this sequence: the
+`stable_*` functions derive them from a hash.
 """
 
 from __future__ import annotations
@@ -11,14 +11,15 @@
 CRC_RANGE = 4294967296.0  # CRC-32 values lie below this
 HASH_RANGE = float(1 << 64)  # 64-bit hashes lie below this
 HASH_MASK = (1 << 64) - 1
-MIX_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio: spreads hashes that differ in few bits
+# 2**64 divided by the golden ratio, as in Fibonacci hashing: spreads hashes that differ in few bits.
+MIX_MULTIPLIER = 0x9E3779B97F4A7C15
 
 
 class SeededRandom:
-    """Random fractions in a fixed order for a seed.
+    """A sequence of random fractions that is determined by the seed.
 
-    State: the count of draws. It only grows; all parts of one router share one instance, since the order of
-    the draws is part of what a seed replays.
+    State: the number of draws, which only grows. All parts of a router share one instance, because a replay
+    depends on the order of the draws.
     """
 
     __slots__ = ("_seed", "drawn")
@@ -28,16 +29,16 @@
         self.drawn = 0
 
     def fraction(self) -> float:
-        """Draw a number of at least 0 and below 1."""
+        """Draw a number in [0, 1)."""
         self.drawn += 1
         return zlib.crc32(b"%d:%d" % (self._seed, self.drawn)) / CRC_RANGE
 
 
 def stable_fraction(hashed: int) -> float:
-    """Map a 64-bit hash to a number of at least 0 and below 1, always the same one."""
+    """Map a 64-bit hash to a number in [0, 1), the same one each time."""
     return ((hashed * MIX_MULTIPLIER) & HASH_MASK) / HASH_RANGE
 
 
 def stable_number(hashed: int) -> int:
-    """Map a 64-bit hash to a 32-bit number, always the same one."""
+    """Map a 64-bit hash to a 32-bit number, the same one each time."""
     return ((hashed * MIX_MULTIPLIER) & HASH_MASK) >> 32
--- a/tests/test_gossip_many_tenants.py
+++ b/tests/test_gossip_many_tenants.py
@@ -1,9 +1,9 @@
-"""Quotas with more tenants than one datagram holds.
+"""Quotas with more tenants than fit one gossip datagram.
 
-From 64 tenants on, a message of rates was longer than a datagram may be: each was dropped with an error in
-the log (`gossip message of 260 bytes not sent`), no router knew of the others, and each gave a tenant by its
-own sight what all of them together may. Now the table goes out in parts, in turn. Played in virtual time: six
-routers, tenants that ask for twice their rate, evenly and unevenly.
+From 64 tenants on, a message with all rates exceeded the size of a datagram and was dropped with an error in
+the log (`gossip message of 260 bytes not sent`). No router knew the rates of the others, so each one alone
+admitted as much of a tenant as all together should. The table is therefore sent in parts. The tests run six
+routers in virtual time, with tenants that demand twice their limit, evenly or unevenly over the routers.
 """
 
 import struct
@@ -20,9 +20,9 @@
 )
 
 ROUTERS = 6
-LIMIT = 20.0  # operations a second of a tenant over all routers
+LIMIT = 20.0  # operations per second of a tenant, over all routers
 TICK_SECONDS = 0.1
-DEMAND = 2.0  # times the limit
+DEMAND = 2.0  # multiple of the limit
 
 
 def test_the_longest_payload_leaves_room_for_the_stamp():
@@ -30,7 +30,7 @@
 
 
 class RouterGroup:
-    """Routers that send each other what they decide to, on one clock."""
+    """Routers on one virtual clock that deliver their gossip to each other."""
 
     def __init__(self, tenants: int) -> None:
         table = tuple(Tenant(1.0 / tenants, LIMIT) for _ in range(tenants))
@@ -56,9 +56,9 @@
 @pytest.mark.parametrize("even", [True, False], ids=["evenly", "unevenly"])
 @pytest.mark.parametrize("tenants", [2, 63, 64, 200, 1000])
 def test_each_tenant_gets_its_rate_over_all_routers(tenants, even):
-    """Within a tenth; unevenly: two routers have nine tenths of a tenant's operations."""
+    """The rate is within a tenth of the limit; if uneven, two routers get nine tenths of the operations."""
     group = RouterGroup(tenants)
-    active_tenants = range(0, tenants, max(tenants // 40, 1))  # these ask, from all parts of the table
+    active_tenants = range(0, tenants, max(tenants // 40, 1))  # from all parts of the table
     pending = {(router, tenant): 0.0 for router in range(ROUTERS) for tenant in active_tenants}
     admitted = dict.fromkeys(active_tenants, 0)
     measured_from, end = group.now + 25.0, group.now + 55.0
--- a/tests/test_routing_discovery_polling.py
+++ b/tests/test_routing_discovery_polling.py
@@ -1,4 +1,4 @@
-"""Polling of the endpoint list, and servers that it says are draining."""
+"""Polling of the endpoint list, and servers that it lists as draining."""
 
 from helper import Action, Bench, EndpointState, Outcome, row
 
