--- a/gaugehinge/__main__.py
+++ b/gaugehinge/__main__.py
@@ -1,17 +1,18 @@
-"""`python -m gaugehinge`: one router, by the configuration that LB_CONFIG names."""
+"""`python -m gaugehinge`: runs one router with the configuration file that LB_CONFIG names."""
 
 import os
 import sys
 
 from .net.signals import EarlyHangup, ignore_while_exiting
 
-FORM = "{time:HH:mm:ss.SSS} {level.name} {message}"
+LOG_FORMAT = "{time:HH:mm:ss.SSS} {level.name} {message}"
 
 
 def main() -> int:
-    """Serve until ordered to end; the exit code: 2 for a bad configuration.
+    """Serve until a termination signal; return the exit code, which is 2 for a bad configuration.
 
-    All else is imported behind the handler of SIGHUP: without it the signal ends the process.
+    All other modules are imported after the SIGHUP handler is installed: without the handler the signal would
+    end the process.
     """
     early_hangup = EarlyHangup().listen()
     try:
@@ -30,11 +31,11 @@
     from .settings import SettingsError
 
     logger.remove()
-    logger.add(sys.stderr, format=FORM, level="INFO", diagnose=False)
+    logger.add(sys.stderr, format=LOG_FORMAT, level="INFO", diagnose=False)
     try:
         configuration = read_configuration(os.environ)
-    except SettingsError as bad:
-        print(f"bad configuration: {bad}", file=sys.stderr)
+    except SettingsError as error:
+        print(f"bad configuration: {error}", file=sys.stderr)
         return 2
     return run(configuration, partial(read_configuration, os.environ), early_hangup=early_hangup)
 
--- a/gaugehinge/simhost/host.py
+++ b/gaugehinge/simhost/host.py
@@ -1,4 +1,4 @@
-"""Hosts one instance for each router of a simulation: reads batches of events, writes batches of replies."""
+"""Hosts the routers of a simulation, one instance each: reads batches of events and writes the replies."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .instance import POLL_FAILED, Instance
 from .wire import WireError
 
-# Each event's name on the wire: how it is read, and which call of an instance it becomes.
+# For each event, by its name in the protocol: the function that parses it, and the method that handles it.
 EVENTS: dict[str, tuple[Callable[[dict[str, str]], Any], Callable[[Instance, Any, float], None]]] = {
     "submit": (messages.Submit.parse, Instance.submit),
     "completed": (messages.Completed.parse, Instance.completed),
@@ -26,22 +26,26 @@
 
 
 class Host:
-    """Reads batches, runs the instances, writes replies.
+    """Reads batches of events, calls the instances and writes their replies.
 
-    State: the instances (until `halt`), the endpoint lists by name, and the replies of the batch in hand.
+    State: the instances (each until its `halt`), the endpoint lists by name, and the replies, time and line
+    number of the current batch.
     """
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source = source
         self.sink = sink
         self._instances: dict[str, Instance] = {}
-        self._lists: dict[str, list[EndpointEntry]] = {}
-        self._lines: list[str] = []
+        self._endpoint_lists: dict[str, list[EndpointEntry]] = {}
+        self._reply_lines: list[str] = []
         self._now = 0.0
         self._line_number = 0
 
     def run(self) -> int:
-        """Run batches until the input ends; return the exit status."""
+        """Process batches until the input ends.
+
+        Returns the exit code: 1 after a violation of the protocol, which is reported on standard error.
+        """
         try:
             while self.run_batch():
                 pass
@@ -51,20 +55,23 @@
         return 0
 
     def run_batch(self) -> bool:
-        """Run one batch; whether there was one."""
+        """Process one batch; return whether there was one.
+
+        Raises `WireError`.
+        """
         line = self._read_line()
         if line is None:
             return False
         self._start_batch(line.split("\t"))
         while (line := self._expect_line("a batch")) != "go":
             self._handle(line)
-        self._lines.append("ok\n")
-        self.sink.write("\n".join(self._lines))
+        self._reply_lines.append("ok\n")
+        self.sink.write("\n".join(self._reply_lines))
         self.sink.flush()
-        self._lines.clear()
+        self._reply_lines.clear()
         return True
 
-    # -- lines in
+    # -- input
 
     def _read_line(self) -> str | None:
         line = self.source.readline()
@@ -98,9 +105,9 @@
             elif name == "hello":
                 self._add_instance(line)
             elif name == "list":
-                self._read_list(wire.parse_fields(parts))
+                self._read_endpoint_list(wire.parse_fields(parts))
             elif name == "fleet":
-                self._pass_list_on(wire.parse_fields(parts))
+                self._deliver_endpoint_list(wire.parse_fields(parts))
             elif name == "halt":
                 self._instances.pop(wire.parse_fields(parts)["i"], None)
             else:
@@ -118,50 +125,50 @@
         if instance is not None:
             parse, handler = EVENTS[parts[0]]
             message = parse(fields)
-            self._guard(instance, lambda: handler(instance, message, self._now))
+            self._call_instance(instance, lambda: handler(instance, message, self._now))
 
     def _add_instance(self, line: str) -> None:
-        # The settings run to the end of the line, whatever they hold.
-        head, mark, info = line.partition("\tinfo=")
-        if not mark:
+        # The settings extend to the end of the line, whatever characters they contain.
+        head, separator, info = line.partition("\tinfo=")
+        if not separator:
             raise WireError("hello: missing 'info'")
         fields = wire.parse_fields(head.split("\t"))
         fields["info"] = info
         number = fields["i"]
         int(number)
-        self._instances[number] = Instance(number, fields, self._now, self._lines)
+        self._instances[number] = Instance(number, fields, self._now, self._reply_lines)
 
-    def _read_list(self, fields: dict[str, str]) -> None:
+    def _read_endpoint_list(self, fields: dict[str, str]) -> None:
         entries = []
         for _ in range(int(fields["members"])):
             parts = self._expect_line("a list").split("\t")
             if parts[0] != "row":
                 raise WireError(f"a list holds 'row' lines, not {parts[0]!r}")
             entries.append(wire.parse_endpoint_entry(wire.parse_fields(parts)))
-        self._lists[fields["list"]] = entries
+        self._endpoint_lists[fields["list"]] = entries
 
-    def _pass_list_on(self, fields: dict[str, str]) -> None:
+    def _deliver_endpoint_list(self, fields: dict[str, str]) -> None:
         form = fields["form"]
-        entries = [] if form == POLL_FAILED else self._lists[fields["list"]]
+        entries = [] if form == POLL_FAILED else self._endpoint_lists[fields["list"]]
         instance = self._instances.get(fields["i"])
         if instance is not None:
-            self._guard(instance, lambda: instance.endpoint_list(form, entries, self._now))
+            self._call_instance(instance, lambda: instance.endpoint_list(form, entries, self._now))
 
-    def _guard(self, instance: Instance, call: Callable[[], None]) -> None:
-        """Make a call; a mistake in the decisions is reported, and does not end the other instances."""
+    def _call_instance(self, instance: Instance, call: Callable[[], None]) -> None:
+        """Call an instance. An error raised by the routing decisions is reported; other instances go on."""
         try:
             call()
             if instance.router.log:
                 instance.flush_log()
         except Exception as error:
-            if not _is_from_decisions(error):
+            if not _is_raised_in_routing(error):
                 raise
             traceback.print_exc(file=sys.stderr)
-            self._lines.append(replies.fault(instance.number, error))
+            self._reply_lines.append(replies.fault(instance.number, error))
 
 
-def _is_from_decisions(error: Exception) -> bool:
-    """Whether an error rose within a module of the decisions."""
+def _is_raised_in_routing(error: Exception) -> bool:
+    """Return whether an error was raised in, or passed through, a module of `gaugehinge.routing`."""
     trace = error.__traceback__
     while trace is not None:
         module = trace.tb_frame.f_globals.get("__name__", "")
