--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -22,7 +22,7 @@
 import click
 import trio
 
-from gaugehinge.door.fairness import FairQueue, Waiting
+from gaugehinge.admission.fairness import FairQueue, Waiting
 from gaugehinge.emulator.form import Caches, Emulator, Front, OriginForm, Traffic
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.installation.form import DoorEntry, Limits
--- a/gaugehinge/door/door.py
+++ b/gaugehinge/admission/admission_control.py
@@ -21,17 +21,17 @@
 from ..net.dispatcher import BUSY_REPLY, Dispatcher, busy_reply
 from ..routing.types import Operation
 from ..settings import Settings
-from .comeback import ComeBack
+from .retry_after import ComeBack
 from .costs import Costs
 from .fairness import FairQueue, Waiting
-from .glance import Glimpse
-from .heavy import Heavy
-from .level import FADE, Level
+from .request_peek import Glimpse
+from .heavy_hitters import Heavy
+from .rate_level import FADE, Level
 from .limiter import Limiter
-from .places import NEVER_SPOKE, H, Holder, Pace, yielding
-from .tap import Tap
-from .turns import Turns
-from .turnstile import Turnstile
+from .connection_slots import NEVER_SPOKE, H, Holder, Pace, yielding
+from .sampling import Tap
+from .read_scheduler import Turns
+from .fair_reader import Turnstile
 
 SAMPLE_EVERY = 0.05
 TELL_EVERY = 10.0  # figures by tenant, while anything was turned away
@@ -63,7 +63,7 @@
     gone: bool = False  # its client left
 
 
-class Door:
+class FairAdmissionControl:
     """Operations that wait, and how many are in hand."""
 
     def __init__(
--- a/gaugehinge/door/turnstile.py
+++ b/gaugehinge/admission/fair_reader.py
@@ -19,9 +19,9 @@
 from ..net.client_server import ClientServer
 from ..net.request_reader import MAX_DISCARDED_BYTES
 from ..net.sockets import SPACE
-from .glance import Glimpse, glance
-from .tap import Tap
-from .turns import PASS_TIME, Turns
+from .request_peek import Glimpse, glance
+from .sampling import Tap
+from .read_scheduler import PASS_TIME, Turns
 
 MOST_READY = 4096  # connections looked at in a pass
 READ_MOST = 64 * 1024 + 1024  # bytes of one connection in a pass: of a flood of huge values one is enough
--- a/gaugehinge/cli/serve_extensions.py
+++ b/gaugehinge/cli/serve_extensions.py
@@ -29,13 +29,13 @@
     """What makes the admission control; None where it is switched off."""
     if not installation.door.on:
         return None
-    from ..door.door import Door
+    from ..admission.admission_control import FairAdmissionControl
 
     if not installation.follow.keeper:
-        return partial(Door, label=installation.door.client)
+        return partial(FairAdmissionControl, label=installation.door.client)
     from ..hosted.build import tenant_of_connection
 
-    return partial(Door, label=installation.door.client, tenant_of=tenant_of_connection)
+    return partial(FairAdmissionControl, label=installation.door.client, tenant_of=tenant_of_connection)
 
 
 def client_server_class(installation: Installation) -> type[ClientServer]:
--- a/gaugehinge/net/admission_control.py
+++ b/gaugehinge/net/admission_control.py
@@ -1,4 +1,4 @@
-"""Interfaces between the client server and admission control, which `gaugehinge.door` implements."""
+"""Interfaces between the client server and admission control, which `gaugehinge.admission` implements."""
 
 from __future__ import annotations
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gaugehinge.door.door import Door
+from gaugehinge.admission.admission_control import FairAdmissionControl
 from gaugehinge.net import client_server
 
 NEVER = 1e9
@@ -28,10 +28,10 @@
     monkeypatch.setattr(client_server, "MAX_LOOP_DELAY", NEVER)
 
 
-@pytest.fixture(params=["a task each", "turnstile"])
+@pytest.fixture(params=["a task each", "fair reader"])
 def reading(request, monkeypatch):
     """Clients are read by a task for each connection, and by the one task for all of them."""
-    monkeypatch.setattr("tests.helper.DOOR", Door if request.param == "turnstile" else None)
+    monkeypatch.setattr("tests.helper.DOOR", FairAdmissionControl if request.param == "fair reader" else None)
     return request.param
 
 
--- a/tests/test_door.py
+++ b/tests/test_admission_control.py
@@ -8,13 +8,13 @@
 import pytest
 import trio
 
-from gaugehinge.door.comeback import BUDGET_DEPTH, ComeBack
-from gaugehinge.door.costs import FIRST_EACH, Costs
-from gaugehinge.door.door import Door
-from gaugehinge.door.fairness import BUCKETS, LEAST_WEIGHT, FairQueue, Waiting
-from gaugehinge.door.heavy import Heavy
-from gaugehinge.door.limiter import FLOOR, LOOKS, Limiter
-from gaugehinge.door.places import ACCEPT_LEAST, ACCEPT_PART, BURST, NEVER_SPOKE, Pace, yielding
+from gaugehinge.admission.retry_after import BUDGET_DEPTH, ComeBack
+from gaugehinge.admission.costs import FIRST_EACH, Costs
+from gaugehinge.admission.admission_control import FairAdmissionControl
+from gaugehinge.admission.fairness import BUCKETS, LEAST_WEIGHT, FairQueue, Waiting
+from gaugehinge.admission.heavy_hitters import Heavy
+from gaugehinge.admission.limiter import FLOOR, LOOKS, Limiter
+from gaugehinge.admission.connection_slots import ACCEPT_LEAST, ACCEPT_PART, BURST, NEVER_SPOKE, Pace, yielding
 from gaugehinge.emulator.virtual import VirtualTime
 from gaugehinge.routing.types import Operation
 from gaugehinge.settings import read_settings
@@ -336,7 +336,7 @@
         dispatcher = SimpleNamespace(
             timers=self.timers, clock=self.time.clock, submit=self.submit, client_gone=self.sent.append
         )
-        self.door = Door(told, dispatcher, 64 << 20)
+        self.door = FairAdmissionControl(told, dispatcher, 64 << 20)
         self.door.limiter.limit = self.door.limiter.most = limit
         self.types = told.deployment.traffic_types
 
@@ -466,7 +466,7 @@
 def test_a_router_with_a_door_serves_bounces_and_leaves_nothing_behind(tmp_path):
     async def main() -> None:
         cache = Cache("late")
-        async with fleet(tmp_path, [cache], new_door=Door) as made:
+        async with fleet(tmp_path, [cache], new_door=FairAdmissionControl) as made:
             door = made.service.clients.admission_control
             door.limiter.limit = door.limiter.most = 2
             clients = [await made.client() for _ in range(6)]
@@ -501,7 +501,7 @@
 
 def test_operations_that_wait_are_answered_when_the_router_leaves(tmp_path):
     async def main() -> None:
-        async with fleet(tmp_path, [Cache("stall")], new_door=Door) as made:
+        async with fleet(tmp_path, [Cache("stall")], new_door=FairAdmissionControl) as made:
             door = made.service.clients.admission_control
             door.limiter.limit = door.limiter.most = 1
             first, second = await made.client(), await made.client()
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -15,7 +15,7 @@
 from gaugehinge.cluster.build import cluster_extension_builder, slot_fleet
 from gaugehinge.cluster.resp3 import CLIENT, Error, Reader, command
 from gaugehinge.cluster.slots import SLOTS, slot_of
-from gaugehinge.door.door import Door
+from gaugehinge.admission.admission_control import FairAdmissionControl
 from gaugehinge.forms import toml
 from gaugehinge.installation.form import CommandEntry, Installation
 from gaugehinge.net.lifecycle import Phase
@@ -426,7 +426,7 @@
 
 def test_behind_a_door_both_fronts_share_one_queue(tmp_path):
     async def scene():
-        async with playing(new_door=Door) as made:
+        async with playing(new_door=FairAdmissionControl) as made:
             door = made.services[0].clients.admission_control
             client, other = await plain(made), Plain(await trio.open_tcp_stream(*made.plain[0]))
             assert await client.ask("SET", "a", "1") == b"OK" and await client.ask("GET", "a") == b"1"
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -15,7 +15,7 @@
 import pytest
 import trio
 
-from gaugehinge.door.turnstile import READ_MOST
+from gaugehinge.admission.fair_reader import READ_MOST
 from gaugehinge.net import connection_registry, reply_writer, request_reader
 from gaugehinge.net.extensions import Extensions
 from gaugehinge.net.graceful_shutdown import KILL_SLACK
@@ -608,12 +608,12 @@
 ROUTER = """
 import os, resource, sys
 from functools import partial
-from gaugehinge.door.door import Door
+from gaugehinge.admission.admission_control import FairAdmissionControl
 from gaugehinge.net.configuration import read_configuration
 from gaugehinge.net.run import run
 most = int(sys.argv[1])
 resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
-door = Door if sys.argv[2] == "door" else None
+door = FairAdmissionControl if sys.argv[2] == "door" else None
 sys.exit(run(read_configuration(os.environ), partial(read_configuration, os.environ), door))
 """
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -19,7 +19,7 @@
 import pytest
 import trio
 
-from gaugehinge.door.door import Door
+from gaugehinge.admission.admission_control import FairAdmissionControl
 from gaugehinge.emulator.shelf import Shelves
 from gaugehinge.forms.units import Seconds
 from gaugehinge.net.resp import Malformed, Parser, bulk
@@ -813,7 +813,7 @@
         "return bytes(SPACE[: sock.recv_into(SPACE)])",
     ]
     # The door's reader has the same space, and copies it in the same step.
-    lines = (ROOT / "gaugehinge/door/turnstile.py").read_text().splitlines()
+    lines = (ROOT / "gaugehinge/admission/fair_reader.py").read_text().splitlines()
     uses = [line.strip() for line in lines if re.search(r"\bSPACE\b|\b_space\b", line)]
     assert uses == [
         "from ..net.sockets import SPACE",
@@ -825,7 +825,7 @@
     between = "\n".join(lines).partition("recv_into")[2].partition("bytes(self._space")[0]
     assert "await" not in between and "async" not in between and "def " not in between
     for path in (ROOT / "gaugehinge").rglob("*.py"):
-        if path.name not in ("sockets.py", "turnstile.py"):
+        if path.name not in ("sockets.py", "fair_reader.py"):
             assert not re.search(r"sockets(\.| import .*\b)SPACE\b", path.read_text()), path
 
 
@@ -1009,7 +1009,7 @@
 )
 
 
-@pytest.mark.parametrize("new_door", [None, Door])
+@pytest.mark.parametrize("new_door", [None, FairAdmissionControl])
 def test_a_tenant_made_again_under_its_name_while_requests_of_the_old_run(monkeypatch, new_door):
     hold = []
     monkeypatch.setattr(Shelves, "serve", lambda shelves, *given: hold[0].serve(shelves, *given))
--- a/tests/test_turnstile.py
+++ b/tests/test_fair_reader.py
@@ -9,11 +9,11 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from gaugehinge.door.door import Door
-from gaugehinge.door.glance import LONGEST, Glimpse, glance
-from gaugehinge.door.level import Level
-from gaugehinge.door.tap import FLOOR, SLACK, Tap
-from gaugehinge.door.turns import LONG, OLDEST_EACH, Turns
+from gaugehinge.admission.admission_control import FairAdmissionControl
+from gaugehinge.admission.request_peek import LONGEST, Glimpse, glance
+from gaugehinge.admission.rate_level import Level
+from gaugehinge.admission.sampling import FLOOR, SLACK, Tap
+from gaugehinge.admission.read_scheduler import LONG, OLDEST_EACH, Turns
 from gaugehinge.net.request_errors import RequestError
 from gaugehinge.net.request_parser import parse_labels
 from gaugehinge.net.request_reader import MAX_PIPELINED_REQUESTS
@@ -308,7 +308,7 @@
 
 def test_a_tap_turned_down_answers_at_once_and_only_whole_reads(tmp_path):
     async def scene():
-        async with fleet(tmp_path, [Cache(), Cache()], new_door=Door) as made:
+        async with fleet(tmp_path, [Cache(), Cache()], new_door=FairAdmissionControl) as made:
             door = made.service.clients.admission_control
             one, other = await made.client(), await made.client()
             assert await one.get(labels="c=read,t=acme,d=4000") == b"$5\r\nof k1\r\n"
@@ -342,7 +342,7 @@
     count = 5 * MAX_PIPELINED_REQUESTS
 
     async def scene():
-        async with fleet(tmp_path, [Cache(), Cache()], new_door=Door) as made:
+        async with fleet(tmp_path, [Cache(), Cache()], new_door=FairAdmissionControl) as made:
             client = await made.client()
             await client.stream.send_all(
                 b"".join(command(b"k%d" % i, b"i%d" % i, b"c=read,d=8000") for i in range(count))
@@ -360,7 +360,7 @@
 
 def test_the_time_of_what_stood_unread_counts(tmp_path):
     async def scene():
-        async with fleet(tmp_path, [Cache("stall")], new_door=Door) as made:
+        async with fleet(tmp_path, [Cache("stall")], new_door=FairAdmissionControl) as made:
             clients = made.service.clients
             client = await made.client()
             assert await client.ask("PING") == b"+PONG\r\n"
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -13,7 +13,7 @@
 
 from gaugehinge.admin.tombstones import sweep_tombstones
 from gaugehinge.cli.main import main as command_line
-from gaugehinge.door.door import Door
+from gaugehinge.admission.admission_control import FairAdmissionControl
 from gaugehinge.emulator.ports import Ports
 from gaugehinge.hosted.authenticator import CHECKS, Authenticator
 from gaugehinge.hosted.build import read_secret
@@ -317,7 +317,7 @@
     run(scene)
 
 
-@pytest.mark.parametrize("new_door", [None, Door])
+@pytest.mark.parametrize("new_door", [None, FairAdmissionControl])
 def test_a_connection_is_one_tenants_and_commands_wait_for_the_answer_to_auth(new_door):
     async def scene():
         async with hosting(new_door=new_door) as made:
--- a/tests/test_shutdown_answers.py
+++ b/tests/test_shutdown_answers.py
@@ -16,7 +16,7 @@
 import trio
 from loguru import logger
 
-from gaugehinge.door.door import Door
+from gaugehinge.admission.admission_control import FairAdmissionControl
 from gaugehinge.net import sockets
 from gaugehinge.net.graceful_shutdown import GracefulShutdown
 from gaugehinge.net.request_reader import MAX_PIPELINED_REQUESTS
@@ -61,7 +61,7 @@
     monkeypatch.setattr(GracefulShutdown, "_stop_accepting", stalled)
 
 
-@pytest.mark.parametrize("new_door", [None, Door])
+@pytest.mark.parametrize("new_door", [None, FairAdmissionControl])
 def test_all_that_was_read_is_answered_by_a_router_that_is_past_its_end(
     tmp_path, a_stall_past_the_end, errors, new_door
 ):
