--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -22,7 +22,7 @@
 import click
 import trio
 
-from gaugehinge.admission.fairness import FairQueue, Waiting
+from gaugehinge.admission.fairness import FairQueue, QueuedOperation
 from gaugehinge.emulator.form import Caches, Emulator, Front, OriginForm, Traffic
 from gaugehinge.forms.units import Rate, Seconds
 from gaugehinge.installation.form import DoorEntry, Limits
@@ -261,8 +261,8 @@
             now = i * 1e-4
             name = b"%d" % (i % count)
             if len(queue) >= most:
-                queue.take(now)
-            queue.put(Waiting(None, i % 20, queue.bucket(i % 20, name, now), 1.0, 1.0, now, now + 1.0))
+                queue.dequeue(now)
+            queue.enqueue(QueuedOperation(None, i % 20, queue.bucket(i % 20, name, now), 1.0, 1.0, now, now + 1.0))
         took = (time.perf_counter() - began) / max(count, 20_000)
         print(
             f"| {count} | {tracemalloc.get_traced_memory()[1] / 1048576:.2f} | {took * 1e6:.1f} (traced) |",
--- a/gaugehinge/admission/admission_control.py
+++ b/gaugehinge/admission/admission_control.py
@@ -21,34 +21,34 @@
 from ..net.dispatcher import BUSY_REPLY, Dispatcher, busy_reply
 from ..routing.types import Operation
 from ..settings import Settings
-from .retry_after import ComeBack
-from .costs import Costs
-from .fairness import FairQueue, Waiting
-from .request_peek import Glimpse
-from .heavy_hitters import Heavy
-from .rate_level import FADE, Level
-from .limiter import Limiter
-from .connection_slots import NEVER_SPOKE, H, Holder, Pace, yielding
-from .sampling import Tap
-from .read_scheduler import Turns
-from .fair_reader import Turnstile
-
-SAMPLE_EVERY = 0.05
-TELL_EVERY = 10.0  # figures by tenant, while anything was turned away
-HEAVY_SIZE = 64  # clients of which the weight is known
-HEAVY_HALVE = 5.0
-LEARN = 0.1  # of the smoothed answer time and its deviation, each operation
-DEVIATIONS = 2.0  # over the mean that an answer is expected to take at most
-FIRST_PART = 0.25  # of the promised time: what an answer is expected to take before any was seen
-WAITING_MEMORY = 4096  # bytes that one waiting operation takes beside its value
-WAITING_PART = 0.05  # of the memory that waiting operations may take
-WAITING_MOST = 4096
-SPARE = 0.005  # kept before the deadline for the answer's own way
-QUICK = 0.05  # an operation refused by the decisions used this part of what it counted
+from .retry_after import RetryAfter
+from .costs import CostEstimator
+from .fairness import FairQueue, QueuedOperation
+from .request_peek import PeekedRead
+from .heavy_hitters import HeavyHitters
+from .rate_level import USAGE_DECAY_TIME, RateLevel
+from .limiter import ConcurrencyLimiter
+from .connection_slots import NO_REQUEST_YET, SlotHolderT, SlotHolder, AcceptLimiter, eviction_order
+from .sampling import ReadSampler
+from .read_scheduler import ReadScheduler
+from .fair_reader import FairReader
+
+SAMPLE_INTERVAL = 0.05
+LOG_INTERVAL = 10.0  # figures by tenant, while anything was turned away
+HEAVY_HITTERS_SIZE = 64  # clients of which the weight is known
+HEAVY_HITTERS_HALVING_INTERVAL = 5.0
+SMOOTHING_FACTOR = 0.1  # of the smoothed answer time and its deviation, each operation
+LATENCY_DEVIATIONS = 2.0  # over the mean that an answer is expected to take at most
+INITIAL_LATENCY_FRACTION = 0.25  # of the promised time: what an answer is expected to take before any was seen
+QUEUED_OPERATION_BYTES = 4096  # bytes that one waiting operation takes beside its value
+QUEUE_MEMORY_FRACTION = 0.05  # of the memory that waiting operations may take
+MAX_QUEUED_OPERATIONS = 4096
+REPLY_MARGIN = 0.005  # kept before the deadline for the answer's own way
+REJECTED_COST_FRACTION = 0.05  # an operation refused by the decisions used this part of what it counted
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class PendingOperation:
     """One operation at the door, until its answer."""
 
     operation: Operation
@@ -57,10 +57,10 @@
     size: int
     bucket: int
     cost: float
-    waiting: Waiting | None = None  # while it waits
+    queue_entry: QueuedOperation | None = None  # while it waits
     handle: int = 0  # at the dispatch, once it is passed on
-    passed: float = 0.0  # when
-    gone: bool = False  # its client left
+    forwarded_at: float = 0.0  # when
+    client_left: bool = False  # its client left
 
 
 class FairAdmissionControl:
@@ -84,37 +84,37 @@
         self.clock = dispatcher.clock
         now = self.clock()
         tenants = len(deployment.tenants)
-        most = max(min(int(memory * WAITING_PART) // WAITING_MEMORY, WAITING_MOST), 16)
-        self.queue = FairQueue([t.quota for t in deployment.tenants], most, deployment.seed, now)
-        self.limiter = Limiter(settings.max_in_flight, now)
-        self.come_back = ComeBack(deployment.max_retry_after, tenants, deployment.seed)
-        self.costs = Costs(len(deployment.traffic_types))
-        self.heavy = Heavy(HEAVY_SIZE, HEAVY_HALVE, now)
-        self.pace = Pace(now)
+        capacity = max(min(int(memory * QUEUE_MEMORY_FRACTION) // QUEUED_OPERATION_BYTES, MAX_QUEUED_OPERATIONS), 16)
+        self.queue = FairQueue([t.quota for t in deployment.tenants], capacity, deployment.seed, now)
+        self.limiter = ConcurrencyLimiter(settings.max_in_flight, now)
+        self.retry_after = RetryAfter(deployment.max_retry_after, tenants, deployment.seed)
+        self.costs = CostEstimator(len(deployment.traffic_types))
+        self.heavy_hitters = HeavyHitters(HEAVY_HITTERS_SIZE, HEAVY_HITTERS_HALVING_INTERVAL, now)
+        self.accept_limiter = AcceptLimiter(now)
         shares = [t.quota for t in deployment.tenants]
-        self.turns = Turns(shares, now)
-        self.level = Level(shares, now)
-        self.turnstile: Turnstile | None = None
-        self.cost_each = [0.0] * (tenants + 1)  # of a tenant's operations, smoothed
-        self.writes = [0.0] * (tenants + 1)  # seconds of CPU a second let in that no first look turns away
-        self._written = [0.0] * (tenants + 1)
-        self._sampled = now
-        payoffs = [row.priority_weight for row in deployment.traffic_types]
-        self.tap = Tap(tenants + 1, payoffs, deployment.seed, now)
+        self.read_scheduler = ReadScheduler(shares, now)
+        self.rate_level = RateLevel(shares, now)
+        self.fair_reader: FairReader | None = None
+        self.mean_costs = [0.0] * (tenants + 1)  # of a tenant's operations, smoothed
+        self.write_rates = [0.0] * (tenants + 1)  # seconds of CPU a second let in that no first look turns away
+        self._write_costs = [0.0] * (tenants + 1)
+        self._sampled_at = now
+        priority_weights = [row.priority_weight for row in deployment.traffic_types]
+        self.sampler = ReadSampler(tenants + 1, priority_weights, deployment.seed, now)
         self.tenant_of = tenant_of or (lambda client, name: settings.tenant_indexes.get(name, -1))
-        self.in_hand = 0
-        self.lateness = 0.0  # answer times as a part of the promised, smoothed
+        self.in_flight = 0
+        self.latency_ratio = 0.0  # answer times as a part of the promised, smoothed
         rows = deployment.traffic_types
-        self.took = [FIRST_PART * row.latency_objective for row in rows]  # in hand, smoothed
-        self.strays = [0.0] * len(rows)  # and how far times lie from that
-        self._held: Counter[int] = Counter()  # connections by tenant, counted now and then
-        self._next_count = now
-        self._pulling = False
-        self._looking = False
-        self._cpu = time.process_time()
-        self._next_tell = now + TELL_EVERY
-        self._names = [*settings.tenant_indexes, "none"]
-        self.timers.call_at(now + SAMPLE_EVERY, self._sample)
+        self.expected_latencies = [INITIAL_LATENCY_FRACTION * row.latency_objective for row in rows]  # in hand, smoothed
+        self.latency_deviations = [0.0] * len(rows)  # and how far times lie from that
+        self._connections_by_tenant: Counter[int] = Counter()  # connections by tenant, counted now and then
+        self._next_connection_count = now
+        self._dequeuing = False
+        self._expiry_scheduled = False
+        self._cpu_time = time.process_time()
+        self._next_log_at = now + LOG_INTERVAL
+        self._tenant_names = [*settings.tenant_indexes, "none"]
+        self.timers.call_at(now + SAMPLE_INTERVAL, self._sample)
 
     # -- in
 
@@ -125,63 +125,63 @@
         answer: Callable[[bytes], None],
         client: bytes,
         size: int,
-    ) -> Entry:
+    ) -> PendingOperation:
         """Take an operation; `answer` gets its one final answer, perhaps at once."""
         now = self.clock()
         tenant = operation.tenant
         row = operation.traffic_type.row
         if not operation.is_write:
-            self.tap.come(tenant, row)
-        client = self._client(payload) or client
+            self.sampler.record_arrival(tenant, row)
+        client = self._client_label(payload) or client
         bucket = self.queue.bucket(tenant, client, now)
         cost = self.costs.cost(row, size)
-        self._let_in(tenant, cost, operation.is_write)
-        entry = Entry(operation, payload, answer, size, bucket, cost)
-        if not self.queue.live and self.in_hand < self.limiter.limit:
+        self._record_admission(tenant, cost, operation.is_write)
+        entry = PendingOperation(operation, payload, answer, size, bucket, cost)
+        if not self.queue.length and self.in_flight < self.limiter.limit:
             if operation.is_client_retry is False:
-                self.come_back.allow(tenant, False)
-            self.queue.pass_by(tenant, bucket, cost)
-            self._pass_on(entry, now)
+                self.retry_after.allow(tenant, False)
+            self.queue.charge_unqueued(tenant, bucket, cost)
+            self._forward(entry, now)
             return entry
-        self.heavy.add(client, cost, now)
-        cause = self._refusal(entry, now)
+        self.heavy_hitters.add(client, cost, now)
+        cause = self._rejection_cause(entry, now)
         if cause:
-            self._count(tenant, cause)
-            self._turn_away(entry)
+            self._count_rejection(tenant, cause)
+            self._reject(entry)
             return entry
-        entry.waiting = Waiting(
+        entry.queue_entry = QueuedOperation(
             entry,
             tenant,
             bucket,
             operation.traffic_type.priority_weight,
             cost,
             now,
-            self._leave_at(operation),
+            self._latest_start(operation),
         )
-        self.queue.put(entry.waiting)
-        self._look_for_leavers()
-        self._pull()
+        self.queue.enqueue(entry.queue_entry)
+        self._schedule_expiry()
+        self._dequeue()
         return entry
 
-    def _let_in(self, tenant: int, cost: float, write: bool) -> None:
+    def _record_admission(self, tenant: int, cost: float, write: bool) -> None:
         """Count an operation that is taken in."""
-        self.level.spend(tenant, cost)
-        self.cost_each[tenant] += LEARN * (cost - self.cost_each[tenant])
+        self.rate_level.record(tenant, cost)
+        self.mean_costs[tenant] += SMOOTHING_FACTOR * (cost - self.mean_costs[tenant])
         if write:
-            self._written[tenant] += cost
+            self._write_costs[tenant] += cost
 
-    def _rooms(self, span: float) -> list[float]:
+    def _max_read_rates(self, span: float) -> list[float]:
         """Reads a second that each tenant may be let in, at the level."""
-        keep = exp(-span / FADE)
-        rooms = []
-        for place, written in enumerate(self._written):
-            self.writes[place] = keep * self.writes[place] + (1.0 - keep) * written / span
-            self._written[place] = 0.0
-            left = max(self.level.room(place) - self.writes[place], 0.0)
-            rooms.append(left / (self.cost_each[place] or self.costs.each))
-        return rooms
-
-    def _client(self, payload: RequestPayload) -> bytes:
+        decay = exp(-span / USAGE_DECAY_TIME)
+        max_rates = []
+        for tenant, written in enumerate(self._write_costs):
+            self.write_rates[tenant] = decay * self.write_rates[tenant] + (1.0 - decay) * written / span
+            self._write_costs[tenant] = 0.0
+            left = max(self.rate_level.allowance(tenant) - self.write_rates[tenant], 0.0)
+            max_rates.append(left / (self.mean_costs[tenant] or self.costs.per_operation))
+        return max_rates
+
+    def _client_label(self, payload: RequestPayload) -> bytes:
         """The name in the labels, where that tells clients apart; empty where there is none."""
         if not self.label:
             return b""
@@ -190,247 +190,247 @@
                 return part
         return b""
 
-    def _refusal(self, entry: Entry, now: float) -> str:
+    def _rejection_cause(self, entry: PendingOperation, now: float) -> str:
         """Why an operation cannot wait; empty where it can."""
         operation = entry.operation
         # Repeats of a tenant that has nothing waiting take nobody's turn.
-        waits = self.queue.lines[operation.tenant].live
-        if waits and not self.come_back.allow(operation.tenant, operation.is_client_retry):
+        waits = self.queue.tenant_queues[operation.tenant].length
+        if waits and not self.retry_after.allow(operation.tenant, operation.is_client_retry):
             return "repeats"
-        left = self._leave_at(operation) - now
-        if left <= 0.0 or self.queue.wait_of(operation.tenant) > left:
+        left = self._latest_start(operation) - now
+        if left <= 0.0 or self.queue.expected_wait(operation.tenant) > left:
             return "late"
-        if self.queue.live < self.queue.most:
+        if self.queue.length < self.queue.capacity:
             return ""
-        victim = self.queue.victim(now)
+        victim = self.queue.choose_victim(now)
         if victim is None or (
-            victim.tenant == operation.tenant and victim.payoff >= operation.traffic_type.priority_weight
+            victim.tenant == operation.tenant and victim.priority_weight >= operation.traffic_type.priority_weight
         ):
             return "full"
-        self.queue.leave(victim, "full")
-        self._turn_away(victim.thing)
+        self.queue.remove(victim, "full")
+        self._reject(victim.item)
         return ""
 
-    def _leave_at(self, operation: Operation) -> float:
+    def _latest_start(self, operation: Operation) -> float:
         """When the time left does not cover an answer any more."""
-        traffic = operation.traffic_type
-        row = traffic.row
-        expected = self.took[row] + DEVIATIONS * self.strays[row]
+        traffic_type = operation.traffic_type
+        row = traffic_type.row
+        expected = self.expected_latencies[row] + LATENCY_DEVIATIONS * self.latency_deviations[row]
         end = operation.deadline
-        if not traffic.late_weight:
-            end = min(end, operation.arrived_at + traffic.latency_objective)
-        return end - SPARE - min(expected, 0.5 * (end - operation.arrived_at))
+        if not traffic_type.late_weight:
+            end = min(end, operation.arrived_at + traffic_type.latency_objective)
+        return end - REPLY_MARGIN - min(expected, 0.5 * (end - operation.arrived_at))
 
-    def client_gone(self, entry: Entry, freed: Callable[[], None] = lambda: None) -> None:
+    def client_gone(self, entry: PendingOperation, freed: Callable[[], None] = lambda: None) -> None:
         """Nobody waits for the answer any more."""
-        entry.gone = True
-        if entry.waiting is not None:
-            self.queue.leave(entry.waiting, "gone")
-            entry.waiting = None
+        entry.client_left = True
+        if entry.queue_entry is not None:
+            self.queue.remove(entry.queue_entry, "gone")
+            entry.queue_entry = None
             freed()
-        elif entry.passed:
+        elif entry.forwarded_at:
             self.dispatcher.client_gone(entry.handle, freed)
-            self._ended(entry, b"", now=self.clock())
+            self._on_finished(entry, b"", now=self.clock())
         else:
             freed()
 
     # -- out
 
-    def _pull(self) -> None:
+    def _dequeue(self) -> None:
         """Pass on what has its turn, as far as there is room. What is refused at once makes room at once."""
-        if self._pulling:
+        if self._dequeuing:
             return
-        self._pulling = True
+        self._dequeuing = True
         try:
-            while self.queue.live and self.in_hand < self.limiter.limit:
+            while self.queue.length and self.in_flight < self.limiter.limit:
                 now = self.clock()
-                taken = self.queue.take(now)
-                if taken is None:
+                queued = self.queue.dequeue(now)
+                if queued is None:
                     return
-                entry = taken.thing
-                entry.waiting = None
-                if taken.leave <= now:
-                    self._count(taken.tenant, "late")
-                    self._turn_away(entry)
+                entry = queued.item
+                entry.queue_entry = None
+                if queued.expires_at <= now:
+                    self._count_rejection(queued.tenant, "late")
+                    self._reject(entry)
                 else:
-                    self._pass_on(entry, now)
+                    self._forward(entry, now)
         finally:
-            self._pulling = False
+            self._dequeuing = False
 
-    def _pass_on(self, entry: Entry, now: float) -> None:
-        entry.passed = now
-        self.in_hand += 1
-        self.queue.count(entry.operation.tenant, now, True)
+    def _forward(self, entry: PendingOperation, now: float) -> None:
+        entry.forwarded_at = now
+        self.in_flight += 1
+        self.queue.record_outcome(entry.operation.tenant, now, True)
         if not entry.operation.is_write:
-            self.tap.pass_on(entry.operation.tenant)
+            self.sampler.record_forwarded(entry.operation.tenant)
 
         def answer(reply: bytes) -> None:
-            self._ended(entry, reply, self.clock())
+            self._on_finished(entry, reply, self.clock())
             entry.answer(reply)
 
         entry.handle = self.dispatcher.submit(entry.operation, entry.payload, answer)
 
-    def _ended(self, entry: Entry, reply: bytes, now: float) -> None:
+    def _on_finished(self, entry: PendingOperation, reply: bytes, now: float) -> None:
         """An operation is answered, or its client left: there is room for another."""
-        if not entry.passed:
+        if not entry.forwarded_at:
             return
-        took, entry.passed = now - entry.passed, 0.0
-        self.in_hand -= 1
+        elapsed, entry.forwarded_at = now - entry.forwarded_at, 0.0
+        self.in_flight -= 1
         row = entry.operation.traffic_type.row
-        self.costs.ended(row, entry.size + len(reply))
-        if reply.startswith(BUSY_WORD):
-            self.queue.refund(entry.operation.tenant, entry.bucket, entry.cost * (1.0 - QUICK))
+        self.costs.record(row, entry.size + len(reply))
+        if reply.startswith(BUSY_PREFIX):
+            self.queue.refund(entry.operation.tenant, entry.bucket, entry.cost * (1.0 - REJECTED_COST_FRACTION))
         elif reply and not reply.startswith(b"-"):
-            self.strays[row] += LEARN * (abs(took - self.took[row]) - self.strays[row])
-            self.took[row] += LEARN * (took - self.took[row])
-            self.lateness += LEARN * (took / entry.operation.traffic_type.latency_objective - self.lateness)
-        if self.queue.live:
-            self._pull()
+            self.latency_deviations[row] += SMOOTHING_FACTOR * (abs(elapsed - self.expected_latencies[row]) - self.latency_deviations[row])
+            self.expected_latencies[row] += SMOOTHING_FACTOR * (elapsed - self.expected_latencies[row])
+            self.latency_ratio += SMOOTHING_FACTOR * (elapsed / entry.operation.traffic_type.latency_objective - self.latency_ratio)
+        if self.queue.length:
+            self._dequeue()
 
-    def _turn_away(self, entry: Entry) -> None:
+    def _reject(self, entry: PendingOperation) -> None:
         """Refused from here: it never ran."""
-        entry.waiting = None
+        entry.queue_entry = None
         operation = entry.operation
         operation.finished = True
-        entry.answer(busy_reply(self._stay_away(operation)))
+        entry.answer(busy_reply(self._retry_delay(operation)))
 
-    def _stay_away(self, operation: Operation) -> float:
+    def _retry_delay(self, operation: Operation) -> float:
         """When one that is turned away may return."""
-        self.queue.count(operation.tenant, self.clock(), False)
-        wait = self.queue.wait_of(operation.tenant) + self.queue.pressure(operation.tenant)
-        return self.come_back.time(wait, operation.is_client_retry)
+        self.queue.record_outcome(operation.tenant, self.clock(), False)
+        wait = self.queue.expected_wait(operation.tenant) + self.queue.rejected_backlog(operation.tenant)
+        return self.retry_after.delay(wait, operation.is_client_retry)
 
-    def _count(self, tenant: int, cause: str) -> None:
-        refused = self.queue.lines[tenant].refused
-        refused[cause] = refused.get(cause, 0) + 1
+    def _count_rejection(self, tenant: int, cause: str) -> None:
+        rejections = self.queue.tenant_queues[tenant].rejections
+        rejections[cause] = rejections.get(cause, 0) + 1
 
-    def _look_for_leavers(self) -> None:
+    def _schedule_expiry(self) -> None:
         """Turn away those whose time is up, each when it is, by one entry in the heap of deadlines."""
-        due = self.queue.next_due()
-        if due is not None and not self._looking:
-            self._looking = True
-            self.timers.call_at(due, self._leavers)
-
-    def _leavers(self) -> None:
-        self._looking = False
-        for waiting in self.queue.due(self.clock()):
-            self.queue.leave(waiting, "late")
-            self._turn_away(waiting.thing)
-        self._look_for_leavers()
-
-    def waiting(self) -> list[Waiting]:
+        due = self.queue.next_expiry()
+        if due is not None and not self._expiry_scheduled:
+            self._expiry_scheduled = True
+            self.timers.call_at(due, self._expire_queued)
+
+    def _expire_queued(self) -> None:
+        self._expiry_scheduled = False
+        for queued in self.queue.pop_expired(self.clock()):
+            self.queue.remove(queued, "late")
+            self._reject(queued.item)
+        self._schedule_expiry()
+
+    def queued_operations(self) -> list[QueuedOperation]:
         """What waits."""
-        flows = [flow for line in self.queue.lines for flow in line.flows.values()]
-        return [waiting for flow in flows for waiting in flow.entries if not waiting.out]
+        flows = [flow for tenant_queue in self.queue.tenant_queues for flow in tenant_queue.flows.values()]
+        return [queued for flow in flows for queued in flow.entries if not queued.removed]
 
     def reject_queued(self) -> None:
         """The router ends: what waits never ran."""
-        for waiting in self.waiting():
-            self.queue.leave(waiting, "end")
-            self._turn_away(waiting.thing)
+        for queued in self.queued_operations():
+            self.queue.remove(queued, "end")
+            self._reject(queued.item)
 
     # -- measuring
 
     def _sample(self) -> None:
         now = self.clock()
         cpu = time.process_time()
-        span = max(now - self._sampled, 1e-6)
-        self._sampled = now
-        self.costs.sample(cpu - self._cpu)
-        self.pace.sample(cpu - self._cpu, span)
-        self._cpu = cpu
-        if self.turnstile is not None:
-            left, refusing = self.turnstile.looked()
-            self.level.sample(left, refusing / span, now)
+        span = max(now - self._sampled_at, 1e-6)
+        self._sampled_at = now
+        self.costs.sample(cpu - self._cpu_time)
+        self.accept_limiter.sample(cpu - self._cpu_time, span)
+        self._cpu_time = cpu
+        if self.fair_reader is not None:
+            unfinished, reject_time = self.fair_reader.take_statistics()
+            self.rate_level.sample(unfinished, reject_time / span, now)
         self.queue.sample(now)
         lag = self.timers.current_lag
-        self.limiter.sample(lag, self.in_hand, self.queue.live, self.lateness, now)
-        backlogs = [self.queue.backlog(line) for line in self.queue.lines]
-        self.tap.sample(backlogs, self._rooms(span), now)
-        if self.queue.live:
-            self._pull()
-        self._tell(now)
-        self.timers.call_at(now + SAMPLE_EVERY, self._sample)
-
-    def _tell(self, now: float) -> None:
-        for log in (self.limiter.log, self.queue.log, self.tap.log, self.level.log):
+        self.limiter.sample(lag, self.in_flight, self.queue.length, self.latency_ratio, now)
+        backlogs = [self.queue.backlog(tenant_queue) for tenant_queue in self.queue.tenant_queues]
+        self.sampler.sample(backlogs, self._max_read_rates(span), now)
+        if self.queue.length:
+            self._dequeue()
+        self._log_statistics(now)
+        self.timers.call_at(now + SAMPLE_INTERVAL, self._sample)
+
+    def _log_statistics(self, now: float) -> None:
+        for log in (self.limiter.log_messages, self.queue.log_messages, self.sampler.log_messages, self.rate_level.log_messages):
             for text in log:
                 logger.info(text)
             log.clear()
-        if now < self._next_tell:
+        if now < self._next_log_at:
             return
-        self._next_tell = now + TELL_EVERY
-        for line, name in zip(self.queue.lines, self._names, strict=True):
-            if line.refused or line.queued:
-                logger.info(describe(name, line.queued, line.sojourn, line.longest, line.refused))
-                line.queued, line.sojourn, line.longest = 0, 0.0, 0.0
-                line.refused.clear()
+        self._next_log_at = now + LOG_INTERVAL
+        for tenant_queue, name in zip(self.queue.tenant_queues, self._tenant_names, strict=True):
+            if tenant_queue.rejections or tenant_queue.queued:
+                logger.info(format_statistics(name, tenant_queue.queued, tenant_queue.total_sojourn, tenant_queue.max_sojourn, tenant_queue.rejections))
+                tenant_queue.queued, tenant_queue.total_sojourn, tenant_queue.max_sojourn = 0, 0.0, 0.0
+                tenant_queue.rejections.clear()
 
     # -- connections
 
-    def new_reader(self, clients: ClientServer) -> Turnstile:
+    def new_reader(self, clients: ClientServer) -> FairReader:
         """What reads the connections."""
-        self.turnstile = Turnstile(clients, self.turns, self.tap, self._at_first_look)
-        return self.turnstile
+        self.fair_reader = FairReader(clients, self.read_scheduler, self.sampler, self._reject_peeked)
+        return self.fair_reader
 
-    def _at_first_look(self, client: ClientConnection, seen: Glimpse) -> bytes | None:
+    def _reject_peeked(self, client: ClientConnection, peeked: PeekedRead) -> bytes | None:
         """The answer to a read that is not let in; None where it is, or is to be read in full."""
-        row = self.settings.traffic_type_rows.get(seen.traffic)
+        row = self.settings.traffic_type_rows.get(peeked.traffic_type)
         if row is None:
             return None
-        tenant = self.tenant_of(client, seen.tenant)
+        tenant = self.tenant_of(client, peeked.tenant)
         if tenant is None:
             return None
         client.tenant = tenant
-        if self.tap.let_in(tenant, row):
+        if self.sampler.should_parse(tenant, row):
             return None
-        self._count(tenant, "first look")
-        self.queue.count(tenant, self.clock(), False)
-        wait = self.queue.wait_of(tenant) + self.queue.pressure(tenant)
-        return busy_reply(self.come_back.time(wait, seen.repeat))
+        self._count_rejection(tenant, "first look")
+        self.queue.record_outcome(tenant, self.clock(), False)
+        wait = self.queue.expected_wait(tenant) + self.queue.rejected_backlog(tenant)
+        return busy_reply(self.retry_after.delay(wait, peeked.is_retry))
 
     def may_accept(self) -> bool:
         """Whether one more connection may be accepted now."""
-        return self.pace.accept(self.clock())
+        return self.accept_limiter.may_accept(self.clock())
 
     def on_accepted(self, cpu: float) -> None:
         """Connections were accepted, in so many seconds of CPU."""
-        self.pace.took(cpu)
+        self.accept_limiter.charge(cpu)
 
-    def order_of_eviction(self, connections: Iterable[H]) -> list[H]:
+    def order_of_eviction(self, connections: Iterable[SlotHolderT]) -> list[SlotHolderT]:
         """Connections in the order in which they should yield their places."""
-        return yielding(connections)
+        return eviction_order(connections)
 
-    def exceeds_connection_quota(self, tenant: int, connections: Iterable[Holder], most: int) -> bool:
+    def exceeds_connection_quota(self, tenant: int, connections: Iterable[SlotHolder], most: int) -> bool:
         """Whether a connection over the limit is one too many for its tenant: not while it holds less
         than its part.
 
         Turned away whatever tenant it was of, a crowd of one took the places of all others.
         """
         now = self.clock()
-        if now >= self._next_count:
-            self._next_count = now + SAMPLE_EVERY
-            self._held = Counter(each.tenant for each in connections)
-        spoke = sum(number != NEVER_SPOKE for number in self._held)
-        return self._held[tenant] >= most / max(spoke, 1)
+        if now >= self._next_connection_count:
+            self._next_connection_count = now + SAMPLE_INTERVAL
+            self._connections_by_tenant = Counter(each.tenant for each in connections)
+        spoke = sum(number != NO_REQUEST_YET for number in self._connections_by_tenant)
+        return self._connections_by_tenant[tenant] >= most / max(spoke, 1)
 
     def overload_reply(self, operation: Operation) -> bytes:
         """What an operation is told that finds no place, or no memory for it."""
-        self._count(operation.tenant, "place")
-        return busy_reply(self._stay_away(operation))
+        self._count_rejection(operation.tenant, "place")
+        return busy_reply(self._retry_delay(operation))
 
-    def share(self, shares: Sequence[float]) -> None:
+    def set_shares(self, shares: Sequence[float]) -> None:
         """The tenants' shares have changed."""
-        self.queue.share(shares)
-        self.turns.share(shares)
-        self.level.share(shares)
+        self.queue.set_shares(shares)
+        self.read_scheduler.set_shares(shares)
+        self.rate_level.set_shares(shares)
 
 
-BUSY_WORD = BUSY_REPLY[:5]
+BUSY_PREFIX = BUSY_REPLY[:5]
 
 
-def describe(name: str, queued: int, sojourn: float, longest: float, refused: dict[str, int]) -> str:
+def format_statistics(name: str, queued: int, total_sojourn: float, max_sojourn: float, rejections: dict[str, int]) -> str:
     """One line of figures of a tenant since the last one."""
-    causes = ", ".join(f"{cause} {count}" for cause, count in sorted(refused.items())) or "none"
-    mean = sojourn / queued if queued else 0.0
-    return f"door tenant {name}: {queued} waited {mean:.3f} s, {longest:.3f} at most; bounced: {causes}"
+    causes = ", ".join(f"{cause} {count}" for cause, count in sorted(rejections.items())) or "none"
+    mean = total_sojourn / queued if queued else 0.0
+    return f"door tenant {name}: {queued} waited {mean:.3f} s, {max_sojourn:.3f} at most; bounced: {causes}"
--- a/gaugehinge/admission/fairness.py
+++ b/gaugehinge/admission/fairness.py
@@ -20,30 +20,30 @@
 
 from xxhash import xxh64_intdigest
 
-BUCKETS = 1024  # for the clients of all tenants: any two collide once in a thousand
-RESEED_EVERY = 10.0  # seconds; so long two that collide share one turn
-LEAST_WEIGHT = 0.01  # of the mean: a tenant with no share still gets a turn now and then
-LONG_SOJOURN = 0.1  # where the oldest of all flows of a tenant waited for so long,
-LONG_TIME = 0.5  # through all of such a time, the overload is long: its newest go first
-VICTIM_KEEP = 0.01  # seconds for which the tenant that yields is not looked for again
-SEARCHED = 32  # operations looked at for the one of least payoff
-RATE_KEEP = 0.8  # of the measured pace, a sample
-PRESSURE_TIME = 1.0  # over which what was passed on and turned away is remembered
-OUT_MOST = 256  # entries that left, kept in the heaps before these are cleaned
+CLIENT_BUCKETS = 1024  # for the clients of all tenants: any two collide once in a thousand
+RESEED_INTERVAL = 10.0  # seconds; so long two that collide share one turn
+MIN_WEIGHT = 0.01  # of the mean: a tenant with no share still gets a turn now and then
+OVERLOAD_SOJOURN = 0.1  # where the oldest of all flows of a tenant waited for so long,
+OVERLOAD_INTERVAL = 0.5  # through all of such a time, the overload is long: its newest go first
+VICTIM_TENANT_TTL = 0.01  # seconds for which the tenant that yields is not looked for again
+MAX_VICTIM_CANDIDATES = 32  # operations looked at for the one of least payoff
+SERVICE_RATE_DECAY = 0.8  # of the measured pace, a sample
+REJECTION_WINDOW = 1.0  # over which what was passed on and turned away is remembered
+MAX_STALE_ENTRIES = 256  # entries that left, kept in the heaps before these are cleaned
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class QueuedOperation:
     """One operation in the queue."""
 
-    thing: Any  # the door's own
+    item: Any  # the door's own
     tenant: int
     bucket: int
-    payoff: float
+    priority_weight: float
     cost: float  # seconds of CPU
-    came: float
-    leave: float  # from then on an answer could not come in time
-    out: bool = False  # taken, or left
+    enqueued_at: float
+    expires_at: float  # from then on an answer could not come in time
+    removed: bool = False  # taken, or left
 
 
 @dataclass(slots=True, eq=False)
@@ -51,261 +51,261 @@
     """Operations of one bucket of one tenant, oldest first; it leaves with the last one."""
 
     bucket: int
-    start: float
-    entries: deque[Waiting] = field(default_factory=deque)
-    live: int = 0
+    virtual_start: float
+    entries: deque[QueuedOperation] = field(default_factory=deque)
+    length: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class Line:
+class TenantQueue:
     """One tenant."""
 
-    number: int
+    tenant: int
     weight: float
-    finish: float = 0.0  # virtual time up to which it has been served
-    start: float = 0.0  # of what is next
-    virtual: float = 0.0  # time within it, over its buckets
+    virtual_finish: float = 0.0  # virtual time up to which it has been served
+    virtual_start: float = 0.0  # of what is next
+    virtual_time: float = 0.0  # time within it, over its buckets
     flows: dict[int, Flow] = field(default_factory=dict)  # those with something in them
-    order: list[tuple[float, int, Flow]] = field(default_factory=list)
-    live: int = 0
-    cost: float = 0.0  # of all that waits
+    flow_heap: list[tuple[float, int, Flow]] = field(default_factory=list)
+    length: int = 0
+    queued_cost: float = 0.0  # of all that waits
     newest_first: bool = False
-    least: float = inf  # that the oldest of a flow had waited, since it was last judged
-    judged_at: float = 0.0
-    taken: float = 0.0  # operations passed on and turned away, of late; both fade
-    turned: float = 0.0
-    faded_at: float = 0.0
+    min_sojourn: float = inf  # that the oldest of a flow had waited, since it was last judged
+    overload_checked_at: float = 0.0
+    recently_forwarded: float = 0.0  # operations passed on and turned away, of late; both fade
+    recently_rejected: float = 0.0
+    decayed_at: float = 0.0
     # figures since the last time they were told
     queued: int = 0
-    sojourn: float = 0.0
-    longest: float = 0.0
-    refused: dict[str, int] = field(default_factory=dict)  # by cause, some four
+    total_sojourn: float = 0.0
+    max_sojourn: float = 0.0
+    rejections: dict[str, int] = field(default_factory=dict)  # by cause, some four
 
 
 class FairQueue:
     """What waits, and who is next."""
 
-    def __init__(self, shares: Sequence[float], most: int, seed: int, now: float) -> None:
-        self.most = most
+    def __init__(self, shares: Sequence[float], capacity: int, seed: int, now: float) -> None:
+        self.capacity = capacity
         self.seed = seed
-        self.lines = [Line(i, 1.0) for i in range(len(shares) + 1)]  # the last one: of no known tenant
-        self.share(shares)
-        self.virtual = 0.0
-        self.live = 0
-        self.log: list[str] = []  # emptied by the door
-        self.pace = 0.0  # cost served a second while something waited
-        self._finish = array("d", bytes(8 * BUCKETS))
-        self._order: list[tuple[float, int, Line]] = []
-        self._leaving: list[tuple[float, int, Waiting]] = []
-        self._count = 0
-        self._next_seed = now + RESEED_EVERY
+        self.tenant_queues = [TenantQueue(i, 1.0) for i in range(len(shares) + 1)]  # the last one: of no known tenant
+        self.set_shares(shares)
+        self.virtual_time = 0.0
+        self.length = 0
+        self.log_messages: list[str] = []  # emptied by the door
+        self.service_rate = 0.0  # cost served a second while something waited
+        self._bucket_finish = array("d", bytes(8 * CLIENT_BUCKETS))
+        self._tenant_heap: list[tuple[float, int, TenantQueue]] = []
+        self._expiry_heap: list[tuple[float, int, QueuedOperation]] = []
+        self._sequence = 0
+        self._next_reseed = now + RESEED_INTERVAL
         self._salt = seed
-        self._victim: Line | None = None
-        self._victim_until = 0.0
-        self._served = 0.0
-        self._sampled = now
+        self._victim_tenant: TenantQueue | None = None
+        self._victim_tenant_until = 0.0
+        self._served_cost = 0.0
+        self._sampled_at = now
 
     def __len__(self) -> int:
-        return self.live
+        return self.length
 
-    def share(self, shares: Sequence[float]) -> None:
+    def set_shares(self, shares: Sequence[float]) -> None:
         """The tenants' weights, at the start and when they change; what waits keeps its place."""
         mean = sum(shares) / len(shares) if shares and sum(shares) else 1.0
-        for line, share in zip(self.lines, [*shares, mean], strict=True):
-            line.weight = max(share / mean, LEAST_WEIGHT)
+        for queue, share in zip(self.tenant_queues, [*shares, mean], strict=True):
+            queue.weight = max(share / mean, MIN_WEIGHT)
 
     # -- in
 
     def bucket(self, tenant: int, client: bytes, now: float) -> int:
         """The bucket of a client, for as long as the hash stays."""
-        if now >= self._next_seed:
-            self._next_seed = now + RESEED_EVERY
-            self._count += 1
-            self._salt = xxh64_intdigest(b"%d" % self._count, self.seed)
-        return xxh64_intdigest(b"%d " % tenant + client, self._salt) % BUCKETS
+        if now >= self._next_reseed:
+            self._next_reseed = now + RESEED_INTERVAL
+            self._sequence += 1
+            self._salt = xxh64_intdigest(b"%d" % self._sequence, self.seed)
+        return xxh64_intdigest(b"%d " % tenant + client, self._salt) % CLIENT_BUCKETS
 
-    def pass_by(self, tenant: int, bucket: int, cost: float) -> None:
+    def charge_unqueued(self, tenant: int, bucket: int, cost: float) -> None:
         """An operation that needs not wait, since nothing does. It counts as much."""
-        line = self.lines[tenant]
-        line.virtual = start = max(line.virtual, self._finish[bucket])
-        self._finish[bucket] = start + cost
-        self.virtual = start = max(self.virtual, line.finish)
-        line.finish = start + cost / line.weight
+        queue = self.tenant_queues[tenant]
+        queue.virtual_time = virtual_start = max(queue.virtual_time, self._bucket_finish[bucket])
+        self._bucket_finish[bucket] = virtual_start + cost
+        self.virtual_time = virtual_start = max(self.virtual_time, queue.virtual_finish)
+        queue.virtual_finish = virtual_start + cost / queue.weight
 
     def refund(self, tenant: int, bucket: int, cost: float) -> None:
         """Part of what an operation counted was not used."""
-        line = self.lines[tenant]
-        line.finish -= cost / line.weight
-        self._finish[bucket] -= cost
+        queue = self.tenant_queues[tenant]
+        queue.virtual_finish -= cost / queue.weight
+        self._bucket_finish[bucket] -= cost
 
-    def put(self, entry: Waiting) -> None:
+    def enqueue(self, entry: QueuedOperation) -> None:
         """Let an operation wait. The caller keeps to `most`."""
-        line = self.lines[entry.tenant]
-        self._count += 1
-        flow = line.flows.get(entry.bucket)
+        queue = self.tenant_queues[entry.tenant]
+        self._sequence += 1
+        flow = queue.flows.get(entry.bucket)
         if flow is None:
-            flow = line.flows[entry.bucket] = Flow(
-                entry.bucket, max(line.virtual, self._finish[entry.bucket])
+            flow = queue.flows[entry.bucket] = Flow(
+                entry.bucket, max(queue.virtual_time, self._bucket_finish[entry.bucket])
             )
-            heappush(line.order, (flow.start, self._count, flow))
+            heappush(queue.flow_heap, (flow.virtual_start, self._sequence, flow))
         flow.entries.append(entry)
-        flow.live += 1
-        if not line.live:
-            line.start = max(self.virtual, line.finish)
-            heappush(self._order, (line.start, self._count, line))
-        line.live += 1
-        line.cost += entry.cost
-        line.queued += 1
-        self.live += 1
-        heappush(self._leaving, (entry.leave, self._count, entry))
+        flow.length += 1
+        if not queue.length:
+            queue.virtual_start = max(self.virtual_time, queue.virtual_finish)
+            heappush(self._tenant_heap, (queue.virtual_start, self._sequence, queue))
+        queue.length += 1
+        queue.queued_cost += entry.cost
+        queue.queued += 1
+        self.length += 1
+        heappush(self._expiry_heap, (entry.expires_at, self._sequence, entry))
         # Those that were taken stay in this heap until their time: with long waits they would outnumber
         # the others.
-        if len(self._leaving) > OUT_MOST + 2 * self.live:
-            self._leaving = [each for each in self._leaving if not each[2].out]
-            heapify(self._leaving)
+        if len(self._expiry_heap) > MAX_STALE_ENTRIES + 2 * self.length:
+            self._expiry_heap = [each for each in self._expiry_heap if not each[2].removed]
+            heapify(self._expiry_heap)
 
     # -- out
 
-    def take(self, now: float) -> Waiting | None:
+    def dequeue(self, now: float) -> QueuedOperation | None:
         """The next one, by fair turns."""
-        line = self._next_line()
-        if line is None:
+        queue = self._next_tenant_queue()
+        if queue is None:
             return None
-        flow = self._next_flow(line)
-        entry = self._pick(line, flow, now)
-        self.virtual = line.start
-        line.virtual = flow.start
-        line.finish = line.start + entry.cost / line.weight
-        self._finish[flow.bucket] = flow.start + entry.cost
-        self._served += entry.cost
-        waited = now - entry.came
-        line.sojourn += waited
-        line.longest = max(line.longest, waited)
-        self._drop(line, flow, entry)
-        self._count += 1
-        if flow.live:
-            flow.start = self._finish[flow.bucket]
-            heappush(line.order, (flow.start, self._count, flow))
-        if line.live:
-            line.start = line.finish
-            heappush(self._order, (line.start, self._count, line))
+        flow = self._next_flow(queue)
+        entry = self._take_from_flow(queue, flow, now)
+        self.virtual_time = queue.virtual_start
+        queue.virtual_time = flow.virtual_start
+        queue.virtual_finish = queue.virtual_start + entry.cost / queue.weight
+        self._bucket_finish[flow.bucket] = flow.virtual_start + entry.cost
+        self._served_cost += entry.cost
+        waited = now - entry.enqueued_at
+        queue.total_sojourn += waited
+        queue.max_sojourn = max(queue.max_sojourn, waited)
+        self._unlink(queue, flow, entry)
+        self._sequence += 1
+        if flow.length:
+            flow.virtual_start = self._bucket_finish[flow.bucket]
+            heappush(queue.flow_heap, (flow.virtual_start, self._sequence, flow))
+        if queue.length:
+            queue.virtual_start = queue.virtual_finish
+            heappush(self._tenant_heap, (queue.virtual_start, self._sequence, queue))
         return entry
 
-    def _next_line(self) -> Line | None:
+    def _next_tenant_queue(self) -> TenantQueue | None:
         """The tenant whose turn it is. One that emptied meanwhile stands there no more, or anew."""
-        while self._order:
-            start, _, line = heappop(self._order)
-            if line.live and start == line.start:
-                return line
+        while self._tenant_heap:
+            virtual_start, _, queue = heappop(self._tenant_heap)
+            if queue.length and virtual_start == queue.virtual_start:
+                return queue
         return None
 
     @staticmethod
-    def _next_flow(line: Line) -> Flow:
+    def _next_flow(queue: TenantQueue) -> Flow:
         while True:
-            start, _, flow = heappop(line.order)
-            if flow.live and line.flows.get(flow.bucket) is flow and start == flow.start:
+            virtual_start, _, flow = heappop(queue.flow_heap)
+            if flow.length and queue.flows.get(flow.bucket) is flow and virtual_start == flow.virtual_start:
                 return flow
 
-    def _pick(self, line: Line, flow: Flow, now: float) -> Waiting:
-        while flow.entries[0].out:
+    def _take_from_flow(self, queue: TenantQueue, flow: Flow, now: float) -> QueuedOperation:
+        while flow.entries[0].removed:
             flow.entries.popleft()
-        self._judge(line, now - flow.entries[0].came, now)
-        if not line.newest_first:
+        self._update_order(queue, now - flow.entries[0].enqueued_at, now)
+        if not queue.newest_first:
             return flow.entries.popleft()
-        while flow.entries[-1].out:
+        while flow.entries[-1].removed:
             flow.entries.pop()
         return flow.entries.pop()
 
-    def _judge(self, line: Line, waited: float, now: float) -> None:
+    def _update_order(self, queue: TenantQueue, waited: float, now: float) -> None:
         """First come, first served holds all up alike in a long overload, until each answer is late."""
-        line.least = min(line.least, waited)
-        if now < line.judged_at:
+        queue.min_sojourn = min(queue.min_sojourn, waited)
+        if now < queue.overload_checked_at:
             return
-        newest = LONG_SOJOURN <= line.least < inf
-        line.least, line.judged_at = inf, now + LONG_TIME
-        if newest != line.newest_first:
-            line.newest_first = newest
-            first = "newest" if newest else "oldest"
-            self.log.append(f"door line {line.number} {first} first: {line.live} waiting, {waited:.3f} s")
-
-    def _drop(self, line: Line, flow: Flow, entry: Waiting) -> None:
-        entry.out = True
-        flow.live -= 1
-        line.live -= 1
-        line.cost = max(line.cost - entry.cost, 0.0) if line.live else 0.0
-        self.live -= 1
-        if not flow.live:
-            del line.flows[flow.bucket]
-
-    def leave(self, entry: Waiting, cause: str) -> None:
+        newest_first = OVERLOAD_SOJOURN <= queue.min_sojourn < inf
+        queue.min_sojourn, queue.overload_checked_at = inf, now + OVERLOAD_INTERVAL
+        if newest_first != queue.newest_first:
+            queue.newest_first = newest_first
+            first = "newest" if newest_first else "oldest"
+            self.log_messages.append(f"door line {queue.tenant} {first} first: {queue.length} waiting, {waited:.3f} s")
+
+    def _unlink(self, queue: TenantQueue, flow: Flow, entry: QueuedOperation) -> None:
+        entry.removed = True
+        flow.length -= 1
+        queue.length -= 1
+        queue.queued_cost = max(queue.queued_cost - entry.cost, 0.0) if queue.length else 0.0
+        self.length -= 1
+        if not flow.length:
+            del queue.flows[flow.bucket]
+
+    def remove(self, entry: QueuedOperation, cause: str) -> None:
         """An operation leaves without having been taken; what it would have counted, it does not."""
-        if entry.out:
+        if entry.removed:
             return
-        line = self.lines[entry.tenant]
-        line.refused[cause] = line.refused.get(cause, 0) + 1
-        self._drop(line, line.flows[entry.bucket], entry)
+        queue = self.tenant_queues[entry.tenant]
+        queue.rejections[cause] = queue.rejections.get(cause, 0) + 1
+        self._unlink(queue, queue.flows[entry.bucket], entry)
 
-    def due(self, now: float) -> Iterator[Waiting]:
+    def pop_expired(self, now: float) -> Iterator[QueuedOperation]:
         """Those whose time left does not cover an answer any more; each is to leave."""
-        while self._leaving and (self._leaving[0][0] <= now or self._leaving[0][2].out):
-            entry = heappop(self._leaving)[2]
-            if not entry.out:
+        while self._expiry_heap and (self._expiry_heap[0][0] <= now or self._expiry_heap[0][2].removed):
+            entry = heappop(self._expiry_heap)[2]
+            if not entry.removed:
                 yield entry
 
-    def next_due(self) -> float | None:
+    def next_expiry(self) -> float | None:
         """When the next one leaves."""
-        while self._leaving and self._leaving[0][2].out:
-            heappop(self._leaving)
-        return self._leaving[0][0] if self._leaving else None
+        while self._expiry_heap and self._expiry_heap[0][2].removed:
+            heappop(self._expiry_heap)
+        return self._expiry_heap[0][0] if self._expiry_heap else None
 
     # -- who yields, how long it takes
 
-    def victim(self, now: float) -> Waiting | None:
+    def choose_victim(self, now: float) -> QueuedOperation | None:
         """With the queue full: of the tenant that waits for most against its weight, the least payoff."""
-        if self._victim is None or not self._victim.live or now >= self._victim_until:
-            waiting = [line for line in self.lines if line.live]
-            self._victim = max(waiting, key=lambda line: line.cost / line.weight, default=None)
-            self._victim_until = now + VICTIM_KEEP
-        if self._victim is None:
+        if self._victim_tenant is None or not self._victim_tenant.length or now >= self._victim_tenant_until:
+            non_empty = [queue for queue in self.tenant_queues if queue.length]
+            self._victim_tenant = max(non_empty, key=lambda queue: queue.queued_cost / queue.weight, default=None)
+            self._victim_tenant_until = now + VICTIM_TENANT_TTL
+        if self._victim_tenant is None:
             return None
-        flow = max(self._victim.flows.values(), key=lambda each: each.live)
+        flow = max(self._victim_tenant.flows.values(), key=lambda each: each.length)
         # Of equal payoff the last that came: the others have waited for their turn.
-        live = [entry for entry in list(flow.entries)[-SEARCHED:] if not entry.out]
-        live = live or [entry for entry in flow.entries if not entry.out]
-        return min(reversed(live), key=lambda entry: entry.payoff)
+        candidates = [entry for entry in list(flow.entries)[-MAX_VICTIM_CANDIDATES:] if not entry.removed]
+        candidates = candidates or [entry for entry in flow.entries if not entry.removed]
+        return min(reversed(candidates), key=lambda entry: entry.priority_weight)
 
-    def wait_of(self, tenant: int) -> float:
+    def expected_wait(self, tenant: int) -> float:
         """How long what comes now would wait, at the pace of late; 0 where the newest go first."""
-        line = self.lines[tenant]
-        return 0.0 if line.newest_first else self.backlog(line)
+        queue = self.tenant_queues[tenant]
+        return 0.0 if queue.newest_first else self.backlog(queue)
 
-    def backlog(self, line: Line) -> float:
+    def backlog(self, queue: TenantQueue) -> float:
         """Seconds of work that a tenant has waiting, at what it gets while all that wait take turns."""
-        if not line.live or self.pace <= 0.0:
+        if not queue.length or self.service_rate <= 0.0:
             return 0.0
-        weights = sum(each.weight for each in self.lines if each.live)
-        return line.cost / (self.pace * line.weight / weights)
+        weights = sum(each.weight for each in self.tenant_queues if each.length)
+        return queue.queued_cost / (self.service_rate * queue.weight / weights)
 
-    def count(self, tenant: int, now: float, taken: bool) -> None:
+    def record_outcome(self, tenant: int, now: float, forwarded: bool) -> None:
         """An operation was passed on, or turned away."""
-        line = self.lines[tenant]
-        keep = exp((line.faded_at - now) / PRESSURE_TIME)
-        line.faded_at = now
-        line.taken = line.taken * keep + taken
-        line.turned = line.turned * keep + (not taken)
+        queue = self.tenant_queues[tenant]
+        decay = exp((queue.decayed_at - now) / REJECTION_WINDOW)
+        queue.decayed_at = now
+        queue.recently_forwarded = queue.recently_forwarded * decay + forwarded
+        queue.recently_rejected = queue.recently_rejected * decay + (not forwarded)
 
-    def pressure(self, tenant: int) -> float:
+    def rejected_backlog(self, tenant: int) -> float:
         """How long a tenant would need, at what it gets, for what it was turned away of late.
 
         With only the queue's length to go by, those of a flood were sent away for a tenth of a second:
         sooner than they would have returned by themselves.
         """
-        line = self.lines[tenant]
-        return PRESSURE_TIME * line.turned / max(line.taken, 1.0)
+        queue = self.tenant_queues[tenant]
+        return REJECTION_WINDOW * queue.recently_rejected / max(queue.recently_forwarded, 1.0)
 
     def sample(self, now: float) -> None:
         """Measure the pace."""
-        span = now - self._sampled
-        if span > 0 and (self.live or self._served):
-            self.pace = RATE_KEEP * self.pace + (1 - RATE_KEEP) * self._served / span
-        self._served, self._sampled = 0.0, now
+        span = now - self._sampled_at
+        if span > 0 and (self.length or self._served_cost):
+            self.service_rate = SERVICE_RATE_DECAY * self.service_rate + (1 - SERVICE_RATE_DECAY) * self._served_cost / span
+        self._served_cost, self._sampled_at = 0.0, now
--- a/gaugehinge/admission/heavy_hitters.py
+++ b/gaugehinge/admission/heavy_hitters.py
@@ -7,13 +7,13 @@
 from __future__ import annotations
 
 
-class Heavy:
+class HeavyHitters:
     """At most `size` names, their weights and by how much each may be too high; halved from time to time."""
 
-    def __init__(self, size: int, halve_every: float, now: float) -> None:
+    def __init__(self, size: int, halving_interval: float, now: float) -> None:
         self.size = size
-        self.halve_every = halve_every
-        self._next = now + halve_every
+        self.halving_interval = halving_interval
+        self._next_halving = now + halving_interval
         self._weights: dict[bytes, list[float]] = {}  # weight, error
         self.total = 0.0
 
@@ -22,28 +22,28 @@
 
     def add(self, name: bytes, weight: float, now: float) -> None:
         """Count a weight for a name."""
-        if now >= self._next:
+        if now >= self._next_halving:
             self._halve(now)
         self.total += weight
-        found = self._weights.get(name)
-        if found is not None:
-            found[0] += weight
+        entry = self._weights.get(name)
+        if entry is not None:
+            entry[0] += weight
             return
         if len(self._weights) < self.size:
             self._weights[name] = [weight, 0.0]
             return
-        least = min(self._weights, key=lambda each: self._weights[each][0])
-        low = self._weights.pop(least)[0]
-        self._weights[name] = [low + weight, low]
+        lightest = min(self._weights, key=lambda each: self._weights[each][0])
+        lightest_weight = self._weights.pop(lightest)[0]
+        self._weights[name] = [lightest_weight + weight, lightest_weight]
 
-    def part(self, name: bytes) -> float:
+    def fraction(self, name: bytes) -> float:
         """What part of all weight a name surely has."""
-        found = self._weights.get(name)
-        return max(found[0] - found[1], 0.0) / self.total if found is not None and self.total else 0.0
+        entry = self._weights.get(name)
+        return max(entry[0] - entry[1], 0.0) / self.total if entry is not None and self.total else 0.0
 
     def _halve(self, now: float) -> None:
         """What was long ago counts less and less; what is next to nothing leaves."""
-        self._next = now + self.halve_every
+        self._next_halving = now + self.halving_interval
         self.total /= 2.0
         for name in list(self._weights):
             entry = self._weights[name]
--- a/gaugehinge/admission/rate_level.py
+++ b/gaugehinge/admission/rate_level.py
@@ -18,85 +18,85 @@
 from collections.abc import Sequence
 from math import exp, inf
 
-MEMORY = 0.15  # seconds, for the parts of the loop's time
-BACKLOG = 0.5  # part of the passes that end with something left: over it the loop does not keep up
-LEAST_PART = 0.12  # of its time that turning away gets then: with less, operations stand unread until lost
-ENOUGH_PART = 0.2
-CUT = 0.88  # of the level,
-CUT_REST = 0.25  # and so long until the next one: a backlog takes its time to go once less is let in
-RISE = 1.015  # while there is a backlog, and turning away has its part,
-RISE_FREE = 1.04  # and without one
-FIRST_CUT = 0.8  # of what the tenant that uses most does, at first
-FADE = 0.5  # seconds, for what each tenant uses
-OPEN_AFTER = 3.0  # seconds in which the level touched nobody: what made it necessary is over
-TOUCH = 1.1  # a tenant that uses less than the level over this is not touched
-LEAST = 1e-4  # seconds of CPU a second by weight: the level's floor
+SMOOTHING_TIME = 0.15  # seconds, for the parts of the loop's time
+BACKLOG_THRESHOLD = 0.5  # part of the passes that end with something left: over it the loop does not keep up
+MIN_REJECT_FRACTION = 0.12  # of its time that turning away gets then: with less, operations stand unread until lost
+SUFFICIENT_REJECT_FRACTION = 0.2
+DECREASE_FACTOR = 0.88  # of the level,
+DECREASE_INTERVAL = 0.25  # and so long until the next one: a backlog takes its time to go once less is let in
+BACKLOGGED_INCREASE_FACTOR = 1.015  # while there is a backlog, and turning away has its part,
+INCREASE_FACTOR = 1.04  # and without one
+INITIAL_LEVEL_FRACTION = 0.8  # of what the tenant that uses most does, at first
+USAGE_DECAY_TIME = 0.5  # seconds, for what each tenant uses
+RELEASE_AFTER = 3.0  # seconds in which the level touched nobody: what made it necessary is over
+LIMITED_MARGIN = 1.1  # a tenant that uses less than the level over this is not touched
+MIN_LEVEL = 1e-4  # seconds of CPU a second by weight: the level's floor
 
 
-class Level:
+class RateLevel:
     """The level, and what each tenant uses; two figures a tenant."""
 
     def __init__(self, shares: Sequence[float], now: float) -> None:
         self.level = inf
-        self.backlog = 0.0
-        self.part = 0.0
-        self.used = [0.0] * (len(shares) + 1)  # CPU a second, smoothed; the last one: of no known tenant
+        self.backlog_fraction = 0.0
+        self.reject_fraction = 0.0
+        self.usage = [0.0] * (len(shares) + 1)  # CPU a second, smoothed; the last one: of no known tenant
         self.weights: list[float] = []
-        self.share(shares)
-        self.log: list[str] = []  # emptied by the door
-        self._spent = [0.0] * (len(shares) + 1)
-        self._at = now
-        self._touched_at = now
-        self._rest_until = now
+        self.set_shares(shares)
+        self.log_messages: list[str] = []  # emptied by the door
+        self._recorded = [0.0] * (len(shares) + 1)
+        self._sampled_at = now
+        self._limited_at = now
+        self._next_decrease_at = now
 
-    def share(self, shares: Sequence[float]) -> None:
+    def set_shares(self, shares: Sequence[float]) -> None:
         """The tenants' shares, at the start and when they change."""
         mean = sum(shares) / len(shares) if shares and sum(shares) else 1.0
         self.weights = [max(share / mean, 0.01) for share in [*shares, mean]]
 
-    def spend(self, tenant: int, cost: float) -> None:
+    def record(self, tenant: int, cost: float) -> None:
         """An operation of a tenant was let in; `cost` in seconds of CPU."""
-        self._spent[tenant] += cost
+        self._recorded[tenant] += cost
 
-    def sample(self, left: float, refusing: float, now: float) -> None:
+    def sample(self, unfinished: float, rejecting: float, now: float) -> None:
         """A look. `left`: part of the passes since the last one that left something; `refusing`: part of the
         time that turning away at the first look took."""
-        span = now - self._at
+        span = now - self._sampled_at
         if span <= 0.0:
             return
-        self._at = now
-        learn = 1.0 - exp(-span / MEMORY)
-        self.backlog += learn * (left - self.backlog)
-        self.part += learn * (refusing - self.part)
-        keep = exp(-span / FADE)
-        for place, spent in enumerate(self._spent):
-            self.used[place] = keep * self.used[place] + (1.0 - keep) * spent / span
-            self._spent[place] = 0.0
-        highest = max(used / weight for used, weight in zip(self.used, self.weights, strict=True))
-        behind = self.backlog > BACKLOG
+        self._sampled_at = now
+        smoothing = 1.0 - exp(-span / SMOOTHING_TIME)
+        self.backlog_fraction += smoothing * (unfinished - self.backlog_fraction)
+        self.reject_fraction += smoothing * (rejecting - self.reject_fraction)
+        decay = exp(-span / USAGE_DECAY_TIME)
+        for tenant, recorded in enumerate(self._recorded):
+            self.usage[tenant] = decay * self.usage[tenant] + (1.0 - decay) * recorded / span
+            self._recorded[tenant] = 0.0
+        highest_usage = max(usage / weight for usage, weight in zip(self.usage, self.weights, strict=True))
+        backlogged = self.backlog_fraction > BACKLOG_THRESHOLD
         if self.level == inf:
-            if behind and highest > 0.0:
-                self._rest_until = now + CUT_REST
-                self._set(FIRST_CUT * highest, now)
+            if backlogged and highest_usage > 0.0:
+                self._next_decrease_at = now + DECREASE_INTERVAL
+                self._set_level(INITIAL_LEVEL_FRACTION * highest_usage, now)
             return
-        if highest * TOUCH >= self.level:
-            self._touched_at = now
-        if behind and self.part < LEAST_PART:
-            if now >= self._rest_until:
-                self._rest_until = now + CUT_REST
-                self.level = max(self.level * CUT, LEAST)
-        elif not behind:
-            self.level *= RISE_FREE
-        elif self.part > ENOUGH_PART:
-            self.level *= RISE
-        if now - self._touched_at > OPEN_AFTER:
-            self._set(inf, now)
+        if highest_usage * LIMITED_MARGIN >= self.level:
+            self._limited_at = now
+        if backlogged and self.reject_fraction < MIN_REJECT_FRACTION:
+            if now >= self._next_decrease_at:
+                self._next_decrease_at = now + DECREASE_INTERVAL
+                self.level = max(self.level * DECREASE_FACTOR, MIN_LEVEL)
+        elif not backlogged:
+            self.level *= INCREASE_FACTOR
+        elif self.reject_fraction > SUFFICIENT_REJECT_FRACTION:
+            self.level *= BACKLOGGED_INCREASE_FACTOR
+        if now - self._limited_at > RELEASE_AFTER:
+            self._set_level(inf, now)
 
-    def _set(self, level: float, now: float) -> None:
-        word = f"{level:.4f} s of CPU a second by weight" if level < inf else "none"
-        self.log.append(f"door level {word}: {self.backlog:.2f} of the passes leave something")
-        self.level, self._touched_at = level, now
+    def _set_level(self, level: float, now: float) -> None:
+        level_text = f"{level:.4f} s of CPU a second by weight" if level < inf else "none"
+        self.log_messages.append(f"door level {level_text}: {self.backlog_fraction:.2f} of the passes leave something")
+        self.level, self._limited_at = level, now
 
-    def room(self, tenant: int) -> float:
+    def allowance(self, tenant: int) -> float:
         """Seconds of CPU a second that a tenant's operations may use; `inf` while all is let in."""
         return self.level * self.weights[tenant]
--- a/gaugehinge/admission/read_scheduler.py
+++ b/gaugehinge/admission/read_scheduler.py
@@ -14,125 +14,125 @@
 from math import exp
 from typing import Generic, Protocol, TypeVar
 
-PASS_TIME = 0.004  # seconds of one pass: what else waits for the loop waits no longer
-MEMORY = 1.0  # seconds for which time spent on a tenant counts
-OLDEST_EACH = 3  # of so many readings one is of the connection that stood longest of all
-LONG = 0.5  # seconds; where the first of a line stood for longer, its newest is read first
+MAX_PASS_TIME = 0.004  # seconds of one pass: what else waits for the loop waits no longer
+USAGE_DECAY_TIME = 1.0  # seconds for which time spent on a tenant counts
+OLDEST_FIRST_EVERY = 3  # of so many readings one is of the connection that stood longest of all
+OVERLOAD_AGE = 0.5  # seconds; where the first of a line stood for longer, its newest is read first
 
 
-class Standing(Protocol):
+class ReadyConnection(Protocol):
     """A connection with something to read."""
 
     tenant: int  # of its last operation; negative: none yet
     ready_since: float  # 0: nothing stands there
 
 
-S = TypeVar("S", bound=Standing)
+ConnectionT = TypeVar("ConnectionT", bound=ReadyConnection)
 
 
-class Turns(Generic[S]):
+class ReadScheduler(Generic[ConnectionT]):
     """Time spent on each tenant against its share; a figure a tenant, and an entry or two a connection that
     stands: they leave with its turn."""
 
     def __init__(self, shares: Sequence[float], now: float) -> None:
-        places = len(shares) + 1  # the last one: of those of whom nothing is known
-        self.spent = [0.0] * places
+        queue_count = len(shares) + 1  # the last one: of those of whom nothing is known
+        self.time_spent = [0.0] * queue_count
         self.weights: list[float] = []
-        self.share(shares)
-        self.standing = 0
-        self._lines: list[deque[tuple[float, S]]] = [deque() for _ in range(places)]
-        self._active: set[int] = set()  # lines with something in them
-        self._by_age: deque[tuple[float, S]] = deque()
-        self._at = now
-        self._count = 0
-
-    def share(self, shares: Sequence[float]) -> None:
+        self.set_shares(shares)
+        self.ready_count = 0
+        self._queues: list[deque[tuple[float, ConnectionT]]] = [deque() for _ in range(queue_count)]
+        self._active_queues: set[int] = set()  # lines with something in them
+        self._queue_by_age: deque[tuple[float, ConnectionT]] = deque()
+        self._decayed_at = now
+        self._picks = 0
+
+    def set_shares(self, shares: Sequence[float]) -> None:
         """The tenants' shares, at the start and when they change."""
         mean = sum(shares) / len(shares) if shares and sum(shares) else 1.0
         self.weights = [max(share / mean, 0.01) for share in [*shares, mean]]
 
-    def _place(self, tenant: int) -> int:
-        return tenant if 0 <= tenant < len(self.spent) - 1 else len(self.spent) - 1
+    def _queue_index(self, tenant: int) -> int:
+        return tenant if 0 <= tenant < len(self.time_spent) - 1 else len(self.time_spent) - 1
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """What was spent long ago counts less; once a pass."""
-        keep = exp((self._at - now) / MEMORY)
-        self._at = now
-        self.spent = [spent * keep for spent in self.spent]
+        factor = exp((self._decayed_at - now) / USAGE_DECAY_TIME)
+        self._decayed_at = now
+        self.time_spent = [spent * factor for spent in self.time_spent]
 
-    def stand(self, connection: S, now: float) -> None:
+    def add_ready(self, connection: ConnectionT, now: float) -> None:
         """Something came on a connection on which nothing stood."""
         connection.ready_since = now
-        place = self._place(connection.tenant)
-        self._lines[place].append((now, connection))
-        self._active.add(place)
-        self._by_age.append((now, connection))
-        self.standing += 1
+        index = self._queue_index(connection.tenant)
+        self._queues[index].append((now, connection))
+        self._active_queues.add(index)
+        self._queue_by_age.append((now, connection))
+        self.ready_count += 1
 
-    def leave(self, connection: S) -> None:
+    def remove(self, connection: ConnectionT) -> None:
         """A connection has ended, or is not to be read for now."""
         if connection.ready_since:
             connection.ready_since = 0.0
-            self.standing -= 1
+            self.ready_count -= 1
 
-    def next(self, now: float) -> tuple[S, float, int] | None:
+    def next(self, now: float) -> tuple[ConnectionT, float, int] | None:
         """The connection whose turn it is, since when it stood, and whose turn that is; it stands no more."""
-        self._count += 1
-        if self._count % OLDEST_EACH == 0 and not self._is_long(self._by_age, now):
-            found = self._pop(self._by_age)
-            if found is not None:
-                return found
-        while self._active:
-            place = min(self._active, key=self._turn)
-            line = self._lines[place]
-            found = self._pop(line, newest=self._is_long(line, now))
-            if found is not None:
-                return found
-            self._active.discard(place)
+        self._picks += 1
+        if self._picks % OLDEST_FIRST_EVERY == 0 and not self._is_overdue(self._queue_by_age, now):
+            picked = self._pop(self._queue_by_age)
+            if picked is not None:
+                return picked
+        while self._active_queues:
+            index = min(self._active_queues, key=self._weighted_time)
+            queue = self._queues[index]
+            picked = self._pop(queue, newest=self._is_overdue(queue, now))
+            if picked is not None:
+                return picked
+            self._active_queues.discard(index)
         # Each that stands is in a line; what is left behind there has had its turn by age.
-        self._by_age.clear()
+        self._queue_by_age.clear()
         return None
 
-    def _turn(self, place: int) -> tuple[float, int]:
-        return self.spent[place] / self.weights[place], place
+    def _weighted_time(self, index: int) -> tuple[float, int]:
+        return self.time_spent[index] / self.weights[index], index
 
     @staticmethod
-    def _is_long(line: deque[tuple[float, S]], now: float) -> bool:
+    def _is_overdue(queue: deque[tuple[float, ConnectionT]], now: float) -> bool:
         """Whether those in front stood for so long that an answer comes too late for most of them.
 
         In order, each would be read just when its client gives up: all of the work, and nobody served.
         """
-        while line and line[0][1].ready_since != line[0][0]:
-            line.popleft()
-        return bool(line) and now - line[0][0] > LONG
-
-    def _pop(self, line: deque[tuple[float, S]], newest: bool = False) -> tuple[S, float, int] | None:
-        while line:
-            found = self._take(*(line.pop() if newest else line.popleft()))
-            if found is not None:
-                return found
+        while queue and queue[0][1].ready_since != queue[0][0]:
+            queue.popleft()
+        return bool(queue) and now - queue[0][0] > OVERLOAD_AGE
+
+    def _pop(self, queue: deque[tuple[float, ConnectionT]], newest: bool = False) -> tuple[ConnectionT, float, int] | None:
+        while queue:
+            picked = self._claim(*(queue.pop() if newest else queue.popleft()))
+            if picked is not None:
+                return picked
         return None
 
-    def _take(self, since: float, connection: S) -> tuple[S, float, int] | None:
+    def _claim(self, since: float, connection: ConnectionT) -> tuple[ConnectionT, float, int] | None:
         if connection.ready_since != since:
             return None  # it had its turn in the other line, or has ended
         connection.ready_since = 0.0
-        self.standing -= 1
-        if len(self._by_age) > 2 * self.standing + 64:
-            self._clean()
-        return connection, since, self._place(connection.tenant)
+        self.ready_count -= 1
+        if len(self._queue_by_age) > 2 * self.ready_count + 64:
+            self._compact()
+        return connection, since, self._queue_index(connection.tenant)
 
-    def _clean(self) -> None:
+    def _compact(self) -> None:
         """Those that had their turn in a line stay behind in the other one."""
-        for line in (self._by_age, *self._lines):
-            kept = [entry for entry in line if entry[1].ready_since == entry[0]]
-            line.clear()
-            line.extend(kept)
+        for queue in (self._queue_by_age, *self._queues):
+            kept = [entry for entry in queue if entry[1].ready_since == entry[0]]
+            queue.clear()
+            queue.extend(kept)
 
-    def count(self, place: int, took: float) -> None:
+    def add_time(self, index: int, seconds: float) -> None:
         """Reading took so many seconds; `place` as told by `next`.
 
         Counted for the tenant that it turned out to be of, what came on new connections cost the turn of
         those that nothing is known of nothing: a crowd that opened ever more went before all others.
         """
-        self.spent[place] += took
+        self.time_spent[index] += seconds
--- a/gaugehinge/admission/request_peek.py
+++ b/gaugehinge/admission/request_peek.py
@@ -10,42 +10,42 @@
 import re
 from typing import NamedTuple
 
-HEAD = re.compile(rb"\*4\r\n\$6\r\nKV\.GET\r\n\$([1-9]\d{0,4})\r\n")
-IDENT = re.compile(rb"\r\n\$([1-9]\d{0,2})\r\n([!-~]+)\r\n\$([1-9]\d{0,2})\r\n([!-~]+)\r\n")
-LONGEST = 1024  # bytes; a longer command is the parser's
-MOST_WAIT = 10  # digits of the wait
+COMMAND_PATTERN = re.compile(rb"\*4\r\n\$6\r\nKV\.GET\r\n\$([1-9]\d{0,4})\r\n")
+ARGUMENTS_PATTERN = re.compile(rb"\r\n\$([1-9]\d{0,2})\r\n([!-~]+)\r\n\$([1-9]\d{0,2})\r\n([!-~]+)\r\n")
+MAX_PEEK_BYTES = 1024  # bytes; a longer command is the parser's
+MAX_TIMEOUT_DIGITS = 10  # digits of the wait
 
 
-class Glimpse(NamedTuple):
+class PeekedRead(NamedTuple):
     """What the door has to know of a read to turn it away."""
 
-    traffic: str
+    traffic_type: str
     tenant: str
-    wait: float  # seconds that its client waits
-    repeat: bool
+    timeout: float  # seconds that its client waits
+    is_retry: bool
 
 
-def glance(data: bytes) -> Glimpse | None:
+def peek_read(data: bytes) -> PeekedRead | None:
     """The labels of exactly one whole read; None for whatever else."""
-    if len(data) > LONGEST:
+    if len(data) > MAX_PEEK_BYTES:
         return None
-    head = HEAD.match(data)
-    if head is None:
+    command = COMMAND_PATTERN.match(data)
+    if command is None:
         return None
-    rest = IDENT.match(data, head.end() + int(head[1]))
-    if rest is None or rest.end() != len(data):
+    arguments = ARGUMENTS_PATTERN.match(data, command.end() + int(command[1]))
+    if arguments is None or arguments.end() != len(data):
         return None
-    ident, told = rest[2], rest[4]
-    if len(ident) != int(rest[1]) or len(told) != int(rest[3]):
+    request_id, raw_labels = arguments[2], arguments[4]
+    if len(request_id) != int(arguments[1]) or len(raw_labels) != int(arguments[3]):
         return None
     labels: dict[bytes, bytes] = {}
-    for part in told.split(b","):
-        name, mark, value = part.partition(b"=")
-        if not mark or not name or name in labels:
+    for label in raw_labels.split(b","):
+        name, separator, value = label.partition(b"=")
+        if not separator or not name or name in labels:
             return None
         labels[name] = value
-    traffic, wait = labels.get(b"c"), labels.get(b"d", b"")
-    if traffic is None or not wait.isdigit() or len(wait) > MOST_WAIT:
+    traffic_type, timeout = labels.get(b"c"), labels.get(b"d", b"")
+    if traffic_type is None or not timeout.isdigit() or len(timeout) > MAX_TIMEOUT_DIGITS:
         return None
     tenant = labels.get(b"t", b"").decode()
-    return Glimpse(traffic.decode(), tenant, int(wait) / 1000.0, labels.get(b"r") == b"1")
+    return PeekedRead(traffic_type.decode(), tenant, int(timeout) / 1000.0, labels.get(b"r") == b"1")
--- a/gaugehinge/hosted/control_plane_watch.py
+++ b/gaugehinge/hosted/control_plane_watch.py
@@ -144,8 +144,8 @@
             yield pending.payload.key
         admission_control = self._admission_control()
         if admission_control is not None:
-            for waiting in admission_control.waiting():
-                yield waiting.thing.payload.key
+            for queued in admission_control.queued_operations():
+                yield queued.item.payload.key
 
     async def _call(self) -> Feed:
         reports = {part.name: part.report() for part in self.parts}
@@ -216,7 +216,7 @@
         admission_control = self._admission_control()
         if admission_control is not None:
             shares = [tenant.quota for tenant in change.tenants[: self.tenant_slots]]
-            admission_control.share([*shares, *[0.0] * (self.tenant_slots - len(shares))])
+            admission_control.set_shares([*shares, *[0.0] * (self.tenant_slots - len(shares))])
 
     def _admission_control(self) -> TenantAdmission | None:
         return cast("TenantAdmission | None", self.service.clients.admission_control)
--- a/gaugehinge/hosted/interfaces.py
+++ b/gaugehinge/hosted/interfaces.py
@@ -20,8 +20,8 @@
 class TenantAdmission(Protocol):
     """Admission control that knows tenants."""
 
-    def waiting(self) -> Iterable[Any]:
+    def queued_operations(self) -> Iterable[Any]:
         """The operations that wait for admission."""
 
-    def share(self, shares: Sequence[float], /) -> None:
+    def set_shares(self, shares: Sequence[float], /) -> None:
         """Set the shares of all tenants, by their indexes."""
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -430,21 +430,21 @@
             door = made.services[0].clients.admission_control
             client, other = await plain(made), Plain(await trio.open_tcp_stream(*made.plain[0]))
             assert await client.ask("SET", "a", "1") == b"OK" and await client.ask("GET", "a") == b"1"
-            door.limiter.limit = door.limiter.most = 1
-            door.in_hand = 1  # as if one were out: what comes now waits
+            door.limiter.limit = door.limiter.max_limit = 1
+            door.in_flight = 1  # as if one were out: what comes now waits
             await client.send("MSET", "{a}1", "x", "{a}2", "y")
             await other.send("KV.GET", "a", "id-1", "c=read,d=1500")
-            while door.queue.live < 3:
+            while door.queue.length < 3:
                 await trio.sleep(0.01)
-            door.in_hand = 0
-            door._pull()
+            door.in_flight = 0
+            door._dequeue()
             assert await client.answer() == b"OK" and await other.answer() == b"1"
-            door.in_hand = 1
+            door.in_flight = 1
             await client.send("RPUSH", "l", "token-gone")
-            while door.queue.live < 1:
+            while door.queue.length < 1:
                 await trio.sleep(0.01)
             await client.stream.aclose()  # its client left: it leaves the queue unsent
-            while door.queue.live:
+            while door.queue.length:
                 await trio.sleep(0.01)
             assert not made.effects()
 
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -15,7 +15,7 @@
 import pytest
 import trio
 
-from gaugehinge.admission.fair_reader import READ_MOST
+from gaugehinge.admission.fair_reader import MAX_READ_BYTES
 from gaugehinge.net import connection_registry, reply_writer, request_reader
 from gaugehinge.net.extensions import Extensions
 from gaugehinge.net.graceful_shutdown import KILL_SLACK
@@ -520,7 +520,7 @@
             gate.limit = 1e6  # none is refused for what the others hold
             client = await made.client()
             sent = b"".join(put(f"i{n}") for n in range(count))
-            assert len(sent) < READ_MOST
+            assert len(sent) < MAX_READ_BYTES
             await client.stream.send_all(sent)
             [one] = made.service.clients.connections
             most = request_reader.MAX_PIPELINED_REQUESTS
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -814,15 +814,15 @@
     ]
     # The door's reader has the same space, and copies it in the same step.
     lines = (ROOT / "gaugehinge/admission/fair_reader.py").read_text().splitlines()
-    uses = [line.strip() for line in lines if re.search(r"\bSPACE\b|\b_space\b", line)]
+    uses = [line.strip() for line in lines if re.search(r"\bSPACE\b|\b_buffer\b", line)]
     assert uses == [
         "from ..net.sockets import SPACE",
-        "self._space = SPACE[:READ_MOST]",
-        "size = client.sock.recv_into(self._space)",
-        "if size == len(self._space) or number in self._ending:",
-        "data = bytes(self._space[:size])",
+        "self._buffer = SPACE[:MAX_READ_BYTES]",
+        "size = client.sock.recv_into(self._buffer)",
+        "if size == len(self._buffer) or descriptor in self._half_closed:",
+        "data = bytes(self._buffer[:size])",
     ]
-    between = "\n".join(lines).partition("recv_into")[2].partition("bytes(self._space")[0]
+    between = "\n".join(lines).partition("recv_into")[2].partition("bytes(self._buffer")[0]
     assert "await" not in between and "async" not in between and "def " not in between
     for path in (ROOT / "gaugehinge").rglob("*.py"):
         if path.name not in ("sockets.py", "fair_reader.py"):
--- a/tests/test_fair_reader.py
+++ b/tests/test_fair_reader.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from gaugehinge.admission.admission_control import FairAdmissionControl
-from gaugehinge.admission.request_peek import LONGEST, Glimpse, glance
-from gaugehinge.admission.rate_level import Level
-from gaugehinge.admission.sampling import FLOOR, SLACK, Tap
-from gaugehinge.admission.read_scheduler import LONG, OLDEST_EACH, Turns
+from gaugehinge.admission.request_peek import MAX_PEEK_BYTES, PeekedRead, peek_read
+from gaugehinge.admission.rate_level import RateLevel
+from gaugehinge.admission.sampling import MIN_READ_RATE, ADMIT_MARGIN, ReadSampler
+from gaugehinge.admission.read_scheduler import OVERLOAD_AGE, OLDEST_FIRST_EVERY, ReadScheduler
 from gaugehinge.net.request_errors import RequestError
 from gaugehinge.net.request_parser import parse_labels
 from gaugehinge.net.request_reader import MAX_PIPELINED_REQUESTS
@@ -25,7 +25,7 @@
     return b"*4\r\n" + bulk(word) + bulk(key) + bulk(ident) + bulk(told)
 
 
-def by_the_parser(data: bytes) -> Glimpse | None:
+def parse_whole_read(data: bytes) -> PeekedRead | None:
     """What the long way finds in exactly one whole read that is well formed."""
     parser = Parser()
     parser.feed(data)
@@ -36,18 +36,18 @@
         parts = [part.body for part in message.top.body]
         assert all(part.kind == BULK for part in message.top.body)
         labels, _ = parse_labels(parts[3])
-        return Glimpse(labels["c"], labels.get("t", ""), int(labels["d"]) / 1000.0, labels.get("r") == "1")
+        return PeekedRead(labels["c"], labels.get("t", ""), int(labels["d"]) / 1000.0, labels.get("r") == "1")
     except (Malformed, RequestError, LookupError, ValueError, AssertionError, TypeError):
         return None
 
 
-def test_the_first_look_finds_what_the_parser_finds():
+def test_peek_agrees_with_the_parser():
     odd = command(b"\r\n$3\r\n", b"x" * 40)
     for data in (command(), odd, command(told=b"d=7,c=put,r=1"), command(b"k" * 900)):
-        assert glance(data) == by_the_parser(data) is not None
+        assert peek_read(data) == parse_whole_read(data) is not None
 
 
-def test_what_is_not_exactly_one_whole_read_is_the_parsers():
+def test_peek_declines_anything_but_one_whole_read():
     whole = command()
     for data in (
         whole[:-1],
@@ -64,9 +64,9 @@
         whole.replace(b"$2\r\ni1", b"$3\r\ni1"),
         command(told=b"c=read,d=1,,"),
         command(ident=b"a b"),
-        command(b"k" * LONGEST),
+        command(b"k" * MAX_PEEK_BYTES),
     ):
-        assert glance(data) is None, data
+        assert peek_read(data) is None, data
 
 
 PIECES = [b"\r\n", b"$1\r\n", b"*4\r\n", b"k", b"c=read,d=1"]
@@ -76,240 +76,240 @@
 @settings(max_examples=300, deadline=None)
 @given(BYTES, BYTES, BYTES, st.integers(0, 60), BYTES)
 @example(b"k", b"i", b"c=read,d=5", 30, b"")
-def test_whatever_comes_the_first_look_never_sees_what_the_parser_does_not(key, ident, told, place, spoilt):
+def test_peek_never_accepts_what_the_parser_does_not(key, ident, told, index, spoilt):
     data = command(key, ident, told)
-    data = data[:place] + spoilt + data[place + len(spoilt) :]
-    seen = glance(data)
-    assert seen is None or seen == by_the_parser(data)
+    data = data[:index] + spoilt + data[index + len(spoilt) :]
+    seen = peek_read(data)
+    assert seen is None or seen == parse_whole_read(data)
 
 
 # -- who is let in
 
 
-def run_tap(
-    tap: Tap, seconds: float, came: dict, gone: dict, wait: float, start: float = 0.0, most: float = math.inf
+def run_sampler(
+    sampler: ReadSampler, seconds: float, arrivals: dict, forwarded: dict, backlog: float, start: float = 0.0, max_rate: float = math.inf
 ) -> Counter:
     """So many a second by (tenant, row) and passed on by tenant; those let in."""
-    let_in: Counter = Counter()
+    admitted: Counter = Counter()
     now, owed = start, Counter()
     while now < start + seconds - 1e-9:
         now += 0.05
-        for key, rate in came.items():
+        for key, rate in arrivals.items():
             owed[key] += rate * 0.05
             while owed[key] >= 1.0:
                 owed[key] -= 1.0
-                if tap.let_in(*key):
-                    tap.come(*key)
-                    let_in[key] += 1
-        for tenant, rate in gone.items():
+                if sampler.should_parse(*key):
+                    sampler.record_arrival(*key)
+                    admitted[key] += 1
+        for tenant, rate in forwarded.items():
             owed[tenant] += rate * 0.05
             while owed[tenant] >= 1.0:
                 owed[tenant] -= 1.0
-                tap.pass_on(tenant)
-        tap.sample([wait] * len(tap.closed), [most] * len(tap.closed), now)
-    return let_in
+                sampler.record_forwarded(tenant)
+        sampler.sample([backlog] * len(sampler.limited), [max_rate] * len(sampler.limited), now)
+    return admitted
 
 
-def test_with_no_queue_all_get_in():
-    tap = Tap(2, [1.0, 2.0], 3, 0.0)
-    assert run_tap(tap, 2.0, {(0, 0): 1000.0}, {0: 100.0}, 0.0)[0, 0] >= 1990 and not tap.shut
+def test_sampler_admits_all_reads_without_a_backlog():
+    sampler = ReadSampler(2, [1.0, 2.0], 3, 0.0)
+    assert run_sampler(sampler, 2.0, {(0, 0): 1000.0}, {0: 100.0}, 0.0)[0, 0] >= 1990 and not sampler.any_limited
 
 
-def test_a_tenant_gets_in_what_it_is_passed_on_and_a_little_more_best_paid_first():
-    tap = Tap(3, [1.0, 2.0], 3, 0.0)
-    came = {(0, 0): 800.0, (0, 1): 60.0, (1, 0): 90.0}
-    run_tap(tap, 3.0, came, {0: 100.0, 1: 90.0}, 0.1)
-    found = run_tap(tap, 5.0, came, {0: 100.0, 1: 90.0}, 0.1, 3.0)
-    assert tap.closed == [True, False, False]
+def test_sampler_admits_slightly_more_than_the_forward_rate_by_priority():
+    sampler = ReadSampler(3, [1.0, 2.0], 3, 0.0)
+    arrivals = {(0, 0): 800.0, (0, 1): 60.0, (1, 0): 90.0}
+    run_sampler(sampler, 3.0, arrivals, {0: 100.0, 1: 90.0}, 0.1)
+    found = run_sampler(sampler, 5.0, arrivals, {0: 100.0, 1: 90.0}, 0.1, 3.0)
+    assert sampler.limited == [True, False, False]
     assert found[0, 1] >= 5 * 59 and found[1, 0] >= 5 * 89
     whole = (found[0, 0] + found[0, 1]) / 5.0
-    assert 0.9 * SLACK * 100.0 < whole < 1.1 * SLACK * 100.0
+    assert 0.9 * ADMIT_MARGIN * 100.0 < whole < 1.1 * ADMIT_MARGIN * 100.0
 
 
-def test_one_that_is_passed_on_nothing_is_let_in_to_show_itself_and_opens_again():
-    tap = Tap(1, [1.0], 3, 0.0)
-    run_tap(tap, 3.0, {(0, 0): 500.0}, {}, 1.0)
-    found = run_tap(tap, 10.0, {(0, 0): 500.0}, {}, 1.0, 3.0)[0, 0] / 10.0
-    assert 0.7 * FLOOR < found < 1.3 * FLOOR and tap.log.pop().startswith("tap of line 0 turned down")
-    run_tap(tap, 0.1, {(0, 0): 500.0}, {}, 0.0, 13.0)
-    assert not tap.shut and "open" in tap.log[-1]
+def test_tenant_without_forwarded_reads_keeps_the_minimum_rate_and_recovers():
+    sampler = ReadSampler(1, [1.0], 3, 0.0)
+    run_sampler(sampler, 3.0, {(0, 0): 500.0}, {}, 1.0)
+    found = run_sampler(sampler, 10.0, {(0, 0): 500.0}, {}, 1.0, 3.0)[0, 0] / 10.0
+    assert 0.7 * MIN_READ_RATE < found < 1.3 * MIN_READ_RATE and sampler.log_messages.pop().startswith("tap of line 0 turned down")
+    run_sampler(sampler, 0.1, {(0, 0): 500.0}, {}, 0.0, 13.0)
+    assert not sampler.any_limited and "open" in sampler.log_messages[-1]
 
 
-def test_where_the_router_has_no_time_a_tenant_gets_in_what_the_level_leaves():
-    tap = Tap(2, [1.0, 2.0], 3, 0.0)
-    run_tap(tap, 3.0, {(0, 0): 300.0, (0, 1): 100.0}, {0: 150.0}, 0.0, 0.0, most=150.0)
-    assert tap.closed == [True, False] and tap.part[0][1] == 1.0
-    assert 40.0 < 300.0 * tap.part[0][0] < 60.0
-    run_tap(tap, 0.2, {(0, 0): 300.0}, {0: 300.0}, 0.0, 3.0)
-    assert not tap.shut
+def test_max_rate_bounds_a_tenant_without_a_backlog():
+    sampler = ReadSampler(2, [1.0, 2.0], 3, 0.0)
+    run_sampler(sampler, 3.0, {(0, 0): 300.0, (0, 1): 100.0}, {0: 150.0}, 0.0, 0.0, max_rate=150.0)
+    assert sampler.limited == [True, False] and sampler.admit_fractions[0][1] == 1.0
+    assert 40.0 < 300.0 * sampler.admit_fractions[0][0] < 60.0
+    run_sampler(sampler, 0.2, {(0, 0): 300.0}, {0: 300.0}, 0.0, 3.0)
+    assert not sampler.any_limited
 
 
 # -- who is read first
 
 
 @dataclass(eq=False)
-class Stood:
+class Connection:
     tenant: int
     ready_since: float = 0.0
 
 
-def read_some(turns: Turns, now: float, most: int, read: Counter, cost: float = 0.0004) -> None:
+def run_pass(scheduler: ReadScheduler, now: float, max_reads: int, read: Counter, cost: float = 0.0004) -> None:
     """One pass that reads so many."""
-    turns.fade(now)
-    for _ in range(most):
-        turn = turns.next(now)
-        if turn is None:
+    scheduler.decay(now)
+    for _ in range(max_reads):
+        pick = scheduler.next(now)
+        if pick is None:
             return
-        read[turn[0].tenant] += 1
-        turns.count(turn[2], cost)
+        read[pick[0].tenant] += 1
+        scheduler.add_time(pick[2], cost)
 
 
-def test_a_crowd_of_one_tenant_is_read_behind_the_few_of_the_others():
-    turns = Turns([1.0, 1.0, 1.0], 0.0)
+def test_many_connections_of_one_tenant_do_not_delay_other_tenants():
+    scheduler = ReadScheduler([1.0, 1.0, 1.0], 0.0)
     read: Counter = Counter()
     now = 0.0
     for step in range(400):
         now += 0.005
         for tenant, count in ((0, 8), (1, 1), (2, 1), (-2, 1)):
             for _ in range(count):
-                turns.stand(Stood(tenant), now)
-        read_some(turns, now, 6, read)
+                scheduler.add_ready(Connection(tenant), now)
+        run_pass(scheduler, now, 6, read)
         # All that the few sent has been read by now, but for what came in this pass.
         assert all(read[tenant] >= step - 1 for tenant in (1, 2, -2))
     assert read[0] >= 6 * 400 - sum(read[tenant] for tenant in (1, 2, -2))
 
 
-def test_turns_follow_the_shares():
-    turns = Turns([3.0, 1.0], 0.0)
+def test_read_order_follows_shares():
+    scheduler = ReadScheduler([3.0, 1.0], 0.0)
     read: Counter = Counter()
     now = 0.0
     for _ in range(400):
         now += 0.005
         for tenant in (0, 1):
-            for _ in range(max(20 - len(turns._lines[tenant]), 0)):
-                turns.stand(Stood(tenant), now)
-        read_some(turns, now, 8, read)
+            for _ in range(max(20 - len(scheduler._queues[tenant]), 0)):
+                scheduler.add_ready(Connection(tenant), now)
+        run_pass(scheduler, now, 8, read)
     # One of three goes by age, whoever it is of.
     assert 1.8 < read[0] / read[1] < 3.4
 
 
-def test_a_crowd_on_new_connections_takes_the_turns_of_new_connections():
-    turns = Turns([1.0, 1.0], 0.0)
+def test_reads_on_new_connections_are_charged_to_new_connections():
+    scheduler = ReadScheduler([1.0, 1.0], 0.0)
     read: Counter = Counter()
     now = 0.0
     for _ in range(300):
         now += 0.005
         for _ in range(10):
-            turns.stand(Stood(-2), now)
-        turns.stand(Stood(1), now)
-        turns.fade(now)
+            scheduler.add_ready(Connection(-2), now)
+        scheduler.add_ready(Connection(1), now)
+        scheduler.decay(now)
         for _ in range(4):
-            connection, _, place = turns.next(now)
+            connection, _, index = scheduler.next(now)
             read[connection.tenant] += 1
             connection.tenant = 0  # now it is known whose it is
-            turns.count(place, 0.0004)
+            scheduler.add_time(index, 0.0004)
     assert read[1] >= 299
 
 
-def test_what_stood_longest_goes_first_now_and_then_until_it_is_too_late_for_that():
-    turns = Turns([1.0, 1.0], 0.0)
-    turns.count(0, 5.0)
-    old = Stood(0)
-    turns.stand(old, 1.0)
-    for _ in range(OLDEST_EACH):
-        turns.stand(Stood(1), 1.1)
-    found = [turns.next(1.2)[0] for _ in range(OLDEST_EACH)]
-    assert found.index(old) == OLDEST_EACH - 1
+def test_oldest_connection_is_read_periodically_except_in_overload():
+    scheduler = ReadScheduler([1.0, 1.0], 0.0)
+    scheduler.add_time(0, 5.0)
+    old = Connection(0)
+    scheduler.add_ready(old, 1.0)
+    for _ in range(OLDEST_FIRST_EVERY):
+        scheduler.add_ready(Connection(1), 1.1)
+    found = [scheduler.next(1.2)[0] for _ in range(OLDEST_FIRST_EVERY)]
+    assert found.index(old) == OLDEST_FIRST_EVERY - 1
     # In a long overload the newest of a line goes first: the others' clients are about to give up.
-    first, last = Stood(0), Stood(0)
-    turns.stand(first, 2.0)
-    turns.stand(last, 2.0 + LONG)
-    taken = [turns.next(2.01 + LONG)[0] for _ in range(3)]
+    first, last = Connection(0), Connection(0)
+    scheduler.add_ready(first, 2.0)
+    scheduler.add_ready(last, 2.0 + OVERLOAD_AGE)
+    taken = [scheduler.next(2.01 + OVERLOAD_AGE)[0] for _ in range(3)]
     assert taken.index(last) < taken.index(first)
 
 
-def test_turns_lose_nobody_and_keep_nothing_of_what_ended():
-    draw, turns = random.Random(4), Turns([1.0, 5.0], 0.0)
-    standing: list[Stood] = []
+def test_scheduler_loses_no_connection_and_retains_no_closed_ones():
+    draw, scheduler = random.Random(4), ReadScheduler([1.0, 5.0], 0.0)
+    standing: list[Connection] = []
     taken = 0
     now = 1.0
     for _ in range(3000):
         now += draw.random() * 0.02
         if draw.random() < 0.55:
-            one = Stood(draw.randrange(-2, 3))
-            turns.stand(one, now)
+            one = Connection(draw.randrange(-2, 3))
+            scheduler.add_ready(one, now)
             standing.append(one)
         elif draw.random() < 0.2 and standing:
-            turns.leave(standing.pop(draw.randrange(len(standing))))
+            scheduler.remove(standing.pop(draw.randrange(len(standing))))
         else:
-            turn = turns.next(now)
-            assert (turn is None) == (not standing)
-            if turn is not None:
-                standing.remove(turn[0])
+            pick = scheduler.next(now)
+            assert (pick is None) == (not standing)
+            if pick is not None:
+                standing.remove(pick[0])
                 taken += 1
-        assert turns.standing == len(standing)
-        assert len(turns._by_age) <= 2 * turns.standing + 66
+        assert scheduler.ready_count == len(standing)
+        assert len(scheduler._queue_by_age) <= 2 * scheduler.ready_count + 66
     assert taken > 500
-    while (turn := turns.next(now)) is not None:
-        standing.remove(turn[0])
+    while (pick := scheduler.next(now)) is not None:
+        standing.remove(pick[0])
     assert not standing
 
 
 # -- the level
 
 
-def run_level(level: Level, lasts: float, demand, capacity: float, refuse: float, now: float) -> float:
+def run_rate_level(level: RateLevel, lasts: float, demand, capacity: float, reject_cost: float, now: float) -> float:
     """Tenants that want so many seconds of CPU a second, at a loop that has `capacity` of them; each second
     of CPU turned away takes `refuse` of it. Returns the time."""
     end = now + lasts
     while now < end:
         now += 0.05
-        let_in = [min(want, level.room(tenant)) for tenant, want in enumerate(demand)]
-        refusing = refuse * sum(want - got for want, got in zip(demand, let_in, strict=True))
-        for tenant, got in enumerate(let_in):
-            level.spend(tenant, 0.05 * got)
+        admitted = [min(want, level.allowance(tenant)) for tenant, want in enumerate(demand)]
+        rejecting = reject_cost * sum(want - got for want, got in zip(demand, admitted, strict=True))
+        for tenant, got in enumerate(admitted):
+            level.record(tenant, 0.05 * got)
         # Turning away gets what serving leaves, at most what there is to turn away.
-        left = max(capacity - sum(let_in), 0.0)
-        behind = sum(let_in) + refusing > capacity
-        level.sample(1.0 if behind else 0.0, min(refusing, left) / capacity, now)
+        left = max(capacity - sum(admitted), 0.0)
+        backlogged = sum(admitted) + rejecting > capacity
+        level.sample(1.0 if backlogged else 0.0, min(rejecting, left) / capacity, now)
     return now
 
 
-def test_the_level_holds_the_one_that_floods_and_does_not_touch_the_others():
-    level = Level([1.0] * 5, 0.0)
+def test_rate_level_limits_only_the_flooding_tenant():
+    level = RateLevel([1.0] * 5, 0.0)
     demand = [0.9, 0.17, 0.17, 0.17, 0.17, 0.0]
-    now = run_level(level, 10.0, demand, 1.0, 0.1, 0.0)
-    assert 0.17 < level.level < 0.35 and level.log.pop(0).startswith("door level 0.")
-    assert all(level.room(tenant) > 0.17 for tenant in range(5))
+    now = run_rate_level(level, 10.0, demand, 1.0, 0.1, 0.0)
+    assert 0.17 < level.level < 0.35 and level.log_messages.pop(0).startswith("door level 0.")
+    assert all(level.allowance(tenant) > 0.17 for tenant in range(5))
     # The flood is over, and so is the level.
-    run_level(level, 10.0, [0.17] * 5 + [0.0], 1.0, 0.1, now)
-    assert level.level == math.inf and "none" in level.log[-1]
+    run_rate_level(level, 10.0, [0.17] * 5 + [0.0], 1.0, 0.1, now)
+    assert level.level == math.inf and "none" in level.log_messages[-1]
 
 
-def test_under_a_flood_by_all_serving_keeps_its_part_of_the_time():
-    level = Level([1.0] * 4, 0.0)
+def test_serving_keeps_cpu_time_when_all_tenants_flood():
+    level = RateLevel([1.0] * 4, 0.0)
     # Turning all of it away would take twice the loop: lowered until nothing was left, nothing was served.
-    run_level(level, 30.0, [2.0] * 4 + [0.0], 1.0, 0.3, 0.0)
+    run_rate_level(level, 30.0, [2.0] * 4 + [0.0], 1.0, 0.3, 0.0)
     assert 0.6 < 4 * level.level < 1.0
 
 
-def test_levels_follow_shares_that_change():
-    level = Level([1.0, 1.0], 0.0)
-    level.spend(0, 0.05)
+def test_rate_level_follows_changed_shares():
+    level = RateLevel([1.0, 1.0], 0.0)
+    level.record(0, 0.05)
     for step in range(10):
         level.sample(1.0, 0.0, 0.05 * (step + 1))
-    assert level.room(0) == level.room(1) < math.inf
-    level.share([3.0, 1.0])
-    assert math.isclose(level.room(0), 3.0 * level.room(1))
+    assert level.allowance(0) == level.allowance(1) < math.inf
+    level.set_shares([3.0, 1.0])
+    assert math.isclose(level.allowance(0), 3.0 * level.allowance(1))
 
 
 # -- on sockets
 
 
-def test_a_tap_turned_down_answers_at_once_and_only_whole_reads(tmp_path):
+def test_limited_sampler_rejects_only_whole_reads_at_once(tmp_path):
     async def scene():
         async with fleet(tmp_path, [Cache(), Cache()], new_door=FairAdmissionControl) as made:
-            door = made.service.clients.admission_control
+            admission = made.service.clients.admission_control
             one, other = await made.client(), await made.client()
             assert await one.get(labels="c=read,t=acme,d=4000") == b"$5\r\nof k1\r\n"
 
@@ -317,9 +317,9 @@
                 return sum(len(cache.commands) for cache in made.caches)
 
             before = seen()
-            door.tap.shut = True
-            door.tap.part = [[0.0] * len(row) for row in door.tap.part]
-            door.tap.sample = lambda waits, rooms, now: None
+            admission.sampler.any_limited = True
+            admission.sampler.admit_fractions = [[0.0] * len(row) for row in admission.sampler.admit_fractions]
+            admission.sampler.sample = lambda backlogs, max_rates, now: None
             assert (await one.get(labels="c=read,t=acme,d=4000")).startswith(b"-BUSY")
             assert seen() == before
             # In two pieces, behind another, or a write: the long way, as without a tap.
@@ -338,7 +338,7 @@
     run(scene)
 
 
-def test_more_commands_than_may_be_in_hand_are_all_answered_in_order(tmp_path):
+def test_commands_beyond_the_pipeline_limit_are_answered_in_order(tmp_path):
     count = 5 * MAX_PIPELINED_REQUESTS
 
     async def scene():
@@ -358,7 +358,7 @@
     run(scene)
 
 
-def test_the_time_of_what_stood_unread_counts(tmp_path):
+def test_time_spent_unread_counts_towards_the_deadline(tmp_path):
     async def scene():
         async with fleet(tmp_path, [Cache("stall")], new_door=FairAdmissionControl) as made:
             clients = made.service.clients
