--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -252,9 +252,9 @@
 
 def test_connections_of_one_tenant_take_no_slots_from_others():
     harness = Harness()
-    standing = [Connection(0, "a", 0.0) for _ in range(80)] + [Connection(1, "a", 0.0) for _ in range(20)]
-    assert harness.admission.exceeds_connection_quota(0, standing, 100)
-    assert not harness.admission.exceeds_connection_quota(1, standing, 100)
+    connections = [Connection(0, "a", 0.0) for _ in range(80)] + [Connection(1, "a", 0.0) for _ in range(20)]
+    assert harness.admission.exceeds_connection_quota(0, connections, 100)
+    assert not harness.admission.exceeds_connection_quota(1, connections, 100)
 
 
 def test_occasional_stalls_of_300_ms_do_not_collapse_the_limit():
@@ -294,10 +294,10 @@
 
 def test_eviction_starts_with_unused_connections_then_the_largest_holder():
     silent = [Connection(NO_REQUEST_YET, "s", 2.0), Connection(NO_REQUEST_YET, "s", 1.0)]
-    crowd = [Connection(0, "a", i / 10.0) for i in range(5)] + [Connection(0, "b", 0.0)]
+    many = [Connection(0, "a", i / 10.0) for i in range(5)] + [Connection(0, "b", 0.0)]
     few = [Connection(1, "a", 0.0)]
-    order = eviction_order([*few, *crowd, *silent])
-    assert order[:2] == [silent[1], silent[0]] and order[2:8] == [*crowd[:5], crowd[5]] and order[8:] == few
+    order = eviction_order([*few, *many, *silent])
+    assert order[:2] == [silent[1], silent[0]] and order[2:8] == [*many[:5], many[5]] and order[8:] == few
 
 
 def test_accepting_is_limited_to_a_fraction_of_the_cpu():
@@ -326,7 +326,7 @@
         parties = [
             {"name": f"t{i}", "share": share, "allowancePerS": 100.0} for i, share in enumerate(shares)
         ]
-        told = read_settings(7, {**SETTINGS, "parties": parties})
+        settings = read_settings(7, {**SETTINGS, "parties": parties})
         self.timers = SimpleNamespace(
             clock=self.time.clock, call_at=self.time.call_at, current_lag=0.0, lag=0.0
         )
@@ -336,9 +336,9 @@
         dispatcher = SimpleNamespace(
             timers=self.timers, clock=self.time.clock, submit=self.submit, client_gone=self.sent.append
         )
-        self.admission = FairAdmissionControl(told, dispatcher, 64 << 20)
+        self.admission = FairAdmissionControl(settings, dispatcher, 64 << 20)
         self.admission.limiter.limit = self.admission.limiter.max_limit = limit
-        self.types = told.deployment.traffic_types
+        self.types = settings.deployment.traffic_types
 
     def submit(self, operation, payload, answer) -> int:
         self.sent.append(operation.key)
--- a/tests/test_fair_reader.py
+++ b/tests/test_fair_reader.py
@@ -21,8 +21,8 @@
 from tests.helper import Cache, fleet, run
 
 
-def command(key=b"k", ident=b"i1", told=b"c=read,t=acme,d=400", word=b"KV.GET") -> bytes:
-    return b"*4\r\n" + bulk(word) + bulk(key) + bulk(ident) + bulk(told)
+def command(key=b"k", request_id=b"i1", labels=b"c=read,t=acme,d=400", word=b"KV.GET") -> bytes:
+    return b"*4\r\n" + bulk(word) + bulk(key) + bulk(request_id) + bulk(labels)
 
 
 def parse_whole_read(data: bytes) -> PeekedRead | None:
@@ -42,8 +42,8 @@
 
 
 def test_peek_agrees_with_the_parser():
-    odd = command(b"\r\n$3\r\n", b"x" * 40)
-    for data in (command(), odd, command(told=b"d=7,c=put,r=1"), command(b"k" * 900)):
+    crlf_key = command(b"\r\n$3\r\n", b"x" * 40)
+    for data in (command(), crlf_key, command(labels=b"d=7,c=put,r=1"), command(b"k" * 900)):
         assert peek_read(data) == parse_whole_read(data) is not None
 
 
@@ -55,15 +55,15 @@
         whole + whole,
         command(word=b"KV.SET"),
         command(word=b"kv.get"),
-        command(told=b"c=read"),
-        command(told=b"d=1,d=2,c=read"),
-        command(told=b"c=read,d=x"),
+        command(labels=b"c=read"),
+        command(labels=b"d=1,d=2,c=read"),
+        command(labels=b"c=read,d=x"),
         whole.replace(b"$1\r\nk", b"$01\r\nk"),
         whole.replace(b"$1\r\nk", b"$2\r\nk"),
         whole.replace(b"*4", b"*5"),
         whole.replace(b"$2\r\ni1", b"$3\r\ni1"),
-        command(told=b"c=read,d=1,,"),
-        command(ident=b"a b"),
+        command(labels=b"c=read,d=1,,"),
+        command(request_id=b"a b"),
         command(b"k" * MAX_PEEK_BYTES),
     ):
         assert peek_read(data) is None, data
@@ -76,9 +76,9 @@
 @settings(max_examples=300, deadline=None)
 @given(BYTES, BYTES, BYTES, st.integers(0, 60), BYTES)
 @example(b"k", b"i", b"c=read,d=5", 30, b"")
-def test_peek_never_accepts_what_the_parser_does_not(key, ident, told, index, spoilt):
-    data = command(key, ident, told)
-    data = data[:index] + spoilt + data[index + len(spoilt) :]
+def test_peek_never_accepts_what_the_parser_does_not(key, request_id, labels, index, corrupted):
+    data = command(key, request_id, labels)
+    data = data[:index] + corrupted + data[index + len(corrupted) :]
     seen = peek_read(data)
     assert seen is None or seen == parse_whole_read(data)
 
@@ -230,29 +230,29 @@
 
 def test_scheduler_loses_no_connection_and_retains_no_closed_ones():
     draw, scheduler = random.Random(4), ReadScheduler([1.0, 5.0], 0.0)
-    standing: list[Connection] = []
+    ready: list[Connection] = []
     taken = 0
     now = 1.0
     for _ in range(3000):
         now += draw.random() * 0.02
         if draw.random() < 0.55:
-            one = Connection(draw.randrange(-2, 3))
-            scheduler.add_ready(one, now)
-            standing.append(one)
-        elif draw.random() < 0.2 and standing:
-            scheduler.remove(standing.pop(draw.randrange(len(standing))))
+            connection = Connection(draw.randrange(-2, 3))
+            scheduler.add_ready(connection, now)
+            ready.append(connection)
+        elif draw.random() < 0.2 and ready:
+            scheduler.remove(ready.pop(draw.randrange(len(ready))))
         else:
             pick = scheduler.next(now)
-            assert (pick is None) == (not standing)
+            assert (pick is None) == (not ready)
             if pick is not None:
-                standing.remove(pick[0])
+                ready.remove(pick[0])
                 taken += 1
-        assert scheduler.ready_count == len(standing)
+        assert scheduler.ready_count == len(ready)
         assert len(scheduler._queue_by_age) <= 2 * scheduler.ready_count + 66
     assert taken > 500
     while (pick := scheduler.next(now)) is not None:
-        standing.remove(pick[0])
-    assert not standing
+        ready.remove(pick[0])
+    assert not ready
 
 
 # -- the level
@@ -310,8 +310,8 @@
     async def scene():
         async with fleet(tmp_path, [Cache(), Cache()], new_door=FairAdmissionControl) as made:
             admission = made.service.clients.admission_control
-            one, other = await made.client(), await made.client()
-            assert await one.get(labels="c=read,t=acme,d=4000") == b"$5\r\nof k1\r\n"
+            first, other = await made.client(), await made.client()
+            assert await first.get(labels="c=read,t=acme,d=4000") == b"$5\r\nof k1\r\n"
 
             def seen() -> int:
                 return sum(len(cache.commands) for cache in made.caches)
@@ -320,7 +320,7 @@
             admission.sampler.any_limited = True
             admission.sampler.admit_fractions = [[0.0] * len(row) for row in admission.sampler.admit_fractions]
             admission.sampler.sample = lambda backlogs, max_rates, now: None
-            assert (await one.get(labels="c=read,t=acme,d=4000")).startswith(b"-BUSY")
+            assert (await first.get(labels="c=read,t=acme,d=4000")).startswith(b"-BUSY")
             assert seen() == before
             # In two pieces, behind another, or a write: the long way, as without a tap.
             whole = command(b"k1", b"pieces", b"c=read,t=acme,d=4000")
@@ -333,7 +333,7 @@
             )
             assert [await other.answer() for _ in range(2)] == [b"$5\r\nof k1\r\n"] * 2
             assert (await other.get(labels="c=nonsense,d=4000")).startswith(b"-ERR label c")
-            assert (await one.put(labels="c=once,t=acme,d=4000")).startswith(b"$")
+            assert (await first.put(labels="c=once,t=acme,d=4000")).startswith(b"$")
 
     run(scene)
 
@@ -370,7 +370,7 @@
             clients.admission_control.submit = lambda operation, *rest: (
                 taken.append(operation) or kept(operation, *rest)
             )
-            clients.request_reader.data_received(mine, command(told=b"c=read,d=500"), clients.clock() - 0.3)
+            clients.request_reader.data_received(mine, command(labels=b"c=read,d=500"), clients.clock() - 0.3)
             assert math.isclose(taken[0].deadline - taken[0].arrived_at, 0.5, abs_tol=0.2)
             assert taken[0].deadline < clients.clock() + 0.21
             with trio.fail_after(5):
