--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -262,7 +262,9 @@
             name = b"%d" % (i % count)
             if len(queue) >= most:
                 queue.dequeue(now)
-            queue.enqueue(QueuedOperation(None, i % 20, queue.bucket(i % 20, name, now), 1.0, 1.0, now, now + 1.0))
+            queue.enqueue(
+                QueuedOperation(None, i % 20, queue.bucket(i % 20, name, now), 1.0, 1.0, now, now + 1.0)
+            )
         took = (time.perf_counter() - began) / max(count, 20_000)
         print(
             f"| {count} | {tracemalloc.get_traced_memory()[1] / 1048576:.2f} | {took * 1e6:.1f} (traced) |",
--- a/gaugehinge/admission/admission_control.py
+++ b/gaugehinge/admission/admission_control.py
@@ -21,17 +21,17 @@
 from ..net.dispatcher import BUSY_REPLY, Dispatcher, busy_reply
 from ..routing.types import Operation
 from ..settings import Settings
-from .retry_after import RetryAfter
+from .connection_slots import NO_REQUEST_YET, AcceptLimiter, SlotHolder, SlotHolderT, eviction_order
 from .costs import CostEstimator
+from .fair_reader import FairReader
 from .fairness import FairQueue, QueuedOperation
-from .request_peek import PeekedRead
 from .heavy_hitters import HeavyHitters
-from .rate_level import USAGE_DECAY_TIME, RateLevel
 from .limiter import ConcurrencyLimiter
-from .connection_slots import NO_REQUEST_YET, SlotHolderT, SlotHolder, AcceptLimiter, eviction_order
-from .sampling import ReadSampler
+from .rate_level import USAGE_DECAY_TIME, RateLevel
 from .read_scheduler import ReadScheduler
-from .fair_reader import FairReader
+from .request_peek import PeekedRead
+from .retry_after import RetryAfter
+from .sampling import ReadSampler
 
 SAMPLE_INTERVAL = 0.05
 LOG_INTERVAL = 10.0  # figures by tenant, while anything was turned away
@@ -39,7 +39,9 @@
 HEAVY_HITTERS_HALVING_INTERVAL = 5.0
 SMOOTHING_FACTOR = 0.1  # of the smoothed answer time and its deviation, each operation
 LATENCY_DEVIATIONS = 2.0  # over the mean that an answer is expected to take at most
-INITIAL_LATENCY_FRACTION = 0.25  # of the promised time: what an answer is expected to take before any was seen
+INITIAL_LATENCY_FRACTION = (
+    0.25  # of the promised time: what an answer is expected to take before any was seen
+)
 QUEUED_OPERATION_BYTES = 4096  # bytes that one waiting operation takes beside its value
 QUEUE_MEMORY_FRACTION = 0.05  # of the memory that waiting operations may take
 MAX_QUEUED_OPERATIONS = 4096
@@ -84,7 +86,9 @@
         self.clock = dispatcher.clock
         now = self.clock()
         tenants = len(deployment.tenants)
-        capacity = max(min(int(memory * QUEUE_MEMORY_FRACTION) // QUEUED_OPERATION_BYTES, MAX_QUEUED_OPERATIONS), 16)
+        capacity = max(
+            min(int(memory * QUEUE_MEMORY_FRACTION) // QUEUED_OPERATION_BYTES, MAX_QUEUED_OPERATIONS), 16
+        )
         self.queue = FairQueue([t.quota for t in deployment.tenants], capacity, deployment.seed, now)
         self.limiter = ConcurrencyLimiter(settings.max_in_flight, now)
         self.retry_after = RetryAfter(deployment.max_retry_after, tenants, deployment.seed)
@@ -96,7 +100,9 @@
         self.rate_level = RateLevel(shares, now)
         self.fair_reader: FairReader | None = None
         self.mean_costs = [0.0] * (tenants + 1)  # of a tenant's operations, smoothed
-        self.write_rates = [0.0] * (tenants + 1)  # seconds of CPU a second let in that no first look turns away
+        self.write_rates = [0.0] * (
+            tenants + 1
+        )  # seconds of CPU a second let in that no first look turns away
         self._write_costs = [0.0] * (tenants + 1)
         self._sampled_at = now
         priority_weights = [row.priority_weight for row in deployment.traffic_types]
@@ -105,7 +111,9 @@
         self.in_flight = 0
         self.latency_ratio = 0.0  # answer times as a part of the promised, smoothed
         rows = deployment.traffic_types
-        self.expected_latencies = [INITIAL_LATENCY_FRACTION * row.latency_objective for row in rows]  # in hand, smoothed
+        self.expected_latencies = [
+            INITIAL_LATENCY_FRACTION * row.latency_objective for row in rows
+        ]  # in hand, smoothed
         self.latency_deviations = [0.0] * len(rows)  # and how far times lie from that
         self._connections_by_tenant: Counter[int] = Counter()  # connections by tenant, counted now and then
         self._next_connection_count = now
@@ -204,7 +212,8 @@
             return ""
         victim = self.queue.choose_victim(now)
         if victim is None or (
-            victim.tenant == operation.tenant and victim.priority_weight >= operation.traffic_type.priority_weight
+            victim.tenant == operation.tenant
+            and victim.priority_weight >= operation.traffic_type.priority_weight
         ):
             return "full"
         self.queue.remove(victim, "full")
@@ -279,11 +288,17 @@
         row = entry.operation.traffic_type.row
         self.costs.record(row, entry.size + len(reply))
         if reply.startswith(BUSY_PREFIX):
-            self.queue.refund(entry.operation.tenant, entry.bucket, entry.cost * (1.0 - REJECTED_COST_FRACTION))
+            self.queue.refund(
+                entry.operation.tenant, entry.bucket, entry.cost * (1.0 - REJECTED_COST_FRACTION)
+            )
         elif reply and not reply.startswith(b"-"):
-            self.latency_deviations[row] += SMOOTHING_FACTOR * (abs(elapsed - self.expected_latencies[row]) - self.latency_deviations[row])
+            self.latency_deviations[row] += SMOOTHING_FACTOR * (
+                abs(elapsed - self.expected_latencies[row]) - self.latency_deviations[row]
+            )
             self.expected_latencies[row] += SMOOTHING_FACTOR * (elapsed - self.expected_latencies[row])
-            self.latency_ratio += SMOOTHING_FACTOR * (elapsed / entry.operation.traffic_type.latency_objective - self.latency_ratio)
+            self.latency_ratio += SMOOTHING_FACTOR * (
+                elapsed / entry.operation.traffic_type.latency_objective - self.latency_ratio
+            )
         if self.queue.length:
             self._dequeue()
 
@@ -353,7 +368,12 @@
         self.timers.call_at(now + SAMPLE_INTERVAL, self._sample)
 
     def _log_statistics(self, now: float) -> None:
-        for log in (self.limiter.log_messages, self.queue.log_messages, self.sampler.log_messages, self.rate_level.log_messages):
+        for log in (
+            self.limiter.log_messages,
+            self.queue.log_messages,
+            self.sampler.log_messages,
+            self.rate_level.log_messages,
+        ):
             for text in log:
                 logger.info(text)
             log.clear()
@@ -362,7 +382,15 @@
         self._next_log_at = now + LOG_INTERVAL
         for tenant_queue, name in zip(self.queue.tenant_queues, self._tenant_names, strict=True):
             if tenant_queue.rejections or tenant_queue.queued:
-                logger.info(format_statistics(name, tenant_queue.queued, tenant_queue.total_sojourn, tenant_queue.max_sojourn, tenant_queue.rejections))
+                logger.info(
+                    format_statistics(
+                        name,
+                        tenant_queue.queued,
+                        tenant_queue.total_sojourn,
+                        tenant_queue.max_sojourn,
+                        tenant_queue.rejections,
+                    )
+                )
                 tenant_queue.queued, tenant_queue.total_sojourn, tenant_queue.max_sojourn = 0, 0.0, 0.0
                 tenant_queue.rejections.clear()
 
@@ -429,7 +457,9 @@
 BUSY_PREFIX = BUSY_REPLY[:5]
 
 
-def format_statistics(name: str, queued: int, total_sojourn: float, max_sojourn: float, rejections: dict[str, int]) -> str:
+def format_statistics(
+    name: str, queued: int, total_sojourn: float, max_sojourn: float, rejections: dict[str, int]
+) -> str:
     """One line of figures of a tenant since the last one."""
     causes = ", ".join(f"{cause} {count}" for cause, count in sorted(rejections.items())) or "none"
     mean = total_sojourn / queued if queued else 0.0
--- a/gaugehinge/admission/connection_slots.py
+++ b/gaugehinge/admission/connection_slots.py
@@ -38,7 +38,12 @@
     def rank(connection: SlotHolderT) -> tuple[int, int, int, float]:
         if connection.tenant == NO_REQUEST_YET:
             return 0, 0, 0, connection.idle_since
-        return 1, -tenant_counts[connection.tenant], -source_counts[connection.tenant, connection.source], connection.idle_since
+        return (
+            1,
+            -tenant_counts[connection.tenant],
+            -source_counts[connection.tenant, connection.source],
+            connection.idle_since,
+        )
 
     return sorted(all_connections, key=rank)
 
@@ -64,7 +69,9 @@
 
     def may_accept(self, now: float) -> bool:
         """Whether one more may be accepted."""
-        self._tokens = min(self._tokens + (now - self._refilled_at) * self.accept_cpu, self.accept_cpu * BURST_SECONDS)
+        self._tokens = min(
+            self._tokens + (now - self._refilled_at) * self.accept_cpu, self.accept_cpu * BURST_SECONDS
+        )
         self._refilled_at = now
         return self._tokens > 0.0
 
--- a/gaugehinge/admission/fair_reader.py
+++ b/gaugehinge/admission/fair_reader.py
@@ -19,12 +19,14 @@
 from ..net.client_server import ClientServer
 from ..net.request_reader import MAX_DISCARDED_BYTES
 from ..net.sockets import SPACE
+from .read_scheduler import MAX_PASS_TIME, ReadScheduler
 from .request_peek import PeekedRead, peek_read
 from .sampling import ReadSampler
-from .read_scheduler import MAX_PASS_TIME, ReadScheduler
 
 MAX_READY_EVENTS = 4096  # connections looked at in a pass
-MAX_READ_BYTES = 64 * 1024 + 1024  # bytes of one connection in a pass: of a flood of huge values one is enough
+MAX_READ_BYTES = (
+    64 * 1024 + 1024
+)  # bytes of one connection in a pass: of a flood of huge values one is enough
 ABANDONED_AFTER = 0.25  # seconds; a connection that ends with a command unread for longer is not read at all
 HANGUP_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 READS_PER_CLOCK_CHECK = 8  # connections read between two looks at the time
--- a/gaugehinge/admission/fairness.py
+++ b/gaugehinge/admission/fairness.py
@@ -88,7 +88,9 @@
     def __init__(self, shares: Sequence[float], capacity: int, seed: int, now: float) -> None:
         self.capacity = capacity
         self.seed = seed
-        self.tenant_queues = [TenantQueue(i, 1.0) for i in range(len(shares) + 1)]  # the last one: of no known tenant
+        self.tenant_queues = [
+            TenantQueue(i, 1.0) for i in range(len(shares) + 1)
+        ]  # the last one: of no known tenant
         self.set_shares(shares)
         self.virtual_time = 0.0
         self.length = 0
@@ -226,7 +228,9 @@
         if newest_first != queue.newest_first:
             queue.newest_first = newest_first
             first = "newest" if newest_first else "oldest"
-            self.log_messages.append(f"door line {queue.tenant} {first} first: {queue.length} waiting, {waited:.3f} s")
+            self.log_messages.append(
+                f"door line {queue.tenant} {first} first: {queue.length} waiting, {waited:.3f} s"
+            )
 
     def _unlink(self, queue: TenantQueue, flow: Flow, entry: QueuedOperation) -> None:
         entry.removed = True
@@ -264,7 +268,9 @@
         """With the queue full: of the tenant that waits for most against its weight, the least payoff."""
         if self._victim_tenant is None or not self._victim_tenant.length or now >= self._victim_tenant_until:
             non_empty = [queue for queue in self.tenant_queues if queue.length]
-            self._victim_tenant = max(non_empty, key=lambda queue: queue.queued_cost / queue.weight, default=None)
+            self._victim_tenant = max(
+                non_empty, key=lambda queue: queue.queued_cost / queue.weight, default=None
+            )
             self._victim_tenant_until = now + VICTIM_TENANT_TTL
         if self._victim_tenant is None:
             return None
@@ -307,5 +313,7 @@
         """Measure the pace."""
         span = now - self._sampled_at
         if span > 0 and (self.length or self._served_cost):
-            self.service_rate = SERVICE_RATE_DECAY * self.service_rate + (1 - SERVICE_RATE_DECAY) * self._served_cost / span
+            self.service_rate = (
+                SERVICE_RATE_DECAY * self.service_rate + (1 - SERVICE_RATE_DECAY) * self._served_cost / span
+            )
         self._served_cost, self._sampled_at = 0.0, now
--- a/gaugehinge/admission/limiter.py
+++ b/gaugehinge/admission/limiter.py
@@ -14,7 +14,9 @@
 LAG_DECREASE_FACTOR = 0.75  # of the limit, where the lag is over the aim
 LAG_SAMPLES = 6  # the least lag of so many samples counts: a core shared out in slices is late now and then
 HIGH_LAG = 0.1  # over this the limit is halved
-DECREASE_INTERVAL = 0.15  # between two cuts: what was in hand before a cut must have left before it is judged again
+DECREASE_INTERVAL = (
+    0.15  # between two cuts: what was in hand before a cut must have left before it is judged again
+)
 INCREASE_FRACTION = 0.06  # of the limit, a sample in which it was in use
 MIN_INCREASE = 1.0
 IN_USE_FRACTION = 0.8  # of the limit: under it nothing is learnt, and the limit stays
@@ -55,7 +57,9 @@
                 self._next_decrease_at = now + DECREASE_INTERVAL + lag
                 self._set_reduced(True, lag, latency_ratio)
         elif queued or in_flight >= IN_USE_FRACTION * self.limit:
-            self.limit = min(self.limit + max(MIN_INCREASE, INCREASE_FRACTION * self.limit), float(self.max_limit))
+            self.limit = min(
+                self.limit + max(MIN_INCREASE, INCREASE_FRACTION * self.limit), float(self.max_limit)
+            )
         else:
             self._idle_samples += 1
             if self._idle_samples > 100:  # five seconds with room to spare: what held it down is over
--- a/gaugehinge/admission/rate_level.py
+++ b/gaugehinge/admission/rate_level.py
@@ -20,7 +20,9 @@
 
 SMOOTHING_TIME = 0.15  # seconds, for the parts of the loop's time
 BACKLOG_THRESHOLD = 0.5  # part of the passes that end with something left: over it the loop does not keep up
-MIN_REJECT_FRACTION = 0.12  # of its time that turning away gets then: with less, operations stand unread until lost
+MIN_REJECT_FRACTION = (
+    0.12  # of its time that turning away gets then: with less, operations stand unread until lost
+)
 SUFFICIENT_REJECT_FRACTION = 0.2
 DECREASE_FACTOR = 0.88  # of the level,
 DECREASE_INTERVAL = 0.25  # and so long until the next one: a backlog takes its time to go once less is let in
@@ -94,7 +96,9 @@
 
     def _set_level(self, level: float, now: float) -> None:
         level_text = f"{level:.4f} s of CPU a second by weight" if level < inf else "none"
-        self.log_messages.append(f"door level {level_text}: {self.backlog_fraction:.2f} of the passes leave something")
+        self.log_messages.append(
+            f"door level {level_text}: {self.backlog_fraction:.2f} of the passes leave something"
+        )
         self.level, self._limited_at = level, now
 
     def allowance(self, tenant: int) -> float:
--- a/gaugehinge/admission/read_scheduler.py
+++ b/gaugehinge/admission/read_scheduler.py
@@ -106,7 +106,9 @@
             queue.popleft()
         return bool(queue) and now - queue[0][0] > OVERLOAD_AGE
 
-    def _pop(self, queue: deque[tuple[float, ConnectionT]], newest: bool = False) -> tuple[ConnectionT, float, int] | None:
+    def _pop(
+        self, queue: deque[tuple[float, ConnectionT]], newest: bool = False
+    ) -> tuple[ConnectionT, float, int] | None:
         while queue:
             picked = self._claim(*(queue.pop() if newest else queue.popleft()))
             if picked is not None:
--- a/gaugehinge/admission/sampling.py
+++ b/gaugehinge/admission/sampling.py
@@ -14,7 +14,9 @@
 RATE_DECAY_TIME = 0.5  # seconds, for what came and what was passed on
 ADMIT_MARGIN = 1.3  # times what was passed on of late that is let in: a queue that runs dry wastes its turn
 MIN_READ_RATE = 20.0  # operations a second that each tenant is let in anyhow: let in none, none is passed on
-MIN_OVERLOADED_READ_RATE = 1.0  # the same where the router as a whole has no time: of many tenants 20 each are too many
+MIN_OVERLOADED_READ_RATE = (
+    1.0  # the same where the router as a whole has no time: of many tenants 20 each are too many
+)
 MIN_BACKLOG = 0.02  # seconds that a tenant's queue takes at its pace; a shorter one is let grow
 
 
@@ -68,17 +70,23 @@
             for row, count in enumerate(arrivals):
                 arrival_rates[row] = decay * arrival_rates[row] + (1.0 - decay) * count / span
                 arrivals[row] = 0
-            self.forward_rates[tenant] = decay * self.forward_rates[tenant] + (1.0 - decay) * self._forwarded[tenant] / span
+            self.forward_rates[tenant] = (
+                decay * self.forward_rates[tenant] + (1.0 - decay) * self._forwarded[tenant] / span
+            )
             self._forwarded[tenant] = 0
             self._update_fractions(tenant, backlog, max_rates[tenant])
 
     def _update_fractions(self, tenant: int, backlog: float, max_rate: float) -> None:
         arrival_rates, admit_fractions = self.arrival_rates[tenant], self.admit_fractions[tenant]
-        admit_rate = max(ADMIT_MARGIN * self.forward_rates[tenant], MIN_READ_RATE) if backlog > MIN_BACKLOG else inf
+        admit_rate = (
+            max(ADMIT_MARGIN * self.forward_rates[tenant], MIN_READ_RATE) if backlog > MIN_BACKLOG else inf
+        )
         admit_rate = min(admit_rate, max(max_rate, MIN_OVERLOADED_READ_RATE))
         limited = sum(arrival_rates) > admit_rate
         for row in self._rows_by_priority:
-            admit_fractions[row] = min(admit_rate / arrival_rates[row], 1.0) if limited and arrival_rates[row] > 0.0 else 1.0
+            admit_fractions[row] = (
+                min(admit_rate / arrival_rates[row], 1.0) if limited and arrival_rates[row] > 0.0 else 1.0
+            )
             admit_rate = max(admit_rate - arrival_rates[row], 0.0)
         if limited is not self.limited[tenant]:
             self.limited[tenant] = limited
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -8,13 +8,20 @@
 import pytest
 import trio
 
-from gaugehinge.admission.retry_after import MAX_RETRY_BUDGET, RetryAfter
-from gaugehinge.admission.costs import INITIAL_OPERATION_COST, CostEstimator
 from gaugehinge.admission.admission_control import FairAdmissionControl
+from gaugehinge.admission.connection_slots import (
+    ACCEPT_CPU_FRACTION,
+    BURST_SECONDS,
+    MIN_ACCEPT_CPU,
+    NO_REQUEST_YET,
+    AcceptLimiter,
+    eviction_order,
+)
+from gaugehinge.admission.costs import INITIAL_OPERATION_COST, CostEstimator
 from gaugehinge.admission.fairness import CLIENT_BUCKETS, MIN_WEIGHT, FairQueue, QueuedOperation
 from gaugehinge.admission.heavy_hitters import HeavyHitters
-from gaugehinge.admission.limiter import MIN_LIMIT, LAG_SAMPLES, ConcurrencyLimiter
-from gaugehinge.admission.connection_slots import MIN_ACCEPT_CPU, ACCEPT_CPU_FRACTION, BURST_SECONDS, NO_REQUEST_YET, AcceptLimiter, eviction_order
+from gaugehinge.admission.limiter import LAG_SAMPLES, MIN_LIMIT, ConcurrencyLimiter
+from gaugehinge.admission.retry_after import MAX_RETRY_BUDGET, RetryAfter
 from gaugehinge.emulator.virtual import VirtualTime
 from gaugehinge.routing.types import Operation
 from gaugehinge.settings import read_settings
@@ -54,7 +61,9 @@
         server.put(2, cost=0.5)
     server.serve(400)
     whole = sum(server.served.values())
-    assert [round(server.served[i] / whole, 2) for i in range(3)] == pytest.approx([0.25, 0.5, 0.25], abs=0.02)
+    assert [round(server.served[i] / whole, 2) for i in range(3)] == pytest.approx(
+        [0.25, 0.5, 0.25], abs=0.02
+    )
 
 
 def test_clients_of_a_tenant_share_fairly_with_a_greedy_client():
@@ -117,7 +126,10 @@
             server.serve(50)
         server.put(draw.randrange(5), b"client-%d" % i)
     assert sum(len(queue.flows) for queue in server.queue.tenant_queues) <= len(server.queue) <= 100
-    assert sum(len(queue.flow_heap) for queue in server.queue.tenant_queues) <= 300 and len(server.queue._expiry_heap) < 1000
+    assert (
+        sum(len(queue.flow_heap) for queue in server.queue.tenant_queues) <= 300
+        and len(server.queue._expiry_heap) < 1000
+    )
     while len(server.queue):
         server.serve(1)
     assert not any(queue.flows or queue.length for queue in server.queue.tenant_queues)
@@ -362,7 +374,9 @@
         harness.ask(b"%d" % i)
     assert len(harness.sent) == 4
     harness.time.run(101.0)
-    assert [reply for _, reply, _ in harness.answers] == [b"$2\r\nok\r\n"] * 4 and harness.admission.in_flight == 0
+    assert [reply for _, reply, _ in harness.answers] == [
+        b"$2\r\nok\r\n"
+    ] * 4 and harness.admission.in_flight == 0
 
 
 def test_every_operation_gets_exactly_one_answer():
@@ -384,7 +398,9 @@
     harness.time.run(harness.time.now + 5.0)
     counts = Counter(key for key, _, _ in harness.answers)
     assert all(counts[key] == 1 for key, entry in entries.items() if not entry.client_left)
-    assert max(counts.values()) == 1 and harness.admission.in_flight == 0 and not harness.admission.queue.length
+    assert (
+        max(counts.values()) == 1 and harness.admission.in_flight == 0 and not harness.admission.queue.length
+    )
     assert sum(reply.startswith(b"$") for _, reply, _ in harness.answers) > 100
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -12,10 +12,10 @@
 from redis.asyncio.cluster import RedisCluster as AsyncCluster
 from redis.cluster import RedisCluster
 
+from gaugehinge.admission.admission_control import FairAdmissionControl
 from gaugehinge.cluster.build import cluster_extension_builder, slot_fleet
 from gaugehinge.cluster.resp3 import CLIENT, Error, Reader, command
 from gaugehinge.cluster.slots import SLOTS, slot_of
-from gaugehinge.admission.admission_control import FairAdmissionControl
 from gaugehinge.forms import toml
 from gaugehinge.installation.form import CommandEntry, Installation
 from gaugehinge.net.lifecycle import Phase
--- a/tests/test_fair_reader.py
+++ b/tests/test_fair_reader.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from gaugehinge.admission.admission_control import FairAdmissionControl
-from gaugehinge.admission.request_peek import MAX_PEEK_BYTES, PeekedRead, peek_read
 from gaugehinge.admission.rate_level import RateLevel
-from gaugehinge.admission.sampling import MIN_READ_RATE, ADMIT_MARGIN, ReadSampler
-from gaugehinge.admission.read_scheduler import OVERLOAD_AGE, OLDEST_FIRST_EVERY, ReadScheduler
+from gaugehinge.admission.read_scheduler import OLDEST_FIRST_EVERY, OVERLOAD_AGE, ReadScheduler
+from gaugehinge.admission.request_peek import MAX_PEEK_BYTES, PeekedRead, peek_read
+from gaugehinge.admission.sampling import ADMIT_MARGIN, MIN_READ_RATE, ReadSampler
 from gaugehinge.net.request_errors import RequestError
 from gaugehinge.net.request_parser import parse_labels
 from gaugehinge.net.request_reader import MAX_PIPELINED_REQUESTS
@@ -87,7 +87,13 @@
 
 
 def run_sampler(
-    sampler: ReadSampler, seconds: float, arrivals: dict, forwarded: dict, backlog: float, start: float = 0.0, max_rate: float = math.inf
+    sampler: ReadSampler,
+    seconds: float,
+    arrivals: dict,
+    forwarded: dict,
+    backlog: float,
+    start: float = 0.0,
+    max_rate: float = math.inf,
 ) -> Counter:
     """So many a second by (tenant, row) and passed on by tenant; those let in."""
     admitted: Counter = Counter()
@@ -112,7 +118,9 @@
 
 def test_sampler_admits_all_reads_without_a_backlog():
     sampler = ReadSampler(2, [1.0, 2.0], 3, 0.0)
-    assert run_sampler(sampler, 2.0, {(0, 0): 1000.0}, {0: 100.0}, 0.0)[0, 0] >= 1990 and not sampler.any_limited
+    assert (
+        run_sampler(sampler, 2.0, {(0, 0): 1000.0}, {0: 100.0}, 0.0)[0, 0] >= 1990 and not sampler.any_limited
+    )
 
 
 def test_sampler_admits_slightly_more_than_the_forward_rate_by_priority():
@@ -130,7 +138,9 @@
     sampler = ReadSampler(1, [1.0], 3, 0.0)
     run_sampler(sampler, 3.0, {(0, 0): 500.0}, {}, 1.0)
     found = run_sampler(sampler, 10.0, {(0, 0): 500.0}, {}, 1.0, 3.0)[0, 0] / 10.0
-    assert 0.7 * MIN_READ_RATE < found < 1.3 * MIN_READ_RATE and sampler.log_messages.pop().startswith("tap of line 0 turned down")
+    assert 0.7 * MIN_READ_RATE < found < 1.3 * MIN_READ_RATE and sampler.log_messages.pop().startswith(
+        "tap of line 0 turned down"
+    )
     run_sampler(sampler, 0.1, {(0, 0): 500.0}, {}, 0.0, 13.0)
     assert not sampler.any_limited and "open" in sampler.log_messages[-1]
 
@@ -153,7 +163,9 @@
     ready_since: float = 0.0
 
 
-def run_pass(scheduler: ReadScheduler, now: float, max_reads: int, read: Counter, cost: float = 0.0004) -> None:
+def run_pass(
+    scheduler: ReadScheduler, now: float, max_reads: int, read: Counter, cost: float = 0.0004
+) -> None:
     """One pass that reads so many."""
     scheduler.decay(now)
     for _ in range(max_reads):
@@ -258,7 +270,9 @@
 # -- the level
 
 
-def run_rate_level(level: RateLevel, lasts: float, demand, capacity: float, reject_cost: float, now: float) -> float:
+def run_rate_level(
+    level: RateLevel, lasts: float, demand, capacity: float, reject_cost: float, now: float
+) -> float:
     """Tenants that want so many seconds of CPU a second, at a loop that has `capacity` of them; each second
     of CPU turned away takes `refuse` of it. Returns the time."""
     end = now + lasts
@@ -318,7 +332,9 @@
 
             before = seen()
             admission.sampler.any_limited = True
-            admission.sampler.admit_fractions = [[0.0] * len(row) for row in admission.sampler.admit_fractions]
+            admission.sampler.admit_fractions = [
+                [0.0] * len(row) for row in admission.sampler.admit_fractions
+            ]
             admission.sampler.sample = lambda backlogs, max_rates, now: None
             assert (await first.get(labels="c=read,t=acme,d=4000")).startswith(b"-BUSY")
             assert seen() == before
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 
 from gaugehinge.admin.tombstones import sweep_tombstones
-from gaugehinge.cli.main import main as command_line
 from gaugehinge.admission.admission_control import FairAdmissionControl
+from gaugehinge.cli.main import main as command_line
 from gaugehinge.emulator.ports import Ports
 from gaugehinge.hosted.authenticator import CHECKS, Authenticator
 from gaugehinge.hosted.build import read_secret
