--- a/gaugehinge/admission/__init__.py
+++ b/gaugehinge/admission/__init__.py
@@ -1,6 +1,6 @@
-"""The door: what is taken in hand, in which order, and what is turned away before the decision module is
-asked.
+"""Admission control: which operations and connections are admitted, in which order, and which are rejected.
 
-`fairness`, `limiter`, `comeback`, `costs` and `places` decide and have no I/O; `door` carries their
-answers out.
+Rejections come before the decision module is asked. `fairness`, `limiter`, `retry_after`, `costs`,
+`connection_slots` and the other modules decide and do no I/O; `admission_control` carries out their
+decisions, and `fair_reader` reads the connections.
 """
--- a/gaugehinge/admission/admission_control.py
+++ b/gaugehinge/admission/admission_control.py
@@ -1,8 +1,9 @@
-"""Between reading a command and `Dispatch.submit`: carries out what the door's modules decide.
+"""Admission control of operations and connections, between request parsing and `Dispatcher.submit`.
 
-An operation is passed on at once while there is room; else it waits for its fair turn, or is refused at
-once where its time does not cover its turn. Nothing that waits here has been sent anywhere: a refusal from
-here never ran.
+This module carries out what the other modules of the package decide. An operation is forwarded at once while
+there is capacity. Otherwise it waits for its fair turn, or is rejected at once if its remaining time does not
+cover the wait. Nothing that waits here has been sent anywhere, so an operation that is rejected here never
+ran.
 """
 
 from __future__ import annotations
@@ -34,24 +35,24 @@
 from .sampling import ReadSampler
 
 SAMPLE_INTERVAL = 0.05
-LOG_INTERVAL = 10.0  # figures by tenant, while anything was turned away
-HEAVY_HITTERS_SIZE = 64  # clients of which the weight is known
+LOG_INTERVAL = 10.0  # seconds between statistics by tenant, while operations are queued or rejected
+HEAVY_HITTERS_SIZE = 64  # clients whose share of the cost is tracked
 HEAVY_HITTERS_HALVING_INTERVAL = 5.0
-SMOOTHING_FACTOR = 0.1  # of the smoothed answer time and its deviation, each operation
-LATENCY_DEVIATIONS = 2.0  # over the mean that an answer is expected to take at most
-INITIAL_LATENCY_FRACTION = (
-    0.25  # of the promised time: what an answer is expected to take before any was seen
-)
-QUEUED_OPERATION_BYTES = 4096  # bytes that one waiting operation takes beside its value
-QUEUE_MEMORY_FRACTION = 0.05  # of the memory that waiting operations may take
+SMOOTHING_FACTOR = 0.1  # weight of an operation in smoothed latencies, their deviations and mean costs
+LATENCY_DEVIATIONS = 2.0  # deviations above the mean latency that an answer is expected to take at most
+# Expected latency before any answer was seen, as a fraction of the latency objective.
+INITIAL_LATENCY_FRACTION = 0.25
+QUEUED_OPERATION_BYTES = 4096  # memory of one queued operation, beside its value
+QUEUE_MEMORY_FRACTION = 0.05  # fraction of the memory that queued operations may take
 MAX_QUEUED_OPERATIONS = 4096
-REPLY_MARGIN = 0.005  # kept before the deadline for the answer's own way
-REJECTED_COST_FRACTION = 0.05  # an operation refused by the decisions used this part of what it counted
+REPLY_MARGIN = 0.005  # seconds reserved before the deadline for sending the answer
+# Fraction of the charged cost that an operation has used if the decision module rejected it.
+REJECTED_COST_FRACTION = 0.05
 
 
 @dataclass(slots=True, eq=False)
 class PendingOperation:
-    """One operation at the door, until its answer."""
+    """An operation in admission control, from its arrival to its answer."""
 
     operation: Operation
     payload: RequestPayload
@@ -60,13 +61,13 @@
     bucket: int
     cost: float
     queue_entry: QueuedOperation | None = None  # while it waits
-    handle: int = 0  # at the dispatch, once it is passed on
-    forwarded_at: float = 0.0  # when
-    client_left: bool = False  # its client left
+    handle: int = 0  # of the dispatcher, once the operation is forwarded
+    forwarded_at: float = 0.0  # time of forwarding; 0 if not forwarded, or finished
+    client_left: bool = False
 
 
 class FairAdmissionControl:
-    """Operations that wait, and how many are in hand."""
+    """Queues operations by fair shares and limits how many are in flight."""
 
     def __init__(
         self,
@@ -76,8 +77,12 @@
         label: str = "",
         tenant_of: Callable[[ClientConnection, str], int | None] | None = None,
     ) -> None:
-        """`label` names a client; without it each connection is one. `tenant_of`: whose a command is that
-        names a tenant, None where it has to be read in full; without it the settings say."""
+        """Set up the queue and the limits from the settings, and start sampling.
+
+        `label` is the label whose value identifies a client; if empty, each connection counts as a client.
+        `tenant_of` returns the tenant index of a request that names a tenant, or None if the request has to
+        be parsed in full first; by default the settings map names to indexes.
+        """
         deployment = settings.deployment
         self.label = b"%b=" % label.encode() if label else b""
         self.settings = settings
@@ -99,23 +104,21 @@
         self.read_scheduler = ReadScheduler(shares, now)
         self.rate_level = RateLevel(shares, now)
         self.fair_reader: FairReader | None = None
-        self.mean_costs = [0.0] * (tenants + 1)  # of a tenant's operations, smoothed
-        self.write_rates = [0.0] * (
-            tenants + 1
-        )  # seconds of CPU a second let in that no first look turns away
+        self.mean_costs = [0.0] * (tenants + 1)  # CPU seconds of one operation by tenant, smoothed
+        # CPU seconds per second of admitted writes, which peeking never rejects, by tenant.
+        self.write_rates = [0.0] * (tenants + 1)
         self._write_costs = [0.0] * (tenants + 1)
         self._sampled_at = now
         priority_weights = [row.priority_weight for row in deployment.traffic_types]
         self.sampler = ReadSampler(tenants + 1, priority_weights, deployment.seed, now)
         self.tenant_of = tenant_of or (lambda client, name: settings.tenant_indexes.get(name, -1))
         self.in_flight = 0
-        self.latency_ratio = 0.0  # answer times as a part of the promised, smoothed
+        self.latency_ratio = 0.0  # latency as a fraction of the objective, smoothed
         rows = deployment.traffic_types
-        self.expected_latencies = [
-            INITIAL_LATENCY_FRACTION * row.latency_objective for row in rows
-        ]  # in hand, smoothed
-        self.latency_deviations = [0.0] * len(rows)  # and how far times lie from that
-        self._connections_by_tenant: Counter[int] = Counter()  # connections by tenant, counted now and then
+        # Seconds from forwarding to the answer by traffic type, smoothed.
+        self.expected_latencies = [INITIAL_LATENCY_FRACTION * row.latency_objective for row in rows]
+        self.latency_deviations = [0.0] * len(rows)  # mean absolute deviation from them, smoothed
+        self._connections_by_tenant: Counter[int] = Counter()  # refreshed at most every SAMPLE_INTERVAL
         self._next_connection_count = now
         self._dequeuing = False
         self._expiry_scheduled = False
@@ -124,7 +127,7 @@
         self._tenant_names = [*settings.tenant_indexes, "none"]
         self.timers.call_at(now + SAMPLE_INTERVAL, self._sample)
 
-    # -- in
+    # -- arrival
 
     def submit(
         self,
@@ -134,7 +137,7 @@
         client: bytes,
         size: int,
     ) -> PendingOperation:
-        """Take an operation; `answer` gets its one final answer, perhaps at once."""
+        """Accept an operation; `answer` gets its single final reply, possibly before this returns."""
         now = self.clock()
         tenant = operation.tenant
         row = operation.traffic_type.row
@@ -172,14 +175,14 @@
         return entry
 
     def _record_admission(self, tenant: int, cost: float, write: bool) -> None:
-        """Count an operation that is taken in."""
+        """Account for an operation that was parsed in full."""
         self.rate_level.record(tenant, cost)
         self.mean_costs[tenant] += SMOOTHING_FACTOR * (cost - self.mean_costs[tenant])
         if write:
             self._write_costs[tenant] += cost
 
     def _max_read_rates(self, span: float) -> list[float]:
-        """Reads a second that each tenant may be let in, at the level."""
+        """Reads per second that each tenant may have admitted under the rate level."""
         decay = exp(-span / USAGE_DECAY_TIME)
         max_rates = []
         for tenant, written in enumerate(self._write_costs):
@@ -190,7 +193,7 @@
         return max_rates
 
     def _client_label(self, payload: RequestPayload) -> bytes:
-        """The name in the labels, where that tells clients apart; empty where there is none."""
+        """The label that identifies the client; empty if none is configured or the request has none."""
         if not self.label:
             return b""
         for part in payload.labels.split(b","):
@@ -199,9 +202,9 @@
         return b""
 
     def _rejection_cause(self, entry: PendingOperation, now: float) -> str:
-        """Why an operation cannot wait; empty where it can."""
+        """Why an operation cannot be queued; empty if it can be, for which another one may be evicted."""
         operation = entry.operation
-        # Repeats of a tenant that has nothing waiting take nobody's turn.
+        # Retries of a tenant with an empty queue delay no other operation, so they need no budget.
         waits = self.queue.tenant_queues[operation.tenant].length
         if waits and not self.retry_after.allow(operation.tenant, operation.is_client_retry):
             return "repeats"
@@ -221,7 +224,7 @@
         return ""
 
     def _latest_start(self, operation: Operation) -> float:
-        """When the time left does not cover an answer any more."""
+        """The time from which the remaining time no longer covers an answer."""
         traffic_type = operation.traffic_type
         row = traffic_type.row
         expected = self.expected_latencies[row] + LATENCY_DEVIATIONS * self.latency_deviations[row]
@@ -231,7 +234,7 @@
         return end - REPLY_MARGIN - min(expected, 0.5 * (end - operation.arrived_at))
 
     def client_gone(self, entry: PendingOperation, freed: Callable[[], None] = lambda: None) -> None:
-        """Nobody waits for the answer any more."""
+        """Handle the client's departure: nobody waits for the answer any more."""
         entry.client_left = True
         if entry.queue_entry is not None:
             self.queue.remove(entry.queue_entry, "gone")
@@ -243,10 +246,13 @@
         else:
             freed()
 
-    # -- out
+    # -- forwarding and rejection
 
     def _dequeue(self) -> None:
-        """Pass on what has its turn, as far as there is room. What is refused at once makes room at once."""
+        """Forward operations in fair order while there is capacity.
+
+        An operation that is rejected at once frees its capacity for the next one within the loop.
+        """
         if self._dequeuing:
             return
         self._dequeuing = True
@@ -280,7 +286,7 @@
         entry.handle = self.dispatcher.submit(entry.operation, entry.payload, answer)
 
     def _on_finished(self, entry: PendingOperation, reply: bytes, now: float) -> None:
-        """An operation is answered, or its client left: there is room for another."""
+        """Release the capacity of an operation that was answered or whose client has left."""
         if not entry.forwarded_at:
             return
         elapsed, entry.forwarded_at = now - entry.forwarded_at, 0.0
@@ -303,14 +309,14 @@
             self._dequeue()
 
     def _reject(self, entry: PendingOperation) -> None:
-        """Refused from here: it never ran."""
+        """Reject an operation that was not forwarded, so it never ran."""
         entry.queue_entry = None
         operation = entry.operation
         operation.finished = True
         entry.answer(busy_reply(self._retry_delay(operation)))
 
     def _retry_delay(self, operation: Operation) -> float:
-        """When one that is turned away may return."""
+        """Seconds after which the client of a rejected operation may retry."""
         self.queue.record_outcome(operation.tenant, self.clock(), False)
         wait = self.queue.expected_wait(operation.tenant) + self.queue.rejected_backlog(operation.tenant)
         return self.retry_after.delay(wait, operation.is_client_retry)
@@ -320,7 +326,7 @@
         rejections[cause] = rejections.get(cause, 0) + 1
 
     def _schedule_expiry(self) -> None:
-        """Turn away those whose time is up, each when it is, by one entry in the heap of deadlines."""
+        """Schedule the next expiry of queued operations, each at its own time, with a single timer."""
         due = self.queue.next_expiry()
         if due is not None and not self._expiry_scheduled:
             self._expiry_scheduled = True
@@ -334,17 +340,17 @@
         self._schedule_expiry()
 
     def queued_operations(self) -> list[QueuedOperation]:
-        """What waits."""
+        """All operations that wait for admission."""
         flows = [flow for tenant_queue in self.queue.tenant_queues for flow in tenant_queue.flows.values()]
         return [queued for flow in flows for queued in flow.entries if not queued.removed]
 
     def reject_queued(self) -> None:
-        """The router ends: what waits never ran."""
+        """Reject all queued operations, which never ran, because the router is shutting down."""
         for queued in self.queued_operations():
             self.queue.remove(queued, "end")
             self._reject(queued.item)
 
-    # -- measuring
+    # -- sampling
 
     def _sample(self) -> None:
         now = self.clock()
@@ -397,12 +403,12 @@
     # -- connections
 
     def new_reader(self, clients: ClientServer) -> FairReader:
-        """What reads the connections."""
+        """Create the reader of all connections."""
         self.fair_reader = FairReader(clients, self.read_scheduler, self.sampler, self._reject_peeked)
         return self.fair_reader
 
     def _reject_peeked(self, client: ClientConnection, peeked: PeekedRead) -> bytes | None:
-        """The answer to a read that is not let in; None where it is, or is to be read in full."""
+        """The rejection of a peeked read; None if the read is admitted or has to be parsed in full."""
         row = self.settings.traffic_type_rows.get(peeked.traffic_type)
         if row is None:
             return None
@@ -422,18 +428,18 @@
         return self.accept_limiter.may_accept(self.clock())
 
     def on_accepted(self, cpu: float) -> None:
-        """Connections were accepted, in so many seconds of CPU."""
+        """Account for the CPU seconds that accepting connections took."""
         self.accept_limiter.charge(cpu)
 
     def order_of_eviction(self, connections: Iterable[SlotHolderT]) -> list[SlotHolderT]:
-        """Connections in the order in which they should yield their places."""
+        """Connections in the order in which they are closed to make room for new ones."""
         return eviction_order(connections)
 
     def exceeds_connection_quota(self, tenant: int, connections: Iterable[SlotHolder], most: int) -> bool:
-        """Whether a connection over the limit is one too many for its tenant: not while it holds less
-        than its part.
+        """Whether a connection over the limit of `most` is one too many for its tenant.
 
-        Turned away whatever tenant it was of, a crowd of one took the places of all others.
+        It is not while the tenant holds less than its part of the limit. Closing excess connections
+        regardless of their tenant let the many connections of one tenant take the slots of all others.
         """
         now = self.clock()
         if now >= self._next_connection_count:
@@ -443,12 +449,12 @@
         return self._connections_by_tenant[tenant] >= most / max(spoke, 1)
 
     def overload_reply(self, operation: Operation) -> bytes:
-        """What an operation is told that finds no place, or no memory for it."""
+        """The reply to an operation for which there is no capacity or no memory."""
         self._count_rejection(operation.tenant, "place")
         return busy_reply(self._retry_delay(operation))
 
     def set_shares(self, shares: Sequence[float]) -> None:
-        """The tenants' shares have changed."""
+        """Set the tenants' shares after a change."""
         self.queue.set_shares(shares)
         self.read_scheduler.set_shares(shares)
         self.rate_level.set_shares(shares)
@@ -460,7 +466,10 @@
 def format_statistics(
     name: str, queued: int, total_sojourn: float, max_sojourn: float, rejections: dict[str, int]
 ) -> str:
-    """One line of figures of a tenant since the last one."""
+    """One log line with the statistics of a tenant since the previous one."""
     causes = ", ".join(f"{cause} {count}" for cause, count in sorted(rejections.items())) or "none"
     mean = total_sojourn / queued if queued else 0.0
-    return f"door tenant {name}: {queued} waited {mean:.3f} s, {max_sojourn:.3f} at most; bounced: {causes}"
+    return (
+        f"admission of tenant {name}: {queued} queued, mean wait {mean:.3f} s, longest {max_sojourn:.3f} s;"
+        f" rejected: {causes}"
+    )
