--- a/gaugehinge/admission/fairness.py
+++ b/gaugehinge/admission/fairness.py
@@ -1,11 +1,12 @@
-"""The fair queue: start-time fair queueing over tenants, and over clients within each. No I/O.
+"""Start-time fair queueing over tenants, and over clients within each tenant. No I/O.
 
-Tenants weigh by their share. Clients are hashed into a fixed number of buckets, and the hash changes from
-time to time, so that two that collide do not do so for good. What an operation counts is what it will
-use, not one. Source: P. Goyal, H. Vin, H. Cheng, "Start-time Fair Queueing" (1996), in two levels.
+Tenants are weighted by their share. Clients are hashed into a fixed number of buckets, and the hash is
+reseeded from time to time, so that two clients that collide do not do so for good. An operation is charged
+the cost that it is expected to use, not one unit. Source: P. Goyal, H. Vin, H. Cheng, "Start-time Fair
+Queueing" (1996), applied in two levels.
 
-Memory is fixed at the start: one figure a bucket, one queue a tenant, and at most `most` waiting
-operations. A flow exists only while something waits in it.
+Memory is bounded from the start: one number per bucket, one queue per tenant and at most `capacity` queued
+operations. A flow exists only while something is queued in it.
 """
 
 from __future__ import annotations
@@ -20,35 +21,39 @@
 
 from xxhash import xxh64_intdigest
 
-CLIENT_BUCKETS = 1024  # for the clients of all tenants: any two collide once in a thousand
-RESEED_INTERVAL = 10.0  # seconds; so long two that collide share one turn
-MIN_WEIGHT = 0.01  # of the mean: a tenant with no share still gets a turn now and then
-OVERLOAD_SOJOURN = 0.1  # where the oldest of all flows of a tenant waited for so long,
-OVERLOAD_INTERVAL = 0.5  # through all of such a time, the overload is long: its newest go first
-VICTIM_TENANT_TTL = 0.01  # seconds for which the tenant that yields is not looked for again
-MAX_VICTIM_CANDIDATES = 32  # operations looked at for the one of least payoff
-SERVICE_RATE_DECAY = 0.8  # of the measured pace, a sample
-REJECTION_WINDOW = 1.0  # over which what was passed on and turned away is remembered
-MAX_STALE_ENTRIES = 256  # entries that left, kept in the heaps before these are cleaned
+# For the clients of all tenants; two given clients collide with a probability of one in a thousand.
+CLIENT_BUCKETS = 1024
+RESEED_INTERVAL = 10.0  # seconds; for so long two clients that collide share one turn
+MIN_WEIGHT = 0.01  # fraction of the mean weight: a tenant with no share is still served now and then
+# A tenant is in a long overload if the oldest operation of each of its flows waited at least OVERLOAD_SOJOURN
+# seconds throughout OVERLOAD_INTERVAL seconds. Its newest operations are then served first.
+OVERLOAD_SOJOURN = 0.1
+OVERLOAD_INTERVAL = 0.5
+VICTIM_TENANT_TTL = 0.01  # seconds for which the tenant chosen for evictions is kept
+MAX_VICTIM_CANDIDATES = 32  # operations searched for the one of lowest priority
+SERVICE_RATE_DECAY = 0.8  # weight of the previous service rate in each sample
+REJECTION_WINDOW = 1.0  # seconds; decay time of the counts of forwarded and rejected operations
+# Size of the expiry heap beyond twice the queue length, from which removed entries are dropped.
+MAX_STALE_ENTRIES = 256
 
 
 @dataclass(slots=True, eq=False)
 class QueuedOperation:
     """One operation in the queue."""
 
-    item: Any  # the door's own
+    item: Any  # the caller's object
     tenant: int
     bucket: int
     priority_weight: float
-    cost: float  # seconds of CPU
+    cost: float  # CPU seconds
     enqueued_at: float
-    expires_at: float  # from then on an answer could not come in time
-    removed: bool = False  # taken, or left
+    expires_at: float  # from this time on an answer could not come in time
+    removed: bool = False  # dequeued, evicted, expired or abandoned
 
 
 @dataclass(slots=True, eq=False)
 class Flow:
-    """Operations of one bucket of one tenant, oldest first; it leaves with the last one."""
+    """The queued operations of one bucket of one tenant, oldest first; deleted when it is empty."""
 
     bucket: int
     virtual_start: float
@@ -58,44 +63,43 @@
 
 @dataclass(slots=True, eq=False)
 class TenantQueue:
-    """One tenant."""
+    """The queue and statistics of one tenant."""
 
     tenant: int
     weight: float
-    virtual_finish: float = 0.0  # virtual time up to which it has been served
-    virtual_start: float = 0.0  # of what is next
-    virtual_time: float = 0.0  # time within it, over its buckets
-    flows: dict[int, Flow] = field(default_factory=dict)  # those with something in them
+    virtual_finish: float = 0.0  # virtual time up to which the tenant has been served
+    virtual_start: float = 0.0  # start tag of its next operation
+    virtual_time: float = 0.0  # virtual time within the tenant, over its buckets
+    flows: dict[int, Flow] = field(default_factory=dict)  # non-empty flows by bucket
     flow_heap: list[tuple[float, int, Flow]] = field(default_factory=list)
     length: int = 0
-    queued_cost: float = 0.0  # of all that waits
+    queued_cost: float = 0.0  # of all queued operations, in CPU seconds
     newest_first: bool = False
-    min_sojourn: float = inf  # that the oldest of a flow had waited, since it was last judged
+    min_sojourn: float = inf  # lowest wait of a flow's oldest operation since the last overload check
     overload_checked_at: float = 0.0
-    recently_forwarded: float = 0.0  # operations passed on and turned away, of late; both fade
+    recently_forwarded: float = 0.0  # operations forwarded and rejected; both decay over REJECTION_WINDOW
     recently_rejected: float = 0.0
     decayed_at: float = 0.0
-    # figures since the last time they were told
+    # Statistics since they were last logged.
     queued: int = 0
     total_sojourn: float = 0.0
     max_sojourn: float = 0.0
-    rejections: dict[str, int] = field(default_factory=dict)  # by cause, some four
+    rejections: dict[str, int] = field(default_factory=dict)  # by cause, about four of them
 
 
 class FairQueue:
-    """What waits, and who is next."""
+    """The queued operations of all tenants, and the order in which they are served."""
 
     def __init__(self, shares: Sequence[float], capacity: int, seed: int, now: float) -> None:
         self.capacity = capacity
         self.seed = seed
-        self.tenant_queues = [
-            TenantQueue(i, 1.0) for i in range(len(shares) + 1)
-        ]  # the last one: of no known tenant
+        # The last queue is for operations of no known tenant.
+        self.tenant_queues = [TenantQueue(i, 1.0) for i in range(len(shares) + 1)]
         self.set_shares(shares)
         self.virtual_time = 0.0
         self.length = 0
-        self.log_messages: list[str] = []  # emptied by the door
-        self.service_rate = 0.0  # cost served a second while something waited
+        self.log_messages: list[str] = []  # emptied by FairAdmissionControl
+        self.service_rate = 0.0  # cost served per second while something was queued
         self._bucket_finish = array("d", bytes(8 * CLIENT_BUCKETS))
         self._tenant_heap: list[tuple[float, int, TenantQueue]] = []
         self._expiry_heap: list[tuple[float, int, QueuedOperation]] = []
@@ -111,15 +115,15 @@
         return self.length
 
     def set_shares(self, shares: Sequence[float]) -> None:
-        """The tenants' weights, at the start and when they change; what waits keeps its place."""
+        """Set the tenants' weights, at the start and after a change; queued operations keep their places."""
         mean = sum(shares) / len(shares) if shares and sum(shares) else 1.0
         for queue, share in zip(self.tenant_queues, [*shares, mean], strict=True):
             queue.weight = max(share / mean, MIN_WEIGHT)
 
-    # -- in
+    # -- adding
 
     def bucket(self, tenant: int, client: bytes, now: float) -> int:
-        """The bucket of a client, for as long as the hash stays."""
+        """The bucket of a client, stable until the hash is reseeded."""
         if now >= self._next_reseed:
             self._next_reseed = now + RESEED_INTERVAL
             self._sequence += 1
@@ -127,7 +131,7 @@
         return xxh64_intdigest(b"%d " % tenant + client, self._salt) % CLIENT_BUCKETS
 
     def charge_unqueued(self, tenant: int, bucket: int, cost: float) -> None:
-        """An operation that needs not wait, since nothing does. It counts as much."""
+        """Charge an operation that bypasses the empty queue, as much as a queued one."""
         queue = self.tenant_queues[tenant]
         queue.virtual_time = virtual_start = max(queue.virtual_time, self._bucket_finish[bucket])
         self._bucket_finish[bucket] = virtual_start + cost
@@ -135,13 +139,13 @@
         queue.virtual_finish = virtual_start + cost / queue.weight
 
     def refund(self, tenant: int, bucket: int, cost: float) -> None:
-        """Part of what an operation counted was not used."""
+        """Return the part of a charge that an operation did not use."""
         queue = self.tenant_queues[tenant]
         queue.virtual_finish -= cost / queue.weight
         self._bucket_finish[bucket] -= cost
 
     def enqueue(self, entry: QueuedOperation) -> None:
-        """Let an operation wait. The caller keeps to `most`."""
+        """Queue an operation. The caller makes sure that `capacity` is not exceeded."""
         queue = self.tenant_queues[entry.tenant]
         self._sequence += 1
         flow = queue.flows.get(entry.bucket)
@@ -160,16 +164,16 @@
         queue.queued += 1
         self.length += 1
         heappush(self._expiry_heap, (entry.expires_at, self._sequence, entry))
-        # Those that were taken stay in this heap until their time: with long waits they would outnumber
-        # the others.
+        # Dequeued operations stay in this heap until they expire; with long expiry times they would outnumber
+        # the queued ones.
         if len(self._expiry_heap) > MAX_STALE_ENTRIES + 2 * self.length:
             self._expiry_heap = [each for each in self._expiry_heap if not each[2].removed]
             heapify(self._expiry_heap)
 
-    # -- out
+    # -- removing
 
     def dequeue(self, now: float) -> QueuedOperation | None:
-        """The next one, by fair turns."""
+        """Remove and return the next operation in fair order."""
         queue = self._next_tenant_queue()
         if queue is None:
             return None
@@ -194,7 +198,10 @@
         return entry
 
     def _next_tenant_queue(self) -> TenantQueue | None:
-        """The tenant whose turn it is. One that emptied meanwhile stands there no more, or anew."""
+        """The queue to serve next.
+
+        Skips stale heap entries, of queues that have emptied since or have a newer entry.
+        """
         while self._tenant_heap:
             virtual_start, _, queue = heappop(self._tenant_heap)
             if queue.length and virtual_start == queue.virtual_start:
@@ -219,7 +226,10 @@
         return flow.entries.pop()
 
     def _update_order(self, queue: TenantQueue, waited: float, now: float) -> None:
-        """First come, first served holds all up alike in a long overload, until each answer is late."""
+        """Switch between oldest first and newest first.
+
+        In a long overload, first come, first served delays all operations alike until every answer is late.
+        """
         queue.min_sojourn = min(queue.min_sojourn, waited)
         if now < queue.overload_checked_at:
             return
@@ -229,7 +239,8 @@
             queue.newest_first = newest_first
             first = "newest" if newest_first else "oldest"
             self.log_messages.append(
-                f"door line {queue.tenant} {first} first: {queue.length} waiting, {waited:.3f} s"
+                f"admission queue of tenant {queue.tenant} {first} first:"
+                f" {queue.length} queued, {waited:.3f} s wait"
             )
 
     def _unlink(self, queue: TenantQueue, flow: Flow, entry: QueuedOperation) -> None:
@@ -242,7 +253,7 @@
             del queue.flows[flow.bucket]
 
     def remove(self, entry: QueuedOperation, cause: str) -> None:
-        """An operation leaves without having been taken; what it would have counted, it does not."""
+        """Remove an operation that was not dequeued; it is not charged."""
         if entry.removed:
             return
         queue = self.tenant_queues[entry.tenant]
@@ -250,22 +261,26 @@
         self._unlink(queue, queue.flows[entry.bucket], entry)
 
     def pop_expired(self, now: float) -> Iterator[QueuedOperation]:
-        """Those whose time left does not cover an answer any more; each is to leave."""
+        """Yield the operations whose remaining time no longer covers an answer; the caller removes each."""
         while self._expiry_heap and (self._expiry_heap[0][0] <= now or self._expiry_heap[0][2].removed):
             entry = heappop(self._expiry_heap)[2]
             if not entry.removed:
                 yield entry
 
     def next_expiry(self) -> float | None:
-        """When the next one leaves."""
+        """When the next operation expires."""
         while self._expiry_heap and self._expiry_heap[0][2].removed:
             heappop(self._expiry_heap)
         return self._expiry_heap[0][0] if self._expiry_heap else None
 
-    # -- who yields, how long it takes
+    # -- eviction and expected waits
 
     def choose_victim(self, now: float) -> QueuedOperation | None:
-        """With the queue full: of the tenant that waits for most against its weight, the least payoff."""
+        """The operation to evict from the full queue: of the lowest priority.
+
+        It belongs to the tenant with the highest queued cost relative to its weight, and to the longest flow
+        of that tenant.
+        """
         if self._victim_tenant is None or not self._victim_tenant.length or now >= self._victim_tenant_until:
             non_empty = [queue for queue in self.tenant_queues if queue.length]
             self._victim_tenant = max(
@@ -275,25 +290,25 @@
         if self._victim_tenant is None:
             return None
         flow = max(self._victim_tenant.flows.values(), key=lambda each: each.length)
-        # Of equal payoff the last that came: the others have waited for their turn.
+        # Of equal priority the latest one, since the others have waited for their turn.
         candidates = [entry for entry in list(flow.entries)[-MAX_VICTIM_CANDIDATES:] if not entry.removed]
         candidates = candidates or [entry for entry in flow.entries if not entry.removed]
         return min(reversed(candidates), key=lambda entry: entry.priority_weight)
 
     def expected_wait(self, tenant: int) -> float:
-        """How long what comes now would wait, at the pace of late; 0 where the newest go first."""
+        """Seconds that a new operation would wait at the recent service rate; 0 while the newest go first."""
         queue = self.tenant_queues[tenant]
         return 0.0 if queue.newest_first else self.backlog(queue)
 
     def backlog(self, queue: TenantQueue) -> float:
-        """Seconds of work that a tenant has waiting, at what it gets while all that wait take turns."""
+        """Seconds needed to serve a tenant's queue, while all tenants with queued operations take turns."""
         if not queue.length or self.service_rate <= 0.0:
             return 0.0
         weights = sum(each.weight for each in self.tenant_queues if each.length)
         return queue.queued_cost / (self.service_rate * queue.weight / weights)
 
     def record_outcome(self, tenant: int, now: float, forwarded: bool) -> None:
-        """An operation was passed on, or turned away."""
+        """Count an operation that was forwarded or rejected."""
         queue = self.tenant_queues[tenant]
         decay = exp((queue.decayed_at - now) / REJECTION_WINDOW)
         queue.decayed_at = now
@@ -301,16 +316,16 @@
         queue.recently_rejected = queue.recently_rejected * decay + (not forwarded)
 
     def rejected_backlog(self, tenant: int) -> float:
-        """How long a tenant would need, at what it gets, for what it was turned away of late.
+        """Seconds that a tenant would need, at its recent rate, for what was recently rejected.
 
-        With only the queue's length to go by, those of a flood were sent away for a tenth of a second:
-        sooner than they would have returned by themselves.
+        Without this term, by the length of the queue alone, clients of a flood were told to retry after a
+        tenth of a second: sooner than they would have returned by themselves.
         """
         queue = self.tenant_queues[tenant]
         return REJECTION_WINDOW * queue.recently_rejected / max(queue.recently_forwarded, 1.0)
 
     def sample(self, now: float) -> None:
-        """Measure the pace."""
+        """Update the service rate."""
         span = now - self._sampled_at
         if span > 0 and (self.length or self._served_cost):
             self.service_rate = (
--- a/gaugehinge/admission/limiter.py
+++ b/gaugehinge/admission/limiter.py
@@ -1,57 +1,62 @@
-"""How many operations may be in hand at once. No I/O.
+"""Limits how many operations are in flight at once. No I/O.
 
-Additive increase and multiplicative decrease on the loop's measured lag: lag is what shortage of CPU
-looks like from inside, whatever part of a core a platform gives, and it shows before operations fail.
-Answer times shrink the limit too, but only when they pass what clients were promised: slow servers are
-the decision module's matter.
+Additive increase and multiplicative decrease on the measured lag of the event loop: lag is how a shortage of
+CPU shows inside the process, whatever part of a core the platform grants, and it shows before operations
+fail. Latency lowers the limit too, but only if it exceeds what clients were promised: slow cache servers are
+the concern of the decision module.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-TARGET_LAG = 0.02  # of the loop; a wake-up this late still keeps times of a few tens of milliseconds
-LAG_DECREASE_FACTOR = 0.75  # of the limit, where the lag is over the aim
-LAG_SAMPLES = 6  # the least lag of so many samples counts: a core shared out in slices is late now and then
-HIGH_LAG = 0.1  # over this the limit is halved
-DECREASE_INTERVAL = (
-    0.15  # between two cuts: what was in hand before a cut must have left before it is judged again
-)
-INCREASE_FRACTION = 0.06  # of the limit, a sample in which it was in use
+TARGET_LAG = 0.02  # seconds; a wake-up this late still keeps latencies of a few tens of milliseconds
+LAG_DECREASE_FACTOR = 0.75  # of the limit, where the lag exceeds the target
+# The lowest lag of so many samples counts: on a time-sliced core the loop is late now and then.
+LAG_SAMPLES = 6
+HIGH_LAG = 0.1  # seconds; above this the limit is halved
+# Seconds between two decreases: operations in flight before one must have ended before the next is judged.
+DECREASE_INTERVAL = 0.15
+INCREASE_FRACTION = 0.06  # of the limit, per sample in which it was in use
 MIN_INCREASE = 1.0
-IN_USE_FRACTION = 0.8  # of the limit: under it nothing is learnt, and the limit stays
-TARGET_LATENCY_RATIO = 0.7  # of the promised time that answers may take on the mean
-MIN_LIMIT = 48  # with fewer, answers of 30 ms keep a router idle that has CPU left beside turning away
+IN_USE_FRACTION = 0.8  # of the limit; with fewer in flight nothing is learnt, and the limit stays
+TARGET_LATENCY_RATIO = 0.7  # latency as a fraction of the objective, on average
+MIN_LIMIT = 48  # with fewer, answers of 30 ms leave a router idle that has CPU to spare beside rejecting
 
 
 class ConcurrencyLimiter:
-    """The limit, and the mode it is in."""
+    """The limit on operations in flight, and whether it is reduced."""
 
     def __init__(self, max_limit: int, now: float) -> None:
         self.max_limit = max_limit
         self.limit = float(max_limit)
         self.reduced = False
-        self.log_messages: list[str] = []  # emptied by the door
+        self.log_messages: list[str] = []  # emptied by FairAdmissionControl
         self._next_decrease_at = now
         self._idle_samples = 0
         self._lags: deque[float] = deque(maxlen=LAG_SAMPLES)
 
     def set_max_limit(self, max_limit: int) -> None:
-        """The bound that memory and settings set."""
+        """Set the bound given by memory and settings."""
         self.max_limit = max_limit
         self.limit = min(self.limit, float(max_limit))
 
     def sample(self, lag: float, in_flight: int, queued: int, latency_ratio: float, now: float) -> None:
-        """A look: the loop's lag, operations in hand and waiting, answer times as a part of the promised."""
-        # A core shared out in slices of some milliseconds wakes the loop late while it has little to do.
-        # Cut by single samples, the limit closed the door at half the load, and the repeats of those
-        # turned away did the rest.
+        """Adjust the limit.
+
+        `lag` is the lag of the event loop in seconds, `in_flight` and `queued` are numbers of operations,
+        `latency_ratio` is the latency as a fraction of the objective.
+        """
+        # On a core that is time-sliced every few milliseconds the loop wakes up late while it has little to
+        # do. When single samples lowered the limit, operations were rejected at half the load, and the
+        # retries of those rejected overloaded the router.
         self._lags.append(lag)
         lag = min(self._lags) if len(self._lags) == LAG_SAMPLES else 0.0
         if lag > TARGET_LAG or latency_ratio > TARGET_LATENCY_RATIO:
             self._idle_samples = 0
             if now >= self._next_decrease_at:
-                # From what is really in hand: a limit far above it would take many cuts to be felt.
+                # From the operations in flight: a limit far above them would take many decreases to have an
+                # effect.
                 base = min(self.limit, max(float(in_flight), MIN_LIMIT))
                 self.limit = max(base * (0.5 if lag > HIGH_LAG else LAG_DECREASE_FACTOR), MIN_LIMIT)
                 self._next_decrease_at = now + DECREASE_INTERVAL + lag
@@ -62,7 +67,8 @@
             )
         else:
             self._idle_samples += 1
-            if self._idle_samples > 100:  # five seconds with room to spare: what held it down is over
+            # Five seconds with capacity to spare: the cause of the decrease is over.
+            if self._idle_samples > 100:
                 self.limit = min(self.limit * 1.1, float(self.max_limit))
         if self.reduced and self.limit >= self.max_limit:
             self._set_reduced(False, lag, latency_ratio)
@@ -72,5 +78,6 @@
             self.reduced = reduced
             mode = "narrow" if reduced else "wide"
             self.log_messages.append(
-                f"door {mode}: limit {self.limit:.0f}, lag {lag:.3f} s, answers {latency_ratio:.2f} of promised"
+                f"admission limit {mode}: {self.limit:.0f} in flight, loop lag {lag:.3f} s,"
+                f" latency {latency_ratio:.2f} of objective"
             )
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -1,4 +1,4 @@
-"""The door's decisions in virtual time, then a router with a door on real sockets."""
+"""The decisions of admission control in virtual time, then a router with it on real sockets."""
 
 import random
 from collections import Counter
@@ -29,7 +29,7 @@
 
 
 class QueueServer:
-    """A fair queue and a server that works off one cost unit a second."""
+    """A fair queue and a server that serves a thousand units of cost per second."""
 
     def __init__(self, shares, capacity=10_000) -> None:
         self.queue = FairQueue(shares, capacity, 7, 0.0)
@@ -72,7 +72,7 @@
         server.put(0, b"greedy")
         server.put(0, b"tiny-%d" % i)
     server.serve(290)
-    assert server.clients[0, b"greedy"] <= 6  # one of some 250 buckets, not half of all
+    assert server.clients[0, b"greedy"] <= 6  # one of about 250 buckets, not half of all
 
 
 def test_rare_operation_of_a_low_weight_tenant_is_served_next():
@@ -102,7 +102,7 @@
         first.put(0)
         first.put(1)
     first.serve(20)
-    assert first.served[0] == 20.0  # the other had just had as much
+    assert first.served[0] == 20.0  # tenant 1 had just been charged as much
 
 
 def test_bucket_collisions_end_when_the_hash_is_reseeded():
@@ -121,7 +121,7 @@
 def test_memory_is_bounded_with_many_clients():
     server = QueueServer([1.0] * 5, capacity=100)
     draw = random.Random(1)
-    for i in range(20_000):  # each one new; a million in benchmarks/door.py
+    for i in range(20_000):  # each client is new; up to a million in benchmarks/door.py
         if len(server.queue) >= 100:
             server.serve(50)
         server.put(draw.randrange(5), b"client-%d" % i)
@@ -140,7 +140,7 @@
     entries = [server.put(0, b"%d" % i) for i in range(10)]
     for entry in entries[:9]:
         server.queue.remove(entry, "gone")
-        server.queue.remove(entry, "gone")  # a second time does nothing
+        server.queue.remove(entry, "gone")  # a second removal has no effect
     server.put(1)
     server.serve(2)
     assert server.served == {0: 1.0, 1: 1.0} and len(server.queue) == 0
@@ -159,7 +159,7 @@
     server = QueueServer([1.0, 1.0])
     for _ in range(50):
         server.put(0)
-    for step in range(12):  # one a tenth of a second: those left wait ever longer
+    for step in range(12):  # one every tenth of a second, so the rest wait ever longer
         server.now = 0.2 + step * 0.1
         server.serve(1)
     assert server.queue.tenant_queues[0].newest_first and not server.queue.tenant_queues[1].newest_first
@@ -173,8 +173,8 @@
         server.serve(1)
     assert not server.queue.tenant_queues[0].newest_first
     assert [text.split(":")[0] for text in server.queue.log_messages] == [
-        "door line 0 newest first",
-        "door line 0 oldest first",
+        "admission queue of tenant 0 newest first",
+        "admission queue of tenant 0 oldest first",
     ]
 
 
@@ -200,7 +200,7 @@
     assert server.served[0] / server.served[1] == pytest.approx(3.0, rel=0.1)
 
 
-# -- costs, heavy ones, limit, come-back times, places
+# -- costs, heavy hitters, limits, retry delays, connection slots
 
 
 def test_cost_fit_separates_operations_from_bytes():
@@ -216,7 +216,7 @@
     assert costs.per_byte == pytest.approx(5e-9, rel=0.15)
     assert costs.cost(1, 0) > 5 * costs.cost(0, 0)
     fresh = CostEstimator(1)
-    fresh.sample(0.01)  # nothing ended: nothing is learnt
+    fresh.sample(0.01)  # without finished operations nothing is learnt
     assert fresh.per_operation == INITIAL_OPERATION_COST
 
 
@@ -243,18 +243,21 @@
     look(100, 0.0, 10, 0)
     assert limiter.limit == 1000
     look(LAG_SAMPLES, 0.3, 200, 50)
-    assert limiter.limit == 100  # half of what was in hand, not of a limit that nobody felt
+    assert limiter.limit == 100  # half of the operations in flight, not of a limit that was never reached
     look(1, 0.3, 200, 50)
-    assert limiter.limit == 100  # what was in hand before has not left yet
+    assert limiter.limit == 100  # operations in flight before the decrease have not ended yet
     look(200, 0.05, 8, 50, step=1.0)
     assert limiter.limit == MIN_LIMIT
     look(2000, 0.001, 1000, 50)
     assert limiter.limit == 1000
-    assert [text.split(":")[0] for text in limiter.log_messages] == ["door narrow", "door wide"]
+    assert [text.split(":")[0] for text in limiter.log_messages] == [
+        "admission limit narrow",
+        "admission limit wide",
+    ]
 
 
 def test_lag_of_a_time_sliced_core_does_not_reduce_the_limit():
-    # Three other processes on its core: every other look is 25 ms late, with half of the CPU to spare.
+    # Three other processes share the core: every other sample is 25 ms late, with half of the CPU to spare.
     limiter, now = ConcurrencyLimiter(500, 0.0), 0.0
     for step in range(200):
         now += 0.05
@@ -294,7 +297,7 @@
     for _ in range(20):
         retry_after.allow(0, False)
     assert sum(retry_after.allow(0, True) for _ in range(100)) == 4
-    assert retry_after.allow(1, True)  # another tenant's budget is its own
+    assert retry_after.allow(1, True)  # budgets are per tenant
 
 
 @dataclass(eq=False)
@@ -316,7 +319,7 @@
     accept_limiter = AcceptLimiter(0.0)
     assert accept_limiter.may_accept(0.0) and accept_limiter.accept_cpu == MIN_ACCEPT_CPU
     now, accepted = 0.0, 0
-    for _ in range(10_000):  # a crowd at each look; each newcomer takes 0.1 ms
+    for _ in range(10_000):  # many connections at each check; accepting one takes 0.1 ms
         now += 0.001
         while accept_limiter.may_accept(now):
             accept_limiter.charge(1e-4)
@@ -327,11 +330,11 @@
     assert abs(accept_limiter.accept_cpu - ACCEPT_CPU_FRACTION) < 0.01
 
 
-# -- the door as a whole, under a clock moved by hand
+# -- admission control as a whole, in virtual time
 
 
 class Harness:
-    """A door before a dispatch that answers after a time."""
+    """Admission control in front of a dispatcher that answers after a fixed time."""
 
     def __init__(self, limit=4, service_time=0.05, shares=(1.0, 1.0)) -> None:
         self.time = VirtualTime(100.0)
@@ -443,7 +446,7 @@
 
 
 def test_tenant_at_five_times_its_share_does_not_starve_another():
-    harness = Harness(limit=2, service_time=0.01)  # 200 a second
+    harness = Harness(limit=2, service_time=0.01)  # 200 per second
     for step in range(1000):
         for i in range(5):
             harness.ask(b"flood-%d-%d" % (step, i), 0, client=b"%d" % i, wait=0.3)
@@ -494,11 +497,11 @@
             async with trio.open_nursery() as nursery:
                 for client in clients:
                     nursery.start_soon(ask, client)
-            # The decisions behind the door bounce what one slow cache could not take; all are answered.
+            # The decision module rejects what one slow cache server cannot take; all operations are answered.
             assert len(answers) == 6 and all(answer.startswith((b"$", b"-BUSY")) for answer in answers)
             assert any(answer.startswith(b"$") for answer in answers)
             assert not admission.in_flight and not admission.queue.length
-            admission.in_flight = 2  # as if two were out: what comes now waits
+            admission.in_flight = 2  # as if two were in flight, so new operations are queued
             held, other = await made.client(), await made.client()
             await held.send("KV.SET", "k", "waits", "c=once,t=acme,d=3000", "v")
             await other.send("KV.GET", "k", "waits-too", "c=read,t=acme,d=3000")
