--- a/gaugehinge/admission/fair_reader.py
+++ b/gaugehinge/admission/fair_reader.py
@@ -1,8 +1,8 @@
-"""Reads all clients' connections in one task, in fair turns, in place of a task each.
+"""Reads the connections of all clients in one task, in fair order, in place of a task per connection.
 
-A task for each connection costs a pass of the scheduler and two calls on the kernel for every command; a
-crowd of connections then takes the loop before anything is known of what it wants. Here one epoll of our own
-stands for all, is itself waited for, and is worked off in passes of bounded time.
+A task per connection costs a scheduler pass and two system calls for every command; many connections then
+occupy the event loop before anything is known about their requests. Here one epoll instance of this module's
+own covers all connections. The task waits for that epoll and handles its events in passes of bounded time.
 """
 
 from __future__ import annotations
@@ -23,17 +23,16 @@
 from .request_peek import PeekedRead, peek_read
 from .sampling import ReadSampler
 
-MAX_READY_EVENTS = 4096  # connections looked at in a pass
-MAX_READ_BYTES = (
-    64 * 1024 + 1024
-)  # bytes of one connection in a pass: of a flood of huge values one is enough
-ABANDONED_AFTER = 0.25  # seconds; a connection that ends with a command unread for longer is not read at all
+MAX_READY_EVENTS = 4096  # connections whose events are fetched in a pass
+# Bytes read from one connection in a pass: from a client that floods with huge values, one is enough.
+MAX_READ_BYTES = 64 * 1024 + 1024
+ABANDONED_AFTER = 0.25  # seconds; a closing connection with a command unread for longer is not read at all
 HANGUP_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
-READS_PER_CLOCK_CHECK = 8  # connections read between two looks at the time
+READS_PER_CLOCK_CHECK = 8  # connections read between two checks of the clock
 
 
 class FairReader:
-    """The connections of one router."""
+    """Reads the connections of one router."""
 
     def __init__(
         self,
@@ -42,17 +41,19 @@
         sampler: ReadSampler,
         reject_peeked: Callable[[ClientConnection, PeekedRead], bytes | None],
     ) -> None:
-        """`refusal`: the answer to a read that is turned away at the first look, or None."""
+        """`reject_peeked` returns the rejection of a peeked read, or None if it is not rejected."""
         self.sampler = sampler
         self.clients = clients
         self.clock = clients.clock
         self.scheduler = scheduler
         self.reject_peeked = reject_peeked
         self._epoll = select.epoll()
-        self._half_closed: set[int] = set()  # descriptors whose other side sends no more; left with them
-        self._passes = self._unfinished_passes = 0  # since the last look, and those that left something
+        # Descriptors whose peer has stopped sending; removed with the connection.
+        self._half_closed: set[int] = set()
+        # Since the last `take_statistics`; unfinished: left connections unread.
+        self._passes = self._unfinished_passes = 0
         self._reject_time = 0.0  # seconds
-        self._watched: dict[int, ClientConnection] = {}  # by descriptor; leaves with the connection
+        self._watched: dict[int, ClientConnection] = {}  # by descriptor; removed with the connection
         self._buffer = SPACE[:MAX_READ_BYTES]
 
     async def run(self) -> None:
@@ -66,18 +67,18 @@
             self._epoll.close()
 
     def watch(self, client: ClientConnection) -> None:
-        """Read this one from now on; one that was paused goes on with what it had sent already."""
+        """Read this connection from now on; a paused one first handles what it has received already."""
         if client.paused:
             self.clients.dispatcher.timers.call_at(self.clock(), self._resume, client)
             return
         descriptor = client.sock.fileno()
         if descriptor >= 0 and not self._epoll.closed and descriptor not in self._watched:
             self._watched[descriptor] = client
-            # On edges: what stood unread in one pass is not told anew in each.
+            # Edge-triggered, so that data left unread in one pass is not reported again in each.
             self._epoll.register(descriptor, select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLET)
 
     def unwatch(self, client: ClientConnection) -> None:
-        """Read it no more, or not for now."""
+        """Stop reading this connection, for good or for now."""
         descriptor = client.sock.fileno()
         if self._watched.get(descriptor) is client:
             del self._watched[descriptor]
@@ -93,16 +94,16 @@
                 self.watch(client)
 
     def _run_pass(self) -> bool:
-        """Read what stands there, as far as a pass goes; whether something is left."""
+        """Read ready connections within the time of one pass; returns whether some are left."""
         now, scheduler = self.clock(), self.scheduler
         scheduler.decay(now)
         for descriptor, events in self._epoll.poll(0, MAX_READY_EVENTS):
             client = self._watched.get(descriptor)
             if client is None:
-                continue  # ended by what came before it in this pass
+                continue  # closed earlier in this pass
             if events & HANGUP_EVENTS:
                 if client.ready_since and now - client.ready_since > ABANDONED_AFTER:
-                    self.clients.close(client)  # unread, it never ran; its client has gone
+                    self.clients.close(client)  # never read, so it never ran, and its client has left
                     continue
                 self._half_closed.add(descriptor)
             if not client.ready_since:
@@ -119,7 +120,7 @@
         return scheduler.ready_count > 0
 
     def take_statistics(self) -> tuple[float, float]:
-        """Since the last call: the part of passes that left something, and seconds spent on turning away."""
+        """The fraction of unfinished passes and the seconds spent on rejecting, since the last call."""
         unfinished, reject_time = self._unfinished_passes / max(self._passes, 1), self._reject_time
         self._passes = self._unfinished_passes = 0
         self._reject_time = 0.0
@@ -133,7 +134,7 @@
             pass
         except OSError:
             self.clients.close(client)
-        except Exception:  # a defect fails this connection alone
+        except Exception:  # a bug closes only this connection
             logger.exception("client connection failed")
             self.clients.close(client)
         elapsed = perf_counter() - began
@@ -142,13 +143,14 @@
             self._reject_time += elapsed
 
     def _receive(self, client: ClientConnection, since: float) -> bool:
-        """Read what stands on one; whether it was turned away, or was nothing."""
+        """Read once from a connection; returns whether the data was rejected or the peer had closed it."""
         descriptor = client.sock.fileno()
         size = client.sock.recv_into(self._buffer)
         if not size:
             self.clients.close(client)
             return True
-        # More may stand behind a full space, and the end behind all: neither comes with an edge of its own.
+        # More data may follow a full buffer, and the end of the stream follows the last data; neither
+        # triggers an edge of its own.
         if size == len(self._buffer) or descriptor in self._half_closed:
             self.scheduler.add_ready(client, self.clock())
         data = bytes(self._buffer[:size])
--- a/gaugehinge/admission/read_scheduler.py
+++ b/gaugehinge/admission/read_scheduler.py
@@ -1,10 +1,11 @@
-"""In which order connections with something to read are read, and how many in one pass. No I/O.
-
-Reading takes CPU before anything is known of what is read. Tenants take turns by what reading them took
-against their share, the longest-standing connection first within each; and now and then the one that stood
-longest of all goes first, whoever it is of: its client waits. What is over in a pass stands until the next
-one, and is not looked at again before its turn: sorted anew in each pass, a crowd of some hundred
-connections took the loop more time than its operations did.
+"""The order in which ready connections are read, and how many are read in one pass. No I/O.
+
+Reading takes CPU before anything is known about the data. Tenants take turns by the time spent on reading
+them relative to their share, and within a tenant the connection that has been ready longest is read first.
+Now and then the connection that has been ready longest of all is read, whatever its tenant, because its
+client is waiting. Connections left over in a pass stay queued for the next one and are not examined before
+their turn: when they were sorted anew in each pass, some hundred connections took more of the loop's time
+than their operations did.
 """
 
 from __future__ import annotations
@@ -14,40 +15,43 @@
 from math import exp
 from typing import Generic, Protocol, TypeVar
 
-MAX_PASS_TIME = 0.004  # seconds of one pass: what else waits for the loop waits no longer
-USAGE_DECAY_TIME = 1.0  # seconds for which time spent on a tenant counts
-OLDEST_FIRST_EVERY = 3  # of so many readings one is of the connection that stood longest of all
-OVERLOAD_AGE = 0.5  # seconds; where the first of a line stood for longer, its newest is read first
+MAX_PASS_TIME = 0.004  # seconds of one pass; bounds how long other tasks wait for the loop
+USAGE_DECAY_TIME = 1.0  # seconds; decay time of the time spent on a tenant
+OLDEST_FIRST_EVERY = 3  # one in so many reads is of the connection that has been ready longest of all
+# Seconds; if the first connection of a queue has been ready for longer, its newest is read first.
+OVERLOAD_AGE = 0.5
 
 
 class ReadyConnection(Protocol):
-    """A connection with something to read."""
+    """A connection with data to read."""
 
     tenant: int  # of its last operation; negative: none yet
-    ready_since: float  # 0: nothing stands there
+    ready_since: float  # 0: not ready
 
 
 ConnectionT = TypeVar("ConnectionT", bound=ReadyConnection)
 
 
 class ReadScheduler(Generic[ConnectionT]):
-    """Time spent on each tenant against its share; a figure a tenant, and an entry or two a connection that
-    stands: they leave with its turn."""
+    """The time spent on each tenant relative to its share, and the queues of ready connections.
+
+    Memory is one number per tenant and one or two entries per ready connection, which go when it is read.
+    """
 
     def __init__(self, shares: Sequence[float], now: float) -> None:
-        queue_count = len(shares) + 1  # the last one: of those of whom nothing is known
+        queue_count = len(shares) + 1  # the last one is for connections of no known tenant
         self.time_spent = [0.0] * queue_count
         self.weights: list[float] = []
         self.set_shares(shares)
         self.ready_count = 0
         self._queues: list[deque[tuple[float, ConnectionT]]] = [deque() for _ in range(queue_count)]
-        self._active_queues: set[int] = set()  # lines with something in them
+        self._active_queues: set[int] = set()  # non-empty ones
         self._queue_by_age: deque[tuple[float, ConnectionT]] = deque()
         self._decayed_at = now
         self._picks = 0
 
     def set_shares(self, shares: Sequence[float]) -> None:
-        """The tenants' shares, at the start and when they change."""
+        """Set the tenants' shares, at the start and after a change."""
         mean = sum(shares) / len(shares) if shares and sum(shares) else 1.0
         self.weights = [max(share / mean, 0.01) for share in [*shares, mean]]
 
@@ -55,13 +59,13 @@
         return tenant if 0 <= tenant < len(self.time_spent) - 1 else len(self.time_spent) - 1
 
     def decay(self, now: float) -> None:
-        """What was spent long ago counts less; once a pass."""
+        """Decay the time spent on each tenant; called once per pass."""
         factor = exp((self._decayed_at - now) / USAGE_DECAY_TIME)
         self._decayed_at = now
         self.time_spent = [spent * factor for spent in self.time_spent]
 
     def add_ready(self, connection: ConnectionT, now: float) -> None:
-        """Something came on a connection on which nothing stood."""
+        """Queue a connection that has become ready."""
         connection.ready_since = now
         index = self._queue_index(connection.tenant)
         self._queues[index].append((now, connection))
@@ -70,13 +74,16 @@
         self.ready_count += 1
 
     def remove(self, connection: ConnectionT) -> None:
-        """A connection has ended, or is not to be read for now."""
+        """Forget a connection that has closed or is not to be read for now."""
         if connection.ready_since:
             connection.ready_since = 0.0
             self.ready_count -= 1
 
     def next(self, now: float) -> tuple[ConnectionT, float, int] | None:
-        """The connection whose turn it is, since when it stood, and whose turn that is; it stands no more."""
+        """The next connection to read, the time it became ready and the queue to charge.
+
+        It is no longer ready afterwards.
+        """
         self._picks += 1
         if self._picks % OLDEST_FIRST_EVERY == 0 and not self._is_overdue(self._queue_by_age, now):
             picked = self._pop(self._queue_by_age)
@@ -89,7 +96,7 @@
             if picked is not None:
                 return picked
             self._active_queues.discard(index)
-        # Each that stands is in a line; what is left behind there has had its turn by age.
+        # Every ready connection is in the queue of a tenant, so the entries left here have been read already.
         self._queue_by_age.clear()
         return None
 
@@ -98,7 +105,7 @@
 
     @staticmethod
     def _is_overdue(queue: deque[tuple[float, ConnectionT]], now: float) -> bool:
-        """Whether those in front stood for so long that an answer comes too late for most of them.
+        """Whether the first ones have been ready for so long that an answer comes too late for most.
 
         In order, each would be read just when its client gives up: all of the work, and nobody served.
         """
@@ -117,7 +124,7 @@
 
     def _claim(self, since: float, connection: ConnectionT) -> tuple[ConnectionT, float, int] | None:
         if connection.ready_since != since:
-            return None  # it had its turn in the other line, or has ended
+            return None  # already picked from the other queue, or closed
         connection.ready_since = 0.0
         self.ready_count -= 1
         if len(self._queue_by_age) > 2 * self.ready_count + 64:
@@ -125,16 +132,17 @@
         return connection, since, self._queue_index(connection.tenant)
 
     def _compact(self) -> None:
-        """Those that had their turn in a line stay behind in the other one."""
+        """Drop stale entries: a connection picked from one queue remains in the other."""
         for queue in (self._queue_by_age, *self._queues):
             kept = [entry for entry in queue if entry[1].ready_since == entry[0]]
             queue.clear()
             queue.extend(kept)
 
     def add_time(self, index: int, seconds: float) -> None:
-        """Reading took so many seconds; `place` as told by `next`.
+        """Charge seconds spent on reading to the queue that `next` returned as `index`.
 
-        Counted for the tenant that it turned out to be of, what came on new connections cost the turn of
-        those that nothing is known of nothing: a crowd that opened ever more went before all others.
+        If they were charged to the tenant that the request turned out to belong to, reads on new connections
+        would cost the queue of unknown tenants nothing: a client that kept opening connections went ahead of
+        all others.
         """
         self.time_spent[index] += seconds
--- a/gaugehinge/admission/sampling.py
+++ b/gaugehinge/admission/sampling.py
@@ -1,8 +1,9 @@
-"""What part of a tenant's operations is looked at in full while it is beyond its turn. No I/O.
+"""Which fraction of a tenant's reads is parsed in full while the tenant exceeds its share. No I/O.
 
-An operation that waits in vain costs nearly as much as one that is served: it is parsed, queued, looked at
-again and answered. So while a tenant has a queue, it gets in only what it is being passed on, and a little
-more; the rest is turned away at the first look, the lowest payoff first. With no queue all of it gets in.
+An operation that waits in vain costs nearly as much as one that is served: it is parsed, queued, examined
+again and answered. So while a tenant has a queue, reads are admitted only at the rate at which its reads are
+forwarded, and a little more. The rest is rejected by peeking, the lowest priority first. Without a queue all
+reads are admitted.
 """
 
 from __future__ import annotations
@@ -11,27 +12,28 @@
 from math import exp, inf
 from zlib import crc32
 
-RATE_DECAY_TIME = 0.5  # seconds, for what came and what was passed on
-ADMIT_MARGIN = 1.3  # times what was passed on of late that is let in: a queue that runs dry wastes its turn
-MIN_READ_RATE = 20.0  # operations a second that each tenant is let in anyhow: let in none, none is passed on
-MIN_OVERLOADED_READ_RATE = (
-    1.0  # the same where the router as a whole has no time: of many tenants 20 each are too many
-)
-MIN_BACKLOG = 0.02  # seconds that a tenant's queue takes at its pace; a shorter one is let grow
+RATE_DECAY_TIME = 0.5  # seconds; of the rates of arrival and forwarding
+# Times the recent forwarding rate that is admitted: a queue that runs empty wastes its turn.
+ADMIT_MARGIN = 1.3
+# Reads per second that are always admitted of a tenant: if none were admitted, none would be forwarded.
+MIN_READ_RATE = 20.0
+# The same while the router as a whole is short of CPU: 20 each are too many with many tenants.
+MIN_OVERLOADED_READ_RATE = 1.0
+MIN_BACKLOG = 0.02  # seconds of a tenant's queue at its service rate; a shorter queue may grow
 
 
 class ReadSampler:
-    """Rates by tenant and traffic type, and the part of each that is let in. A fixed number of figures."""
+    """Rates by tenant and traffic type, and the fraction admitted of each. Memory is fixed."""
 
     def __init__(self, tenants: int, priority_weights: Sequence[float], seed: int, now: float) -> None:
         rows = len(priority_weights)
         self.seed = seed
-        self.arrival_rates = [[0.0] * rows for _ in range(tenants)]  # a second, decayed
+        self.arrival_rates = [[0.0] * rows for _ in range(tenants)]  # per second, smoothed
         self.forward_rates = [0.0] * tenants
         self.admit_fractions = [[1.0] * rows for _ in range(tenants)]
         self.limited = [False] * tenants
-        self.any_limited = False  # whether any is
-        self.log_messages: list[str] = []  # emptied by the door
+        self.any_limited = False
+        self.log_messages: list[str] = []  # emptied by FairAdmissionControl
         self._rows_by_priority = sorted(range(rows), key=lambda row: -priority_weights[row])
         self._arrivals = [[0] * rows for _ in range(tenants)]
         self._forwarded = [0] * tenants
@@ -39,7 +41,10 @@
         self._draws = 0
 
     def should_parse(self, tenant: int, row: int) -> bool:
-        """Whether this one is looked at in full. One that is not has come; the others are told by `come`."""
+        """Whether a read is parsed in full.
+
+        One that is not counts as an arrival here; the caller reports the others by `record_arrival`.
+        """
         admit_fraction = self.admit_fractions[tenant][row]
         if admit_fraction >= 1.0:
             return True
@@ -50,16 +55,19 @@
         return False
 
     def record_arrival(self, tenant: int, row: int) -> None:
-        """One was looked at in full."""
+        """Count a read that was parsed in full."""
         self._arrivals[tenant][row] += 1
 
     def record_forwarded(self, tenant: int) -> None:
-        """One was passed on to the decisions."""
+        """Count a read that was forwarded to the decision module."""
         self._forwarded[tenant] += 1
 
     def sample(self, backlogs: Sequence[float], max_rates: Sequence[float], now: float) -> None:
-        """Set the parts anew. `waits`: seconds that each tenant's queue takes at its pace, 0 with none;
-        `rooms`: operations a second that it may be let in at all, `inf` where nothing bounds them."""
+        """Update the rates and the admitted fractions.
+
+        `backlogs` are the seconds that each tenant's queue takes at its service rate, 0 without one;
+        `max_rates` the reads per second that may be admitted of it at all, `inf` if not bounded.
+        """
         span = now - self._sampled_at
         if span <= 0.0:
             return
@@ -90,9 +98,10 @@
             admit_rate = max(admit_rate - arrival_rates[row], 0.0)
         if limited is not self.limited[tenant]:
             self.limited[tenant] = limited
-            mode = "turned down" if limited else "open"
+            mode = "limited" if limited else "open"
             self.log_messages.append(
-                f"tap of line {tenant} {mode}: {sum(arrival_rates):.0f}/s come, {self.forward_rates[tenant]:.0f}/s go,"
-                f" {backlog:.3f} s wait"
+                f"read sampling of tenant {tenant} {mode}: {sum(arrival_rates):.0f}/s arrive,"
+                f" {self.forward_rates[tenant]:.0f}/s forwarded,"
+                f" {backlog:.3f} s queued"
             )
         self.any_limited = any(self.limited)
--- a/tests/test_fair_reader.py
+++ b/tests/test_fair_reader.py
@@ -1,4 +1,4 @@
-"""The first look, who is let in and who is read first, in virtual time; then a flood on real sockets."""
+"""Peeking, read sampling, read order and the rate level in virtual time; then reading on real sockets."""
 
 import math
 import random
@@ -26,7 +26,7 @@
 
 
 def parse_whole_read(data: bytes) -> PeekedRead | None:
-    """What the long way finds in exactly one whole read that is well formed."""
+    """What the parser finds in exactly one whole, well-formed read."""
     parser = Parser()
     parser.feed(data)
     try:
@@ -83,7 +83,7 @@
     assert seen is None or seen == parse_whole_read(data)
 
 
-# -- who is let in
+# -- read sampling
 
 
 def run_sampler(
@@ -95,7 +95,7 @@
     start: float = 0.0,
     max_rate: float = math.inf,
 ) -> Counter:
-    """So many a second by (tenant, row) and passed on by tenant; those let in."""
+    """Count admitted reads, given arrivals per second by (tenant, row) and forwards per second by tenant."""
     admitted: Counter = Counter()
     now, owed = start, Counter()
     while now < start + seconds - 1e-9:
@@ -139,7 +139,7 @@
     run_sampler(sampler, 3.0, {(0, 0): 500.0}, {}, 1.0)
     found = run_sampler(sampler, 10.0, {(0, 0): 500.0}, {}, 1.0, 3.0)[0, 0] / 10.0
     assert 0.7 * MIN_READ_RATE < found < 1.3 * MIN_READ_RATE and sampler.log_messages.pop().startswith(
-        "tap of line 0 turned down"
+        "read sampling of tenant 0 limited"
     )
     run_sampler(sampler, 0.1, {(0, 0): 500.0}, {}, 0.0, 13.0)
     assert not sampler.any_limited and "open" in sampler.log_messages[-1]
@@ -154,7 +154,7 @@
     assert not sampler.any_limited
 
 
-# -- who is read first
+# -- read order
 
 
 @dataclass(eq=False)
@@ -166,7 +166,7 @@
 def run_pass(
     scheduler: ReadScheduler, now: float, max_reads: int, read: Counter, cost: float = 0.0004
 ) -> None:
-    """One pass that reads so many."""
+    """One pass that reads at most `max_reads` connections."""
     scheduler.decay(now)
     for _ in range(max_reads):
         pick = scheduler.next(now)
@@ -186,7 +186,7 @@
             for _ in range(count):
                 scheduler.add_ready(Connection(tenant), now)
         run_pass(scheduler, now, 6, read)
-        # All that the few sent has been read by now, but for what came in this pass.
+        # All requests of the other tenants have been read by now, except those that arrived in this pass.
         assert all(read[tenant] >= step - 1 for tenant in (1, 2, -2))
     assert read[0] >= 6 * 400 - sum(read[tenant] for tenant in (1, 2, -2))
 
@@ -201,7 +201,7 @@
             for _ in range(max(20 - len(scheduler._queues[tenant]), 0)):
                 scheduler.add_ready(Connection(tenant), now)
         run_pass(scheduler, now, 8, read)
-    # One of three goes by age, whoever it is of.
+    # One in three reads goes by age, whatever the tenant.
     assert 1.8 < read[0] / read[1] < 3.4
 
 
@@ -218,7 +218,7 @@
         for _ in range(4):
             connection, _, index = scheduler.next(now)
             read[connection.tenant] += 1
-            connection.tenant = 0  # now it is known whose it is
+            connection.tenant = 0  # its first request has told the tenant
             scheduler.add_time(index, 0.0004)
     assert read[1] >= 299
 
@@ -232,7 +232,8 @@
         scheduler.add_ready(Connection(1), 1.1)
     found = [scheduler.next(1.2)[0] for _ in range(OLDEST_FIRST_EVERY)]
     assert found.index(old) == OLDEST_FIRST_EVERY - 1
-    # In a long overload the newest of a line goes first: the others' clients are about to give up.
+    # In a long overload the newest connection of a queue is read first: the clients of the others are about
+    # to give up.
     first, last = Connection(0), Connection(0)
     scheduler.add_ready(first, 2.0)
     scheduler.add_ready(last, 2.0 + OVERLOAD_AGE)
@@ -267,14 +268,16 @@
     assert not ready
 
 
-# -- the level
+# -- the rate level
 
 
 def run_rate_level(
     level: RateLevel, lasts: float, demand, capacity: float, reject_cost: float, now: float
 ) -> float:
-    """Tenants that want so many seconds of CPU a second, at a loop that has `capacity` of them; each second
-    of CPU turned away takes `refuse` of it. Returns the time."""
+    """Run tenants that demand CPU seconds per second on a loop with `capacity` of them; returns the time.
+
+    Rejecting takes `reject_cost` of each CPU second that is rejected.
+    """
     end = now + lasts
     while now < end:
         now += 0.05
@@ -282,7 +285,7 @@
         rejecting = reject_cost * sum(want - got for want, got in zip(demand, admitted, strict=True))
         for tenant, got in enumerate(admitted):
             level.record(tenant, 0.05 * got)
-        # Turning away gets what serving leaves, at most what there is to turn away.
+        # Rejecting gets what serving leaves, and at most what there is to reject.
         left = max(capacity - sum(admitted), 0.0)
         backlogged = sum(admitted) + rejecting > capacity
         level.sample(1.0 if backlogged else 0.0, min(rejecting, left) / capacity, now)
@@ -293,16 +296,17 @@
     level = RateLevel([1.0] * 5, 0.0)
     demand = [0.9, 0.17, 0.17, 0.17, 0.17, 0.0]
     now = run_rate_level(level, 10.0, demand, 1.0, 0.1, 0.0)
-    assert 0.17 < level.level < 0.35 and level.log_messages.pop(0).startswith("door level 0.")
+    assert 0.17 < level.level < 0.35 and level.log_messages.pop(0).startswith("admission rate level 0.")
     assert all(level.allowance(tenant) > 0.17 for tenant in range(5))
-    # The flood is over, and so is the level.
+    # When the flood is over, the level is removed.
     run_rate_level(level, 10.0, [0.17] * 5 + [0.0], 1.0, 0.1, now)
     assert level.level == math.inf and "none" in level.log_messages[-1]
 
 
 def test_serving_keeps_cpu_time_when_all_tenants_flood():
     level = RateLevel([1.0] * 4, 0.0)
-    # Turning all of it away would take twice the loop: lowered until nothing was left, nothing was served.
+    # Rejecting all of it would take twice the loop's time. A level that was lowered until nothing was left
+    # served nothing.
     run_rate_level(level, 30.0, [2.0] * 4 + [0.0], 1.0, 0.3, 0.0)
     assert 0.6 < 4 * level.level < 1.0
 
@@ -338,7 +342,7 @@
             admission.sampler.sample = lambda backlogs, max_rates, now: None
             assert (await first.get(labels="c=read,t=acme,d=4000")).startswith(b"-BUSY")
             assert seen() == before
-            # In two pieces, behind another, or a write: the long way, as without a tap.
+            # Commands in two pieces, pipelined commands and writes are parsed in full, as without sampling.
             whole = command(b"k1", b"pieces", b"c=read,t=acme,d=4000")
             await other.stream.send_all(whole[:30])
             await trio.sleep(0.05)
@@ -364,8 +368,8 @@
                 b"".join(command(b"k%d" % i, b"i%d" % i, b"c=read,d=8000") for i in range(count))
             )
             found = [await client.answer() for _ in range(count)]
-            # The decisions bounce some, at once: the start's few attempts a cache. Each stands in its own
-            # place.
+            # The decision module rejects some at once, because few attempts per cache server are allowed at
+            # the start. Each reply is in its own position.
             values = [reply for reply in found if not reply.startswith(b"-BUSY")]
             assert values == [bulk(b"of k%d" % i) for i in range(count) if found[i].startswith(b"$")]
             assert len(found) == count and len(values) >= 4
