--- a/gaugehinge/admission/connection_slots.py
+++ b/gaugehinge/admission/connection_slots.py
@@ -1,4 +1,4 @@
-"""Places for connections: who yields at a full door, and how fast new ones are let in. No I/O."""
+"""Which connections are evicted at the connection limit, and how fast new ones are accepted. No I/O."""
 
 from __future__ import annotations
 
@@ -6,19 +6,20 @@
 from collections.abc import Iterable
 from typing import Protocol, TypeVar
 
-NO_REQUEST_YET = -2  # in place of a tenant
+NO_REQUEST_YET = -2  # as the tenant of a connection
 
-ACCEPT_CPU_FRACTION = 0.12  # of the CPU that this process gets that accepting may take,
-MIN_ACCEPT_CPU = 0.04  # but this part of a core at least: a quiet router must take a crowd as it comes
-BURST_SECONDS = 2.0  # seconds' worth that may be accepted at once
-CPU_DECAY = 0.9  # of the measure of that CPU, a sample
+ACCEPT_CPU_FRACTION = 0.12  # fraction of the CPU this process gets that accepting may take
+# In cores, the least that accepting may take: an idle router must accept many connections as they come.
+MIN_ACCEPT_CPU = 0.04
+BURST_SECONDS = 2.0  # seconds of that CPU time that may be used at once
+CPU_DECAY = 0.9  # weight of the previous measurement of the available CPU in each sample
 
 
 class SlotHolder(Protocol):
-    """A connection, as far as it matters here."""
+    """The parts of a connection that matter here."""
 
     tenant: int  # of its last operation
-    source: str  # the address it came from
+    source: str  # the client's address
     idle_since: float
 
 
@@ -26,10 +27,11 @@
 
 
 def eviction_order(connections: Iterable[SlotHolderT]) -> list[SlotHolderT]:
-    """Connections in the order in which they yield their places.
+    """Connections in the order in which they are evicted.
 
-    First what never spoke, the longest silent one before the others. Then of the tenant that holds most
-    places, and within it of the source that does: whoever opens ever more takes them from itself.
+    First those that have sent no request, the longest idle first. Then those of the tenant that holds most
+    slots, and within it of the source that does: whoever keeps opening connections takes the slots from
+    itself.
     """
     all_connections = list(connections)
     tenant_counts = Counter(connection.tenant for connection in all_connections)
@@ -49,26 +51,27 @@
 
 
 class AcceptLimiter:
-    """Whether one more connection may be accepted now: within a part of the CPU that there is.
+    """Limits accepting connections to a fraction of the available CPU.
 
-    Paced by the loop's lag, down to some fifty a second, the door made its own storm: what was not accepted
-    got no answer, and its clients came again on further connections, thousands a second.
+    When it was limited by the loop's lag instead, down to some fifty connections a second, that caused a
+    storm of its own: clients that were not accepted got no answer and came again on further connections,
+    thousands a second.
     """
 
     def __init__(self, now: float) -> None:
-        self.accept_cpu = MIN_ACCEPT_CPU  # seconds of CPU a second
+        self.accept_cpu = MIN_ACCEPT_CPU  # CPU seconds per second
         self._available_cpu = 0.0
         self._tokens = MIN_ACCEPT_CPU * BURST_SECONDS
         self._refilled_at = now
 
     def sample(self, cpu: float, span: float) -> None:
-        """This process got so much CPU in a span of time."""
+        """Record the CPU seconds that this process got in `span` seconds."""
         if span > 0.0:
             self._available_cpu = CPU_DECAY * self._available_cpu + (1.0 - CPU_DECAY) * cpu / span
             self.accept_cpu = max(ACCEPT_CPU_FRACTION * self._available_cpu, MIN_ACCEPT_CPU)
 
     def may_accept(self, now: float) -> bool:
-        """Whether one more may be accepted."""
+        """Whether one more connection may be accepted."""
         self._tokens = min(
             self._tokens + (now - self._refilled_at) * self.accept_cpu, self.accept_cpu * BURST_SECONDS
         )
@@ -76,5 +79,5 @@
         return self._tokens > 0.0
 
     def charge(self, cpu: float) -> None:
-        """What was accepted since took so many seconds of CPU."""
+        """Account for the CPU seconds that accepting took."""
         self._tokens -= cpu
--- a/gaugehinge/admission/costs.py
+++ b/gaugehinge/admission/costs.py
@@ -1,44 +1,46 @@
-"""What an operation uses of this router's CPU: measured, not one each. No I/O.
+"""Estimates the CPU time that an operation takes of this router, so that not all cost the same. No I/O.
 
-Each sample of the process's CPU time is explained by the operations that ended in it and the bytes they
-moved: cpu = each * operations + byte * bytes, by least squares with forgetting.
+Each sample of the process's CPU time is explained by the operations that ended in it and the bytes that they
+transferred: cpu = per_operation * operations + per_byte * bytes, by least squares with exponential
+forgetting.
 """
 
 from __future__ import annotations
 
-DECAY = 0.98  # a sample; the last some seconds count
-INITIAL_OPERATION_COST = 0.0004  # seconds an operation, until measured
+DECAY = 0.98  # per sample; the last few seconds count
+INITIAL_OPERATION_COST = 0.0004  # seconds, until measured
 INITIAL_BYTE_COST = 2e-9
 MIN_OPERATION_COST, MAX_OPERATION_COST = 2e-5, 0.02
 MAX_BYTE_COST = 1e-7
-SMOOTHING_FACTOR = 0.1  # of a traffic type's mean bytes, each operation
+SMOOTHING_FACTOR = 0.1  # weight of an operation in its traffic type's mean bytes
 
 
 class CostEstimator:
-    """Costs in seconds of CPU; a fixed number of figures and one a traffic type."""
+    """Costs in CPU seconds; a fixed number of values and one per traffic type."""
 
     def __init__(self, rows: int) -> None:
         self.per_operation = INITIAL_OPERATION_COST
         self.per_byte = INITIAL_BYTE_COST
-        self.mean_bytes = [1024.0] * rows  # that an operation of a type moves, smoothed
+        self.mean_bytes = [1024.0] * rows  # transferred by an operation of each type, smoothed
         self._operations = 0
         self._transferred = 0.0
-        # Normal equations of the fit, begun with a belief worth a few samples of a hundred operations each.
+        # Normal equations of the fit, initialised with a prior worth a few samples of a hundred operations
+        # each.
         self._nn, self._nb, self._bb = 5e4, 0.0, 5e10
         self._nc, self._bc = INITIAL_OPERATION_COST * 5e4, INITIAL_BYTE_COST * 5e10
 
     def cost(self, row: int, known_bytes: int) -> float:
-        """What an operation of a type will use; `known` bytes have come already."""
+        """CPU seconds that an operation is expected to take; `known_bytes` of it have come already."""
         return self.per_operation + self.per_byte * max(self.mean_bytes[row], known_bytes)
 
     def record(self, row: int, transferred: int) -> None:
-        """An operation ended; so many bytes went in and out for it."""
+        """Count an operation that ended and the bytes transferred for it in both directions."""
         self.mean_bytes[row] += SMOOTHING_FACTOR * (transferred - self.mean_bytes[row])
         self._operations += 1
         self._transferred += transferred
 
     def sample(self, cpu: float) -> None:
-        """So much CPU was used since the last sample."""
+        """Fit the costs to the CPU seconds used since the last sample."""
         n, b = float(self._operations), self._transferred
         self._operations, self._transferred = 0, 0.0
         if not n or cpu <= 0.0:
@@ -55,7 +57,7 @@
         if determinant > 1e-6 * self._nn * self._bb:
             per_operation = (self._nc * self._bb - self._bc * self._nb) / determinant
             per_byte = (self._bc * self._nn - self._nc * self._nb) / determinant
-        else:  # all of one size: their parts cannot be told apart
+        else:  # all of one size: the two costs cannot be told apart
             per_operation, per_byte = self._nc / self._nn - self.per_byte * self._nb / self._nn, self.per_byte
         if per_byte < 0.0:
             per_operation, per_byte = self._nc / self._nn, 0.0
--- a/gaugehinge/admission/request_peek.py
+++ b/gaugehinge/admission/request_peek.py
@@ -1,8 +1,8 @@
-"""A first look at what came on a connection, without the parser. No I/O.
+"""Peeks at received data for a whole read command, without the parser. No I/O.
 
-Taking a command in hand costs frames, labels, an operation and its cargo. One that is turned away anyway
-needs four labels of it. What does not look exactly like one whole read is left to the parser, which alone
-says what is malformed.
+Parsing a command in full creates frames, labels, an operation and its payload. One that is rejected anyway
+needs only four of its labels. Whatever does not look exactly like one whole read is left to the parser, which
+alone decides what is malformed.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 COMMAND_PATTERN = re.compile(rb"\*4\r\n\$6\r\nKV\.GET\r\n\$([1-9]\d{0,4})\r\n")
 ARGUMENTS_PATTERN = re.compile(rb"\r\n\$([1-9]\d{0,2})\r\n([!-~]+)\r\n\$([1-9]\d{0,2})\r\n([!-~]+)\r\n")
-MAX_PEEK_BYTES = 1024  # bytes; a longer command is the parser's
-MAX_TIMEOUT_DIGITS = 10  # digits of the wait
+MAX_PEEK_BYTES = 1024  # a longer command is left to the parser
+MAX_TIMEOUT_DIGITS = 10  # of label `d`
 
 
 class PeekedRead(NamedTuple):
-    """What the door has to know of a read to turn it away."""
+    """What admission control needs to know about a read to reject it."""
 
     traffic_type: str
     tenant: str
@@ -26,7 +26,7 @@
 
 
 def peek_read(data: bytes) -> PeekedRead | None:
-    """The labels of exactly one whole read; None for whatever else."""
+    """The labels of exactly one whole read; None for anything else."""
     if len(data) > MAX_PEEK_BYTES:
         return None
     command = COMMAND_PATTERN.match(data)
