--- a/gaugehinge/placement/build.py
+++ b/gaugehinge/placement/build.py
@@ -12,11 +12,11 @@
 from .router import RouterPlacement
 
 
-def build_placement(service: Service, follower: ControlPlaneWatch) -> RouterPlacement:
+def build_placement(service: Service, watch: ControlPlaneWatch) -> RouterPlacement:
     """Placement at a router that follows a control plane, as a further part of the feed."""
-    part = RouterPlacement(service, follower)
-    follower.add_part(part)
-    return part
+    placement = RouterPlacement(service, watch)
+    watch.add_part(placement)
+    return placement
 
 
 def control_plane_factory(settings: ControlPlaneConfig) -> Callable[[ControlPlane], PlacementControlPlane]:
--- a/gaugehinge/placement/control_plane.py
+++ b/gaugehinge/placement/control_plane.py
@@ -38,7 +38,7 @@
 from .zone_changes import settings_changes
 
 SWEEP_INTERVAL = 10.0  # seconds
-BATCH_TIME = RECONCILE_INTERVAL / 4  # seconds within which several reports are one pass
+BATCH_DELAY = RECONCILE_INTERVAL / 4  # seconds within which several reports are one pass
 
 
 class PlacementControlPlane:
@@ -54,7 +54,7 @@
     ) -> None:
         """`clock`: monotonic seconds, by which leases are counted."""
         self.administration = administration
-        self.keeper = administration.store_writer
+        self.store_writer = administration.store_writer
         self.settings = settings
         self.clock = clock
         self.index = ShardIndex()
@@ -62,10 +62,12 @@
         self.leases = LeaseTracker(administration.leases.duration, settings, clock)
         self.servers = ServerAvailability(self.inventory)
         self.capacity = CapacityPlanner(self.index, self.servers, settings)
-        self.reconciler = Reconciler(self.keeper, self.index, self.servers, self.leases, settings, clock)
-        presenter = ShardPresenter(self.leases, self.inventory, settings, self.keeper.clock)
+        self.reconciler = Reconciler(
+            self.store_writer, self.index, self.servers, self.leases, settings, clock
+        )
+        presenter = ShardPresenter(self.leases, self.inventory, settings, self.store_writer.clock)
         self.changes = ShardChanges(administration, self.index, self.capacity, presenter, settings, self.wake)
-        self.api = TenantApi(self.keeper, self.changes, presenter)
+        self.api = TenantApi(self.store_writer, self.changes, presenter)
         self._wake = trio.Event()
 
     def routes(self) -> list[Route]:
@@ -177,7 +179,7 @@
             interval = IDLE_INTERVAL
             try:
                 if not zones_updated:
-                    await self.keeper.apply_planned(self._settings_changes, AUTHOR)
+                    await self.store_writer.apply_planned(self._settings_changes, AUTHOR)
                     zones_updated = True
                 if self.clock() >= next_sweep:
                     await self._sweep()
@@ -188,14 +190,14 @@
             self._wake = trio.Event()
             with trio.move_on_after(interval):
                 await self._wake.wait()
-                await trio.sleep(BATCH_TIME)
+                await trio.sleep(BATCH_DELAY)
 
     def _settings_changes(self, store: Store, now: float) -> list[Mutation]:
         self.index.refresh(store)
         return settings_changes(self.index, self.settings.regions, now)
 
     async def _sweep(self) -> None:
-        await self.keeper.apply_planned(self._sweep_changes, AUTHOR)
+        await self.store_writer.apply_planned(self._sweep_changes, AUTHOR)
         self.leases.forget_expired()
 
     def _sweep_changes(self, store: Store, now: float) -> list[Mutation]:
--- a/gaugehinge/placement/reconciler.py
+++ b/gaugehinge/placement/reconciler.py
@@ -26,7 +26,7 @@
 RECONCILE_INTERVAL = 0.1  # seconds between two passes while a shard is in progress
 IDLE_INTERVAL = 2.0  # seconds between two passes while none is
 MAX_PENDING_LOST_PINS = 1024
-IN_PROGRESS = (Stage.PREPARING, Stage.MIGRATING, Stage.REMOVING)
+IN_PROGRESS_STAGES = (Stage.PREPARING, Stage.MIGRATING, Stage.REMOVING)
 AUTHOR = "keeper"  # of the control plane's own changes, in the audit log
 
 
@@ -73,7 +73,7 @@
 
     def __init__(
         self,
-        keeper: AsyncStore,
+        store_writer: AsyncStore,
         index: ShardIndex,
         servers: ServerAvailability,
         leases: LeaseTracker,
@@ -81,7 +81,7 @@
         clock: Callable[[], float],
     ) -> None:
         """`settings`: times of flight and of deduplication; `clock`: monotonic seconds."""
-        self.keeper = keeper
+        self.store_writer = store_writer
         self.index = index
         self.servers = servers
         self.leases = leases
@@ -107,11 +107,11 @@
         Raises RevisionConflictError where a shard was changed meanwhile, and as the store does.
         """
         await self._record_reports()
-        pending = await self.keeper.run_sync(self._pending_shards)
+        pending = await self.store_writer.run_sync(self._pending_shards)
         self.timer.keep_only({(shard.record_id, shard.revision) for shard in pending})
         events = self._due_events(pending)
         if events:
-            await self.keeper.apply_planned(lambda store, now: self._apply(store, now, events), AUTHOR)
+            await self.store_writer.apply_planned(lambda store, now: self._apply(store, now, events), AUTHOR)
         return self._time_to_next(pending)
 
     async def _record_reports(self) -> None:
@@ -119,7 +119,7 @@
         if not (self.lost_pins or self.relabelled_zones):
             return
         lost_pins, zones = dict(self.lost_pins), set(self.relabelled_zones)
-        await self.keeper.apply_planned(
+        await self.store_writer.apply_planned(
             lambda store, now: self._report_changes(store, now, lost_pins, zones), AUTHOR
         )
         for key in lost_pins:
@@ -138,18 +138,18 @@
 
     def _pending_shards(self) -> list[PendingShard]:
         """On the store's thread."""
-        self.index.refresh(self.keeper.store)
-        self.servers.refresh(self.keeper.store)
+        self.index.refresh(self.store_writer.store)
+        self.servers.refresh(self.store_writer.store)
         return [
             PendingShard(record_id, *self.index.shards[record_id])
             for record_id in sorted(self.index.needs_work)
         ]
 
     def _time_to_next(self, pending: list[PendingShard]) -> float:
-        if any(shard.record.stage in IN_PROGRESS for shard in pending):
+        if any(shard.record.stage in IN_PROGRESS_STAGES for shard in pending):
             return RECONCILE_INTERVAL
         scheduled = [shard.record.scheduled_at for shard in pending if shard.record.scheduled_at]
-        due = min((at - self.keeper.clock() for at in scheduled), default=IDLE_INTERVAL)
+        due = min((at - self.store_writer.clock() for at in scheduled), default=IDLE_INTERVAL)
         return min(max(due, RECONCILE_INTERVAL), IDLE_INTERVAL)
 
     # -- which event is due
@@ -178,7 +178,7 @@
         return None
 
     def _is_schedule_due(self, record: ShardRecord) -> bool:
-        due = bool(record.scheduled_at) and self.keeper.clock() >= record.scheduled_at
+        due = bool(record.scheduled_at) and self.store_writer.clock() >= record.scheduled_at
         return due and record.stage in (Stage.SCHEDULED, *SETTLED_STAGES)
 
     def _target_has_servers(self, record: ShardRecord) -> bool:
--- a/gaugehinge/placement/server_inventory.py
+++ b/gaugehinge/placement/server_inventory.py
@@ -67,15 +67,15 @@
         del self._partial[key]
         if server_list_digest(servers) != chunk.digest or chunk.digest == self.digest:
             return set()
-        zones = self._replace(servers)
+        zones = self._replace_current(servers)
         self.digest = chunk.digest
         return zones
 
-    def _replace(self, servers: Iterable[ReportedServer]) -> set[str]:
+    def _replace_current(self, servers: Iterable[ReportedServer]) -> set[str]:
         before, self.current = self.current, {server.uid: server for server in servers}
         zones: set[str] = set()
         for uid, server in self.current.items():
-            zones |= self._compare(before.get(uid) or self.departed.pop(uid, None), server)
+            zones |= self._detect_relabelling(before.get(uid) or self.departed.pop(uid, None), server)
         for uid, server in before.items():
             if uid not in self.current:
                 self.departed[uid] = server
@@ -83,7 +83,7 @@
             del self.departed[next(iter(self.departed))]
         return zones
 
-    def _compare(self, before: ReportedServer | None, server: ReportedServer) -> set[str]:
+    def _detect_relabelling(self, before: ReportedServer | None, server: ReportedServer) -> set[str]:
         """The zones that a server changed without a restart, where that is news."""
         uid = server.uid
         if uid in self.relabelled and self.relabelled[uid] != server.started_at:
--- a/gaugehinge/placement/shard_changes.py
+++ b/gaugehinge/placement/shard_changes.py
@@ -91,8 +91,8 @@
             raise NotFoundError(f"no tenant {name}")
         tenant = msgspec.json.decode(item.body, type=TenantRecord)
         self.index.refresh(store)
-        found = self.index.for_incarnation(tenant.incarnation)
-        return TenantShards(tenant, {stored.record.shard: stored for stored in found})
+        shards = self.index.for_incarnation(tenant.incarnation)
+        return TenantShards(tenant, {stored.record.shard: stored for stored in shards})
 
     async def put(
         self,
@@ -113,9 +113,9 @@
             with _api_errors():
                 return self._plan_put(store, now, tenant, shard, wanted, expected_version)
 
-        made = await self.administration.commit(plan, caller, idempotency, self._response_body)
+        committed = await self.administration.commit(plan, caller, idempotency, self._response_body)
         self.on_change()
-        return msgspec.json.decode(self._response_body(made), type=ShardShown)
+        return msgspec.json.decode(self._response_body(committed), type=ShardShown)
 
     def _plan_put(
         self,
@@ -126,26 +126,30 @@
         wanted: ShardWanted,
         expected_version: int | None,
     ) -> list[Mutation]:
-        found = self.tenant_shards(store, tenant_name)
-        incarnation = found.tenant.incarnation
-        record, revision = found.shards.get(shard, (None, 0))
+        tenant_shards = self.tenant_shards(store, tenant_name)
+        incarnation = tenant_shards.tenant.incarnation
+        record, revision = tenant_shards.shards.get(shard, (None, 0))
         check_version(record, expected_version, shard)
-        pin = self._admit(store, found, shard, wanted)
+        pin = self._admit(store, tenant_shards, shard, wanted)
         budget = self._charge_budget(store, incarnation, now)
         lifecycle = self._requested_lifecycle(record, wanted, now)
-        after = _pinned_record(found, shard, wanted, pin, lifecycle, now)
+        after = _pinned_record(tenant_shards, shard, wanted, pin, lifecycle, now)
         return [Mutation(SHARD, record_id(incarnation, shard), encode(after), revision), budget]
 
-    def _admit(self, store: Store, found: TenantShards, shard: str, wanted: ShardWanted) -> AdmittedPin:
+    def _admit(
+        self, store: Store, tenant_shards: TenantShards, shard: str, wanted: ShardWanted
+    ) -> AdmittedPin:
         """Check a pin against what its tenant and its regions can take. Raises ApiError, AdmissionError."""
-        stored = found.shards.get(shard)
+        stored = tenant_shards.shards.get(shard)
         record = stored.record if stored is not None else None
-        prefixes = check_prefixes(shard, wanted, record, found.shards)
+        prefixes = check_prefixes(shard, wanted, record, tenant_shards.shards)
         if record is None:
-            check_shard_count(len(found.shards), self.settings.shards)
-        rate = allocate_rate(found.tenant.allowance, found.rate_of_others(shard), wanted.allowance)
+            check_shard_count(len(tenant_shards.shards), self.settings.shards)
+        rate = allocate_rate(
+            tenant_shards.tenant.allowance, tenant_shards.rate_of_others(shard), wanted.allowance
+        )
         already_reserved = record.rate_by_region.get(wanted.regions[0], 0.0) if record else 0.0
-        capacity = self.capacity.regions(store, record_id(found.tenant.incarnation, shard))
+        capacity = self.capacity.regions(store, record_id(tenant_shards.tenant.incarnation, shard))
         capacity.check(wanted.regions, rate, already_reserved)
         return AdmittedPin(prefixes, rate, store.revision + 1)
 
@@ -167,9 +171,9 @@
     def _plan_remove(
         self, store: Store, now: float, tenant_name: str, shard: str, expected_version: int
     ) -> list[Mutation]:
-        found = self.tenant_shards(store, tenant_name)
-        incarnation = found.tenant.incarnation
-        record, revision = found.shards.get(shard, (None, 0))
+        tenant_shards = self.tenant_shards(store, tenant_name)
+        incarnation = tenant_shards.tenant.incarnation
+        record, revision = tenant_shards.shards.get(shard, (None, 0))
         if record is None or record.is_ending:
             raise NotFoundError(f"no shard {shard}")
         check_version(record, expected_version, shard)
@@ -193,21 +197,26 @@
         body = encode(budget.take(per_hour, now))
         return Mutation(CHANGE_BUDGET, str(incarnation), body, stored.revision if stored else 0)
 
-    def _response_body(self, made: list[Change]) -> bytes:
+    def _response_body(self, committed: list[Change]) -> bytes:
         """The answer to a call, from the changes that it made: the record is the first."""
-        record = msgspec.json.decode(made[0].body or b"", type=ShardRecord)
-        return msgspec.json.encode(self.presenter.view(None, record, made[0].revision))
+        record = msgspec.json.decode(committed[0].body or b"", type=ShardRecord)
+        return msgspec.json.encode(self.presenter.view(None, record, committed[0].revision))
 
 
 def _pinned_record(
-    found: TenantShards, shard: str, wanted: ShardWanted, pin: AdmittedPin, lifecycle: Lifecycle, now: float
+    tenant_shards: TenantShards,
+    shard: str,
+    wanted: ShardWanted,
+    pin: AdmittedPin,
+    lifecycle: Lifecycle,
+    now: float,
 ) -> ShardRecord:
     """The record of a shard that is pinned as its tenant wants; `now` in Unix seconds."""
-    stored = found.shards.get(shard)
+    stored = tenant_shards.shards.get(shard)
     before = stored.record if stored is not None else None
     record = ShardRecord(
-        found.tenant.incarnation,
-        found.tenant.name,
+        tenant_shards.tenant.incarnation,
+        tenant_shards.tenant.name,
         shard,
         pin.prefixes,
         pin.rate,
--- a/gaugehinge/placement/tenant_api.py
+++ b/gaugehinge/placement/tenant_api.py
@@ -21,9 +21,9 @@
 class TenantApi:
     """Handlers below `/v1/tenants/{name}/shards`."""
 
-    def __init__(self, keeper: AsyncStore, changes: ShardChanges, presenter: ShardPresenter) -> None:
+    def __init__(self, store_writer: AsyncStore, changes: ShardChanges, presenter: ShardPresenter) -> None:
         """`changes`: carries out what is asked for; `presenter`: makes the answers."""
-        self.keeper = keeper
+        self.store_writer = store_writer
         self.changes = changes
         self.presenter = presenter
 
@@ -41,7 +41,9 @@
         """GET /v1/tenants/{name}/shards. Raises ApiError where there is no such tenant."""
         tenant = request.path_params["name"]
         caller.require_role("reader", tenant)
-        return json_response(ShardPage(await self.keeper.run_sync(self._view_all, self.keeper.store, tenant)))
+        return json_response(
+            ShardPage(await self.store_writer.run_sync(self._view_all, self.store_writer.store, tenant))
+        )
 
     def _view_all(self, store: Store, tenant: str) -> list[ShardShown]:
         shards = self.changes.tenant_shards(store, tenant).shards
@@ -51,8 +53,8 @@
         """GET /v1/tenants/{name}/shards/{shard}. Raises ApiError where there is none."""
         tenant, shard = request.path_params["name"], request.path_params["shard"]
         caller.require_role("reader", tenant)
-        found = await self.keeper.run_sync(self._view_one, self.keeper.store, tenant, shard)
-        return json_response(found, etag=found.revision)
+        shown = await self.store_writer.run_sync(self._view_one, self.store_writer.store, tenant, shard)
+        return json_response(shown, etag=shown.revision)
 
     def _view_one(self, store: Store, tenant: str, shard: str) -> ShardShown:
         shards = self.changes.tenant_shards(store, tenant).shards
@@ -74,10 +76,10 @@
         expected = if_match_revision(request) if request.headers.get("if-match") else None
 
         async def make(idempotency: IdempotencyKey | None) -> Response:
-            made = await self.changes.put(tenant, shard, wanted, expected, caller.name, idempotency)
-            return json_response(made, 200, made.revision)
+            shown = await self.changes.put(tenant, shard, wanted, expected, caller.name, idempotency)
+            return json_response(shown, 200, shown.revision)
 
-        return await run_once(self.keeper, request, caller, body, make)
+        return await run_once(self.store_writer, request, caller, body, make)
 
     async def delete_shard(self, request: Request, caller: Caller) -> Response:
         """DELETE /v1/tenants/{name}/shards/{shard}. Raises ApiError where it is refused."""
--- a/tests/placement_cluster.py
+++ b/tests/placement_cluster.py
@@ -11,7 +11,7 @@
 from gaugehinge.placement.control_plane import PlacementControlPlane
 from gaugehinge.rehearsal.hostedplay import hosting
 
-ALONE_LONGER = Seconds(2.6)  # `alone`, where it has to stand out from the lease
+LONG_ISOLATION_LIMIT = Seconds(2.6)  # `alone`, where it has to stand out from the lease
 SETTINGS = PlacementConfig(
     True,
     {"eu": ("a",), "us": ("b",), "ap": ("c",)},
@@ -40,33 +40,37 @@
     async def put(self, shard, regions, status=200, match=None, key="", **more):
         headers = {**({"If-Match": match} if match else {}), **({"Idempotency-Key": key} if key else {})}
         body = {"regions": regions, **more}
-        got = await self.api.put(f"/v1/tenants/acme/shards/{shard}", json=body, headers=headers)
-        assert got.status_code == status, got.text
-        return got
+        response = await self.api.put(f"/v1/tenants/acme/shards/{shard}", json=body, headers=headers)
+        assert response.status_code == status, response.text
+        return response
 
     async def get(self, shard) -> dict:
-        while (got := await self.api.get(f"/v1/tenants/acme/shards/{shard}")).status_code == 429:
+        while (response := await self.api.get(f"/v1/tenants/acme/shards/{shard}")).status_code == 429:
             await trio.sleep(0.05)
-        return got.json()
+        return response.json()
 
-    async def until(self, shard, stage, wait=20.0) -> dict:
-        with trio.fail_after(wait):
-            while (found := await self.get(shard)).get("stage", "gone") != stage:
+    async def wait_for_stage(self, shard, stage, timeout=20.0) -> dict:
+        with trio.fail_after(timeout):
+            while (shown := await self.get(shard)).get("stage", "gone") != stage:
                 await trio.sleep(0.02)
-        return found
+        return shown
 
-    async def read(self, router, *keys, write=False, once=False, **labels) -> list[bytes]:
+    async def send(self, router, *keys, write=False, once=False, **labels) -> list[bytes]:
         """Operations one by one. Not `once`: what is rejected is tried again, since on a busy machine a lease
         of less than a second may run out between two calls."""
         client = await self.nodes.client(router, self.secret)
         answers = []
         for key in keys:
             words = {"c": "move" if labels.get("k") else "read", "d": "1500", **labels}
-            told = ",".join(f"{name}={value}" for name, value in words.items())
+            encoded_labels = ",".join(f"{name}={value}" for name, value in words.items())
             for _ in range(1 if once else 40):
                 self.count += 1
-                ident = f"i{router}-{self.count}"
-                words = ("KV.SET", key, ident, told, "v") if write else ("KV.GET", key, ident, told)
+                operation_id = f"i{router}-{self.count}"
+                words = (
+                    ("KV.SET", key, operation_id, encoded_labels, "v")
+                    if write
+                    else ("KV.GET", key, operation_id, encoded_labels)
+                )
                 answer = await client.ask(*words)
                 if once or answer is None or not answer.startswith(b"-BUSY"):
                     break
@@ -109,10 +113,10 @@
             yield cluster
 
 
-def run(scene, wait=60) -> None:
+def run(scenario, timeout=60) -> None:
     async def main():
-        with trio.fail_after(wait):
-            await scene()
+        with trio.fail_after(timeout):
+            await scenario()
 
     trio.run(main)
 
--- a/tests/test_placement_cases.py
+++ b/tests/test_placement_cases.py
@@ -34,7 +34,7 @@
     return trio.run(main)
 
 
-def test_two_hard_cases_hold_and_a_router_that_does_one_wrong_is_found(tmp_path):
+def test_two_hard_cases_hold_and_a_faulty_router_is_detected(tmp_path):
     plays = [(fault, planted) for fault in FAULTS for planted in (False, True)]
     with ProcessPoolExecutor(len(plays), get_context("spawn")) as pool:
         running = {one: pool.submit(play, *one, tmp_path / "-".join(map(str, one))) for one in plays}
--- a/tests/test_placement_compatibility.py
+++ b/tests/test_placement_compatibility.py
@@ -50,25 +50,25 @@
 @pytest.fixture
 def store(tmp_path):
     """A store with the items of the version before, of the shards and of the tenant while it existed."""
-    made = Store(tmp_path / "store.db")
+    opened = Store(tmp_path / "store.db")
     items = [*WRITTEN["items"], *(item for item in WRITTEN["tenants"] if item["kind"] == "tenant")]
     for item in sorted(items, key=lambda item: item["rev"]):
-        made.apply([Mutation(item["kind"], item["ident"], item["body"].encode())], "before", 1e9)
-    yield made
-    made.close()
+        opened.apply([Mutation(item["kind"], item["ident"], item["body"].encode())], "before", 1e9)
+    yield opened
+    opened.close()
 
 
 def control_plane(store: Store) -> PlacementControlPlane:
     """The control plane on a store, with nothing around it."""
     keeper = SimpleNamespace(store=store, clock=lambda: 1e9)
     administration = SimpleNamespace(store_writer=keeper, leases=SimpleNamespace(duration=2.0))
-    made = PlacementControlPlane(administration, SETTINGS, clock=lambda: 0.0)
-    made.index.refresh(store)
-    return made
+    placement = PlacementControlPlane(administration, SETTINGS, clock=lambda: 0.0)
+    placement.index.refresh(store)
+    return placement
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_each_kind_of_item_is_read_and_written_alike(kind):
+def test_each_kind_of_item_is_read_and_written_unchanged(kind):
     bodies = [item["body"].encode() for item in WRITTEN["items"] if item["kind"] == kind]
     assert bodies
     for body in bodies:
@@ -76,23 +76,23 @@
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_each_message_is_read_and_written_alike(name):
+def test_each_message_is_read_and_written_unchanged(name):
     body = WRITTEN["messages"][name].encode()
     assert msgspec.json.encode(msgspec.json.decode(body, type=MESSAGES[name])) == body
 
 
-def test_records_of_all_stages_are_told_to_routers_as_before(store):
+def test_records_of_all_stages_are_sent_to_routers_as_before(store):
     index = control_plane(store).index
     records = [record for record, _ in index.shards.values()]
     assert {record.stage for record in records} == set(Stage) - {Stage.REMOVED}
     changes = index.changes_since(0)
     assert changes.is_complete
     written = {row["shard"]: row for row in WRITTEN["rows"]}
-    told = {row.shard: msgspec.to_builtins(row) for row in changes.assignments}
-    for row in (*written.values(), *told.values()):
+    sent = {row.shard: msgspec.to_builtins(row) for row in changes.assignments}
+    for row in (*written.values(), *sent.values()):
         del row["rev"]  # the items were written to another store
-    assert msgspec.json.encode(told) == msgspec.json.encode({shard: written[shard] for shard in told})
-    assert told.keys() == written.keys()
+    assert msgspec.json.encode(sent) == msgspec.json.encode({shard: written[shard] for shard in sent})
+    assert sent.keys() == written.keys()
     assert sorted(index.needs_work) == sorted(
         f"1/{record.shard}"
         for record in records
@@ -102,46 +102,46 @@
 
 
 def test_records_are_shown_to_tenants_as_before(store):
-    made = control_plane(store)
-    own = ("stage", "waits_for", "copies")  # of the run and of the servers that it knows
-    for record, revision in made.index.shards.values():
-        shown = msgspec.to_builtins(made.changes.presenter.view(store, record, revision))
+    placement = control_plane(store)
+    volatile_fields = ("stage", "waits_for", "copies")  # of the run and of the servers that it knows
+    for record, revision in placement.index.shards.values():
+        shown = msgspec.to_builtins(placement.changes.presenter.view(store, record, revision))
         written = WRITTEN["views"][record.shard]
         assert list(shown) == list(written)
-        for field in own:
+        for field in volatile_fields:
             del shown[field], written[field]
         assert json.loads(msgspec.json.encode(shown)) == written
 
 
 def test_snapshots_notes_budgets_and_tenants_are_found(store):
-    made = control_plane(store)
-    confined = made.index.shards["1/done"].record
+    placement = control_plane(store)
+    confined = placement.index.shards["1/done"].record
     assert {server.zone for server in read_snapshot(store, confined.server_snapshot)} == {"a", "b", "c"}
-    assert [server.uid for server in made.servers.stored_relabelled(store)] == ["server-0"]
+    assert [server.uid for server in placement.servers.stored_relabelled(store)] == ["server-0"]
     assert tenant_names(store) == {1: "acme"}
-    budget = made.changes._charge_budget(store, 1, 1e9)
+    budget = placement.changes._charge_budget(store, 1, 1e9)
     assert budget.expected_revision == store.get("shard-budget", "1").revision
-    assert sweep_changes(store, made.index) == [], "all of it is in use"
+    assert sweep_changes(store, placement.index) == [], "all of it is in use"
 
 
 def test_a_tombstone_frees_what_its_tenant_had_reserved(store):
-    made = control_plane(store)
-    planner = CapacityPlanner(made.index, made.servers, SETTINGS)
+    placement = control_plane(store)
+    planner = CapacityPlanner(placement.index, placement.servers, SETTINGS)
     assert planner.regions(store).reserved
-    (stone,) = [item for item in WRITTEN["tenants"] if item["kind"] == "tombstone"]
-    body = json.loads(stone["body"])
+    (tombstone,) = [item for item in WRITTEN["tenants"] if item["kind"] == "tombstone"]
+    body = json.loads(tombstone["body"])
     store.apply([Mutation("tenant", "acme", None)], "before", 1e9)
     for clear in (False, True):
         body["clear"] = clear
-        store.apply([Mutation("tombstone", stone["ident"], json.dumps(body).encode())], "before", 1e9)
+        store.apply([Mutation("tombstone", tombstone["ident"], json.dumps(body).encode())], "before", 1e9)
         assert tenant_names(store) == {1: "acme"}
         assert bool(planner.regions(store).reserved) is not clear
-    store.apply([Mutation("tombstone", stone["ident"], None)], "before", 1e9)
-    swept = {change.kind for change in sweep_changes(store, made.index)}
+    store.apply([Mutation("tombstone", tombstone["ident"], None)], "before", 1e9)
+    swept = {change.kind for change in sweep_changes(store, placement.index)}
     assert swept == {"shard", "shard-budget"}, "snapshots go once no shard names them"
 
 
-def test_a_router_takes_over_what_the_version_before_told():
+def test_a_router_applies_the_update_of_the_previous_version():
     update = msgspec.json.decode(WRITTEN["messages"]["complete_update"], type=ControlPlaneUpdate)
     assert update.is_complete
     table = ShardTable()
--- a/tests/test_placement_play.py
+++ b/tests/test_placement_play.py
@@ -7,7 +7,7 @@
 SEEDS = range(1, 6)
 
 
-def test_no_key_is_served_outside_while_confined_in_five_plays(tmp_path):
+def test_no_key_of_a_confined_shard_is_served_outside_its_zones_in_five_plays(tmp_path):
     found = {}
 
     async def one(seed):
