--- a/gaugehinge/placement/__init__.py
+++ b/gaugehinge/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants pin shards of their keys to regions, held to by routers under leases (docs/placement.md)."""
+"""Pins shards of tenants' keys to regions; routers enforce the pins under leases (docs/placement.md)."""
--- a/gaugehinge/placement/api_types.py
+++ b/gaugehinge/placement/api_types.py
@@ -1,6 +1,7 @@
-"""What tenants send and get by the administration API, as msgspec structs.
+"""Request and response bodies of the tenants' shard API, as msgspec structs.
 
-The names of these classes are those of the schemas in the API's OpenAPI description.
+The names of these classes are the names of the schemas in the API's OpenAPI description, and their docstrings
+are the descriptions of the schemas there.
 """
 
 from __future__ import annotations
@@ -57,20 +58,20 @@
     incarnation: int
     shard: str
     prefixes: tuple[str, ...]
-    regions: tuple[str, ...]  # as requested, with the three that follow
+    regions: tuple[str, ...]  # this and the next three: as the tenant requested them
     hold: str
     allowance: float
     at: float
-    counted: float  # operations a second that it reserves at its first region
+    counted: float  # operations per second that it reserves at its first region
     stage: str
     since: float  # Unix seconds
-    revision: int  # its entity tag; the control plane's own steps do not change it
+    revision: int  # its entity tag; transitions by the control plane itself do not change it
     now: TermsShown | None
     then: TermsShown | None
     repeats_held: bool
-    waits_for: list[str]  # routers that may still act by an older placement
-    copies: list[Copy]  # at servers outside; gone when such a server restarts, or at `copies_until`
-    copies_until: float  # Unix seconds; 0: only a restart ends them
+    waits_for: list[str]  # names of routers that may still act by an older placement
+    copies: list[Copy]  # at servers outside its zones; until a server restarts or `copies_until`
+    copies_until: float  # Unix seconds; 0: only a restart of the server removes a copy
 
 
 class ShardPage(msgspec.Struct, frozen=True):
--- a/gaugehinge/placement/build.py
+++ b/gaugehinge/placement/build.py
@@ -1,4 +1,4 @@
-"""Switches placement on at a router and at the control plane, as the files' `[placement]` say."""
+"""Builds placement for a router and for the control plane, as `[placement]` in their files configures it."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def build_placement(service: Service, watch: ControlPlaneWatch) -> RouterPlacement:
-    """Placement at a router that follows a control plane, as a further part of the feed."""
+    """Build a router's placement and add it to the feed parts that `watch` handles."""
     placement = RouterPlacement(service, watch)
     watch.add_part(placement)
     return placement
 
 
 def control_plane_factory(settings: ControlPlaneConfig) -> Callable[[ControlPlane], PlacementControlPlane]:
-    """What makes the control plane's part, by its file."""
+    """A factory for the control plane's placement extension, configured by its file."""
     return lambda administration: PlacementControlPlane(administration, settings.placement)
--- a/gaugehinge/placement/change_checks.py
+++ b/gaugehinge/placement/change_checks.py
@@ -1,4 +1,4 @@
-"""What a tenant's change to a shard has to fit: the version that it was made for, names and prefixes."""
+"""Checks on a tenant's change to a shard: the version that it is based on, shard names and prefixes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def check_version(record: ShardRecord | None, expected_version: int | None, shard: str) -> None:
-    """Check that a change was made for the version that exists. Raises ApiError."""
+    """Check that a change is based on the current version of the shard. Raises ApiError if it is not."""
     record = None if record is not None and record.is_ending else record
     if record is None and expected_version is not None:
         raise PreconditionFailedError(f"no shard {shard}")
@@ -36,7 +36,10 @@
     record: ShardRecord | None,
     shards: Mapping[str, StoredShard],
 ) -> tuple[str, ...]:
-    """The prefixes of a shard: they stay as it was made with. Raises ApiError."""
+    """Check the prefixes of a change, and return those of the shard: its first ones, which never change.
+
+    Raises ApiError.
+    """
     prefixes = tuple(wanted.prefixes)
     if len(set(prefixes)) < len(prefixes):
         raise InvalidRequestError("one is told twice", "prefixes")
--- a/gaugehinge/placement/control_plane.py
+++ b/gaugehinge/placement/control_plane.py
@@ -1,9 +1,10 @@
-"""The control plane's side of placement: hears routers, tells them their shards, serves the tenants' calls.
+"""The control plane's side of placement: takes reports, sends shards to routers, serves the tenant API.
 
-A router counts as following a revision once it reported it with the digest that this run of the control plane
-gave it, and has no attempt in flight by an older one. One that does not report is waited for until its lease
-is over, and where it may act without one, until its isolation limit is (`lease_tracker.py`). Nothing is
-claimed before the leases that a previous run gave are over.
+A router counts as following a revision once it has reported the revision with the digest that this run of the
+control plane issued for it, and has no attempt in flight that was placed by an older one. The control plane
+waits for a router that does not report until its lease has expired or, where the router may act without a
+lease, until its isolation limit has (`lease_tracker.py`). Before the leases granted by a previous run have
+expired, it claims nothing, such as that a shard is confined.
 """
 
 from __future__ import annotations
@@ -38,11 +39,11 @@
 from .zone_changes import settings_changes
 
 SWEEP_INTERVAL = 10.0  # seconds
-BATCH_DELAY = RECONCILE_INTERVAL / 4  # seconds within which several reports are one pass
+BATCH_DELAY = RECONCILE_INTERVAL / 4  # seconds; one pass handles all reports that arrive within it
 
 
 class PlacementControlPlane:
-    """Placement as a part of the administration (`admin.extension.Extension`)."""
+    """The placement extension of the control plane (`admin.extension.Extension`)."""
 
     name = "placement"
 
@@ -52,7 +53,7 @@
         settings: PlacementConfig,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """`clock`: monotonic seconds, by which leases are counted."""
+        """`clock`: monotonic seconds; leases are timed by it."""
         self.administration = administration
         self.store_writer = administration.store_writer
         self.settings = settings
@@ -71,18 +72,19 @@
         self._wake = trio.Event()
 
     def routes(self) -> list[Route]:
-        """The routes of shards."""
+        """The API routes for shards."""
         return self.api.routes()
 
     # -- routers
 
     def on_report(self, report: Report, now: float) -> None:
-        """A router called; its lease counts from here on, later than its question was sent.
+        """Take a router's report and renew its lease.
 
-        Raises InvalidRequestError where its report cannot be read.
+        The lease is counted from here, which is later than when the router sent its report: the router, which
+        counts from then, stops first. Raises InvalidRequestError if the report cannot be decoded.
         """
         router_report = self._read_report(report)
-        # A router without placement follows nothing and is given nothing.
+        # A router without placement follows no revision and gets no lease.
         if self.name in report.parts:
             self.leases.renew(report.router, report.run, self._followed_revision(router_report))
         if router_report.server_chunk is not None:
@@ -101,16 +103,16 @@
             raise InvalidRequestError(str(error), f"parts.{self.name}") from error
 
     def _followed_revision(self, router_report: RouterReport) -> int:
-        """The newest revision that a router certainly follows; 0 where its table is not of this run."""
+        """The newest revision that a router is known to follow; 0 if this run did not issue its table."""
         revision, digest = router_report.table_revision, router_report.revision_digest
         if not digest or not self.administration.feed.digests.was_issued(revision, digest):
             return 0
         return min(router_report.effective_revision, router_report.table_revision)
 
     def feed_section(self, store: Store, report: Report) -> bytes | None:
-        """The JSON that a router gets with an answer; None for one without placement.
+        """The JSON section of a router's feed; None for a router without placement.
 
-        On the store's thread.
+        Called on the store's thread.
         """
         if self.name not in report.parts:
             return None
@@ -124,7 +126,7 @@
         history_lost = self._is_history_lost(store, router_report, digest)
         if history_lost and not self.leases.history_lost:
             self.leases.history_lost = True
-            logger.warning("placement: {} follows a history that this store does not have", report.router)
+            logger.warning("placement: router {} follows history that this store lacks", report.router)
         changes = self.index.changes_since(router_report.table_revision if is_known else 0)
         is_tracked = self.leases.is_tracked(report.router, report.run)
         return ControlPlaneUpdate(
@@ -142,7 +144,7 @@
 
     @staticmethod
     def _is_history_lost(store: Store, router_report: RouterReport, digest: str) -> bool:
-        """Whether a router's table is of a history that this copy of the store does not have."""
+        """Whether a router's table comes from history that this copy of the store does not contain."""
         if not router_report.table_revision or digest == router_report.revision_digest:
             return False
         return router_report.table_revision > store.revision or bool(digest)
@@ -150,13 +152,13 @@
     # -- other subsystems
 
     def is_confined(self, record: ShardRecord) -> bool:
-        """Whether no router places a key of the shard outside its zones, as far as this run can claim."""
+        """Whether no router places a key of the shard outside its zones, as far as this run can know."""
         return self.leases.is_confined(record)
 
     def required_zone_sets(self) -> set[frozenset[str]]:
-        """The zones of each required shard, now and after its move.
+        """The zone sets of all required shards, for their current and their target placement.
 
-        Whoever takes servers out leaves at least one that is up in each of these sets.
+        Code that takes servers out of service has to leave at least one server up in each of these sets.
         """
         records = [stored.record for stored in list(self.index.shards.values())]
         affinities = [affinity for record in records for affinity in (record.current, record.target)]
@@ -169,11 +171,11 @@
     # -- the control loop
 
     def wake(self) -> None:
-        """Let the next pass begin at once."""
+        """Start the next pass without waiting for the interval to end."""
         self._wake.set()
 
     async def run(self) -> None:
-        """Bring shards on, until cancelled."""
+        """Run reconcile passes and sweeps until cancelled."""
         zones_updated, next_sweep = False, 0.0
         while True:
             interval = IDLE_INTERVAL
@@ -186,7 +188,7 @@
                     next_sweep = self.clock() + SWEEP_INTERVAL
                 interval = await self.reconciler.reconcile()
             except (StoreOverloadedError, DiskFullError) as error:
-                logger.warning("placement not looked at: {}", error)
+                logger.warning("placement: pass skipped: {}", error)
             self._wake = trio.Event()
             with trio.move_on_after(interval):
                 await self._wake.wait()
--- a/gaugehinge/placement/feed_errors.py
+++ b/gaugehinge/placement/feed_errors.py
@@ -1,4 +1,4 @@
-"""Why a router does not take over an answer of the control plane."""
+"""Reasons for which a router rejects a feed of the control plane."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class PlacementMissingError(FeedError):
-    """The control plane has placement switched off."""
+    """The feed has no placement section: the control plane has placement switched off."""
 
     def __init__(self) -> None:
-        """The text goes into the log."""
-        super().__init__("the keeper has no placement")
+        """Set the message that is logged."""
+        super().__init__("placement: the control plane has it switched off")
 
 
 class StaleAnswerError(FeedError):
-    """The answer to an older question than one that was answered already."""
+    """The feed answers an older request than one whose feed was applied already."""
 
     def __init__(self) -> None:
-        """The text goes into the log."""
-        super().__init__("placement: the answer to an older question than one that was answered")
+        """Set the message that is logged."""
+        super().__init__("placement: the feed answers an older request than one applied already")
 
 
 class ForeignChangesError(FeedError):
-    """Changes that do not continue this router's table."""
+    """The changes in the feed do not continue from this router's table."""
 
     def __init__(self) -> None:
-        """The text goes into the log."""
-        super().__init__("placement: changes of another store, or of the past")
+        """Set the message that is logged."""
+        super().__init__("placement: the changes are from another store or older than the table")
--- a/gaugehinge/placement/messages.py
+++ b/gaugehinge/placement/messages.py
@@ -1,7 +1,7 @@
 """The messages that routers and the control plane exchange for placement. No I/O.
 
-The encoded names of fields, and the order of fields that are encoded as arrays, are the wire format; `rename`
-maps each field to its encoded name.
+The wire format consists of the encoded names of fields, and of the order of fields in structures that are
+encoded as arrays; `rename` maps each field to its encoded name.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from ..admin.types import Name
 from .shard_table import MAX_PREFIXES, ShardAssignment, ShardKey
 
-MAX_CHUNK_SERVERS = 200  # in one report: a body of the API takes no more
+MAX_CHUNK_SERVERS = 200  # in one report, since the API limits the size of a request body
 MAX_SERVERS = 4096
-MAX_LOST_PINS = 64  # in one report; the rest follows
+MAX_LOST_PINS = 64  # in one report; the rest goes with later reports
 
 
 class ReportedServer(NamedTuple):
@@ -24,9 +24,9 @@
 
     uid: str
     zone: str
-    weight: float  # beside the others; 0: none is known, it counts as 1
-    started_at: float  # as discovery says; a server that restarted has another one
-    accepts_new: bool  # may be sent something new
+    weight: float  # relative to the other servers; 0: unknown, counts as 1
+    started_at: float  # as reported by discovery; changes when the server restarts
+    accepts_new: bool  # may be sent new operations
 
 
 class RelabelledServer(NamedTuple):
@@ -56,7 +56,7 @@
     forbid_unknown_fields=True,
     rename={"store_revision": "since"},
 ):
-    """A pin that a router acted by and that the store, an older copy, does not have."""
+    """A pin that a router acted by and that the store, restored from an older copy, lacks."""
 
     incarnation: int
     shard: Name
@@ -76,11 +76,11 @@
         "lost_pins": "doubts",
     },
 ):
-    """A router's part of its report."""
+    """The placement section of a router's report."""
 
     table_revision: Annotated[int, Meta(ge=0)] = 0
-    revision_digest: Annotated[str, Meta(max_length=32)] = ""  # of the table's revision, as it was told
-    # The newest revision by which no attempt is in flight that a table of it would not send.
+    revision_digest: Annotated[str, Meta(max_length=32)] = ""  # of `table_revision`, as issued
+    # The newest revision whose table allows the endpoints of all attempts in flight.
     effective_revision: Annotated[int, Meta(ge=0)] = 0
     server_chunk: ServerListChunk | None = None
     lost_pins: Annotated[tuple[LostPin, ...], Meta(max_length=MAX_LOST_PINS)] = ()
@@ -100,15 +100,15 @@
         "history_lost": "back",
     },
 ):
-    """The control plane's part of the feed."""
+    """The placement section of the control plane's feed."""
 
     revision: int
     revision_digest: str
-    is_complete: bool  # all shards, and not only those that changed
+    is_complete: bool  # `assignments` has all shards, not only the changed ones
     assignments: list[ShardAssignment]
     removed: list[ShardKey]
-    lease: float  # seconds, counted from when the router sent its call; 0: none
-    isolation_limit: float  # seconds after which a router that is cut off serves no tenant at all
+    lease: float  # seconds from when the router sent its request; 0: no lease
+    isolation_limit: float  # seconds; a router that is cut off for longer serves no tenant at all
     relabelled: list[RelabelledServer]
-    server_list_digest: str  # of the list that the control plane has; empty: none
-    history_lost: bool = False  # this router's table is of a history that the store does not have
+    server_list_digest: str  # of the server list that the control plane has; empty: it has none
+    history_lost: bool = False  # the router's table comes from history that the store lacks
--- a/gaugehinge/placement/reconciler.py
+++ b/gaugehinge/placement/reconciler.py
@@ -1,4 +1,4 @@
-"""Brings shards on from one stage of their lifecycle to the next, as routers follow and time passes."""
+"""Advances shards through the stages of their lifecycle, as routers catch up and deadlines pass."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 from .shard_table import ShardKey
 from .zone_changes import relabelled_changes
 
-RECONCILE_INTERVAL = 0.1  # seconds between two passes while a shard is in progress
-IDLE_INTERVAL = 2.0  # seconds between two passes while none is
+RECONCILE_INTERVAL = 0.1  # seconds between passes while any shard is in progress
+IDLE_INTERVAL = 2.0  # seconds between passes while no shard is in progress
 MAX_PENDING_LOST_PINS = 1024
 IN_PROGRESS_STAGES = (Stage.PREPARING, Stage.MIGRATING, Stage.REMOVING)
-AUTHOR = "keeper"  # of the control plane's own changes, in the audit log
+AUTHOR = "keeper"  # author of the control plane's own changes in the audit log
 
 
 @dataclass(slots=True, frozen=True)
 class PendingShard:
-    """A shard that the control plane has to bring on, as it is at a revision of the store."""
+    """A shard that the control plane has to advance, with its record as of a store revision."""
 
     record_id: str
     record: ShardRecord
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DueEvent:
-    """An event that is due for a shard record, as that is at a revision of the store."""
+    """An event that is due for a shard record, which has to be unchanged since `revision`."""
 
     record_id: str
     revision: int
@@ -49,7 +49,7 @@
 
 
 class ConditionTimer:
-    """Since when conditions have held without a break."""
+    """Tracks since when each condition has held without interruption."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         """`clock`: monotonic seconds."""
@@ -57,19 +57,22 @@
         self._since: dict[Hashable, float] = {}
 
     def has_lasted(self, key: Hashable, holds: bool, seconds: float) -> bool:
-        """Whether a condition holds and has done so for that long. To be asked again and again."""
+        """Whether a condition holds and has held for `seconds`.
+
+        Has to be called repeatedly: an interruption between two calls goes unnoticed.
+        """
         if not holds:
             self._since.pop(key, None)
             return False
         return self.clock() - self._since.setdefault(key, self.clock()) >= seconds
 
     def keep_only(self, keys: set[Hashable]) -> None:
-        """Forget all other conditions."""
+        """Forget all conditions except these."""
         self._since = {key: since for key, since in self._since.items() if key in keys}
 
 
 class Reconciler:
-    """Decides which shards go on, and writes that down before routers are told."""
+    """Decides which shards advance, and commits that to the store before routers are told."""
 
     def __init__(
         self,
@@ -80,31 +83,31 @@
         settings: PlacementConfig,
         clock: Callable[[], float],
     ) -> None:
-        """`settings`: times of flight and of deduplication; `clock`: monotonic seconds."""
+        """`settings`: gives the in-flight limit and the deduplication window; `clock`: monotonic seconds."""
         self.store_writer = store_writer
         self.index = index
         self.servers = servers
         self.leases = leases
-        self.flight_time = float(settings.flight)
+        self.flight_time = float(settings.flight)  # seconds; an attempt has arrived by then, or never will
         self.deduplication_window = float(settings.memory)
         self.timer = ConditionTimer(clock)
-        self.lost_pins: dict[ShardKey, LostPin] = {}  # not yet written; MAX_PENDING_LOST_PINS of them
-        self.relabelled_zones: set[str] = set()  # whose servers changed zones; not yet written
+        self.lost_pins: dict[ShardKey, LostPin] = {}  # not yet stored; at most MAX_PENDING_LOST_PINS
+        self.relabelled_zones: set[str] = set()  # zones that a server changed from or to; not yet stored
 
     @property
     def has_work(self) -> bool:
-        """Whether a pass would have something to do."""
+        """Whether a reconcile pass has anything to do."""
         return bool(self.index.needs_work or self.lost_pins or self.relabelled_zones)
 
     def report_lost_pin(self, lost: LostPin) -> None:
-        """Note a pin that a router acted by and the store does not have."""
+        """Queue a pin that a router acted by and that the store does not have, for the next pass."""
         if len(self.lost_pins) < MAX_PENDING_LOST_PINS:
             self.lost_pins[ShardKey(lost.incarnation, lost.shard)] = lost
 
     async def reconcile(self) -> float:
-        """One pass; returns the seconds until the next one.
+        """Run one pass, and return the seconds until the next one.
 
-        Raises RevisionConflictError where a shard was changed meanwhile, and as the store does.
+        Raises RevisionConflictError if a shard was changed during the pass, and other errors of the store.
         """
         await self._record_reports()
         pending = await self.store_writer.run_sync(self._pending_shards)
@@ -115,7 +118,7 @@
         return self._time_to_next(pending)
 
     async def _record_reports(self) -> None:
-        """Write down what routers reported of lost pins and relabelled servers."""
+        """Store the lost pins and relabelled servers that routers reported."""
         if not (self.lost_pins or self.relabelled_zones):
             return
         lost_pins, zones = dict(self.lost_pins), set(self.relabelled_zones)
@@ -137,7 +140,7 @@
         return changes
 
     def _pending_shards(self) -> list[PendingShard]:
-        """On the store's thread."""
+        """The shards to advance, sorted by record id. Called on the store's thread."""
         self.index.refresh(self.store_writer.store)
         self.servers.refresh(self.store_writer.store)
         return [
@@ -152,7 +155,7 @@
         due = min((at - self.store_writer.clock() for at in scheduled), default=IDLE_INTERVAL)
         return min(max(due, RECONCILE_INTERVAL), IDLE_INTERVAL)
 
-    # -- which event is due
+    # -- due events
 
     def _due_events(self, pending: list[PendingShard]) -> list[DueEvent]:
         events = []
@@ -187,14 +190,14 @@
         return not self.servers.zones().isdisjoint(record.target.all_zones())
 
     def _have_caught_up(self, shard: PendingShard) -> bool:
-        """Whether all routers follow, and what they sent before has arrived."""
+        """Whether all routers follow the shard's revision, and attempts sent before that have arrived."""
         behind = self.leases.routers_behind(shard.revision, shard.record.may_serve_without_lease)
         return self.timer.has_lasted((shard.record_id, shard.revision), not behind, self.flight_time)
 
-    # -- carrying events out
+    # -- applying events
 
     def _apply(self, store: Store, now: float, events: list[DueEvent]) -> list[Mutation]:
-        """Changes that carry events out; a shard that changed meanwhile waits for the next pass."""
+        """The changes that apply events; a shard that has changed since is left for the next pass."""
         self.index.refresh(store)
         changes: list[Mutation] = []
         for due in events:
@@ -209,10 +212,10 @@
     def _advance(
         self, store: Store, now: float, record: ShardRecord, event: Event, changes: list[Mutation]
     ) -> ShardRecord | None:
-        """The record after an event, None where the shard is removed; may append to `changes`."""
+        """The record after an event, None if the shard is removed; may append a snapshot to `changes`."""
         lifecycle = transition(lifecycle_of(record), event)
         if lifecycle.stage is Stage.REMOVED:
-            logger.info("shard {} of {} gone", record.shard, record.tenant)
+            logger.info("shard {} of tenant {} removed", record.shard, record.tenant)
             return None
         after = with_lifecycle(record, lifecycle, now)
         if lifecycle.stage in SETTLED_STAGES or lifecycle.removal_acknowledged:
@@ -221,5 +224,5 @@
         if event is Event.ROUTERS_CAUGHT_UP and required:
             after = add_present_servers(store, after, self.servers.inventory, changes, now)
         if after.stage is not record.stage:
-            logger.info("shard {} of {} {}", record.shard, record.tenant, after.stage.value)
+            logger.info("shard {} of tenant {} is now {}", record.shard, record.tenant, after.stage.value)
         return after
--- a/gaugehinge/placement/records.py
+++ b/gaugehinge/placement/records.py
@@ -1,6 +1,6 @@
-"""What placement keeps in the store: shard records, and the kinds of items beside them. No I/O.
+"""Placement's items in the store: shard records and the other kinds of items. No I/O.
 
-The names of kinds and of encoded fields are a format on disk; `rename` maps each field to its encoded name.
+The names of kinds and of encoded fields are an on-disk format; `rename` maps each field to its encoded name.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from .lifecycle import SETTLED_STAGES, Lifecycle, Stage
 from .shard_table import ShardKey
 
-SHARD = "shard"  # a ShardRecord, by "<incarnation>/<shard>"
-CHANGE_BUDGET = "shard-budget"  # of a tenant, by its incarnation
-SERVER_SNAPSHOT = "shard-crowd"  # servers that may hold copies, by the digest of the body
+SHARD = "shard"  # a ShardRecord; id "<incarnation>/<shard>"
+CHANGE_BUDGET = "shard-budget"  # a tenant's ChangeBudget; id: its incarnation
+SERVER_SNAPSHOT = "shard-crowd"  # servers that may hold copies; id: the digest of the body
 NOTE = "shard-note"
-RELABELLED_NOTE = "unsure"  # the only note: servers whose zone changed without a restart
+RELABELLED_NOTE = "unsure"  # id of the only note: servers whose zone changed without a restart
 
 
 class ShardRecord(
@@ -42,17 +42,17 @@
         "former_rates": "former",
     },
 ):
-    """One shard as the store has it.
+    """A shard as it is stored.
 
-    From `current` to `removal_acknowledged` the fields are those of its `Lifecycle`.
+    The fields from `current` to `removal_acknowledged`, and `stage`, are those of its `Lifecycle`.
     """
 
     incarnation: int
     tenant: str
     shard: str
     prefixes: tuple[str, ...]
-    reserved_rate: float  # operations a second that count at its first region
-    version: int  # revision of the tenant's last change: the entity tag
+    reserved_rate: float  # operations per second, reserved at its first region
+    version: int  # store revision of the tenant's last change; serves as the entity tag
     stage: Stage
     stage_since: float  # Unix seconds
     current: RegionAffinity | None = None
@@ -63,22 +63,27 @@
     required_everywhere: bool = False
     may_serve_without_lease: bool = False
     removal_acknowledged: bool = False
-    requested_regions: tuple[str, ...] = ()  # these four as the tenant requested them last
+    requested_regions: tuple[str, ...] = ()  # this and the next three: the tenant's latest request
     requested_mode: str = ""  # "only" or "prefer"
     requested_rate: float = 0.0
-    requested_start: float = 0.0  # Unix seconds; 0: at once
-    server_snapshot: str = ""  # the servers present when it was confined: copies may be left there
+    requested_start: float = 0.0  # Unix seconds; 0: immediately
+    server_snapshot: str = ""  # id; servers that were present when it was confined: they may hold copies
     confined_at: float = 0.0  # Unix seconds
-    former_rates: dict[str, float] = {}  # operations a second at regions that routers may still serve it from
+    # Operations per second, by region that routers may still serve the shard from.
+    former_rates: dict[str, float] = {}
 
     @property
     def key(self) -> ShardKey:
-        """Its key in routers' tables."""
+        """The shard's key in the routers' tables."""
         return ShardKey(self.incarnation, self.shard)
 
     @property
     def rate_by_region(self) -> dict[str, float]:
-        """Operations a second that it reserves, by region: where it is, goes to, and may still be served."""
+        """Operations per second that it reserves, by region.
+
+        These are the first regions of its current and its target placement, and regions that routers may still
+        serve it from.
+        """
         rates = dict(self.former_rates)
         for affinity in (self.current, self.target):
             if affinity is not None and affinity.regions:
@@ -88,24 +93,24 @@
 
     @property
     def is_ending(self) -> bool:
-        """Whether its tenant has removed it: by its name it does not exist any more."""
+        """Whether its tenant has removed it; the API then treats it as nonexistent."""
         return self.removal_requested or self.stage is Stage.REMOVING
 
 
 class StoredShard(NamedTuple):
-    """A shard record and the revision of the store at which it was written."""
+    """A shard record and the store revision at which it was written."""
 
     record: ShardRecord
     revision: int
 
 
 def record_id(incarnation: int, shard: str) -> str:
-    """The store's id of a shard record."""
+    """The id of a shard record in the store."""
     return f"{incarnation}/{shard}"
 
 
 def shard_key(record_id: str) -> ShardKey:
-    """The shard that an id of a record names."""
+    """The key of the shard that a record id names."""
     incarnation, _, shard = record_id.partition("/")
     return ShardKey(int(incarnation), shard)
 
@@ -126,7 +131,7 @@
 
 
 def with_lifecycle(record: ShardRecord, lifecycle: Lifecycle, now: float) -> ShardRecord:
-    """A copy of a record in another state, entered at `now` (Unix seconds)."""
+    """A copy of a record with another lifecycle state, entered at `now` (Unix seconds)."""
     stage = lifecycle.stage
     return msgspec.structs.replace(
         record,
@@ -144,17 +149,17 @@
 
 
 def needs_work(record: ShardRecord) -> bool:
-    """Whether the control plane has to bring the shard on by itself."""
+    """Whether the control plane still has to advance the shard by itself."""
     if record.stage is Stage.QUARANTINED:
         return bool(record.scheduled_at)
     return record.stage not in SETTLED_STAGES or bool(record.scheduled_at) or record.retries_blocked
 
 
 def former_rates(record: ShardRecord | None, lifecycle: Lifecycle) -> dict[str, float]:
-    """What a shard that enters `lifecycle` still reserves at regions that routers may serve it from.
+    """Operations per second that a shard entering `lifecycle` keeps reserved, by former region.
 
-    From the tenant's change until all routers follow it: otherwise another tenant would be given capacity
-    that is still used.
+    They stay reserved from the tenant's change until all routers follow it, since routers may serve the shard
+    from there until then; otherwise another tenant would be given capacity that is still in use.
     """
     settled = lifecycle.stage in SETTLED_STAGES and lifecycle.target is None
     if record is None or lifecycle.removal_acknowledged or settled:
--- a/gaugehinge/placement/server_inventory.py
+++ b/gaugehinge/placement/server_inventory.py
@@ -1,4 +1,4 @@
-"""The list of servers as routers report it to the control plane. No I/O, no clock of its own."""
+"""The list of cache servers that routers report to the control plane. No I/O, no clock of its own."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from .messages import MAX_CHUNK_SERVERS, MAX_SERVERS, ReportedServer, ServerListChunk
 
-MAX_PARTIAL_LISTS = 16  # lists of which some chunks have come; the oldest goes first
+MAX_PARTIAL_LISTS = 16  # incomplete lists that are kept; the oldest is dropped first
 
 
 class ServerPresence(NamedTuple):
-    """A server that was present somewhere. Encoded as an array."""
+    """A server that was present in a zone. Encoded as an array."""
 
     uid: str
     zone: str
@@ -28,12 +28,12 @@
 
 
 def server_list_digest(servers: list[ReportedServer]) -> str:
-    """The digest of a whole list, in the order of its names."""
+    """The digest of a whole list, which has to be sorted by name."""
     return xxh3_64_hexdigest(msgspec.json.encode(servers))
 
 
 def split_server_list(servers: list[ReportedServer]) -> list[ServerListChunk]:
-    """A list as it is reported, in chunks; an empty one is one chunk."""
+    """Split a list into the chunks in which it is reported; an empty list is one chunk."""
     digest = server_list_digest(servers)
     return [
         ServerListChunk(digest, len(servers), offset, servers[offset : offset + MAX_CHUNK_SERVERS])
@@ -43,18 +43,19 @@
 
 @dataclass(slots=True)
 class ServerInventory:
-    """The newest whole list that any router reported, and servers that left it."""
+    """The newest complete list that any router reported, and the servers that have left it."""
 
-    digest: str = ""  # of the newest list; empty: there is none yet
-    current: dict[str, ReportedServer] = field(default_factory=dict)  # of the newest list
-    departed: dict[str, ReportedServer] = field(default_factory=dict)  # MAX_SERVERS of them
-    relabelled: dict[str, float] = field(default_factory=dict)  # zone changed without a restart: its start
+    digest: str = ""  # of the newest list; empty: none has been completed yet
+    current: dict[str, ReportedServer] = field(default_factory=dict)  # by uid, the newest list
+    departed: dict[str, ReportedServer] = field(default_factory=dict)  # by uid; at most MAX_SERVERS
+    # By uid: start times of servers whose zone changed without a restart.
+    relabelled: dict[str, float] = field(default_factory=dict)
     _partial: dict[_PartialListKey, dict[int, list[ReportedServer]]] = field(default_factory=dict)
 
     def add_chunk(self, router: str, chunk: ServerListChunk) -> set[str]:
-        """Take a chunk of a router's list.
+        """Add a chunk of a router's list; the chunk that completes the list makes it the current one.
 
-        Returns the zones whose servers changed zones without a restart: empty for most chunks.
+        Returns the old and new zones of servers that changed zones without a restart; empty for most chunks.
         """
         key = _PartialListKey(router, chunk.digest)
         chunks = self._partial.setdefault(key, {})
@@ -84,21 +85,21 @@
         return zones
 
     def _detect_relabelling(self, before: ReportedServer | None, server: ReportedServer) -> set[str]:
-        """The zones that a server changed without a restart, where that is news."""
+        """Both zones of a server that changed zones without a restart; empty if that is known already."""
         uid = server.uid
         if uid in self.relabelled and self.relabelled[uid] != server.started_at:
             del self.relabelled[uid]
         if before is None or before.zone == server.zone or server.started_at > before.started_at:
             return set()
-        # Routers whose lists differ report one change again and again: a server that no key goes to any more
-        # disturbs nobody a second time.
+        # Routers whose lists differ report the same change repeatedly. After the first report no key of a
+        # required shard goes to the server any more, so later ones need not disturb the shards again.
         if self.relabelled.get(uid) == server.started_at:
             return set()
         self.relabelled[uid] = server.started_at
         return {before.zone, server.zone}
 
     def snapshot(self) -> list[ServerPresence]:
-        """Everything that may hold a copy of a value now, in the order of names."""
+        """All servers that may hold a copy of a value now, sorted by name."""
         servers = {**self.departed, **self.current}
         return [
             ServerPresence(server.uid, server.zone, server.started_at)
--- a/gaugehinge/placement/server_snapshots.py
+++ b/gaugehinge/placement/server_snapshots.py
@@ -1,4 +1,4 @@
-"""Servers that were present when a shard was confined: copies of its values may be left at them."""
+"""Servers that were present when a shard was confined, and may still hold copies of its values."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def read_snapshot(store: Store, snapshot_id: str) -> list[ServerPresence]:
-    """Name, zone and start of each server of a snapshot; none where there is no such snapshot."""
+    """Name, zone and start time of each server in a snapshot; empty if there is no such snapshot."""
     item = store.get(SERVER_SNAPSHOT, snapshot_id) if snapshot_id else None
     return msgspec.json.decode(item.body, type=list[ServerPresence]) if item else []
 
@@ -21,9 +21,9 @@
 def add_present_servers(
     store: Store, record: ShardRecord, inventory: ServerInventory, changes: list[Mutation], now: float
 ) -> ShardRecord:
-    """A copy of a record that also names the servers present now, at `now` (Unix seconds).
+    """A copy of a record whose snapshot also has the servers that are present at `now` (Unix seconds).
 
-    A snapshot that the store does not have is appended to `changes`.
+    The snapshot is appended to `changes` unless the store or `changes` has it already.
     """
     servers = set(read_snapshot(store, record.server_snapshot))
     body = encode(sorted(servers | set(inventory.snapshot())))
@@ -35,7 +35,10 @@
 
 
 def stale_copies(store: Store, record: ShardRecord, inventory: ServerInventory) -> list[Copy]:
-    """Servers outside a required shard's zones that have not restarted since it was confined."""
+    """Servers outside a required shard's zones that have not restarted since it was confined.
+
+    They may still hold copies of its values.
+    """
     if record.current is None or not record.current.required:
         return []
     inside = record.current.all_zones()
--- a/gaugehinge/placement/shard_changes.py
+++ b/gaugehinge/placement/shard_changes.py
@@ -1,4 +1,4 @@
-"""Changes that tenants make to their shards: each one is checked and written in one transaction."""
+"""Changes that tenants make to their shards; each is checked and committed in one transaction."""
 
 from __future__ import annotations
 
@@ -38,15 +38,16 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantShards:
-    """A tenant with its shards by name, each with the revision of its record."""
+    """A tenant and its shards by name, each with the revision of its record."""
 
     tenant: TenantRecord
     shards: Mapping[str, StoredShard]
 
     def rate_of_others(self, shard: str) -> float:
-        """Operations a second that the tenant's other shards have.
+        """Operations per second that the tenant's other shards reserve.
 
-        What the tenant removed is its own again at once; at its region it counts until routers follow.
+        The rate of a shard that the tenant removed is available to the tenant again at once, although it
+        counts against the region's capacity until all routers follow the removal.
         """
         return sum(
             record.reserved_rate
@@ -57,11 +58,11 @@
 
 @dataclass(slots=True, frozen=True)
 class AdmittedPin:
-    """What was admitted of a tenant's request."""
+    """The outcome of the admission checks on a tenant's request."""
 
     prefixes: tuple[str, ...]
-    rate: float  # operations a second
-    version: int  # revision of the store that the change gets: the entity tag
+    rate: float  # operations per second
+    version: int  # store revision that the change will get; serves as the entity tag
 
 
 class ShardChanges:
@@ -76,7 +77,7 @@
         settings: PlacementConfig,
         on_change: Callable[[], None],
     ) -> None:
-        """`on_change`: called after each change that was made."""
+        """`on_change`: called after each committed change."""
         self.administration = administration
         self.index = index
         self.capacity = capacity
@@ -85,7 +86,7 @@
         self.on_change = on_change
 
     def tenant_shards(self, store: Store, name: str) -> TenantShards:
-        """A tenant and its shards, on the store's thread. Raises ApiError where there is no such tenant."""
+        """A tenant and its shards, read on the store's thread. Raises ApiError if it does not exist."""
         item = store.get(TENANT_KIND, name)
         if item is None:
             raise NotFoundError(f"no tenant {name}")
@@ -103,10 +104,10 @@
         caller: str,
         idempotency: IdempotencyKey | None = None,
     ) -> ShardShown:
-        """Pin a shard, or change its pin. Raises ApiError where it is refused.
+        """Pin a shard, or change its pin. Raises ApiError if the change is refused.
 
-        `expected_version`: the entity tag that the caller read, None for a new shard; `idempotency`: of
-        the call, where it has a key.
+        `expected_version`: the entity tag that the caller read, None for a new shard; `idempotency`: the
+        call's idempotency key, if it has one.
         """
 
         def plan(store: Store, now: float) -> list[Mutation]:
@@ -139,7 +140,7 @@
     def _admit(
         self, store: Store, tenant_shards: TenantShards, shard: str, wanted: ShardWanted
     ) -> AdmittedPin:
-        """Check a pin against what its tenant and its regions can take. Raises ApiError, AdmissionError."""
+        """Check a pin against the tenant's quotas and regions' capacity. Raises ApiError, AdmissionError."""
         stored = tenant_shards.shards.get(shard)
         record = stored.record if stored is not None else None
         prefixes = check_prefixes(shard, wanted, record, tenant_shards.shards)
@@ -159,7 +160,7 @@
         return transition(lifecycle_of(record) if record else None, event, affinity, wanted.at)
 
     async def remove(self, tenant: str, shard: str, expected_version: int, caller: str) -> None:
-        """Remove the pin of a shard. Raises ApiError where it is refused."""
+        """Remove the pin of a shard. Raises ApiError if the removal is refused."""
 
         def plan(store: Store, now: float) -> list[Mutation]:
             with _api_errors():
@@ -188,7 +189,7 @@
         return [Mutation(SHARD, record_id(incarnation, shard), body, revision), budget]
 
     def _charge_budget(self, store: Store, incarnation: int, now: float) -> Mutation:
-        """The change that takes one off a tenant's budget of changes. Raises AdmissionError."""
+        """The mutation that takes one change off a tenant's budget. Raises AdmissionError if none is left."""
         stored = store.get(CHANGE_BUDGET, str(incarnation))
         per_hour = self.settings.changes
         budget = ChangeBudget(per_hour, now)
@@ -198,7 +199,7 @@
         return Mutation(CHANGE_BUDGET, str(incarnation), body, stored.revision if stored else 0)
 
     def _response_body(self, committed: list[Change]) -> bytes:
-        """The answer to a call, from the changes that it made: the record is the first."""
+        """The response body for a call, built from its changes; the first one is the shard record."""
         record = msgspec.json.decode(committed[0].body or b"", type=ShardRecord)
         return msgspec.json.encode(self.presenter.view(None, record, committed[0].revision))
 
@@ -211,7 +212,7 @@
     lifecycle: Lifecycle,
     now: float,
 ) -> ShardRecord:
-    """The record of a shard that is pinned as its tenant wants; `now` in Unix seconds."""
+    """The record of a shard pinned as its tenant requested; `now` in Unix seconds."""
     stored = tenant_shards.shards.get(shard)
     before = stored.record if stored is not None else None
     record = ShardRecord(
@@ -236,7 +237,7 @@
 
 @contextmanager
 def _api_errors() -> Iterator[None]:
-    """Errors of decisions as the API tells them. Raises ApiError."""
+    """Turn admission and lifecycle errors into ApiError."""
     try:
         yield
     except AdmissionError as error:
--- a/gaugehinge/placement/store_reader.py
+++ b/gaugehinge/placement/store_reader.py
@@ -1,4 +1,4 @@
-"""Reading whole kinds of items from the store. On the store's thread alone."""
+"""Reads all items of a kind from the store. To be called on the store's thread only."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def iter_items(store: Store, kind: str) -> Iterator[Item]:
-    """All items of a kind, in the order of their ids, read page by page."""
+    """Iterate over all items of a kind, sorted by id; they are read page by page."""
     after = ""
     while items := store.items(kind, after, PAGE_SIZE):
         yield from items
@@ -25,13 +25,13 @@
 
 
 def iter_decoded(store: Store, kind: str, body_type: type[T]) -> Iterator[T]:
-    """The decoded bodies of all items of a kind."""
+    """Iterate over the decoded bodies of all items of a kind."""
     for item in iter_items(store, kind):
         yield msgspec.json.decode(item.body, type=body_type)
 
 
 def tenant_names(store: Store) -> dict[int, str]:
-    """Names of all tenants by incarnation, those that are being removed among them."""
+    """Names of all tenants by incarnation, including tenants that are being removed."""
     return {
         tenant.incarnation: tenant.name
         for kind in (TENANT_KIND, TOMBSTONE_KIND)
--- a/gaugehinge/placement/tenant_api.py
+++ b/gaugehinge/placement/tenant_api.py
@@ -1,4 +1,4 @@
-"""The HTTP calls by which tenants pin their shards."""
+"""The HTTP API through which tenants pin their shards."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     """Handlers below `/v1/tenants/{name}/shards`."""
 
     def __init__(self, store_writer: AsyncStore, changes: ShardChanges, presenter: ShardPresenter) -> None:
-        """`changes`: carries out what is asked for; `presenter`: makes the answers."""
+        """`changes`: applies requested changes; `presenter`: builds the responses."""
         self.store_writer = store_writer
         self.changes = changes
         self.presenter = presenter
 
     def routes(self) -> list[Route]:
-        """The routes of shards."""
+        """The API routes for shards."""
         path = "/v1/tenants/{name}/shards"
         return [
             Route("GET", path, "a tenant's shards", None, ShardPage, self.list_shards),
@@ -38,7 +38,7 @@
         ]
 
     async def list_shards(self, request: Request, caller: Caller) -> Response:
-        """GET /v1/tenants/{name}/shards. Raises ApiError where there is no such tenant."""
+        """GET /v1/tenants/{name}/shards. Raises ApiError if there is no such tenant."""
         tenant = request.path_params["name"]
         caller.require_role("reader", tenant)
         return json_response(
@@ -50,7 +50,7 @@
         return [self.presenter.view(store, record, revision) for record, revision in shards.values()]
 
     async def get_shard(self, request: Request, caller: Caller) -> Response:
-        """GET /v1/tenants/{name}/shards/{shard}. Raises ApiError where there is none."""
+        """GET /v1/tenants/{name}/shards/{shard}. Raises ApiError if there is no such shard."""
         tenant, shard = request.path_params["name"], request.path_params["shard"]
         caller.require_role("reader", tenant)
         shown = await self.store_writer.run_sync(self._view_one, self.store_writer.store, tenant, shard)
@@ -66,9 +66,9 @@
         return self.presenter.view(store, record, revision)
 
     async def put_shard(self, request: Request, caller: Caller) -> Response:
-        """PUT /v1/tenants/{name}/shards/{shard}: If-Match with the tag of what exists, none for a new one.
+        """PUT /v1/tenants/{name}/shards/{shard}; If-Match has the entity tag of an existing shard.
 
-        Raises ApiError where it is refused.
+        There is no If-Match for a new shard. Raises ApiError if the change is refused.
         """
         tenant, shard = request.path_params["name"], request.path_params["shard"]
         caller.require_role("operator", tenant)
@@ -82,7 +82,7 @@
         return await run_once(self.store_writer, request, caller, body, make)
 
     async def delete_shard(self, request: Request, caller: Caller) -> Response:
-        """DELETE /v1/tenants/{name}/shards/{shard}. Raises ApiError where it is refused."""
+        """DELETE /v1/tenants/{name}/shards/{shard}. Raises ApiError if the removal is refused."""
         tenant, shard = request.path_params["name"], request.path_params["shard"]
         caller.require_role("operator", tenant)
         await self.changes.remove(tenant, shard, if_match_revision(request), caller.name)
--- a/gaugehinge/placement/zone_changes.py
+++ b/gaugehinge/placement/zone_changes.py
@@ -1,6 +1,6 @@
-"""What becomes of shards when the zones of their regions or servers change under them.
+"""Changes to shards that follow when the zones of their regions or servers change.
 
-Both functions run on the store's thread, after the index followed the store.
+The public functions run on the store's thread, after the index was refreshed from the store.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 
 def settings_changes(index: ShardIndex, regions: Mapping[str, Sequence[str]], now: float) -> list[Mutation]:
-    """Changes that move shards to the zones that the settings name for their regions now.
+    """Changes that move shards to the zones that the settings now name for their regions.
 
-    `regions`: name to zones; `now`: Unix seconds.
+    `regions`: region names to zones; `now`: Unix seconds.
     """
     changes = []
     for record_id, (record, revision) in index.shards.items():
@@ -29,15 +29,16 @@
             continue
         event = Event.CHANGE_SCHEDULED if lifecycle.scheduled_at else Event.CHANGE_REQUESTED
         after = transition(lifecycle, event, affinity, lifecycle.scheduled_at)
-        logger.info("shard {} of {}: its regions have other zones", record.shard, record.tenant)
+        logger.info("shard {} of tenant {}: its regions have other zones now", record.shard, record.tenant)
         changes.append(Mutation(SHARD, record_id, encode(with_lifecycle(record, after, now)), revision))
     return changes
 
 
 def _outdated_affinity(lifecycle: Lifecycle, regions: Mapping[str, Sequence[str]]) -> RegionAffinity | None:
-    """The affinity that replaces the newest one of a shard; None where that is up to date.
+    """The affinity to replace a shard's newest one with; None if that is up to date.
 
-    Shards that end, and those pinned to a region that the settings do not name any more, stay as they are.
+    Shards whose removal was requested, and shards pinned to a region that the settings no longer name, stay
+    as they are.
     """
     newest = lifecycle.target if lifecycle.target is not None else lifecycle.current
     if newest is None or lifecycle.removal_requested or not newest.regions:
@@ -49,9 +50,10 @@
 
 
 def relabelled_changes(index: ShardIndex, zones: set[str], now: float) -> list[Mutation]:
-    """Changes that confirm anew the shards in zones whose servers changed zones without a restart.
+    """Changes that make shards wait for all routers again after servers changed zones without a restart.
 
-    `now`: Unix seconds.
+    `zones`: the old and the new zones of such servers; shards in other zones do not change. `now`:
+    Unix seconds.
     """
     changes = []
     for record_id, (record, revision) in index.shards.items():
