--- a/tests/placement_cluster.py
+++ b/tests/placement_cluster.py
@@ -1,4 +1,4 @@
-"""A control plane with placement, and routers that follow it, in one process."""
+"""Test cluster: a control plane with placement, and routers that follow it, in one process."""
 
 from contextlib import asynccontextmanager
 
@@ -11,7 +11,7 @@
 from gaugehinge.placement.control_plane import PlacementControlPlane
 from gaugehinge.rehearsal.hostedplay import hosting
 
-LONG_ISOLATION_LIMIT = Seconds(2.6)  # `alone`, where it has to stand out from the lease
+LONG_ISOLATION_LIMIT = Seconds(2.6)  # `alone`, for tests in which it has to be clearly longer than the lease
 SETTINGS = PlacementConfig(
     True,
     {"eu": ("a",), "us": ("b",), "ap": ("c",)},
@@ -26,7 +26,7 @@
 
 
 class PlacementCluster:
-    """The nodes of a cluster, and a tenant of it with a secret for the API."""
+    """The nodes of a cluster, and one tenant with a router secret and an API client."""
 
     def __init__(self, nodes, secret, api) -> None:
         self.nodes, self.secret, self.api = nodes, secret, api
@@ -34,7 +34,7 @@
 
     @property
     def control_plane(self) -> PlacementControlPlane:
-        """The part of the administration that is tested."""
+        """The placement extension under test."""
         return self.nodes.administration.extensions[0]
 
     async def put(self, shard, regions, status=200, match=None, key="", **more):
@@ -56,8 +56,11 @@
         return shown
 
     async def send(self, router, *keys, write=False, once=False, **labels) -> list[bytes]:
-        """Operations one by one. Not `once`: what is rejected is tried again, since on a busy machine a lease
-        of less than a second may run out between two calls."""
+        """Send one operation per key, in order, and return the responses.
+
+        Rejected operations are retried unless `once`: on a busy machine a lease of less than a second may
+        expire between two calls to the control plane.
+        """
         client = await self.nodes.client(router, self.secret)
         answers = []
         for key in keys:
@@ -80,7 +83,7 @@
         return answers
 
     def zones(self, *keys) -> set[str]:
-        """Zones whose servers saw a key."""
+        """The zones whose servers received any of the keys."""
         wanted = {b"1/" + key.encode() for key in keys}
         return {"abc"[int(seen.server[2:]) % 3] for seen in self.nodes.shelves.seen if seen.key in wanted}
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Shards pinned to regions: control plane and routers that hold to it, in one process."""
+"""Shards pinned to regions: a control plane, and routers that enforce the pins, in one process."""
 
 import httpx
 import msgspec
@@ -32,7 +32,7 @@
             cluster.clear_requests()
             await cluster.send(1, *KEYS)
             assert cluster.zones(*KEYS) == {"b"}
-            # a server outside that starts anew holds no copy any more
+            # A server outside the zones that restarts holds no copy any more.
             cluster.nodes.directory.change("c-0", state="ready", boot_ms=1_000_000)
             with trio.fail_after(10):
                 while "c-0" in {copy["server"] for copy in (await cluster.get("mine"))["copies"]}:
@@ -41,7 +41,9 @@
                 "/v1/tenants/acme/shards/mine", headers={"If-Match": moved.headers["etag"]}
             )
             assert removed.status_code == 204
-            assert (await cluster.get("mine"))["status"] == 404, "by its name it is not there"
+            assert (await cluster.get("mine"))["status"] == 404, (
+                "the API no longer shows a shard that is being removed"
+            )
             with trio.fail_after(20):
                 while (await cluster.api.get("/v1/tenants/acme/shards")).json()["shards"]:
                     await trio.sleep(0.05)
@@ -82,7 +84,7 @@
             headers = {"Authorization": f"Bearer {other.secret}"}
             response = await cluster.api.get("/v1/tenants/acme/shards", headers=headers)
             assert response.status_code == 403
-            # two changes race: one is told
+            # Of two concurrent changes one is rejected.
             tag, codes = first.headers["etag"], []
 
             async def change(region):
@@ -142,7 +144,9 @@
                                 assert response.status_code == status, response.text
                 finally:
                     logger.remove(handler_id)
-                assert sum("region eu bears" in line for line in log_lines) == 2, "once for each change"
+                assert sum("region eu bears" in line for line in log_lines) == 2, (
+                    "one log line for each change"
+                )
 
     run(scenario)
 
@@ -173,7 +177,7 @@
             created = await cluster.put("mine", ["eu"], prefixes=["eu/"], allowance=600)
             await cluster.wait_for_stage("mine", "confined")
             follower = cluster.nodes.followers[1]
-            follower.client.http.base_url = "http://127.0.0.1:9"  # goes on in the old region for a while
+            follower.client.http.base_url = "http://127.0.0.1:9"  # keeps serving the old region for a while
             await cluster.put("mine", ["us"], match=created.headers["etag"], allowance=10)
             await cluster.nodes.tenant("bolt", allowance=900.0)
             async with cluster.nodes.desk() as operator_api:
@@ -188,7 +192,7 @@
                 assert waited and response.status_code == 200
                 assert (await cluster.get("mine"))["stage"] == "confined"
             follower.client.http.base_url = cluster.nodes.api
-            # What its tenant lets end is its own again at once.
+            # The rate of a removed shard is available to its tenant again at once.
             rest = await cluster.put("rest", ["us"], prefixes=["rest/"], allowance=890)
             match = {"If-Match": rest.headers["etag"]}
             assert (
@@ -216,7 +220,9 @@
                     while len(cluster.control_plane.inventory.relabelled) < 2:
                         await trio.sleep(0.02)
                 response = await cluster.put("three", ["ap"], 409, prefixes=["3"], allowance=1001)
-                assert "'ap' bears 1000.0" in response.json()["detail"], "of four there two take no key"
+                assert "'ap' bears 1000.0" in response.json()["detail"], (
+                    "two of the four servers there take no key"
+                )
                 tenant = await operator_api.get("/v1/tenants/acme")
                 match = {"If-Match": tenant.headers["etag"]}
                 assert (await operator_api.delete("/v1/tenants/acme", headers=match)).status_code == 204
@@ -247,7 +253,9 @@
             with trio.fail_after(10):
                 while "c-0" not in placement.servers.current:
                     await trio.sleep(0.02)
-            assert "c-0" in placement.servers.relabelled, "before the keeper knows of it"
+            assert "c-0" in placement.servers.relabelled, (
+                "the router detects this before the control plane reports it"
+            )
             cluster.clear_requests()
             keys = [f"us/{number}" for number in range(30)]
             assert_served(await cluster.send(0, *keys))
@@ -257,9 +265,10 @@
 
 
 async def cut_off_with_valid_lease(cluster, follower, created) -> None:
-    """Cut router-1 off and move a shard from eu to us, with the lease of router-1 still valid in between.
+    """Cut router-1 off and move a shard from eu to us while the lease of router-1 is still valid.
 
-    On a busy machine its lease may be over by then, and the keeper waits for it no more: once again, then.
+    On a busy machine the lease may have expired by then, so that the control plane does not wait for the
+    router any more; the sequence is repeated until it does wait.
     """
     while True:
         follower.client.http.base_url = "http://127.0.0.1:9"
@@ -281,7 +290,7 @@
             follower = cluster.nodes.followers[1]
             await cut_off_with_valid_lease(cluster, follower, created)
             while (await cluster.get("mine"))["stage"] != "confined":
-                # whoever the keeper waits for may act by the old terms; the moment it does not, it must not
+                # A router may act by the old placement only as long as the control plane waits for it.
                 cluster.clear_requests()
                 shown = await cluster.send(1, *KEYS[:3], once=True)
                 after = await cluster.get("mine")
@@ -290,7 +299,8 @@
             cluster.clear_requests()
             answers = await cluster.send(1, *KEYS[:5], once=True)
             assert all(a.startswith(b"-BUSY ") for a in answers) and not cluster.zones(*KEYS)
-            assert_served(await cluster.send(1, "other"))  # what was never `only` goes on, for a time
+            # Keys that were never pinned as required are served until the isolation limit.
+            assert_served(await cluster.send(1, "other"))
             with trio.fail_after(20):
                 while (await cluster.send(1, "other", once=True))[0].startswith(b"$"):
                     await trio.sleep(0.2)
@@ -309,7 +319,7 @@
             routers=2, settings=msgspec.structs.replace(SETTINGS, alone=LONG_ISOLATION_LIMIT)
         ) as cluster:
             cluster.nodes.followers[1].client.http.base_url = "http://127.0.0.1:9"
-            await trio.sleep(1.4)  # its lease is over: it serves on what was never `only`
+            await trio.sleep(1.4)  # the lease has expired: it serves only keys never pinned as required
             assert_served(await cluster.send(1, KEYS[0]))
             await cluster.put("mine", ["eu"], prefixes=["eu/"])
             with trio.fail_after(20):
@@ -340,7 +350,7 @@
             (again,) = await cluster.send(1, "eu/w", write=True, k="m1", r="1")
             assert again.startswith(b"$") and cluster.nodes.shelves.seen[-1].repeat
             await cluster.put("mine", ["us"], match=created.headers["etag"])
-            cluster.nodes.shelves.marks.clear()  # the new place knows nothing of the old one's marks
+            cluster.nodes.shelves.marks.clear()  # new servers do not know the idempotency keys of the old
             cluster.clear_requests()
             held = 0
             while (shown := await cluster.get("mine"))["repeats_held"] or shown["stage"] != "confined":
@@ -382,7 +392,9 @@
             cluster.clear_requests()
             assert_served(await cluster.send(0, *KEYS))
             assert {seen.key.partition(b"/")[0] for seen in cluster.nodes.shelves.seen} == {b"2"}
-            assert len({seen.server for seen in cluster.nodes.shelves.seen}) > 2, "no pins of the former one"
+            assert len({seen.server for seen in cluster.nodes.shelves.seen}) > 2, (
+                "the pins of the removed tenant do not apply"
+            )
 
     run(scenario)
 
@@ -479,7 +491,7 @@
                 path.unlink()
             copy.rename(cluster.nodes.folder / "store.db")
             await cluster.nodes.keep()
-            # The copy goes on counting: past the number that routers had, under other marks.
+            # The copy passes the revision that routers had, with other digests.
             for number in range(8):
                 await cluster.nodes.administration.servers.set_draining(f"nobody-{number}", True, "play")
             await cluster.wait_for_stage("mine", "held")
@@ -498,7 +510,7 @@
             for follower in cluster.nodes.followers:
                 registry = follower.registry
                 assert registry.mark == cluster.nodes.keeper.store.revision_digest(registry.revision), (
-                    "of the copy's own past"
+                    "routers follow the history of the restored copy"
                 )
             assert (await cluster.send(0, "ap/1"))[0].startswith(b"$") and cluster.zones("ap/1") == {"c"}
             shown = await cluster.get("mine")
@@ -509,7 +521,7 @@
     run(scenario)
 
 
-# -- bad input
+# -- invalid input
 
 
 @pytest.mark.parametrize(
@@ -544,11 +556,11 @@
                     response = await router.post("/v1/feed", json=body)
                     assert response.status_code == 422 and response.json()["field"] == "parts.placement"
                 assert ("r", "x") not in cluster.control_plane.leases.leases.granted
-                # one that does not speak of placement is told nothing of it, and holds nobody up
+                # A router without placement gets no section and no lease, so no shard waits for it.
                 response = await router.post("/v1/feed", json={"router": "r", "run": "x"})
                 assert response.status_code == 200 and response.json()["parts"] == {}
                 assert ("r", "x") not in cluster.control_plane.leases.leases.granted
-                # a table of marks that nobody told counts as none
+                # A table with a digest that this run did not issue counts as none.
                 section = {"have": 5, "mark": "ff" * 16, "clear": 5}
                 body = {"router": "r", "run": "x", "parts": {"placement": section}}
                 response = await router.post("/v1/feed", json=body)
--- a/tests/test_placement_cases.py
+++ b/tests/test_placement_cases.py
@@ -1,4 +1,4 @@
-"""Two hard cases of placement on processes, as shipped and with a router that does each of them wrong."""
+"""Two hard cases of placement on real processes, with sound routers and with one that handles it wrongly."""
 
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
@@ -7,13 +7,13 @@
 
 from gaugehinge.rehearsal import misplaced, placementcases
 
-FAULTS = ("dozes", "inherits")  # woken, again
+FAULTS = ("dozes", "inherits")  # found in the cases `woken` and `again`
 BAD = "router-1"
 TIMEOUT = 150.0  # seconds
 
 
 def seed_of(case: str) -> int:
-    """The first seed of a case whose woken router is cut off from the keeper."""
+    """The first seed of a case in which the woken router is cut off from the control plane."""
     names = [each.__name__ for each in placementcases.CASES]
     return next(
         seed
@@ -23,7 +23,10 @@
 
 
 def play(fault: str, planted: bool, folder):
-    """The outcome of one play; each runs in a process of its own: none holds up another's loop."""
+    """Run one play, and return its outcome.
+
+    Each play runs in its own process, so that none delays the event loop of another.
+    """
 
     async def main():
         with trio.fail_after(TIMEOUT):
@@ -43,7 +46,11 @@
         case, rules = misplaced.FINDS[fault]
         told = "\n".join(each.told() for each in found[fault, False].breaks)
         assert not told, f"{case}\n{told}"
-        assert any(found[fault, False].looked_at.get(rule) for rule in rules), f"{case}: nothing was shown"
+        assert any(found[fault, False].looked_at.get(rule) for rule in rules), (
+            f"{case}: the check was vacuous"
+        )
         breaks = found[fault, True].breaks
-        assert {each.rule for each in breaks} & rules, f"{fault} is not found in {case}"
-        assert all(BAD in each.parties for each in breaks if each.parties), f"{fault}: others are blamed"
+        assert {each.rule for each in breaks} & rules, f"{fault} was not detected in {case}"
+        assert all(BAD in each.parties for each in breaks if each.parties), (
+            f"{fault}: other routers were blamed"
+        )
--- a/tests/test_placement_compatibility.py
+++ b/tests/test_placement_compatibility.py
@@ -1,4 +1,7 @@
-"""What the version before stored and sent is read, and written alike (tests/data/placement/README.md)."""
+"""Data that the previous version stored and sent is read, and written unchanged.
+
+The data is described in tests/data/placement/README.md.
+"""
 
 import json
 from pathlib import Path
@@ -49,7 +52,7 @@
 
 @pytest.fixture
 def store(tmp_path):
-    """A store with the items of the version before, of the shards and of the tenant while it existed."""
+    """A store with items of the previous version: those of the shards, and the tenant while it existed."""
     opened = Store(tmp_path / "store.db")
     items = [*WRITTEN["items"], *(item for item in WRITTEN["tenants"] if item["kind"] == "tenant")]
     for item in sorted(items, key=lambda item: item["rev"]):
@@ -59,7 +62,7 @@
 
 
 def control_plane(store: Store) -> PlacementControlPlane:
-    """The control plane on a store, with nothing around it."""
+    """The control plane's placement on a store, without the rest of the administration."""
     keeper = SimpleNamespace(store=store, clock=lambda: 1e9)
     administration = SimpleNamespace(store_writer=keeper, leases=SimpleNamespace(duration=2.0))
     placement = PlacementControlPlane(administration, SETTINGS, clock=lambda: 0.0)
@@ -90,7 +93,7 @@
     written = {row["shard"]: row for row in WRITTEN["rows"]}
     sent = {row.shard: msgspec.to_builtins(row) for row in changes.assignments}
     for row in (*written.values(), *sent.values()):
-        del row["rev"]  # the items were written to another store
+        del row["rev"]  # revisions differ: the items were written to another store
     assert msgspec.json.encode(sent) == msgspec.json.encode({shard: written[shard] for shard in sent})
     assert sent.keys() == written.keys()
     assert sorted(index.needs_work) == sorted(
@@ -103,7 +106,7 @@
 
 def test_records_are_shown_to_tenants_as_before(store):
     placement = control_plane(store)
-    volatile_fields = ("stage", "waits_for", "copies")  # of the run and of the servers that it knows
+    volatile_fields = ("stage", "waits_for", "copies")  # depend on the run and on the servers that it knows
     for record, revision in placement.index.shards.values():
         shown = msgspec.to_builtins(placement.changes.presenter.view(store, record, revision))
         written = WRITTEN["views"][record.shard]
@@ -121,7 +124,7 @@
     assert tenant_names(store) == {1: "acme"}
     budget = placement.changes._charge_budget(store, 1, 1e9)
     assert budget.expected_revision == store.get("shard-budget", "1").revision
-    assert sweep_changes(store, placement.index) == [], "all of it is in use"
+    assert sweep_changes(store, placement.index) == [], "nothing may be swept: all items are in use"
 
 
 def test_a_tombstone_frees_what_its_tenant_had_reserved(store):
@@ -138,7 +141,7 @@
         assert bool(planner.regions(store).reserved) is not clear
     store.apply([Mutation("tombstone", tombstone["ident"], None)], "before", 1e9)
     swept = {change.kind for change in sweep_changes(store, placement.index)}
-    assert swept == {"shard", "shard-budget"}, "snapshots go once no shard names them"
+    assert swept == {"shard", "shard-budget"}, "snapshots are only removed once no shard names them"
 
 
 def test_a_router_applies_the_update_of_the_previous_version():
--- a/tests/test_placement_play.py
+++ b/tests/test_placement_play.py
@@ -1,4 +1,4 @@
-"""Small plays of many processes in which tenants move shards; hundreds are played by rehearsal.plays."""
+"""Small multi-process plays in which tenants move shards; `rehearsal.plays` runs hundreds of them."""
 
 import trio
 
@@ -23,5 +23,5 @@
     for seed, outcome in found.items():
         assert not outcome.breaks, "\n".join([f"seed {seed}", *(each.told() for each in outcome.breaks)])
     seen = [outcome.looked_at["confined"] for outcome in found.values()]
-    assert sum(seen) > 0, "no key of a confined shard came to a server: nothing was shown"
+    assert sum(seen) > 0, "no key of a confined shard reached a server: the check was vacuous"
     assert sum(outcome.figures["moves"] for outcome in found.values()) >= len(SEEDS)
