--- a/gaugehinge/placement/records.py
+++ b/gaugehinge/placement/records.py
@@ -81,7 +81,7 @@
     def rate_by_region(self) -> dict[str, float]:
         """Operations per second that it reserves, by region.
 
-        These are the first regions of its current and its target placement, and regions that routers may still
+        These are the first regions of its current and target placement, and regions that routers may still
         serve it from.
         """
         rates = dict(self.former_rates)
