--- a/tests/test_placement_cases.py
+++ b/tests/test_placement_cases.py
@@ -8,7 +8,7 @@
 from gaugehinge.rehearsal import misplaced, placementcases
 
 FAULTS = ("dozes", "inherits")  # found in the cases `woken` and `again`
-BAD = "router-1"
+FAULTY_ROUTER = "router-1"
 TIMEOUT = 150.0  # seconds
 
 
@@ -31,7 +31,7 @@
     async def main():
         with trio.fail_after(TIMEOUT):
             seed = seed_of(misplaced.FINDS[fault][0])
-            faults = {BAD: fault} if planted else None
+            faults = {FAULTY_ROUTER: fault} if planted else None
             return await placementcases.play(seed, folder, faults, placementcases.SMALL)
 
     return trio.run(main)
@@ -41,16 +41,16 @@
     plays = [(fault, planted) for fault in FAULTS for planted in (False, True)]
     with ProcessPoolExecutor(len(plays), get_context("spawn")) as pool:
         running = {one: pool.submit(play, *one, tmp_path / "-".join(map(str, one))) for one in plays}
-        found = {one: outcome.result() for one, outcome in running.items()}
+        outcomes = {one: outcome.result() for one, outcome in running.items()}
     for fault in FAULTS:
         case, rules = misplaced.FINDS[fault]
-        told = "\n".join(each.told() for each in found[fault, False].breaks)
-        assert not told, f"{case}\n{told}"
-        assert any(found[fault, False].looked_at.get(rule) for rule in rules), (
+        violations = "\n".join(each.told() for each in outcomes[fault, False].breaks)
+        assert not violations, f"{case}\n{violations}"
+        assert any(outcomes[fault, False].looked_at.get(rule) for rule in rules), (
             f"{case}: the check was vacuous"
         )
-        breaks = found[fault, True].breaks
+        breaks = outcomes[fault, True].breaks
         assert {each.rule for each in breaks} & rules, f"{fault} was not detected in {case}"
-        assert all(BAD in each.parties for each in breaks if each.parties), (
+        assert all(FAULTY_ROUTER in each.parties for each in breaks if each.parties), (
             f"{fault}: other routers were blamed"
         )
--- a/tests/test_placement_compatibility.py
+++ b/tests/test_placement_compatibility.py
@@ -63,8 +63,8 @@
 
 def control_plane(store: Store) -> PlacementControlPlane:
     """The control plane's placement on a store, without the rest of the administration."""
-    keeper = SimpleNamespace(store=store, clock=lambda: 1e9)
-    administration = SimpleNamespace(store_writer=keeper, leases=SimpleNamespace(duration=2.0))
+    store_writer = SimpleNamespace(store=store, clock=lambda: 1e9)
+    administration = SimpleNamespace(store_writer=store_writer, leases=SimpleNamespace(duration=2.0))
     placement = PlacementControlPlane(administration, SETTINGS, clock=lambda: 0.0)
     placement.index.refresh(store)
     return placement
