--- a/tests/test_placement_cases.py
+++ b/tests/test_placement_cases.py
@@ -1,4 +1,4 @@
-"""Two hard cases of placement on processes, as shipped and with a router that does each of them wrong."""
+"""Two hard cases of placement on real processes, with sound routers and with one that handles it wrongly."""
 
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
@@ -7,13 +7,13 @@
 
 from gaugehinge.rehearsal import misplaced, placementcases
 
-FAULTS = ("dozes", "inherits")  # woken, again
-BAD = "router-1"
+FAULTS = ("dozes", "inherits")  # found in the cases `woken` and `again`
+FAULTY_ROUTER = "router-1"
 TIMEOUT = 150.0  # seconds
 
 
 def seed_of(case: str) -> int:
-    """The first seed of a case whose woken router is cut off from the keeper."""
+    """The first seed of a case in which the woken router is cut off from the control plane."""
     names = [each.__name__ for each in placementcases.CASES]
     return next(
         seed
@@ -23,27 +23,34 @@
 
 
 def play(fault: str, planted: bool, folder):
-    """The outcome of one play; each runs in a process of its own: none holds up another's loop."""
+    """Run one play, and return its outcome.
+
+    Each play runs in its own process, so that none delays the event loop of another.
+    """
 
     async def main():
         with trio.fail_after(TIMEOUT):
             seed = seed_of(misplaced.FINDS[fault][0])
-            faults = {BAD: fault} if planted else None
+            faults = {FAULTY_ROUTER: fault} if planted else None
             return await placementcases.play(seed, folder, faults, placementcases.SMALL)
 
     return trio.run(main)
 
 
-def test_two_hard_cases_hold_and_a_router_that_does_one_wrong_is_found(tmp_path):
+def test_two_hard_cases_hold_and_a_faulty_router_is_detected(tmp_path):
     plays = [(fault, planted) for fault in FAULTS for planted in (False, True)]
     with ProcessPoolExecutor(len(plays), get_context("spawn")) as pool:
         running = {one: pool.submit(play, *one, tmp_path / "-".join(map(str, one))) for one in plays}
-        found = {one: outcome.result() for one, outcome in running.items()}
+        outcomes = {one: outcome.result() for one, outcome in running.items()}
     for fault in FAULTS:
         case, rules = misplaced.FINDS[fault]
-        told = "\n".join(each.told() for each in found[fault, False].breaks)
-        assert not told, f"{case}\n{told}"
-        assert any(found[fault, False].looked_at.get(rule) for rule in rules), f"{case}: nothing was shown"
-        breaks = found[fault, True].breaks
-        assert {each.rule for each in breaks} & rules, f"{fault} is not found in {case}"
-        assert all(BAD in each.parties for each in breaks if each.parties), f"{fault}: others are blamed"
+        violations = "\n".join(each.told() for each in outcomes[fault, False].breaks)
+        assert not violations, f"{case}\n{violations}"
+        assert any(outcomes[fault, False].looked_at.get(rule) for rule in rules), (
+            f"{case}: the check was vacuous"
+        )
+        breaks = outcomes[fault, True].breaks
+        assert {each.rule for each in breaks} & rules, f"{fault} was not detected in {case}"
+        assert all(FAULTY_ROUTER in each.parties for each in breaks if each.parties), (
+            f"{fault}: other routers were blamed"
+        )
