--- a/gaugehinge/placement/admission.py
+++ b/gaugehinge/placement/admission.py
@@ -68,9 +68,9 @@
         self._check_servers(regions)
         # Where servers were lost behind a pin, nothing is available: its own tenant may still take less of
         # it, or change its other terms.
-        most = max(self.available(regions[0]), already_reserved)
-        if rate > most + RATE_TOLERANCE:
-            raise AdmissionError(409, "region full", self._full_detail(regions[0], rate, most), "regions[0]")
+        limit = max(self.available(regions[0]), already_reserved)
+        if rate > limit + RATE_TOLERANCE:
+            raise AdmissionError(409, "region full", self._full_detail(regions[0], rate, limit), "regions[0]")
 
     def _check_names(self, regions: Sequence[str]) -> None:
         for position, name in enumerate(regions):
@@ -92,12 +92,12 @@
                 detail = f"no server stands in {name!r}; accepted: {', '.join(accepted) or 'none'}"
                 raise AdmissionError(409, "no server there", detail, f"regions[{position}]")
 
-    def _full_detail(self, region: str, rate: float, most: float) -> str:
+    def _full_detail(self, region: str, rate: float, limit: float) -> str:
         others = [
             other for other in sorted(self.regions) if other != region and self.available(other) >= rate
         ]
         return (
             f"{region!r} bears {self.capacity(region):.1f} operations a second with a zone or server lost, "
             f"{self.reserved.get(region, 0.0):.1f} are pinned there; "
-            f"accepted: an allowance up to {most:.1f}, or first in {', '.join(others) or 'no other region'}"
+            f"accepted: an allowance up to {limit:.1f}, or first in {', '.join(others) or 'no other region'}"
         )
--- a/gaugehinge/placement/lease_tracker.py
+++ b/gaugehinge/placement/lease_tracker.py
@@ -47,9 +47,9 @@
 
         `without_lease`: count also those that may serve on after their lease is over.
         """
-        ledger, now = self.isolation_leases if without_lease else self.leases, self.clock()
-        previous_run = [] if ledger.former_leases_expired(now) else [PREVIOUS_RUN]
-        return previous_run + sorted({router for router, _ in ledger.active_before(revision, now)})
+        lease_table, now = self.isolation_leases if without_lease else self.leases, self.clock()
+        previous_run = [] if lease_table.former_leases_expired(now) else [PREVIOUS_RUN]
+        return previous_run + sorted({router for router, _ in lease_table.active_before(revision, now)})
 
     def is_confined(self, record: ShardRecord) -> bool:
         """Whether a shard may be called confined now.
@@ -58,8 +58,8 @@
         it does not know, for as long as the leases of the previous run last. Where one was seen to, also
         those count that serve without a lease.
         """
-        ledger = self.isolation_leases if self.history_lost else self.leases
-        return record.stage is Stage.CONFINED and ledger.former_leases_expired(self.clock())
+        lease_table = self.isolation_leases if self.history_lost else self.leases
+        return record.stage is Stage.CONFINED and lease_table.former_leases_expired(self.clock())
 
     def forget_expired(self) -> None:
         """Drop the entries of routers whose leases are over."""
--- a/gaugehinge/placement/quarantine.py
+++ b/gaugehinge/placement/quarantine.py
@@ -29,9 +29,9 @@
     changes = []
     for (incarnation, shard), lost in lost_pins.items():
         found, revision = index.shards.get(record_id(incarnation, shard), (None, 0))
-        if incarnation not in names or (found is not None and _is_settled(found, revision, lost)):
+        if incarnation not in names or (found is not None and _is_already_handled(found, revision, lost)):
             continue
-        record = found or _empty_record(store, names[incarnation], lost, now)
+        record = found or _quarantined_record(store, names[incarnation], lost, now)
         lifecycle = transition(lifecycle_of(found) if found else None, Event.PIN_LOST)
         after = replace(with_lifecycle(record, lifecycle, now), version=store.revision + 1)
         logger.warning("shard {} of {} held: a newer pin of it was lost", shard, names[incarnation])
@@ -39,11 +39,11 @@
     return changes
 
 
-def _is_settled(record: ShardRecord, revision: int, lost: LostPin) -> bool:
+def _is_already_handled(record: ShardRecord, revision: int, lost: LostPin) -> bool:
     return revision > lost.store_revision or record.stage is Stage.QUARANTINED
 
 
-def _empty_record(store: Store, tenant: str, lost: LostPin, now: float) -> ShardRecord:
+def _quarantined_record(store: Store, tenant: str, lost: LostPin, now: float) -> ShardRecord:
     """A record of a shard that this copy of the store never had."""
     stage, version = Stage.QUARANTINED, store.revision + 1
     return ShardRecord(lost.incarnation, tenant, lost.shard, lost.prefixes, 0.0, version, stage, now)
--- a/gaugehinge/placement/quotas.py
+++ b/gaugehinge/placement/quotas.py
@@ -29,10 +29,10 @@
         return ChangeBudget(remaining - 1.0, max(now, self.updated_at))
 
 
-def check_shard_count(existing: int, most: int) -> None:
+def check_shard_count(existing: int, limit: int) -> None:
     """Check that a tenant may make one more shard. Raises AdmissionError."""
-    if existing >= most:
-        raise AdmissionError(409, "too many shards", f"{existing} stand; accepted: {most} at most", "")
+    if existing >= limit:
+        raise AdmissionError(409, "too many shards", f"{existing} stand; accepted: {limit} at most", "")
 
 
 def allocate_rate(allowance: float, others: float, requested: float) -> float:
--- a/gaugehinge/placement/router.py
+++ b/gaugehinge/placement/router.py
@@ -128,7 +128,7 @@
         self.lost_pins.keep_only(incarnations)
 
     def _update_table(self, feed: Feed, update: ControlPlaneUpdate) -> None:
-        accepted = [each for each in update.assignments if self.lost_pins.accepts(each)]
+        accepted = [assignment for assignment in update.assignments if self.lost_pins.accepts(assignment)]
         lost = self.lost_pins.assignments.values()
         known_conflicts = set(self.table.conflicts())
         self.table.update([*accepted, *lost], update.removed, update.is_complete)
@@ -150,9 +150,9 @@
 
     def _is_allowed(self, attempt: Attempt) -> bool:
         placement = self.table.find(attempt.operation.key)
-        return placement is None or self._may_take(attempt, placement.regions or NO_ZONE)
+        return placement is None or self._endpoint_allowed(attempt, placement.regions or NO_ZONE)
 
-    def _may_take(self, attempt: Attempt, regions: SearchOrder) -> bool:
+    def _endpoint_allowed(self, attempt: Attempt, regions: SearchOrder) -> bool:
         """Whether an attempt's server may be sent a key that is pinned to regions; the origin always may."""
         server: Any = attempt.endpoint
         return server.origin or self.servers.allows(server, regions)
@@ -207,13 +207,13 @@
                 return False
         if placement is None and operation.regions == ANYWHERE:
             return True
-        reply = self._place_again(operation, placement)
+        reply = self._update_regions(operation, placement)
         if reply is not None:
             self._reject(operation, reply)
             return False
-        return self._may_take(attempt, operation.regions)
+        return self._endpoint_allowed(attempt, operation.regions)
 
-    def _place_again(self, operation: Operation, placement: KeyPlacement | None) -> bytes | None:
+    def _update_regions(self, operation: Operation, placement: KeyPlacement | None) -> bytes | None:
         """Set the regions of an operation whose shard may have moved since it came, or return its answer."""
         regions = placement.regions if placement is not None else ANYWHERE
         if regions != operation.regions:
