--- a/tests/test_placement_admission.py
+++ b/tests/test_placement_admission.py
@@ -9,7 +9,7 @@
 from gaugehinge.placement.quotas import ChangeBudget
 from gaugehinge.placement.server_inventory import ServerInventory, split_server_list
 
-GROUND = RegionCapacity(
+CAPACITY = RegionCapacity(
     {"eu": ("a", "b"), "us": ("c",), "ap": ("d",)},
     [
         ReportedServer("1", "a", 2.0, 0.0, True),
@@ -24,67 +24,73 @@
 )
 
 
-def test_a_region_bears_what_is_left_with_its_heaviest_zone_or_server_lost():
-    assert GROUND.capacity("eu") == 100.0 and GROUND.capacity("us") == 100.0 and GROUND.capacity("ap") == 0.0
-    GROUND.check(("eu", "us"), 40.0)
-    for asked, allowance, status, field, word in [
+def test_region_capacity_excludes_its_heaviest_zone_or_server():
+    assert (
+        CAPACITY.capacity("eu") == 100.0
+        and CAPACITY.capacity("us") == 100.0
+        and CAPACITY.capacity("ap") == 0.0
+    )
+    CAPACITY.check(("eu", "us"), 40.0)
+    for regions, rate, status, field, word in [
         (("mars",), 1.0, 422, "regions[0]", "ap, eu, us"),
         (("eu", "ap"), 1.0, 409, "regions[1]", "eu, us"),
         (("us", "us"), 1.0, 422, "regions[1]", "twice"),
         (("eu",), 40.1, 409, "regions[0]", "up to 40.0, or first in us"),
         (("us",), 500.0, 409, "regions[0]", "up to 100.0, or first in no other region"),
     ]:
-        with pytest.raises(AdmissionError) as bad:
-            GROUND.check(asked, allowance)
-        assert (bad.value.status, bad.value.field) == (status, field) and word in bad.value.detail
+        with pytest.raises(AdmissionError) as error:
+            CAPACITY.check(regions, rate)
+        assert (error.value.status, error.value.field) == (status, field) and word in error.value.detail
 
 
-def test_a_pin_that_outgrew_its_region_may_shrink_there_and_a_keeper_that_heard_nothing_says_so():
-    shrunk = replace(GROUND, reserved={"eu": 300.0})
-    shrunk.check(("eu",), 250.0, already_reserved=250.0)  # as it stands, and in other terms
-    shrunk.check(("eu",), 80.0, already_reserved=250.0)
-    with pytest.raises(AdmissionError) as bad:
-        shrunk.check(("eu",), 250.1, already_reserved=250.0)
-    assert bad.value.status == 409 and "up to 250.0" in bad.value.detail
+def test_pin_beyond_capacity_may_shrink_and_unknown_servers_are_reported():
+    overcommitted = replace(CAPACITY, reserved={"eu": 300.0})
+    overcommitted.check(("eu",), 250.0, already_reserved=250.0)  # as it stands, and in other terms
+    overcommitted.check(("eu",), 80.0, already_reserved=250.0)
+    with pytest.raises(AdmissionError) as error:
+        overcommitted.check(("eu",), 250.1, already_reserved=250.0)
+    assert error.value.status == 409 and "up to 250.0" in error.value.detail
     with pytest.raises(AdmissionError):
-        shrunk.check(("eu",), 1.0)
-    with pytest.raises(AdmissionError) as bad:
-        replace(GROUND, servers=[], servers_known=False).check(("eu",), 1.0)
-    assert bad.value.status == 503 and "again" in bad.value.detail
+        overcommitted.check(("eu",), 1.0)
+    with pytest.raises(AdmissionError) as error:
+        replace(CAPACITY, servers=[], servers_known=False).check(("eu",), 1.0)
+    assert error.value.status == 503 and "again" in error.value.detail
 
 
-def test_changes_of_a_tenant_fill_again_over_an_hour():
+def test_change_budget_refills_over_an_hour():
     budget = ChangeBudget(2.0, 0.0)
     budget = budget.take(2, 0.0).take(2, 0.0)
-    with pytest.raises(AdmissionError) as bad:
+    with pytest.raises(AdmissionError) as error:
         budget.take(2, 10.0)
-    assert "1790 s" in bad.value.detail
+    assert "1790 s" in error.value.detail
     assert budget.take(2, 1800.0).remaining == pytest.approx(0.0)
     assert budget.take(2, -50.0 + 3600.0).remaining == pytest.approx(0.972, abs=0.01)
 
 
-def test_a_list_of_servers_comes_in_slices_and_a_move_without_a_start_is_seen():
-    told = [ReportedServer(f"s{i:03}", "a", 1.0, 5.0, True) for i in range(450)]
-    servers = ServerInventory()
-    parts = split_server_list(told)
-    assert len(parts) == 3
-    assert not any(servers.add_chunk("r", part) for part in (parts[2], parts[0])) and not servers.current
-    servers.add_chunk("r", parts[1])
-    assert len(servers.current) == 450
-    told[3] = ReportedServer("s003", "b", 1.0, 5.0, True)
-    told[4] = ReportedServer("s004", "b", 1.0, 6.0, True)
-    found = [servers.add_chunk("q", part) for part in split_server_list(told[:-1])]
-    assert found[-1] == {"a", "b"} and set(servers.relabelled) == {"s003"}
-    assert set(servers.departed) == {"s449"} and ("s449", "a", 5.0) in servers.snapshot()
-    servers.add_chunk("r", split_server_list([ReportedServer("s003", "b", 1.0, 7.0, True)])[0])
-    assert not servers.relabelled
+def test_server_list_is_assembled_from_chunks_and_relabelled_servers_are_detected():
+    reported = [ReportedServer(f"s{i:03}", "a", 1.0, 5.0, True) for i in range(450)]
+    inventory = ServerInventory()
+    chunks = split_server_list(reported)
+    assert len(chunks) == 3
+    assert (
+        not any(inventory.add_chunk("r", chunk) for chunk in (chunks[2], chunks[0])) and not inventory.current
+    )
+    inventory.add_chunk("r", chunks[1])
+    assert len(inventory.current) == 450
+    reported[3] = ReportedServer("s003", "b", 1.0, 5.0, True)
+    reported[4] = ReportedServer("s004", "b", 1.0, 6.0, True)
+    found = [inventory.add_chunk("q", chunk) for chunk in split_server_list(reported[:-1])]
+    assert found[-1] == {"a", "b"} and set(inventory.relabelled) == {"s003"}
+    assert set(inventory.departed) == {"s449"} and ("s449", "a", 5.0) in inventory.snapshot()
+    inventory.add_chunk("r", split_server_list([ReportedServer("s003", "b", 1.0, 7.0, True)])[0])
+    assert not inventory.relabelled
     # A list of before: what it says of the zone is of a former start, whose address it may not be any more.
-    assert servers.add_chunk("r", split_server_list([ReportedServer("s003", "a", 1.0, 5.0, True)])[0]) == {
+    assert inventory.add_chunk("r", split_server_list([ReportedServer("s003", "a", 1.0, 5.0, True)])[0]) == {
         "a",
         "b",
     }
-    assert servers.relabelled == {"s003": 5.0}
+    assert inventory.relabelled == {"s003": 5.0}
     for zone in "ba":  # routers that do not agree on it
-        assert not servers.add_chunk(
+        assert not inventory.add_chunk(
             "r", split_server_list([ReportedServer("s003", zone, 1.0, 5.0, True)])[0]
         )
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -47,33 +47,35 @@
 from gaugehinge.tenancy.lease import HeldLease, LeaseTable
 from gaugehinge.tenancy.lifecycle import TenantAction
 
-LEASE, ALONE, FLIGHT, MEMORY = 2.0, 5.0, 0.5, 3.0
-PLACE = PlacementConfig(
+LEASE, ISOLATION_LIMIT, FLIGHT_TIME, DEDUPLICATION_WINDOW = 2.0, 5.0, 0.5, 3.0
+PLACEMENT_SETTINGS = PlacementConfig(
     True,
     {"eu": ("a",), "us": ("b",), "ap": ("c",)},
     Rate(1000.0),
-    Seconds(ALONE),
-    Seconds(FLIGHT),
-    Seconds(MEMORY),
+    Seconds(ISOLATION_LIMIT),
+    Seconds(FLIGHT_TIME),
+    Seconds(DEDUPLICATION_WINDOW),
     Seconds(0.0),
     8,
     100_000,
 )
-MARKED = TrafficType(0, Effect.WITH_IDEMPOTENCY_KEY, DeduplicationScope.ALL, MEMORY, 1.0, 1.0, 0.0)
+DEDUPLICATED_WRITE = TrafficType(
+    0, Effect.WITH_IDEMPOTENCY_KEY, DeduplicationScope.ALL, DEDUPLICATION_WINDOW, 1.0, 1.0, 0.0
+)
 SERVERS = [(10 + n, f"server-{n}", "abc"[n % 3]) for n in range(6)]
 SHARDS = {"x": "x/", "part": "x/y/", "z": "z/"}
 KEYS = [b"1/x/1", b"1/x/y/1", b"1/z/1"]
-RATES = [0.996, 1.0, 1.004]  # of clocks: apart by less than lease.MAX_CLOCK_DRIFT
+CLOCK_RATES = [0.996, 1.0, 1.004]  # of clocks: apart by less than lease.MAX_CLOCK_DRIFT
 
 
-class Waits:
+class Suspension:
     """A call of the feed that stands open until it is told to go on."""
 
     def __await__(self):
         yield self
 
 
-def done(coroutine):
+def run_to_completion(coroutine):
     """Run what waits for nothing."""
     try:
         coroutine.send(None)
@@ -85,8 +87,8 @@
 class StoreStub:
     """The store's keeper with no thread."""
 
-    def __init__(self, path, world) -> None:
-        self.store, self.world = Store(path), world
+    def __init__(self, path, simulation) -> None:
+        self.store, self.simulation = Store(path), simulation
         self.store.connection.execute("PRAGMA synchronous=OFF")
 
     @property
@@ -94,10 +96,10 @@
         return self.store.revision
 
     def clock(self) -> float:
-        return 1e9 + self.world.now
+        return 1e9 + self.simulation.now
 
-    async def run_sync(self, work, *given):
-        return work(*given)
+    async def run_sync(self, work, *args):
+        return work(*args)
 
     async def apply_planned(self, plan, who, **more):
         now = self.clock()
@@ -107,16 +109,16 @@
         if since > self.revision:
             return None
         if since and wait:
-            await Waits()
+            await Suspension()
         return self.store.changes(since, most)
 
 
 class RouterStub:
     """One process of a router: the real part and roster, around it just what they touch."""
 
-    def __init__(self, world, number: int, router_type) -> None:
-        self.world, self.number = world, number
-        self.run, self.rate = f"run-{next(world.runs)}", world.rates[number]
+    def __init__(self, simulation, number: int, router_type) -> None:
+        self.simulation, self.number = simulation, number
+        self.run, self.rate = f"run-{next(simulation.runs)}", simulation.rates[number]
         self.paused = False
         self.operation = None  # in hand since the door
         self.registry = TenantRegistry()
@@ -129,45 +131,45 @@
             limit_wait=lambda seconds: None, limit_slack=lambda seconds: None, registry=self.registry
         )
         self.pool = pool
-        self.part = router_type(service, follower, clock=self.clock)
-        told = [EndpointEntry(n, zone, "std", 0, EndpointState.UP, 5.0, 1.0) for n, _, zone in SERVERS]
+        self.placement = router_type(service, follower, clock=self.clock)
+        entries = [EndpointEntry(n, zone, "std", 0, EndpointState.UP, 5.0, 1.0) for n, _, zone in SERVERS]
         names = [uid for _, uid, _ in SERVERS]
-        targets = [EndpointTarget(each, uid, ("h", 1)) for each, uid in zip(told, names, strict=True)]
-        self.part.transform(EndpointListUpdate(1, True, tuple(targets)), False)
+        targets = [EndpointTarget(each, uid, ("h", 1)) for each, uid in zip(entries, names, strict=True)]
+        self.placement.transform(EndpointListUpdate(1, True, tuple(targets)), False)
 
     def clock(self) -> float:
-        return 1000.0 * (self.number + 1) + self.rate * self.world.now
+        return 1000.0 * (self.number + 1) + self.rate * self.simulation.now
 
     def reject(self, operation, reply) -> None:
         operation.finished = True
 
     def report(self) -> Report:
         registry = self.registry
-        parts = {"placement": msgspec.Raw(self.part.report())}
+        parts = {"placement": msgspec.Raw(self.placement.report())}
         name = f"router-{self.number}"
         return Report(name, self.run, registry.store, registry.revision, 1.0, {}, 0, parts, registry.mark)
 
     def hear(self, feed, asked_at) -> None:
         with suppress(FeedError):
             self.registry.follow(feed)
-            self.part.hear(feed, asked_at)
+            self.placement.hear(feed, asked_at)
 
-    def door(self, key: bytes, repeat: bool) -> Operation | None:
-        operation = Operation(next(self.world.runs), MARKED, key, 0, True, repeat, 0.0, 9.0)
-        return operation if self.part.constrain(operation) is None else None
+    def receive(self, key: bytes, repeat: bool) -> Operation | None:
+        operation = Operation(next(self.simulation.runs), DEDUPLICATED_WRITE, key, 0, True, repeat, 0.0, 9.0)
+        return operation if self.placement.constrain(operation) is None else None
 
-    def attempt(self, operation, zone: str) -> Attempt | None:
+    def begin_attempt(self, operation, zone: str) -> Attempt | None:
         """Begin an attempt at a server of a zone, if that is let."""
         ident = next(n for n, _, each in SERVERS if each == zone)
         attempt = Attempt(operation, SimpleNamespace(ident=ident, zone=zone, origin=False), 0, 0.0)
         return (
             attempt
-            if not operation.finished and self.part.may_send(attempt) and not operation.finished
+            if not operation.finished and self.placement.may_send(attempt) and not operation.finished
             else None
         )
 
 
-class World:
+class Simulation:
     """All that plays, and its rules."""
 
     def __init__(
@@ -184,82 +186,84 @@
             folder / "store.db",
         )
         self.calls = []  # on their way to the keeper: router, report, when it was sent
-        self.open = []  # that stand open there
+        self.open_calls = []  # that stand open there
         self.answers = []  # on their way back
-        self.air = []  # attempts that left: arrives at, key, zone
-        self.marks = []  # key, regions it ran with, until when it is remembered
-        self.claimed = 0
-        self.cut = set()  # routers whose calls go only by the slow way, message by message
-        self.stub = StoreStub(self.path, self)
-        self.keep()
-        done(self.administration.tenants.create(NewTenant("acme", allowance=1000.0), "t"))
-        done(self.administration.tenants.transition("acme", TenantAction.ACTIVATE, None, "t"))
+        self.in_flight = []  # attempts that left: arrives at, key, zone
+        self.completed_writes = []  # key, regions it ran with, until when it is remembered
+        self.confined_checks = 0
+        self.partitioned = set()  # routers whose calls go only by the slow way, message by message
+        self.store_stub = StoreStub(self.path, self)
+        self.start_control_plane()
+        run_to_completion(self.administration.tenants.create(NewTenant("acme", allowance=1000.0), "t"))
+        run_to_completion(self.administration.tenants.transition("acme", TenantAction.ACTIVATE, None, "t"))
         self.routers = [RouterStub(self, number, router_type) for number in range(3)]
 
-    def keep(self) -> None:
-        self.administration = ControlPlane(self.stub, None, None)
-        done(self.administration.prepare())
+    def start_control_plane(self) -> None:
+        self.administration = ControlPlane(self.store_stub, None, None)
+        run_to_completion(self.administration.prepare())
         self.administration.leases.enable(LEASE)
-        self.part = self.control_plane_type(self.administration, PLACE, clock=lambda: self.now)
-        self.administration.extensions.append(self.part)
-        for _, _, call in self.open:
+        self.placement = self.control_plane_type(
+            self.administration, PLACEMENT_SETTINGS, clock=lambda: self.now
+        )
+        self.administration.extensions.append(self.placement)
+        for _, _, call in self.open_calls:
             call.close()
-        self.open.clear()
+        self.open_calls.clear()
 
     # -- steps
 
     def advance(self, span: float) -> None:
         end = self.now + span
-        for at, key, zone in sorted(self.air):
+        for at, key, zone in sorted(self.in_flight):
             if at <= end:
                 self.now = at
-                self.look_at(key, zone, "a leg that was sent arrived")
-        self.air = [each for each in self.air if each[0] > end]
+                self.check_attempt(key, zone, "a leg that was sent arrived")
+        self.in_flight = [each for each in self.in_flight if each[0] > end]
         self.now = end
 
-    def ask(self, number: int, again: bool) -> None:
+    def send_call(self, number: int, again: bool) -> None:
         """It calls; `again`: though its call before is still under way, which it gave up."""
         router = self.routers[number]
-        under_way = any(each[0] is router for each in [*self.calls, *self.open, *self.answers])
+        under_way = any(each[0] is router for each in [*self.calls, *self.open_calls, *self.answers])
         if not router.paused and (again or not under_way):
             self.calls.append((router, router.report(), router.clock()))
             del self.calls[:-6]
 
-    def deliver(self, place: int, lost: bool) -> None:
+    def deliver_call(self, position: int, lost: bool) -> None:
         if self.calls:
-            router, report, asked_at = self.calls.pop(place % len(self.calls))
+            router, report, asked_at = self.calls.pop(position % len(self.calls))
             if not lost:
-                self.open.append((router, asked_at, self.administration.feed.poll(report)))
-                self.go_on_with(len(self.open) - 1)
+                self.open_calls.append((router, asked_at, self.administration.feed.poll(report)))
+                self.resume_call(len(self.open_calls) - 1)
 
-    def go_on_with(self, place: int) -> None:
+    def resume_call(self, position: int) -> None:
         """Start an open call, or let it end: the first step of one that has news to wait for suspends."""
-        if not self.open:
+        if not self.open_calls:
             return
-        router, asked_at, call = self.open[place % len(self.open)]
+        router, asked_at, call = self.open_calls[position % len(self.open_calls)]
         try:
             call.send(None)
         except StopIteration as end:
             self.answers.append((router, end.value, asked_at))
-            self.open.remove((router, asked_at, call))
+            self.open_calls.remove((router, asked_at, call))
             del self.answers[:-6]
-        while len(self.open) > 4:
-            self.open.pop(0)[2].close()
+        while len(self.open_calls) > 4:
+            self.open_calls.pop(0)[2].close()
 
-    def answer(self, place: int, lost: bool) -> None:
+    def deliver_answer(self, position: int, lost: bool) -> None:
         if self.answers:
-            place %= len(self.answers)
-            router, feed, asked_at = self.answers[place]
+            position %= len(self.answers)
+            router, feed, asked_at = self.answers[position]
             if not lost and router.paused:
                 return  # it stands in the kernel's buffer
-            del self.answers[place]
+            del self.answers[position]
             if not lost and router in self.routers:
                 router.hear(feed, asked_at)
 
-    def talk(self, number: int) -> None:
+    def complete_call(self, number: int) -> None:
         """A whole call with no fault."""
         router = self.routers[number]
-        if router.paused or number in self.cut:
+        if router.paused or number in self.partitioned:
             return
         asked_at, call = router.clock(), self.administration.feed.poll(router.report())
         while True:
@@ -276,108 +280,110 @@
     def restart(self, number: int) -> None:
         self.routers[number] = RouterStub(self, number, self.router_type)
 
-    def restart_keeper(self) -> None:
-        self.keep()
+    def restart_control_plane(self) -> None:
+        self.start_control_plane()
 
-    def look(self) -> None:
+    def reconcile(self) -> None:
         with suppress(RevisionConflictError):
-            done(self.part.reconciler.reconcile())
+            run_to_completion(self.placement.reconciler.reconcile())
 
-    def put(self, shard: str, regions: tuple[str, ...], hold: str) -> None:
+    def put(self, shard: str, regions: tuple[str, ...], mode: str) -> None:
         with suppress(ApiError):
-            held = self.part.index.shards.get(f"1/{shard}")
-            match = held[0].version if held and not held[0].is_ending else None
-            wanted = ShardWanted(regions, (SHARDS[shard],), hold, 1.0)
-            done(self.part.changes.put("acme", shard, wanted, match, "t"))
+            stored = self.placement.index.shards.get(f"1/{shard}")
+            match = stored[0].version if stored and not stored[0].is_ending else None
+            wanted = ShardWanted(regions, (SHARDS[shard],), mode, 1.0)
+            run_to_completion(self.placement.changes.put("acme", shard, wanted, match, "t"))
 
     def remove(self, shard: str) -> None:
-        held = self.part.index.shards.get(f"1/{shard}")
-        if held:
+        stored = self.placement.index.shards.get(f"1/{shard}")
+        if stored:
             with suppress(ApiError):
-                done(self.part.changes.remove("acme", shard, held[0].version, "t"))
+                run_to_completion(self.placement.changes.remove("acme", shard, stored[0].version, "t"))
 
-    def begin(self, number: int, key: int) -> None:
+    def receive_operation(self, number: int, key: int) -> None:
         """An operation comes in, and is in hand."""
         router = self.routers[number]
         if not router.paused:
-            router.operation = router.door(KEYS[key], False) or router.operation
+            router.operation = router.receive(KEYS[key], False) or router.operation
 
-    def send(self, number: int, zone: str, late: float) -> None:
+    def send_attempt(self, number: int, zone: str, delay_fraction: float) -> None:
         """An attempt of what is in hand leaves; it arrives within the time of flight."""
         router = self.routers[number]
         if router.paused or router.operation is None:
             return
-        attempt = router.attempt(router.operation, zone)
+        attempt = router.begin_attempt(router.operation, zone)
         if attempt is not None:
             operation, router.operation = router.operation, None
-            self.air.append((self.now + late * FLIGHT, operation.key, zone))
-            self.marks.append((operation.key, operation.regions, self.now + MEMORY))
+            self.in_flight.append((self.now + delay_fraction * FLIGHT_TIME, operation.key, zone))
+            self.completed_writes.append((operation.key, operation.regions, self.now + DEDUPLICATION_WINDOW))
 
-    def repeat(self, number: int, mark: int, zone: str) -> None:
+    def retry_write(self, number: int, write_index: int, zone: str) -> None:
         """A client repeats a write at whichever router."""
-        self.marks = [each for each in self.marks if each[2] > self.now]
+        self.completed_writes = [each for each in self.completed_writes if each[2] > self.now]
         router = self.routers[number]
-        if router.paused or not self.marks:
+        if router.paused or not self.completed_writes:
             return
-        key, regions, _ = self.marks[mark % len(self.marks)]
-        operation = router.door(key, True)
-        if operation is not None and router.attempt(operation, zone) is not None:
-            told = f"a mark of {key} ran in {regions}, and in {operation.regions}"
-            assert operation.regions == regions, told
+        key, regions, _ = self.completed_writes[write_index % len(self.completed_writes)]
+        operation = router.receive(key, True)
+        if operation is not None and router.begin_attempt(operation, zone) is not None:
+            message = f"a mark of {key} ran in {regions}, and in {operation.regions}"
+            assert operation.regions == regions, message
 
     # -- rules
 
-    def claims(self) -> dict[bytes, set[str]]:
+    def confined_zones(self) -> dict[bytes, set[str]]:
         """Zones that keys are said to be confined to, by the rows as they stand."""
         found = {}
-        self.part.index.refresh(self.stub.store)
-        rows = [row for row, _ in self.part.index.shards.values() if row.stage is not Stage.SCHEDULED]
+        self.placement.index.refresh(self.store_stub.store)
+        rows = [row for row, _ in self.placement.index.shards.values() if row.stage is not Stage.SCHEDULED]
         for key in KEYS:
             fits = [r for r in rows if key[2:].decode().startswith(r.prefixes[0])]
             row = max(fits, key=lambda r: len(r.prefixes[0]), default=None)
-            if row is not None and self.part.is_confined(row):
+            if row is not None and self.placement.is_confined(row):
                 found[key] = {zone for zones in row.current.zones for zone in zones}
-        self.claimed += len(found)
+        self.confined_checks += len(found)
         return found
 
-    def look_at(self, key: bytes, zone: str, what: str) -> None:
-        claimed = self.claims()
-        assert zone in claimed.get(key, zone), f"{what}: {key} in {zone}, confined to {claimed[key]}"
+    def check_attempt(self, key: bytes, zone: str, what: str) -> None:
+        confined = self.confined_zones()
+        assert zone in confined.get(key, zone), f"{what}: {key} in {zone}, confined to {confined[key]}"
 
-    def check(self) -> None:
-        claimed = self.claims()
-        if not claimed:
+    def check_invariants(self) -> None:
+        confined = self.confined_zones()
+        if not confined:
             return
         for router in self.routers:
             if router.paused:
                 continue
-            for key, zones in claimed.items():
-                fresh = router.door(key, False)
-                held = router.operation if router.operation and router.operation.key == key else None
+            for key, zones in confined.items():
+                fresh = router.receive(key, False)
+                pending = router.operation if router.operation and router.operation.key == key else None
                 for zone in set("abc") - zones:
-                    for operation in (fresh, held):
+                    for operation in (fresh, pending):
                         if operation is None:
                             continue
                         before = operation.regions, operation.finished
-                        told = f"{self.now:.2f}: router {router.number} may place {key} in {zone}"
-                        assert router.attempt(operation, zone) is None, f"{told}, confined to {zones}"
+                        message = f"{self.now:.2f}: router {router.number} may place {key} in {zone}"
+                        assert router.begin_attempt(operation, zone) is None, (
+                            f"{message}, confined to {zones}"
+                        )
                         operation.regions, operation.finished = before
 
-    def step(self, draw: random.Random) -> None:
+    def random_step(self, draw: random.Random) -> None:
         """One step of chance, most of them such that something gets on."""
         number, zone = draw.randrange(3), draw.choice("abc")
         steps = [
             (12, lambda: self.advance(draw.choice((0.05, 0.2, 0.5, 1.0)))),
-            (15, lambda: [self.talk(each) for each in range(3)]),
-            (1.2, lambda: setattr(self, "cut", draw.choice([set(), set(), {0}, {1}, {2}, {0, 1}]))),
-            (5, lambda: self.ask(draw.choice([number, *self.cut]), draw.random() < 0.1)),
-            (5, lambda: self.deliver(draw.randrange(6), draw.random() < 0.2)),
-            (5, lambda: self.go_on_with(draw.randrange(6))),
-            (3, lambda: self.answer(draw.randrange(6), draw.random() < 0.2)),
+            (15, lambda: [self.complete_call(each) for each in range(3)]),
+            (1.2, lambda: setattr(self, "partitioned", draw.choice([set(), set(), {0}, {1}, {2}, {0, 1}]))),
+            (5, lambda: self.send_call(draw.choice([number, *self.partitioned]), draw.random() < 0.1)),
+            (5, lambda: self.deliver_call(draw.randrange(6), draw.random() < 0.2)),
+            (5, lambda: self.resume_call(draw.randrange(6))),
+            (3, lambda: self.deliver_answer(draw.randrange(6), draw.random() < 0.2)),
             (2, lambda: self.pause(draw.choice([None, None, 0, 1, 2]))),
             (0.5, lambda: self.restart(number)),
-            (0.3, self.restart_keeper),
-            (12, self.look),
+            (0.3, self.restart_control_plane),
+            (12, self.reconcile),
             (
                 3,
                 lambda: self.put(
@@ -387,41 +393,43 @@
                 ),
             ),
             (0.5, lambda: self.remove(draw.choice(sorted(SHARDS)))),
-            (5, lambda: self.begin(number, draw.randrange(3))),
-            (6, lambda: self.send(number, zone, draw.random())),
-            (5, lambda: self.repeat(number, draw.randrange(9), zone)),
+            (5, lambda: self.receive_operation(number, draw.randrange(3))),
+            (6, lambda: self.send_attempt(number, zone, draw.random())),
+            (5, lambda: self.retry_write(number, draw.randrange(9), zone)),
         ]
         weights = [weight for weight, _ in steps]
         draw.choices([each for _, each in steps], weights)[0]()
-        self.check()
+        self.check_invariants()
 
 
-def warm(world: World) -> None:
+def warm_up(simulation: Simulation) -> None:
     """Routers have called, the keeper knows servers, `alone` of no former run counts."""
     for _ in range(3):
         for number in range(3):
-            world.talk(number)
-        world.advance(ALONE / 2)
-    world.put("x", ("eu",), "only")
+            simulation.complete_call(number)
+        simulation.advance(ISOLATION_LIMIT / 2)
+    simulation.put("x", ("eu",), "only")
     for _ in range(12):
         for number in range(3):
-            world.talk(number)
-        world.look()
-        world.advance(0.4)
-    assert Stage.CONFINED in {row.stage for row, _ in world.part.index.shards.values()}
+            simulation.complete_call(number)
+        simulation.reconcile()
+        simulation.advance(0.4)
+    assert Stage.CONFINED in {row.stage for row, _ in simulation.placement.index.shards.values()}
 
 
-def played(folder, seed: int, steps: int, rates=(), **mutant) -> World:
+def run_simulation(folder, seed: int, steps: int, rates=(), **mutant) -> Simulation:
     draw = random.Random(seed)
     folder.mkdir()
-    world = World(folder, rates=rates or tuple(draw.choice(RATES) for _ in range(3)), **mutant)
+    simulation = Simulation(
+        folder, rates=rates or tuple(draw.choice(CLOCK_RATES) for _ in range(3)), **mutant
+    )
     try:
-        warm(world)
+        warm_up(simulation)
         for _ in range(steps):
-            world.step(draw)
+            simulation.random_step(draw)
     finally:
-        world.stub.store.close()
-    return world
+        simulation.store_stub.store.close()
+    return simulation
 
 
 @pytest.fixture
@@ -431,30 +439,30 @@
         yield Path(made)
 
 
-def test_nothing_is_placed_outside_of_what_is_claimed_whatever_fails(folder):
-    claimed = sum(played(folder / str(seed), seed, 250).claimed for seed in range(60))
-    assert claimed > 2000, "little was claimed, and little shown"
+def test_no_attempt_leaves_the_confined_zones_under_faults(folder):
+    checks = sum(run_simulation(folder / str(seed), seed, 250).confined_checks for seed in range(60))
+    assert checks > 2000, "little was claimed, and little shown"
 
 
-class Eager(RouterPlacement):
+class LeaseCountedFromAnswer(RouterPlacement):
     """Counts its lease from when the answer came."""
 
     def hear(self, feed, asked_at) -> None:
         super().hear(feed, self.clock())
 
 
-class Sleepy(RouterPlacement):
+class LeaseUncheckedBeforeAttempt(RouterPlacement):
     """Looks at its lease at the door alone."""
 
     def may_send(self, attempt) -> bool:
-        held, self.lease = self.lease, HeldLease(1e12)
+        lease, self.lease = self.lease, HeldLease(1e12)
         try:
             return super().may_send(attempt)
         finally:
-            self.lease = held
+            self.lease = lease
 
 
-class Careless(RouterPlacement):
+class PlacementUncheckedBeforeAttempt(RouterPlacement):
     """Sends what is in hand by the placement that it came under."""
 
     def may_send(self, attempt) -> bool:
@@ -465,7 +473,7 @@
         )
 
 
-class Forgetful(RouterPlacement):
+class RetriesNotBlocked(RouterPlacement):
     """Repeats of deduplicated writes go as any operation."""
 
     def constrain(self, operation):
@@ -473,69 +481,81 @@
         return super().constrain(operation)
 
 
-class Trusting(PlacementControlPlane):
+class SentRevisionCountedAsFollowed(PlacementControlPlane):
     """Takes what it told a router for what that follows."""
 
     def on_report(self, report, now) -> None:
         super().on_report(report, now)
-        for held in self.leases.leases.granted.values():
-            held.revision = self.index.revision
+        for granted in self.leases.leases.granted.values():
+            granted.revision = self.index.revision
 
 
-class Hasty(PlacementControlPlane):
+class FormerLeasesIgnored(PlacementControlPlane):
     """Knows of no leases that a former run gave."""
 
-    def __init__(self, *given, **more) -> None:
-        super().__init__(*given, **more)
+    def __init__(self, *args, **more) -> None:
+        super().__init__(*args, **more)
         self.leases.leases.started_at = self.leases.isolation_leases.started_at = -1e9
 
 
-class LeasesAlone(LeaseTracker):
+class LeaseTrackerWithoutIsolation(LeaseTracker):
     """Counts no router that serves on without a lease."""
 
     def routers_behind(self, revision, without_lease):
         return super().routers_behind(revision, False)
 
 
-class Near(PlacementControlPlane):
+class IsolationLimitIgnored(PlacementControlPlane):
     """Waits for leases alone where routers may act without one."""
 
-    def __init__(self, *given, **more) -> None:
-        super().__init__(*given, **more)
-        self.leases = self.reconciler.leases = LeasesAlone(LEASE, self.settings, self.clock)
+    def __init__(self, *args, **more) -> None:
+        super().__init__(*args, **more)
+        self.leases = self.reconciler.leases = LeaseTrackerWithoutIsolation(LEASE, self.settings, self.clock)
 
 
-class Impatient(ConditionTimer):
+class NoWaitTimer(ConditionTimer):
     """Takes what holds at all for what has lasted."""
 
     def has_lasted(self, key, holds, seconds):
         return super().has_lasted(key, holds, 0.0)
 
 
-class Once(PlacementControlPlane):
+class DeduplicationWaitSkipped(PlacementControlPlane):
     """Tells new terms at once, and holds repeats no longer than that takes."""
 
-    def __init__(self, *given, **more) -> None:
-        super().__init__(*given, **more)
-        self.reconciler.timer = Impatient(self.clock)
-
-
-@pytest.mark.parametrize("mutant", [Eager, Sleepy, Careless, Forgetful, Trusting, Hasty, Near, Once])
+    def __init__(self, *args, **more) -> None:
+        super().__init__(*args, **more)
+        self.reconciler.timer = NoWaitTimer(self.clock)
+
+
+@pytest.mark.parametrize(
+    "mutant",
+    [
+        LeaseCountedFromAnswer,
+        LeaseUncheckedBeforeAttempt,
+        PlacementUncheckedBeforeAttempt,
+        RetriesNotBlocked,
+        SentRevisionCountedAsFollowed,
+        FormerLeasesIgnored,
+        IsolationLimitIgnored,
+        DeduplicationWaitSkipped,
+    ],
+)
 def test_each_mutant_is_found(folder, mutant):
     more = {"router_type": mutant} if issubclass(mutant, RouterPlacement) else {"control_plane_type": mutant}
     for seed in range(150):
         try:
-            played(folder / str(seed), seed, 250, **more)
+            run_simulation(folder / str(seed), seed, 250, **more)
         except AssertionError:
             return
     raise AssertionError(f"{mutant.__doc__} was not found")
 
 
-def test_clocks_further_apart_than_is_stated_are_seen(folder):
+def test_clock_drift_beyond_the_stated_bound_is_detected(folder):
     """The bound of clock rates is no ornament: a router whose clock runs at a third of it breaks all."""
     with pytest.raises(AssertionError, match="may place|arrived|ran in"):
         for seed in range(60):
-            played(folder / str(seed), seed, 250, rates=(0.33, 1.0, 1.0))
+            run_simulation(folder / str(seed), seed, 250, rates=(0.33, 1.0, 1.0))
 
 
 SHARD = st.sampled_from(sorted(SHARDS))
@@ -551,67 +571,72 @@
         super().__init__()
         folder = self.folders / str(next(self.numbers))
         folder.mkdir()
-        self.world = World(folder, rates=(0.996, 1.0, 1.004))
-        warm(self.world)
+        self.simulation = Simulation(folder, rates=(0.996, 1.0, 1.004))
+        warm_up(self.simulation)
 
     @rule(span=st.sampled_from([0.05, 0.3, 1.0, 2.5]))
     def advance(self, span):
-        self.world.advance(span)
+        self.simulation.advance(span)
 
-    @rule(cut=st.sets(st.integers(0, 2)))
-    def talk(self, cut):
-        self.world.cut = cut
+    @rule(partitioned=st.sets(st.integers(0, 2)))
+    def talk(self, partitioned):
+        self.simulation.partitioned = partitioned
         for number in range(3):
-            self.world.talk(number)
-        self.world.look()
+            self.simulation.complete_call(number)
+        self.simulation.reconcile()
 
-    @rule(number=st.integers(0, 2), place=st.integers(0, 5), lost=st.booleans())
-    def call(self, number, place, lost):
-        self.world.ask(number, lost)
-        self.world.deliver(place, lost)
+    @rule(number=st.integers(0, 2), position=st.integers(0, 5), lost=st.booleans())
+    def call(self, number, position, lost):
+        self.simulation.send_call(number, lost)
+        self.simulation.deliver_call(position, lost)
 
-    @rule(place=st.integers(0, 5), lost=st.booleans())
-    def hear(self, place, lost):
-        self.world.go_on_with(place)
-        self.world.answer(place, lost)
+    @rule(position=st.integers(0, 5), lost=st.booleans())
+    def hear(self, position, lost):
+        self.simulation.resume_call(position)
+        self.simulation.deliver_answer(position, lost)
 
     @rule(which=st.sampled_from([None, 0, 1, 2]))
     def pause(self, which):
-        self.world.pause(which)
+        self.simulation.pause(which)
 
     @rule(number=st.integers(0, 3))
     def restart(self, number):
         if number < 3:
-            self.world.restart(number)
+            self.simulation.restart(number)
         else:
-            self.world.restart_keeper()
+            self.simulation.restart_control_plane()
 
     @rule(shard=SHARD, region=st.sampled_from(["eu", "us", "ap"]), only=st.booleans())
     def put(self, shard, region, only):
-        self.world.put(shard, (region,), "only" if only else "prefer")
+        self.simulation.put(shard, (region,), "only" if only else "prefer")
 
     @rule(shard=SHARD)
     def remove(self, shard):
-        self.world.remove(shard)
+        self.simulation.remove(shard)
 
-    @rule(number=st.integers(0, 2), key=st.integers(0, 2), zone=st.sampled_from("abc"), late=st.floats(0, 1))
-    def operate(self, number, key, zone, late):
-        self.world.send(number, zone, late)
-        self.world.begin(number, key)
+    @rule(
+        number=st.integers(0, 2),
+        key=st.integers(0, 2),
+        zone=st.sampled_from("abc"),
+        delay_fraction=st.floats(0, 1),
+    )
+    def operate(self, number, key, zone, delay_fraction):
+        self.simulation.send_attempt(number, zone, delay_fraction)
+        self.simulation.receive_operation(number, key)
 
-    @rule(number=st.integers(0, 2), mark=st.integers(0, 5), zone=st.sampled_from("abc"))
-    def repeat(self, number, mark, zone):
-        self.world.repeat(number, mark, zone)
+    @rule(number=st.integers(0, 2), write_index=st.integers(0, 5), zone=st.sampled_from("abc"))
+    def repeat(self, number, write_index, zone):
+        self.simulation.retry_write(number, write_index, zone)
 
     @invariant()
     def holds(self):
-        self.world.check()
+        self.simulation.check_invariants()
 
     def teardown(self):
-        self.world.stub.store.close()
+        self.simulation.store_stub.store.close()
 
 
-def test_the_same_by_a_state_machine(folder):
+def test_no_attempt_leaves_the_confined_zones_in_a_state_machine(folder):
     Machine.folders = folder
     run_state_machine_as_test(
         Machine,
@@ -626,17 +651,21 @@
     )
 
 
-def test_a_keeper_counts_a_lease_as_over_only_after_its_router():
+def test_control_plane_counts_a_lease_as_expired_only_after_its_router():
     """The arithmetic alone, over all rates and ways: sent, given, over."""
     draw = random.Random(5)
     for _ in range(20_000):
-        lease, there, back = draw.uniform(0.3, 30.0), draw.uniform(0.0, 9.0), draw.uniform(0.0, 9.0)
+        lease, request_delay, answer_delay = (
+            draw.uniform(0.3, 30.0),
+            draw.uniform(0.0, 9.0),
+            draw.uniform(0.0, 9.0),
+        )
         fast, slow = draw.choice([(1.0, 0.9905), (1.0095, 1.0), (1.0047, 0.9953), (1.0, 1.0)])
-        held, ledger = HeldLease(), LeaseTable(-1e6, lease, in_flight_grace=0.5)
-        held.renew(0.0, lease)  # by the router's clock, at its question
-        ledger.grant("r", "run", 1, lease, there * fast)
+        held_lease, lease_table = HeldLease(), LeaseTable(-1e6, lease, in_flight_grace=0.5)
+        held_lease.renew(0.0, lease)  # by the router's clock, at its question
+        lease_table.grant("r", "run", 1, lease, request_delay * fast)
         free = 0.0
-        while ledger.active_before(2, free * fast):
+        while lease_table.active_before(2, free * fast):
             free += 0.01 + lease / 200.0
-        assert not held.is_valid(free * slow), (lease, there, back, fast, slow)
-        assert not held.is_valid((free - 0.5) * slow), "nor within the time of flight before"
+        assert not held_lease.is_valid(free * slow), (lease, request_delay, answer_delay, fast, slow)
+        assert not held_lease.is_valid((free - 0.5) * slow), "nor within the time of flight before"
--- a/tests/test_placement_walk.py
+++ b/tests/test_placement_walk.py
@@ -12,7 +12,7 @@
     return bench
 
 
-def ask(bench, key, regions, traffic=READ):
+def route_within(bench, key, regions, traffic=READ):
     operation, _ = bench.ask(key, traffic)  # asked once without, to have one that is well made
     for attempt in operation.attempts:
         bench.end(attempt, Outcome.NOT_SENT, 0.0)
@@ -22,43 +22,43 @@
     return operation, bench.router.route(operation, bench.now)
 
 
-def test_a_walk_stays_in_its_region_and_goes_on_only_where_none_there_may_take_it():
+def test_selection_leaves_a_region_only_when_no_server_there_is_eligible():
     bench = fleet()
     a, b = frozenset("a"), frozenset("b")
-    found = set()
+    endpoints_used = set()
     for i in range(200):
         bench.now += 0.2
-        _, answer = ask(bench, f"k{i}", (a, b))
+        _, answer = route_within(bench, f"k{i}", (a, b))
         assert answer.attempt.endpoint.zone == "a"
-        found.add(answer.attempt.endpoint.ident)
+        endpoints_used.add(answer.attempt.endpoint.ident)
         bench.end(answer.attempt, Outcome.SUCCEEDED)
-    assert len(found) == 4, "all of the region share its keys"
+    assert len(endpoints_used) == 4, "all of the region share its keys"
     for cache in bench.router.endpoints.values():
         if cache.zone == "a":
             cache.full_until = bench.now + 1.0
-    _, answer = ask(bench, "k1", (a, b))
+    _, answer = route_within(bench, "k1", (a, b))
     assert answer.attempt.endpoint.zone == "b"
     bench.end(answer.attempt, Outcome.SUCCEEDED)
-    assert ask(bench, "k1", (a,))[1].action is Action.REJECT
-    _, answer = ask(bench, "k1", (a, None))
+    assert route_within(bench, "k1", (a,))[1].action is Action.REJECT
+    _, answer = route_within(bench, "k1", (a, None))
     assert answer.attempt.endpoint.zone in "bc"
 
 
-def test_the_bound_is_the_regions_own_mean_and_its_last_server_may_go():
+def test_load_bound_uses_the_regions_mean_and_a_region_may_become_empty():
     bench = fleet(each=3)
     a = frozenset("a")
-    held = [ask(bench, "hot", (a,))[1].attempt for _ in range(6)]
-    homes = {attempt.endpoint.ident for attempt in held}
-    assert len(homes) == 3, "a hot key spreads over its region by load, and no further"
+    attempts = [route_within(bench, "hot", (a,))[1].attempt for _ in range(6)]
+    endpoints = {attempt.endpoint.ident for attempt in attempts}
+    assert len(endpoints) == 3, "a hot key spreads over its region by load, and no further"
     rows = [row(i, zone="abc"[i % 3]) for i in range(1, 10)]
     bench.hear([each for each in rows if each.zone != "a"] + [origin_row()])
-    assert ask(bench, "hot", (a,))[1].action is Action.REJECT
-    assert ask(bench, "hot", (a, None))[1].action is Action.SEND
+    assert route_within(bench, "hot", (a,))[1].action is Action.REJECT
+    assert route_within(bench, "hot", (a, None))[1].action is Action.SEND
 
 
-def test_a_repeat_stays_in_the_region_too():
+def test_retry_stays_in_the_region():
     bench = fleet()
-    operation, answer = ask(bench, "k", (frozenset("c"),), MARKED)
+    operation, answer = route_within(bench, "k", (frozenset("c"),), MARKED)
     for _ in range(2):
         first = answer.attempt
         ((_, answer),) = bench.end(first, Outcome.CONNECTION_LOST)
@@ -66,10 +66,10 @@
         assert answer.attempt.endpoint is not first.endpoint
 
 
-def test_without_regions_the_walk_never_looks_at_any(monkeypatch):
-    def within(*given):
+def test_selection_without_regions_uses_no_region_rings(monkeypatch):
+    def unexpected_call(*args):
         raise AssertionError("looked at a region")
 
-    monkeypatch.setattr(HashRing, "rings_within", within)
+    monkeypatch.setattr(HashRing, "rings_within", unexpected_call)
     for seed in range(3):
         Rules(seed).run(800)
