--- a/gaugehinge/placement/admission.py
+++ b/gaugehinge/placement/admission.py
@@ -1,8 +1,9 @@
-"""Whether a pin is admitted: its regions, their servers and their capacity. No I/O, no clock of its own.
+"""Admission control for pins, by their regions' servers and capacity. No I/O, no clock of its own.
 
-A region can take what its servers can by weight, less what the loss of its heaviest zone or server takes
-away: what is pinned there must go on being served by the rest. A region of one zone loses only a server; that
-its zone fails is what the tenant chose.
+The capacity of a region is what its servers can take by weight, minus the share of its heaviest zone or
+server: the remaining servers must be able to serve everything that is pinned there if that one fails. For a
+region with a single zone only the loss of a server is provided for: the tenant that chose the region accepted
+that its only zone may fail.
 """
 
 from __future__ import annotations
@@ -13,14 +14,14 @@
 
 from .messages import ReportedServer
 
-RATE_TOLERANCE = 1e-9  # operations a second that a sum of rates may be off by rounding
+RATE_TOLERANCE = 1e-9  # operations per second; rounding error allowed in a sum of rates
 
 
 class AdmissionError(Exception):
-    """A change that is not admitted, and what would be."""
+    """A change that is not admitted. The detail says what would be accepted."""
 
     def __init__(self, status: int, what: str, detail: str, field: str) -> None:
-        """`status`, `what` and `field` as the API tells them; `detail` says why."""
+        """`status`, `what` and `field` are those of the API's error response; `detail` is the reason."""
         super().__init__(detail)
         self.status = status
         self.what = what
@@ -30,16 +31,16 @@
 
 @dataclass(slots=True, frozen=True)
 class RegionCapacity:
-    """What pins are checked against. Rates are in operations a second."""
+    """The capacity that pins are checked against. Rates are in operations per second."""
 
-    regions: Mapping[str, Sequence[str]]  # name to zones
+    regions: Mapping[str, Sequence[str]]  # zones by name of the region
     servers: Sequence[ReportedServer]
-    rate_per_weight: float  # that a server of weight 1 can take
-    reserved: Mapping[str, float]  # by region, without the shard that is asked for
-    servers_known: bool = True  # whether any router has reported its list since the control plane's start
+    rate_per_weight: float  # rate that a server of weight 1 can take
+    reserved: Mapping[str, float]  # rate by region, without that of the shard being checked
+    servers_known: bool = True  # whether any router has reported its servers since the control plane started
 
     def capacity(self, region: str) -> float:
-        """The rate that a region can take with its heaviest zone or server lost."""
+        """Return the rate that a region can take if its heaviest zone or server is lost."""
         weights: dict[str, list[float]] = defaultdict(list)
         for server in self.servers:
             if server.accepts_new and server.zone in self.regions[region]:
@@ -52,22 +53,23 @@
         return self.rate_per_weight * (sum(sum(zone) for zone in weights.values()) - lost)
 
     def available(self, region: str) -> float:
-        """The rate that may still be pinned to a region."""
+        """Return the rate that may still be pinned to a region."""
         return max(self.capacity(region) - self.reserved.get(region, 0.0), 0.0)
 
     def has_servers(self, region: str) -> bool:
-        """Whether a server of a region accepts new keys."""
+        """Whether any server of a region accepts new keys."""
         return any(server.accepts_new and server.zone in self.regions[region] for server in self.servers)
 
     def check(self, regions: Sequence[str], rate: float, already_reserved: float = 0.0) -> None:
-        """Check a pin to regions in order; its rate counts at the first one. Raises AdmissionError.
+        """Check a pin to regions in order of preference; its rate is reserved at the first one.
 
-        `already_reserved`: the rate that this shard has there already.
+        `already_reserved`: the rate that this shard has reserved there already. Raises AdmissionError if the
+        pin is not admitted.
         """
         self._check_names(regions)
         self._check_servers(regions)
-        # Where servers were lost behind a pin, nothing is available: its own tenant may still take less of
-        # it, or change its other terms.
+        # If servers were lost after a shard was pinned, nothing may be available. Its tenant may still lower
+        # the rate of the pin or change its other settings.
         limit = max(self.available(regions[0]), already_reserved)
         if rate > limit + RATE_TOLERANCE:
             raise AdmissionError(409, "region full", self._full_detail(regions[0], rate, limit), "regions[0]")
@@ -83,7 +85,7 @@
 
     def _check_servers(self, regions: Sequence[str]) -> None:
         if not self.servers_known:
-            # Not that there is no server: a caller who is told that would give up.
+            # Not reported as a region without servers: the caller would give up instead of retrying.
             detail = "no router has told of its servers since the keeper's start; ask again in a moment"
             raise AdmissionError(503, "servers not known yet", detail, "regions")
         for position, name in enumerate(regions):
--- a/gaugehinge/placement/quotas.py
+++ b/gaugehinge/placement/quotas.py
@@ -1,4 +1,4 @@
-"""What one tenant may ask for: its rate, how many shards, and how often. No I/O, no clock of its own."""
+"""Quotas of one tenant: rate, number of shards, and changes per hour. No I/O, no clock of its own."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 
 
 class ChangeBudget(msgspec.Struct, frozen=True, array_like=True):
-    """Changes that a tenant may still make: a token bucket that fills again over an hour.
+    """Number of changes that a tenant may still make: a token bucket that refills within an hour.
 
-    TenantRecord in the store, as an array.
+    Stored by itself, beside the tenant's record; encoded as an array.
     """
 
     remaining: float
     updated_at: float  # Unix seconds
 
     def take(self, per_hour: int, now: float) -> ChangeBudget:
-        """The budget after one change, at `now` (Unix seconds). Raises AdmissionError where none is left."""
+        """Return the budget after one change at `now` (Unix seconds).
+
+        Raises AdmissionError if no change is left.
+        """
         refilled = max(now - self.updated_at, 0.0) * per_hour / SECONDS_PER_HOUR
         remaining = min(self.remaining + refilled, float(per_hour))
         if remaining < 1.0:
@@ -30,16 +33,16 @@
 
 
 def check_shard_count(existing: int, limit: int) -> None:
-    """Check that a tenant may make one more shard. Raises AdmissionError."""
+    """Raise AdmissionError if a tenant with `existing` shards may not create another one."""
     if existing >= limit:
         raise AdmissionError(409, "too many shards", f"{existing} stand; accepted: {limit} at most", "")
 
 
 def allocate_rate(allowance: float, others: float, requested: float) -> float:
-    """The part of its tenant's allowance that a shard gets, in operations a second.
+    """Return the part of its tenant's allowance that a shard gets. All rates are in operations per second.
 
-    `others`: what the tenant's other shards have; `requested`: 0 for all that they leave. Raises
-    AdmissionError where less is left.
+    `others`: total rate of the tenant's other shards; `requested`: rate to allocate, 0 for all that remains.
+    Raises AdmissionError if less than requested remains.
     """
     available = max(allowance - others, 0.0)
     if requested > available + RATE_TOLERANCE:
