--- a/gaugehinge/placement/capacity.py
+++ b/gaugehinge/placement/capacity.py
@@ -1,4 +1,4 @@
-"""What regions can take beside the shards that are pinned there already."""
+"""Capacity of regions that remains beside the shards that are already pinned there."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class CapacityPlanner:
-    """The capacity of the regions, as of the store and of the servers reported last."""
+    """Computes the capacity of regions from the store and the servers reported last."""
 
     def __init__(self, index: ShardIndex, servers: ServerAvailability, settings: PlacementConfig) -> None:
-        """`settings`: the regions, and the rate that a server of weight 1 takes."""
+        """`settings`: the regions, and the rate that a server of weight 1 can take."""
         self.index = index
         self.servers = servers
         self.settings = settings
         self.overcommitted: set[str] = set()  # regions where more is reserved than they can take
 
     def regions(self, store: Store, without: str = "") -> RegionCapacity:
-        """What a pin is checked against, the reservation of the shard record `without` left out.
+        """Return the capacity that a pin is checked against.
 
-        On the store's thread.
+        `without`: id of a shard record whose own reservation is left out. Runs on the store's thread.
         """
         reserved = self._reserved(store, without)
         self.servers.refresh(store)
@@ -39,7 +39,7 @@
         )
 
     def _reserved(self, store: Store, without: str) -> dict[str, float]:
-        # A tenant that was removed, and that no router has anything of in flight, reserves nothing any more.
+        # A removed tenant of which no router has operations in flight no longer reserves capacity.
         cleared = {
             tenant.incarnation for tenant in iter_decoded(store, TOMBSTONE_KIND, TenantRecord) if tenant.clear
         }
@@ -51,9 +51,9 @@
         return reserved
 
     def warn_overcommitted(self, store: Store) -> None:
-        """Log once when a region can no longer take what is pinned there, and once when it can again.
+        """Log once when the rate pinned to a region exceeds its capacity, and once when it fits again.
 
-        Pins stay as they are when servers are lost behind them. On the store's thread.
+        Existing pins are kept when servers are lost. Runs on the store's thread.
         """
         if not self.servers.inventory.digest:
             return
@@ -65,9 +65,10 @@
                 continue
             logger.log(
                 "WARNING" if exceeded else "INFO",
-                "region {} bears {} what is pinned: {:.1f}/s with a zone or server lost, {:.1f}/s pinned",
+                "capacity of region {} is {} the rate pinned there: "
+                "{:.1f}/s with a zone or server lost, {:.1f}/s pinned",
                 region,
-                "less than" if exceeded else "again",
+                "less than" if exceeded else "again at least",
                 available,
                 reserved,
             )
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -120,7 +120,9 @@
                                 await trio.sleep(0.02)
                         for _ in range(2):
                             await part.keeper.run_sync(part.capacity.warn_overcommitted, part.keeper.store)
-                        assert [word in line for line in told if "region eu bears" in line][-1:] == [True]
+                        assert [word in line for line in told if "capacity of region eu" in line][-1:] == [
+                            True
+                        ]
                         if state == "gone":
                             tag = {"If-Match": got.headers["etag"]}
                             for allowance, status in ((401, 409), (300, 200)):
@@ -131,7 +133,7 @@
                                 assert got.status_code == status, got.text
                 finally:
                     logger.remove(number)
-                assert sum("region eu bears" in line for line in told) == 2, "once for each change"
+                assert sum("capacity of region eu" in line for line in told) == 2, "once for each change"
 
     run(scene)
 
