--- a/gaugehinge/placement/lifecycle.py
+++ b/gaugehinge/placement/lifecycle.py
@@ -3,15 +3,16 @@
     scheduled -> preparing -> migrating -> confined (required) or applied (preferred) -> preparing -> ...
                            -> removing -> removed
 
-Every change of where keys go takes two steps, each of which has to be with all routers that may act:
+Every change of placement takes two steps. Each step must have reached all routers that may act before the
+change proceeds:
 
-1. While `preparing`, keys go as before, and retries of writes with an idempotency key (`r=1`) get a final
-   answer with no attempt.
-2. While `migrating` (or `removing`), keys go by the new placement; retries are still blocked.
+1. While `preparing`, keys are placed as before, but retries of writes with an idempotency key (`r=1`) get a
+   final answer without an attempt.
+2. While `migrating` (or `removing`), keys are placed by the new placement; retries are still blocked.
 
-In one step, a router that follows would run a first attempt in the new place while one that does not yet
-follow runs its retry in the old one. Retries stay blocked until what servers remembered of writes from before
-the end of step 2 has expired.
+With a single step, one router could send the first attempt of a write to the new location while another one
+that is not up to date sends its retry to the old location. Retries stay blocked until the servers'
+deduplication records of writes from before the end of step 2 have expired.
 """
 
 from __future__ import annotations
@@ -23,29 +24,31 @@
 
 
 class Stage(Enum):
-    """Where a placement is in its lifecycle. The values are those of the store and the API."""
-
-    SCHEDULED = "asked"  # for a time that has not come; routers are not told
-    PREPARING = "spreading"  # keys go as before, retries are blocked
-    MIGRATING = "moving"  # routers are told the new placement, and not all are known to follow
-    CONFINED = "confined"  # required: no router places a key of it outside
-    APPLIED = "followed"  # preferred: every router follows
-    REMOVING = "leaving"  # routers are told that it ends
-    QUARANTINED = "held"  # lost with an older copy of the store; served by nobody until its tenant asks anew
+    """The stage of a placement in its lifecycle. The values are used in the store and the API."""
+
+    SCHEDULED = "asked"  # starts at a later time; routers are not told yet
+    PREPARING = "spreading"  # keys are placed as before, retries are blocked
+    MIGRATING = "moving"  # routers are told the new placement; not all are known to follow it
+    CONFINED = "confined"  # required: no router places its keys outside its regions
+    APPLIED = "followed"  # preferred: every router follows the placement
+    REMOVING = "leaving"  # routers are told that the placement ends
+    # Its pin was lost when the store was restored from an older copy; not served until its tenant requests a
+    # placement again.
+    QUARANTINED = "held"
     REMOVED = "gone"
 
 
 class Event(Enum):
-    """What happens to a placement. The values are those of error messages of the API."""
+    """An event in the lifecycle of a placement. The values are used in error messages of the API."""
 
-    CHANGE_REQUESTED = "ask"  # its tenant wants it somewhere, now
-    CHANGE_SCHEDULED = "later"  # its tenant wants it somewhere, at a stated time
+    CHANGE_REQUESTED = "ask"  # by its tenant, effective now
+    CHANGE_SCHEDULED = "later"  # by its tenant, effective at a stated time
     REMOVAL_REQUESTED = "remove"
-    SCHEDULE_DUE = "due"  # the stated time has come
+    SCHEDULE_DUE = "due"  # the time of a scheduled change has come
     ROUTERS_CAUGHT_UP = "follow"  # every router that may act follows the revision of this stage
-    DEDUPLICATION_EXPIRED = "forgotten"  # no server remembers writes from before
-    ZONES_CHANGED = "disturbed"  # a server of its zones changed zones
-    PIN_LOST = "lost"  # a router acts by a pin that this store no longer has
+    DEDUPLICATION_EXPIRED = "forgotten"  # no server remembers writes from before the change
+    ZONES_CHANGED = "disturbed"  # a server was relabelled from or to one of its zones
+    PIN_LOST = "lost"  # a router acts on a pin that this store no longer has
 
 
 SETTLED_STAGES = (Stage.CONFINED, Stage.APPLIED)
@@ -78,7 +81,7 @@
     (Stage.REMOVING, Event.CHANGE_REQUESTED): Stage.PREPARING,
     (Stage.REMOVING, Event.REMOVAL_REQUESTED): Stage.REMOVING,
     (Stage.REMOVING, Event.ROUTERS_CAUGHT_UP): Stage.REMOVING,
-    (Stage.REMOVING, Event.DEDUPLICATION_EXPIRED): Stage.REMOVED,  # only after all routers follow
+    (Stage.REMOVING, Event.DEDUPLICATION_EXPIRED): Stage.REMOVED,  # only after all routers caught up
     (Stage.QUARANTINED, Event.CHANGE_REQUESTED): Stage.PREPARING,
     (Stage.QUARANTINED, Event.REMOVAL_REQUESTED): Stage.PREPARING,
     **{(stage, Event.PIN_LOST): Stage.QUARANTINED for stage in Stage if stage is not Stage.REMOVED},
@@ -86,10 +89,10 @@
 
 
 class InvalidTransitionError(Exception):
-    """The event makes no sense in this stage."""
+    """The event is not allowed in this stage."""
 
     def __init__(self, stage: Stage | None, event: Event) -> None:
-        """`stage`: None where there is no placement."""
+        """`stage`: None if there is no placement."""
         found = stage.value if stage else "not there"
         super().__init__(f"it is {found}: that cannot be asked for now ({event.value})")
         self.stage = stage
@@ -97,10 +100,10 @@
 
 
 class RoutersBehindError(InvalidTransitionError):
-    """A removal cannot end: not every router follows it yet."""
+    """A removal cannot be completed because not every router follows it yet."""
 
     def __init__(self, stage: Stage, event: Event) -> None:
-        """`stage`: the one that does not end."""
+        """`stage`: the stage that cannot be left yet."""
         super().__init__(stage, event)
         self.args = ("not every router follows yet",)
 
@@ -110,16 +113,16 @@
     """The state of one shard's placement."""
 
     stage: Stage
-    current: RegionAffinity | None = None  # that routers are told; None: as if there were no such shard
-    target: RegionAffinity | None = None  # that it migrates to, or will at `scheduled_at`
+    current: RegionAffinity | None = None  # as routers are told; None: as if the shard did not exist
+    target: RegionAffinity | None = None  # what it migrates to next, or will at `scheduled_at`
     scheduled_at: float = 0.0  # Unix seconds; 0: nothing is scheduled
-    removal_requested: bool = False  # preparing for its removal
+    removal_requested: bool = False  # the shard is preparing for its removal
     retries_blocked: bool = False  # retries of writes with an idempotency key get a final answer
-    # Every router that may act knows it as required: one without a lease rejects its keys.
+    # Every router that may act knows the placement as required, and so rejects its keys without a lease.
     required_everywhere: bool = False
-    # Some router may act by a placement that it goes on serving without a lease.
+    # Some router may still act on a placement that it continues to serve without a lease.
     may_serve_without_lease: bool = False
-    removal_acknowledged: bool = False  # removing, and every router follows
+    removal_acknowledged: bool = False  # in stage REMOVING, and every router follows
 
 
 def transition(
@@ -128,10 +131,10 @@
     affinity: RegionAffinity | None = None,
     scheduled_at: float = 0.0,
 ) -> Lifecycle:
-    """The state after an event; `lifecycle` None: there is no placement yet.
+    """Return the state after an event; `lifecycle` None: there is no placement yet.
 
-    `affinity` goes with a requested or scheduled change, `scheduled_at` (Unix seconds) with the latter.
-    Raises InvalidTransitionError where the table has no such row.
+    `affinity` is given for a requested or scheduled change, `scheduled_at` (Unix seconds) for the latter.
+    Raises InvalidTransitionError if TRANSITIONS has no entry for the stage and event.
     """
     before = lifecycle.stage if lifecycle else None
     stage = TRANSITIONS.get((before, event))
