--- a/gaugehinge/placement/lost_pins.py
+++ b/gaugehinge/placement/lost_pins.py
@@ -1,4 +1,4 @@
-"""Pins that a router acted by, and that the control plane's store, an older copy, does not have."""
+"""Pins that a router acted on but that the control plane's store, restored from an older copy, lacks."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class LostPins:
-    """Shards that are served nowhere until their tenants have asked anew."""
+    """Shards whose pins were lost: not served until their tenants request a placement again."""
 
     def __init__(self) -> None:
-        """None is lost at first."""
-        self.assignments: dict[ShardKey, ShardAssignment] = {}  # as the table has them: served nowhere
-        self.store_revision = 0  # of the older copy, when it was heard of
+        """Start with no lost pins."""
+        self.assignments: dict[ShardKey, ShardAssignment] = {}  # as the table gets them: served nowhere
+        self.store_revision = 0  # of the older copy, when this router first heard of it
 
     def compare(self, table: ShardTable, update: ControlPlaneUpdate, incarnations: Collection[int]) -> None:
-        """Find the required pins of this router's table that the store lacks, or has otherwise.
+        """Find the required pins of this router's table that the store lacks or has with other regions.
 
-        `incarnations`: of the tenants that exist.
+        `incarnations`: those of the existing tenants.
         """
         stored = {assignment.key: assignment for assignment in update.assignments}
         for key, assignment in table.assignments.items():
@@ -35,21 +35,24 @@
                 self.assignments[key] = replace(assignment, affinity=NOWHERE, retries_blocked=True)
         self.store_revision = update.revision
         logger.warning(
-            "placement: the control plane's store is an older copy, {} pins lost", len(self.assignments)
+            "placement: the control plane's store is an older copy; {} pins are lost", len(self.assignments)
         )
 
     def clear(self) -> None:
-        """Forget all: the router follows another store."""
+        """Forget all lost pins, as the router now follows another store."""
         self.assignments.clear()
 
     def keep_only(self, incarnations: Collection[int]) -> None:
-        """Forget those of tenants that do not exist any more."""
+        """Forget the lost pins of tenants that no longer exist."""
         self.assignments = {
             key: assignment for key, assignment in self.assignments.items() if key.incarnation in incarnations
         }
 
     def accepts(self, assignment: ShardAssignment) -> bool:
-        """Whether an assignment counts: one that is newer than the loss of its shard's pin ends that."""
+        """Whether to use an assignment.
+
+        One that is newer than the loss of its shard's pin is used, and the pin is no longer counted as lost.
+        """
         if assignment.key not in self.assignments:
             return True
         if assignment.revision <= self.store_revision:
@@ -58,7 +61,7 @@
         return True
 
     def report(self) -> tuple[LostPin, ...]:
-        """What the control plane is told; the rest follows with later reports."""
+        """Return the lost pins for the next report; those beyond MAX_LOST_PINS follow in later reports."""
         return tuple(
             LostPin(assignment.incarnation, assignment.shard, assignment.prefixes, self.store_revision)
             for assignment in list(self.assignments.values())[:MAX_LOST_PINS]
--- a/gaugehinge/placement/quarantine.py
+++ b/gaugehinge/placement/quarantine.py
@@ -1,4 +1,4 @@
-"""Pins that a store put back to an older copy has lost, as routers report them."""
+"""Quarantine of shards whose pins were lost when the store was restored from an older copy."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 def quarantine_changes(
     store: Store, index: ShardIndex, lost_pins: Mapping[ShardKey, LostPin], now: float
 ) -> list[Mutation]:
-    """Changes that quarantine each shard whose newer pin was lost; its tenant has to ask anew.
+    """Return the changes that quarantine each shard of which a router reported that a newer pin was lost.
 
-    Left out are pins of tenants that do not exist, shards that were changed after the router first heard of
-    the older copy, and shards that are quarantined already. `now`: Unix seconds. On the store's thread.
+    A quarantined shard is not served until its tenant requests a placement again. Skipped are pins of tenants
+    that do not exist, shards that were changed after the router first heard of the older copy, and shards
+    that are quarantined already. `now`: Unix seconds. Runs on the store's thread.
     """
     names = tenant_names(store)
     changes = []
@@ -34,7 +35,9 @@
         record = found or _quarantined_record(store, names[incarnation], lost, now)
         lifecycle = transition(lifecycle_of(found) if found else None, Event.PIN_LOST)
         after = replace(with_lifecycle(record, lifecycle, now), version=store.revision + 1)
-        logger.warning("shard {} of {} held: a newer pin of it was lost", shard, names[incarnation])
+        logger.warning(
+            "shard {} of tenant {} is quarantined: a newer pin of it was lost", shard, names[incarnation]
+        )
         changes.append(Mutation(SHARD, record_id(incarnation, shard), encode(after), revision))
     return changes
 
@@ -44,6 +47,6 @@
 
 
 def _quarantined_record(store: Store, tenant: str, lost: LostPin, now: float) -> ShardRecord:
-    """A record of a shard that this copy of the store never had."""
+    """Return a quarantined record for a shard that this copy of the store never had."""
     stage, version = Stage.QUARANTINED, store.revision + 1
     return ShardRecord(lost.incarnation, tenant, lost.shard, lost.prefixes, 0.0, version, stage, now)
