--- a/gaugehinge/placement/shard_index.py
+++ b/gaugehinge/placement/shard_index.py
@@ -1,4 +1,4 @@
-"""All shards as the store has them, brought up to date from its log. On the store's thread alone."""
+"""In-memory index of all shards in the store, updated from its log. For use on the store's thread only."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from .shard_table import ShardAssignment, ShardKey
 from .store_reader import iter_items
 
-MAX_REMEMBERED_REMOVALS = 4096  # a router further behind gets all shards
-CHANGES_PER_READ = 5000  # rows of the log
+MAX_REMEMBERED_REMOVALS = 4096  # a router that is further behind gets all shards
+CHANGES_PER_READ = 5000  # entries of the log
 
 
 class Removal(NamedTuple):
@@ -27,26 +27,26 @@
 
 @dataclass(slots=True, frozen=True)
 class TableChanges:
-    """What a router's table lacks."""
+    """The changes that a router's table lacks."""
 
-    is_complete: bool  # all shards, and not only those that changed
+    is_complete: bool  # assignments are all shards, not only those that changed
     assignments: list[ShardAssignment]
     removed: list[ShardKey]
 
 
 @dataclass(slots=True)
 class ShardIndex:
-    """Shard records by their ids, and what was removed lately."""
+    """Shard records by id, and recent removals."""
 
     revision: int = 0
-    shards: dict[str, StoredShard] = field(default_factory=dict)  # what changed last stands last
-    needs_work: set[str] = field(default_factory=set)  # ids of records that the control plane has to bring on
+    shards: dict[str, StoredShard] = field(default_factory=dict)  # in the order of their last change
+    needs_work: set[str] = field(default_factory=set)  # ids of records that the control plane has to advance
     removed: deque[Removal] = field(default_factory=lambda: deque(maxlen=MAX_REMEMBERED_REMOVALS))
-    complete_below: int = 0  # a table older than this cannot be brought up to date by changes
-    newest_revision: int = 0  # of the record changed last
+    complete_below: int = 0  # a router's table of an older revision needs all shards
+    newest_revision: int = 0  # of the latest change to a shard record
 
     def refresh(self, store: Store) -> None:
-        """Follow the store."""
+        """Apply the changes made to the store since the last refresh, or load all shards."""
         if not self.revision or store.oldest_revision > self.revision + 1:
             self._load(store)
             return
@@ -65,7 +65,7 @@
         self.revision = self.complete_below = store.revision
 
     def apply(self, record_id: str, revision: int, body: bytes | None) -> None:
-        """Take over one change of a shard record; `body` None: it was removed."""
+        """Apply one change of a shard record; `body` None: it was removed."""
         self.newest_revision = max(self.newest_revision, revision)
         self.needs_work.discard(record_id)
         before = self.shards.pop(record_id, None)
@@ -84,12 +84,12 @@
         self.removed.append(removal)
 
     def for_incarnation(self, incarnation: int) -> list[StoredShard]:
-        """The shards of one incarnation of a tenant."""
+        """Return the shards of one incarnation of a tenant."""
         prefix = f"{incarnation}/"
         return [stored for record_id, stored in self.shards.items() if record_id.startswith(prefix)]
 
     def changes_since(self, since: int) -> TableChanges:
-        """What a router lacks whose table is of the revision `since`; 0: it has none."""
+        """Return what a router's table at revision `since` lacks; 0: the router has no table."""
         is_complete = not since or since < self.complete_below
         if not is_complete and since >= self.newest_revision:
             return TableChanges(False, [], [])
@@ -98,7 +98,7 @@
             if not is_complete and revision <= since:
                 break
             if record.stage is Stage.SCHEDULED:
-                removed.append(record.key)  # a router may have been told it before it was taken back
+                removed.append(record.key)  # a router may have been told of it before it was withdrawn
             else:
                 assignments.append(_assignment(record, revision))
         if not is_complete:
--- a/gaugehinge/placement/shard_table.py
+++ b/gaugehinge/placement/shard_table.py
@@ -1,8 +1,8 @@
-"""Which shard of its tenant a key belongs to, and where it may be served. No I/O, no clock.
+"""Maps a key to the shard of its tenant that it belongs to, and so to its placement. No I/O, no clock.
 
-A shard is a set of prefixes of its tenant's keys; of several that fit a key the longest wins. The empty
-prefix is the default shard, the rest. A key is looked up by the lengths that a tenant's prefixes have: in as
-many steps as there are lengths (65 at most), however many shards there are.
+A shard is a set of prefixes of its tenant's keys; the longest prefix that matches a key wins. The empty
+prefix is that of the default shard, which has all remaining keys. A lookup takes one step for each distinct
+length of the tenant's prefixes (65 at most), regardless of the number of shards.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 from .affinity import ANYWHERE, RegionAffinity, SearchOrder
 
-MAX_PREFIXES = 16  # of one shard
-MAX_PREFIX_LENGTH = 64  # bytes of a prefix
+MAX_PREFIXES = 16  # per shard
+MAX_PREFIX_LENGTH = 64  # bytes
 DEFAULT_SHARD = "default"  # the shard whose only prefix is empty
 
 Prefix = Annotated[
@@ -26,7 +26,7 @@
 
 
 class ShardKey(NamedTuple):
-    """What names a shard in tables. Encoded as an array."""
+    """Identifies a shard in tables. Encoded as an array."""
 
     incarnation: int
     shard: str
@@ -37,24 +37,24 @@
     frozen=True,
     rename={"affinity": "terms", "retries_blocked": "held", "revision": "rev"},
 ):
-    """One shard as routers are told of it."""
+    """The placement of one shard, as routers are told of it."""
 
     incarnation: int
     shard: str
     prefixes: tuple[str, ...]
-    affinity: RegionAffinity | None  # None: as its keys would go without it
+    affinity: RegionAffinity | None  # None: its keys are placed as if the shard did not exist
     retries_blocked: bool  # retries of writes with an idempotency key get a final answer
-    revision: int  # of the store, at which this was decided
+    revision: int  # of the store when this was decided
 
     @property
     def key(self) -> ShardKey:
-        """Its key in tables."""
+        """The shard's key in tables."""
         return ShardKey(self.incarnation, self.shard)
 
 
 @dataclass(slots=True, frozen=True)
 class KeyPlacement:
-    """What a key's shard means for an operation."""
+    """The placement of a key, as it applies to an operation."""
 
     shard: str
     required: bool
@@ -67,8 +67,8 @@
 
     incarnation: int
     prefix: str
-    shard: str  # whose claim counts
-    ignored_shard: str  # whose does not
+    shard: str  # the shard that gets the prefix
+    ignored_shard: str  # the shard whose claim is ignored
 
 
 @dataclass(slots=True)
@@ -83,12 +83,12 @@
     def of(
         cls, placements: dict[bytes, KeyPlacement], conflicts: Iterable[PrefixConflict] = ()
     ) -> PrefixRules:
-        """The rules for placements by prefix."""
+        """Build the rules from placements by prefix."""
         lengths = sorted({len(prefix) for prefix in placements}, reverse=True)
         return cls(placements, tuple(lengths), tuple(conflicts))
 
     def find(self, key: bytes) -> KeyPlacement | None:
-        """The placement of a key, given without its tenant's key space; None where no prefix fits."""
+        """Return the placement of a key without its tenant's key space; None if no prefix matches."""
         for length in self.lengths:
             placement = self.placements.get(key[:length])
             if placement is not None:
@@ -97,10 +97,11 @@
 
 
 def build_prefix_rules(assignments: Iterable[ShardAssignment]) -> PrefixRules:
-    """The rules of one incarnation.
+    """Build the rules of one incarnation.
 
-    A shard with no affinity of its own is placed as the next shorter prefix is. A prefix that two shards
-    claim belongs to the one that was decided on first: the later row is the mistake, and fails alone.
+    A shard without an affinity is placed like the next shorter matching prefix. A prefix that two shards
+    claim belongs to the one with the earlier revision: the later claim is taken as the mistake, and only that
+    claim is ignored.
     """
     by_prefix = [
         (prefix.encode(), assignment) for assignment in assignments for prefix in assignment.prefixes or ("",)
@@ -108,7 +109,7 @@
     owners: dict[bytes, str] = {}
     conflicts: list[PrefixConflict] = []
     placements: dict[bytes, KeyPlacement] = {}
-    search_orders: dict[RegionAffinity, SearchOrder] = {}  # shared by the placements that have the same
+    search_orders: dict[RegionAffinity, SearchOrder] = {}  # shared by placements with the same affinity
     for prefix, assignment in sorted(by_prefix, key=_shorter_and_earlier_first):
         owner = owners.setdefault(prefix, assignment.shard)
         if owner != assignment.shard:
@@ -141,17 +142,17 @@
 
 @dataclass(slots=True)
 class ShardTable:
-    """All shards that a router was told of. As long as the control plane's list of them."""
+    """All shards that a router was told of. It grows with the control plane's list of shards."""
 
     assignments: dict[ShardKey, ShardAssignment] = field(default_factory=dict)
-    rules: dict[bytes, PrefixRules] = field(default_factory=dict)  # by the key space of an incarnation
+    rules: dict[bytes, PrefixRules] = field(default_factory=dict)  # by key space of the incarnation
 
     def conflicts(self) -> list[PrefixConflict]:
-        """All prefixes that two shards of one tenant claim."""
+        """Return all prefixes that two shards of one tenant claim."""
         return [conflict for rules in self.rules.values() for conflict in rules.conflicts]
 
     def find(self, key: bytes) -> KeyPlacement | None:
-        """The placement of a key as servers see it, None where it has none."""
+        """Return the placement of a key in the form that servers see; None if it has none."""
         key_space, _, own_key = key.partition(b"/")
         rules = self.rules.get(key_space)
         return rules.find(own_key) if rules is not None else None
@@ -162,7 +163,7 @@
         removed: Iterable[ShardKey],
         is_complete: bool = False,
     ) -> None:
-        """Take over what changed. `is_complete`: the assignments are all that there are."""
+        """Apply changes. `is_complete`: the assignments replace the whole table."""
         touched = {key.incarnation for key in self.assignments} if is_complete else set()
         if is_complete:
             self.assignments = {}
--- a/gaugehinge/placement/shard_view.py
+++ b/gaugehinge/placement/shard_view.py
@@ -1,4 +1,4 @@
-"""Shards as the administration API shows them."""
+"""Shards as shown by the administration API."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from .server_inventory import ServerInventory
 from .server_snapshots import stale_copies
 
-MAX_SHOWN_ROUTERS = 20  # that a shard waits for
+MAX_SHOWN_ROUTERS = 20  # routers that a shard waits for, in one view
 
 
 class ShardPresenter:
-    """Makes the API's view of shard records."""
+    """Builds the API's view of shard records."""
 
     def __init__(
         self,
@@ -27,14 +27,14 @@
         settings: PlacementConfig,
         wall_clock: Callable[[], float],
     ) -> None:
-        """`settings`: how long servers keep values; `wall_clock`: Unix seconds."""
+        """`settings`: has how long servers retain values; `wall_clock`: Unix seconds."""
         self.leases = leases
         self.inventory = inventory
         self.settings = settings
         self.wall_clock = wall_clock
 
     def view(self, store: Store | None, record: ShardRecord, revision: int) -> ShardShown:
-        """A record at a revision, as it is shown. Without a store its copies are left out."""
+        """Return the view of a record at a revision. Without a store, copies are left out."""
         stage, waits_for = self._progress(record, revision)
         copies_until = record.confined_at + float(self.settings.retention) if self.settings.retention else 0.0
         return ShardShown(
@@ -59,7 +59,7 @@
         )
 
     def _progress(self, record: ShardRecord, revision: int) -> tuple[str, list[str]]:
-        """The stage to show, and the routers that a shard in progress waits for."""
+        """Return the stage to show, and the routers that a shard in progress waits for."""
         lifecycle = lifecycle_of(record)
         if lifecycle.stage is Stage.CONFINED and not self.leases.is_confined(record):
             return Stage.MIGRATING.value, [PREVIOUS_RUN]
--- a/gaugehinge/placement/sweep.py
+++ b/gaugehinge/placement/sweep.py
@@ -1,4 +1,4 @@
-"""Removal of what no shard or tenant needs any more from the store."""
+"""Removes from the store what no shard or tenant needs any more."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def sweep_changes(store: Store, index: ShardIndex) -> list[Mutation]:
-    """Changes that remove what belongs to tenants that are gone, and snapshots that no shard names.
+    """Return changes that remove items of deleted tenants and snapshots that no shard refers to.
 
-    On the store's thread, after the index followed the store.
+    Runs on the store's thread, after the index was refreshed.
     """
     tenants = tenant_names(store)
     used = {record.server_snapshot for record, _ in index.shards.values()}
