--- a/gaugehinge/placement/router.py
+++ b/gaugehinge/placement/router.py
@@ -1,9 +1,9 @@
-"""Placement at a router: what the control plane assigned, enforced at the door and before each attempt.
+"""Placement at a router: enforces the assignments on each new operation and before each attempt.
 
-A router that is cut off from the control plane cannot know what was pinned since. So with its lease over it
-serves no required shard, and answers no retry of a write with an idempotency key with an attempt; and after
-the longer isolation limit it serves no tenant at all, for any key may have been pinned by then. The clock is
-read before each attempt: a process that was stopped must not act by what it knew before.
+A router that is cut off from the control plane cannot know what has been pinned since. So once its lease has
+expired it serves no required shard, and makes no attempt for a retry of a write with an idempotency key.
+After the longer isolation limit it serves no tenant at all, as any key may have been pinned by then. The
+clock is read before each attempt: a process that was suspended must not act on outdated knowledge.
 """
 
 from __future__ import annotations
@@ -33,40 +33,40 @@
 from .server_list import ServerList
 from .shard_table import KeyPlacement, ShardTable
 
-MIN_POLL_WAIT = 0.2  # seconds that a call to the control plane stands open at least
-MIN_POLL_SLACK = 0.5  # seconds over that, at least, until a call counts as failed
+MIN_POLL_WAIT = 0.2  # seconds; lower bound of how long a call to the control plane is kept open
+MIN_POLL_SLACK = 0.5  # seconds; lower bound of the extra time until a call counts as failed
 POLLS_PER_LEASE = 3.0
-REJECT_RETRY_AFTER = 1.0  # seconds that clients of a shard that is not served stay away, on average
+REJECT_RETRY_AFTER = 1.0  # seconds; average, sent to clients of a shard that is not served
 NO_ZONE: SearchOrder = (frozenset(),)
 
 
 class RouterPlacement(FeedPart):
-    """A part of the feed; a transformer of endpoint lists, a routing constraint and an attempt policy."""
+    """Placement as a feed part, transformer of endpoint lists, routing constraint and attempt policy."""
 
     name = "placement"
 
     def __init__(
         self, service: Service, follower: ControlPlaneWatch, clock: Callable[[], float] = trio.current_time
     ) -> None:
-        """`clock`: the follower's, by which it says when a call was sent."""
+        """`clock`: the clock by which the follower states when a call was sent."""
         self.service, self.follower, self.clock = service, follower, clock
         self.table = ShardTable()
         self.servers = ServerList(clock)
         self.lost_pins = LostPins()
         self.lease = HeldLease()
-        self.isolation = HeldLease()  # for how long tenants are served at all
-        self.store = ""  # which store the table is of
-        self.revision = 0  # of the table
+        self.isolation = HeldLease()  # limits how long tenants are served at all
+        self.store = ""  # id of the store that the table is from
+        self.revision = 0  # of the store that the table follows
         self.revision_digest = ""
-        self.asked_at = 0.0  # when the question was sent whose answer was heard last
-        self.effective_revision = 0  # the newest by which no attempt in flight is misplaced
-        self.misplaced: set[Attempt] = set()  # in flight, to where this table would not send them
-        self.cut_off = False  # without a lease, and operations were checked since
-        self.rejected = 0  # operations for want of a lease, since it was lost
+        self.asked_at = 0.0  # when the call was sent whose answer was applied last
+        self.effective_revision = 0  # the newest revision by which no attempt in flight is misplaced
+        self.misplaced: set[Attempt] = set()  # in flight to servers that the current table does not allow
+        self.cut_off = False  # no lease is valid, and an operation was checked since
+        self.rejected = 0  # operations rejected for lack of a lease, since it was lost
         self._draws = count()
 
     def transform(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
-        """Follow discovery's list, and leave it as it is."""
+        """Record the update of discovery's list and return it unchanged."""
         origin_kind = self.service.configuration.settings.deployment.origin_kind
         self.servers.update(update, cached, origin_kind)
         return update
@@ -74,7 +74,7 @@
     # -- the control plane
 
     def report(self) -> bytes:
-        """What goes with the next call: a `RouterReport` as JSON."""
+        """Return the `RouterReport` for the next call, as JSON."""
         pending = self.service.pool.pending
         self.misplaced = {attempt for attempt in self.misplaced if attempt in pending}
         if not self.misplaced:
@@ -90,9 +90,9 @@
         )
 
     def hear(self, feed: Feed, asked_at: float) -> None:
-        """Take over an answer of the control plane, to the call that was sent at `asked_at`.
+        """Apply an answer of the control plane to the call that was sent at `asked_at`.
 
-        Raises FeedError, and then nothing has changed.
+        Raises FeedError if the answer cannot be used; nothing has changed then.
         """
         update = self._read_update(feed, asked_at)
         self._update_lost_pins(feed, update)
@@ -153,16 +153,16 @@
         return placement is None or self._endpoint_allowed(attempt, placement.regions or NO_ZONE)
 
     def _endpoint_allowed(self, attempt: Attempt, regions: SearchOrder) -> bool:
-        """Whether an attempt's server may be sent a key that is pinned to regions; the origin always may."""
+        """Whether an attempt's endpoint may get a key that is pinned to regions. The origin always may."""
         server: Any = attempt.endpoint
         return server.origin or self.servers.allows(server, regions)
 
     def ready(self) -> bool:
-        """Whether a lease is held: with none, required shards are rejected. For `recovery`."""
+        """Whether a valid lease is held; without one, required shards are rejected. Used by `recovery`."""
         return self.lease.is_valid(self.clock())
 
     def _adjust_polling(self, lease: float) -> None:
-        """Let calls end early enough to renew a short lease."""
+        """Shorten calls to the control plane so that a short lease is renewed in time."""
         if lease:
             wait = max(min(POLL_WAIT, lease / POLLS_PER_LEASE), MIN_POLL_WAIT)
             slack = max(lease / POLLS_PER_LEASE, MIN_POLL_SLACK)
@@ -171,13 +171,17 @@
 
     def _log_lease_renewed(self) -> None:
         if self.cut_off and self.lease.is_valid(self.clock()):
-            logger.info("placement: lease renewed, revision {}, {} rejected", self.revision, self.rejected)
+            logger.info(
+                "placement: lease renewed at revision {}; {} operations were rejected without one",
+                self.revision,
+                self.rejected,
+            )
             self.cut_off, self.rejected = False, 0
 
     # -- operations
 
     def constrain(self, operation: Operation) -> bytes | None:
-        """As the dispatcher takes it: set the operation's regions, or return its reply at once."""
+        """Set the regions of a new operation, or return its reply if it must not be routed."""
         placement = self.table.find(operation.key)
         if not self.lease.is_valid(self.clock()):
             reply = self._reply_without_lease(operation, placement, operation.is_client_retry)
@@ -193,9 +197,9 @@
         return None
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Before each attempt's bytes: whether it may go.
+        """Whether an attempt may be sent. Called before its bytes are written.
 
-        Where it may not, the operation is answered or goes elsewhere.
+        If not, the operation is either answered here or has to be tried at another endpoint.
         """
         operation = attempt.operation
         placement = self.table.find(operation.key)
@@ -214,10 +218,10 @@
         return self._endpoint_allowed(attempt, operation.regions)
 
     def _update_regions(self, operation: Operation, placement: KeyPlacement | None) -> bytes | None:
-        """Set the regions of an operation whose shard may have moved since it came, or return its answer."""
+        """Set the regions of an operation whose shard may have moved meanwhile, or return its reply."""
         regions = placement.regions if placement is not None else ANYWHERE
         if regions != operation.regions:
-            # A write that ran in the old place would not be known as the same one in the new place.
+            # Servers of the new regions would not recognise a write that already ran in the old ones.
             if operation.may_have_run_on is not None and has_idempotency_key(operation):
                 return FAILED_REPLY
             operation.regions = regions
@@ -228,10 +232,13 @@
     def _reply_without_lease(
         self, operation: Operation, placement: KeyPlacement | None, is_retry: bool
     ) -> bytes | None:
-        """The answer of what cannot be served safely without a lease, None for the rest."""
+        """Return the reply for an operation that cannot be served safely without a lease, else None."""
         if not self.cut_off:
             self.cut_off = True
-            logger.warning("placement: no lease, revision {}: `only` shards are rejected", self.revision)
+            logger.warning(
+                "placement: no valid lease at revision {}; operations on `only` shards are rejected",
+                self.revision,
+            )
         required = placement is not None and placement.required
         blocked = is_retry and has_idempotency_key(operation)
         if self.isolation.is_valid(self.clock()) and not required and not blocked:
@@ -243,7 +250,7 @@
         self.service.dispatcher.reject(operation, FAILED_REPLY if may_have_run(operation) else reply)
 
     def busy(self) -> bytes:
-        """A rejection with a Retry-After, spread so that clients do not come back all at once."""
+        """Return a rejection whose Retry-After is spread so that clients do not all retry at once."""
         longest = self.service.configuration.settings.deployment.max_retry_after
         draw = crc32(b"%d" % next(self._draws)) / 0x100000000
         return busy_reply(min(REJECT_RETRY_AFTER * (0.5 + draw), longest) if longest else 0.0)
--- a/gaugehinge/placement/server_availability.py
+++ b/gaugehinge/placement/server_availability.py
@@ -1,4 +1,4 @@
-"""Which servers may take keys of required shards: the reported list, less what was taken out of it."""
+"""Which servers may take keys of required shards: the reported ones without drained or relabelled ones."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 
 class ServerAvailability:
-    """The servers of the inventory as placements may use them.
+    """The servers of the inventory, with those marked that placements may not use.
 
-    A server that operators let drain takes nothing new. A server whose zone changed without a restart (it was
-    relabelled) takes no key of a required shard. Neither is capacity to pin to.
+    A server that operators drain takes nothing new. A server whose zone changed without a restart (a
+    relabelled server) takes no key of a required shard. Neither counts as capacity for pins.
     """
 
     def __init__(self, inventory: ServerInventory) -> None:
-        """Nothing is known of the store until `refresh`."""
+        """Nothing is read from the store until `refresh`."""
         self.inventory = inventory
-        self.drained: frozenset[str] = frozenset()  # by operators; as of the last refresh
-        self.relabelled: dict[str, float] = {}  # to when it started; as of the last refresh
+        self.drained: frozenset[str] = frozenset()  # uids; by operators, as of the last refresh
+        self.relabelled: dict[str, float] = {}  # start time by uid, as of the last refresh
         self._stored: list[RelabelledServer] = []
-        self._stored_revision = 0  # of the store, at which `_stored` was read
+        self._stored_revision = 0  # of the store when `_stored` was read
 
     def refresh(self, store: Store) -> None:
-        """Follow the store. On its thread."""
+        """Read drained and relabelled servers from the store. Runs on the store's thread."""
         self.drained = frozenset(item.item_id for item in iter_items(store, SERVER_ORDER_KIND))
         self.relabelled = {**dict(self.stored_relabelled(store)), **self.inventory.relabelled}
 
     def servers(self) -> list[ReportedServer]:
-        """All servers; those that take no key of a required shard do not accept anything new."""
+        """Return all servers; drained and relabelled ones are marked as not accepting anything new."""
         return [
             server._replace(accepts_new=False) if self._is_excluded(server) else server
             for server in list(self.inventory.current.values())
@@ -44,11 +44,11 @@
         return server.uid in self.drained or self.relabelled.get(server.uid) == server.started_at
 
     def zones(self) -> set[str]:
-        """Zones where some server accepts new keys."""
+        """Return the zones in which any server accepts new keys."""
         return {server.zone for server in self.servers() if server.accepts_new}
 
     def stored_relabelled(self, store: Store) -> list[RelabelledServer]:
-        """Relabelled servers as the store has them, with the times of their starts. On the store's thread."""
+        """Return the stored relabelled servers with their start times. Runs on the store's thread."""
         if self._stored_revision != store.revision:
             item = store.get(NOTE, RELABELLED_NOTE)
             self._stored = msgspec.json.decode(item.body, type=list[RelabelledServer]) if item else []
@@ -56,7 +56,7 @@
         return self._stored
 
     def relabelled_change(self, store: Store) -> Mutation:
-        """The change that writes down what the inventory found, without servers that restarted since."""
+        """Return the change that stores all relabelled servers, except those that have restarted since."""
         stored = store.get(NOTE, RELABELLED_NOTE)
         started = {server.uid: server.started_at for server in self.inventory.current.values()}
         known = dict(self.stored_relabelled(store)) | self.inventory.relabelled
--- a/gaugehinge/placement/server_list.py
+++ b/gaugehinge/placement/server_list.py
@@ -1,4 +1,4 @@
-"""The list of servers at a router: what discovery told, what is reported of it, which keys they may take."""
+"""A router's list of servers: as found by discovery, as reported, and which keys they may take."""
 
 from __future__ import annotations
 
@@ -13,33 +13,34 @@
 from .messages import MAX_SERVERS, RelabelledServer, ReportedServer, ServerListChunk
 from .server_inventory import ServerPresence, server_list_digest, split_server_list
 
-RESEND_INTERVAL = 10.0  # seconds after which a list that the control plane does not have is sent again
+RESEND_INTERVAL = 10.0  # seconds until a list that the control plane still lacks is sent again
 UNKNOWN_SERVER = ServerPresence("", "", 0.0)
 
 
 class ServerList:
-    """The servers that discovery told this router, the origin not among them."""
+    """The servers that discovery listed for this router, without the origin."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         """`clock`: monotonic seconds."""
         self.clock = clock
-        self.current: dict[str, ReportedServer] = {}  # follows the list
-        self.departed: dict[str, ReportedServer] = {}  # as they left the list; MAX_SERVERS of them
-        self.relabelled: dict[str, float] = {}  # by what the list told here: to their starts
-        self.reported_relabelled: dict[str, float] = {}  # by what the control plane told
-        self.is_known = False  # discovery was heard; before that there is no list to send, not an empty one
-        self._by_number: dict[int, ServerPresence] = {}  # by the number that decisions know a server by
+        self.current: dict[str, ReportedServer] = {}  # by uid; servers on the list
+        self.departed: dict[str, ReportedServer] = {}  # in the order of leaving; at most MAX_SERVERS
+        self.relabelled: dict[str, float] = {}  # start time by uid, as seen in this router's list
+        self.reported_relabelled: dict[str, float] = {}  # start time by uid, as told by the control plane
+        # Whether discovery has answered. Until then there is no list to report, not even an empty one.
+        self.is_known = False
+        self._by_number: dict[int, ServerPresence] = {}  # by endpoint ident, as used in routing decisions
         self._pending_chunks: list[ServerListChunk] = []  # still to be sent
         self._sent_digest = ""
         self._sent_at = 0.0
 
-    # -- what discovery tells
+    # -- updates from discovery
 
     def update(self, update: EndpointListUpdate, cached: bool, origin_kind: str | None) -> None:
-        """Follow the list.
+        """Apply an update of discovery's list.
 
-        `cached`: it is not discovery's own answer, but one kept from before; `origin_kind`: of the entries
-        that are no cache servers.
+        `cached`: the update is not a fresh answer of discovery but one that was stored before;
+        `origin_kind`: kind of the entries that are not cache servers.
         """
         self.is_known = self.is_known or not cached
         if update.complete:
@@ -54,21 +55,24 @@
         self._forget_outdated()
 
     def _add(self, uid: str, entry: EndpointEntry) -> None:
-        """A server that stands in another zone than before without a restart belongs to neither.
+        """Add or update a server, and mark it as relabelled if its zone changed without a restart.
 
-        Nor does one whose start goes back: that list is older than one that was told before, and where the
-        server restarted since, it stands elsewhere now.
+        A relabelled server counts as part of neither zone. A zone change with an earlier start time is
+        treated the same: that list is older than a previous update, and if the server restarted in between,
+        it is in another zone now.
         """
         before = self.current.get(uid) or self.departed.pop(uid, None)
         if before is not None and entry.started <= before.started_at and before.zone != entry.zone:
             self.relabelled[uid] = entry.started
-            logger.warning("server {} in zone {} and not {} with no start", uid, entry.zone, before.zone)
+            logger.warning(
+                "server {} is listed in zone {} instead of {} without a restart", uid, entry.zone, before.zone
+            )
         accepts_new = entry.state is EndpointState.UP
         self.current[uid] = ReportedServer(uid, entry.zone, entry.weight, entry.started, accepts_new)
         self._by_number[entry.ident] = ServerPresence(uid, entry.zone, entry.started)
 
     def _remove(self, uid: str) -> None:
-        """Remember a server that leaves the list: it may come back in another zone without a restart."""
+        """Remember a server that leaves the list, as it may return in another zone without a restart."""
         server = self.current.pop(uid, None)
         if server is None:
             return
@@ -87,14 +91,14 @@
             if uid in current and current[uid].started_at == started_at
         }
 
-    # -- what is decided by it
+    # -- placement decisions
 
     def set_reported_relabelled(self, servers: list[RelabelledServer]) -> None:
-        """Take over which servers the control plane knows to have been relabelled."""
+        """Set which servers the control plane knows to have been relabelled."""
         self.reported_relabelled = dict(servers)
 
     def allows(self, server: Any, regions: SearchOrder) -> bool:
-        """Whether a server may be sent a key that is pinned to regions; there is at least one."""
+        """Whether a server may get a key that is pinned to `regions`, which must not be empty."""
         if regions[-1] is None:
             return True
         known = self._by_number.get(server.ident, UNKNOWN_SERVER)
@@ -108,14 +112,14 @@
         by_list = self.relabelled.get(server.uid)
         return server.started_at in (by_control_plane, by_list)
 
-    # -- what the control plane is sent
+    # -- reports to the control plane
 
     def next_chunk(self) -> ServerListChunk | None:
-        """What goes with the next report."""
+        """Return the chunk for the next report, None if none is pending."""
         return self._pending_chunks.pop(0) if self._pending_chunks else None
 
     def prepare_report(self, control_plane_digest: str) -> None:
-        """Queue the list if it differs from the control plane's, of which the digest is given."""
+        """Queue the list for sending if it differs from the one that the control plane has, by its digest."""
         if not self.is_known or self._pending_chunks or len(self.current) > MAX_SERVERS:
             return
         servers = [server for _, server in sorted(self.current.items())]
