--- a/tests/test_placement_admission.py
+++ b/tests/test_placement_admission.py
@@ -1,4 +1,4 @@
-"""What is admitted: capacity of regions, budgets of tenants, and the list of servers behind it."""
+"""Admission: capacity of regions, change budgets of tenants, and the server list behind the capacity."""
 
 from dataclasses import replace
 
@@ -45,7 +45,7 @@
 
 def test_pin_beyond_capacity_may_shrink_and_unknown_servers_are_reported():
     overcommitted = replace(CAPACITY, reserved={"eu": 300.0})
-    overcommitted.check(("eu",), 250.0, already_reserved=250.0)  # as it stands, and in other terms
+    overcommitted.check(("eu",), 250.0, already_reserved=250.0)  # unchanged, or with other settings
     overcommitted.check(("eu",), 80.0, already_reserved=250.0)
     with pytest.raises(AdmissionError) as error:
         overcommitted.check(("eu",), 250.1, already_reserved=250.0)
@@ -84,13 +84,13 @@
     assert set(inventory.departed) == {"s449"} and ("s449", "a", 5.0) in inventory.snapshot()
     inventory.add_chunk("r", split_server_list([ReportedServer("s003", "b", 1.0, 7.0, True)])[0])
     assert not inventory.relabelled
-    # A list of before: what it says of the zone is of a former start, whose address it may not be any more.
+    # An outdated list: its zone belongs to an earlier start, and the server may have another address by now.
     assert inventory.add_chunk("r", split_server_list([ReportedServer("s003", "a", 1.0, 5.0, True)])[0]) == {
         "a",
         "b",
     }
     assert inventory.relabelled == {"s003": 5.0}
-    for zone in "ba":  # routers that do not agree on it
+    for zone in "ba":  # routers that disagree about its zone
         assert not inventory.add_chunk(
             "r", split_server_list([ReportedServer("s003", zone, 1.0, 5.0, True)])[0]
         )
--- a/tests/test_placement_lifecycle.py
+++ b/tests/test_placement_lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of a shard's placement, by its table alone."""
+"""The lifecycle of a shard's placement, by its transition table alone."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 def test_every_event_sequence_blocks_retries_while_placement_changes():
-    """All events in all orders, 6 deep: what is told changes only on the way from spreading."""
+    """All events in all orders, 6 deep: the current placement changes only when PREPARING is left."""
     seen = set()
     frontier = {None}
     for _ in range(6):
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -1,8 +1,10 @@
-"""Keeper and three routers in virtual time: loss, delay, pauses, starts, clocks that run apart, splits.
+"""A control plane and three routers in virtual time, under faults.
 
-The real parts on both sides, a real store and the real calls between them; messages, clocks and processes are
-the model's. After every step: no router may begin an attempt outside the zones that the keeper says a shard
-is confined to, none that it began before arrives there, and no mark runs in two places. Mutants are found.
+The faults are lost and delayed messages, pauses, restarts, drifting clocks and partitions. Both sides run the
+real placement code, with a real store and the real calls between them; messages, clocks and processes are
+simulated. After every step: no router may begin an attempt outside the zones that the control plane reports a
+shard as confined to, no attempt that was begun earlier arrives outside them, and no write with an idempotency
+key runs in two places. Mutants of both sides have to be found.
 """
 
 import random
@@ -65,27 +67,27 @@
 SERVERS = [(10 + n, f"server-{n}", "abc"[n % 3]) for n in range(6)]
 SHARDS = {"x": "x/", "part": "x/y/", "z": "z/"}
 KEYS = [b"1/x/1", b"1/x/y/1", b"1/z/1"]
-CLOCK_RATES = [0.996, 1.0, 1.004]  # of clocks: apart by less than lease.MAX_CLOCK_DRIFT
+CLOCK_RATES = [0.996, 1.0, 1.004]  # clock rates of routers; they differ by less than lease.MAX_CLOCK_DRIFT
 
 
 class Suspension:
-    """A call of the feed that stands open until it is told to go on."""
+    """Suspends an open call of the feed until the simulation resumes it."""
 
     def __await__(self):
         yield self
 
 
 def run_to_completion(coroutine):
-    """Run what waits for nothing."""
+    """Run a coroutine that must not suspend, and return its result."""
     try:
         coroutine.send(None)
     except StopIteration as end:
         return end.value
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine suspended")
 
 
 class StoreStub:
-    """The store's keeper with no thread."""
+    """An AsyncStore without a thread."""
 
     def __init__(self, path, simulation) -> None:
         self.store, self.simulation = Store(path), simulation
@@ -114,13 +116,13 @@
 
 
 class RouterStub:
-    """One process of a router: the real part and roster, around it just what they touch."""
+    """One router process: the real placement and tenant registry, with stubs for what they use."""
 
     def __init__(self, simulation, number: int, router_type) -> None:
         self.simulation, self.number = simulation, number
         self.run, self.rate = f"run-{next(simulation.runs)}", simulation.rates[number]
         self.paused = False
-        self.operation = None  # in hand since the door
+        self.operation = None  # accepted, but not sent yet
         self.registry = TenantRegistry()
         deployment = SimpleNamespace(origin_kind="origin", max_retry_after=2.0)
         dispatcher = SimpleNamespace(reject=self.reject)
@@ -159,7 +161,7 @@
         return operation if self.placement.constrain(operation) is None else None
 
     def begin_attempt(self, operation, zone: str) -> Attempt | None:
-        """Begin an attempt at a server of a zone, if that is let."""
+        """Begin an attempt at a server of a zone, if the router allows it."""
         ident = next(n for n, _, each in SERVERS if each == zone)
         attempt = Attempt(operation, SimpleNamespace(ident=ident, zone=zone, origin=False), 0, 0.0)
         return (
@@ -170,7 +172,7 @@
 
 
 class Simulation:
-    """All that plays, and its rules."""
+    """The simulated processes and messages, and the rules that are checked."""
 
     def __init__(
         self,
@@ -185,13 +187,13 @@
             control_plane_type,
             folder / "store.db",
         )
-        self.calls = []  # on their way to the keeper: router, report, when it was sent
-        self.open_calls = []  # that stand open there
-        self.answers = []  # on their way back
-        self.in_flight = []  # attempts that left: arrives at, key, zone
-        self.completed_writes = []  # key, regions it ran with, until when it is remembered
+        self.calls = []  # on their way to the control plane: router, report, when it was sent
+        self.open_calls = []  # being answered by the control plane
+        self.answers = []  # on their way back to the routers
+        self.in_flight = []  # attempts: time of arrival, key, zone
+        self.completed_writes = []  # writes: key, regions, when servers forget them
         self.confined_checks = 0
-        self.partitioned = set()  # routers whose calls go only by the slow way, message by message
+        self.partitioned = set()  # routers whose calls are only delivered message by message
         self.store_stub = StoreStub(self.path, self)
         self.start_control_plane()
         run_to_completion(self.administration.tenants.create(NewTenant("acme", allowance=1000.0), "t"))
@@ -217,12 +219,12 @@
         for at, key, zone in sorted(self.in_flight):
             if at <= end:
                 self.now = at
-                self.check_attempt(key, zone, "a leg that was sent arrived")
+                self.check_attempt(key, zone, "an attempt that was sent arrived")
         self.in_flight = [each for each in self.in_flight if each[0] > end]
         self.now = end
 
     def send_call(self, number: int, again: bool) -> None:
-        """It calls; `again`: though its call before is still under way, which it gave up."""
+        """Let a router call; `again`: even if its previous call, which it gave up, is still under way."""
         router = self.routers[number]
         under_way = any(each[0] is router for each in [*self.calls, *self.open_calls, *self.answers])
         if not router.paused and (again or not under_way):
@@ -237,7 +239,7 @@
                 self.resume_call(len(self.open_calls) - 1)
 
     def resume_call(self, position: int) -> None:
-        """Start an open call, or let it end: the first step of one that has news to wait for suspends."""
+        """Start an open call, or resume it. One that has to wait for changes suspends at its first step."""
         if not self.open_calls:
             return
         router, asked_at, call = self.open_calls[position % len(self.open_calls)]
@@ -255,13 +257,13 @@
             position %= len(self.answers)
             router, feed, asked_at = self.answers[position]
             if not lost and router.paused:
-                return  # it stands in the kernel's buffer
+                return  # the answer waits in the kernel's buffer
             del self.answers[position]
             if not lost and router in self.routers:
                 router.hear(feed, asked_at)
 
     def complete_call(self, number: int) -> None:
-        """A whole call with no fault."""
+        """Run a whole call without faults."""
         router = self.routers[number]
         if router.paused or number in self.partitioned:
             return
@@ -301,13 +303,13 @@
                 run_to_completion(self.placement.changes.remove("acme", shard, stored[0].version, "t"))
 
     def receive_operation(self, number: int, key: int) -> None:
-        """An operation comes in, and is in hand."""
+        """Let an operation arrive at a router; it stays pending there."""
         router = self.routers[number]
         if not router.paused:
             router.operation = router.receive(KEYS[key], False) or router.operation
 
     def send_attempt(self, number: int, zone: str, delay_fraction: float) -> None:
-        """An attempt of what is in hand leaves; it arrives within the time of flight."""
+        """Send an attempt of the pending operation; it arrives within FLIGHT_TIME."""
         router = self.routers[number]
         if router.paused or router.operation is None:
             return
@@ -318,7 +320,7 @@
             self.completed_writes.append((operation.key, operation.regions, self.now + DEDUPLICATION_WINDOW))
 
     def retry_write(self, number: int, write_index: int, zone: str) -> None:
-        """A client repeats a write at whichever router."""
+        """Let a client retry an earlier write at any router."""
         self.completed_writes = [each for each in self.completed_writes if each[2] > self.now]
         router = self.routers[number]
         if router.paused or not self.completed_writes:
@@ -326,13 +328,13 @@
         key, regions, _ = self.completed_writes[write_index % len(self.completed_writes)]
         operation = router.receive(key, True)
         if operation is not None and router.begin_attempt(operation, zone) is not None:
-            message = f"a mark of {key} ran in {regions}, and in {operation.regions}"
+            message = f"a write of {key} ran in {regions}, and in {operation.regions}"
             assert operation.regions == regions, message
 
     # -- rules
 
     def confined_zones(self) -> dict[bytes, set[str]]:
-        """Zones that keys are said to be confined to, by the rows as they stand."""
+        """Return the zones that keys are reported as confined to, by the current shard records."""
         found = {}
         self.placement.index.refresh(self.store_stub.store)
         rows = [row for row, _ in self.placement.index.shards.values() if row.stage is not Stage.SCHEDULED]
@@ -370,7 +372,7 @@
                         operation.regions, operation.finished = before
 
     def random_step(self, draw: random.Random) -> None:
-        """One step of chance, most of them such that something gets on."""
+        """Take one random step, mostly one that lets the simulation make progress."""
         number, zone = draw.randrange(3), draw.choice("abc")
         steps = [
             (12, lambda: self.advance(draw.choice((0.05, 0.2, 0.5, 1.0)))),
@@ -403,7 +405,8 @@
 
 
 def warm_up(simulation: Simulation) -> None:
-    """Routers have called, the keeper knows servers, `alone` of no former run counts."""
+    """Run until the control plane knows the servers, the isolation limit of former runs is over, and a shard
+    is confined."""
     for _ in range(3):
         for number in range(3):
             simulation.complete_call(number)
@@ -434,25 +437,25 @@
 
 @pytest.fixture
 def folder():
-    """In memory where the machine has that: nothing here is about disks."""
+    """A folder in memory if the machine has /dev/shm, as no test here depends on a disk."""
     with tempfile.TemporaryDirectory(dir="/dev/shm" if Path("/dev/shm").is_dir() else None) as made:
         yield Path(made)
 
 
 def test_no_attempt_leaves_the_confined_zones_under_faults(folder):
     checks = sum(run_simulation(folder / str(seed), seed, 250).confined_checks for seed in range(60))
-    assert checks > 2000, "little was claimed, and little shown"
+    assert checks > 2000, "shards were confined too rarely to show anything"
 
 
 class LeaseCountedFromAnswer(RouterPlacement):
-    """Counts its lease from when the answer came."""
+    """Counts its lease from when the answer arrived, not from when the call was sent."""
 
     def hear(self, feed, asked_at) -> None:
         super().hear(feed, self.clock())
 
 
 class LeaseUncheckedBeforeAttempt(RouterPlacement):
-    """Looks at its lease at the door alone."""
+    """Checks its lease only for new operations, not before each attempt."""
 
     def may_send(self, attempt) -> bool:
         lease, self.lease = self.lease, HeldLease(1e12)
@@ -463,7 +466,7 @@
 
 
 class PlacementUncheckedBeforeAttempt(RouterPlacement):
-    """Sends what is in hand by the placement that it came under."""
+    """Sends a pending operation by the placement at the time of its arrival."""
 
     def may_send(self, attempt) -> bool:
         return (
@@ -474,7 +477,7 @@
 
 
 class RetriesNotBlocked(RouterPlacement):
-    """Repeats of deduplicated writes go as any operation."""
+    """Handles retries of deduplicated writes like any operation."""
 
     def constrain(self, operation):
         operation.is_client_retry = False
@@ -482,7 +485,7 @@
 
 
 class SentRevisionCountedAsFollowed(PlacementControlPlane):
-    """Takes what it told a router for what that follows."""
+    """Counts a revision as followed by a router once it was sent to it."""
 
     def on_report(self, report, now) -> None:
         super().on_report(report, now)
@@ -491,7 +494,7 @@
 
 
 class FormerLeasesIgnored(PlacementControlPlane):
-    """Knows of no leases that a former run gave."""
+    """Ignores the leases that a former run granted."""
 
     def __init__(self, *args, **more) -> None:
         super().__init__(*args, **more)
@@ -499,14 +502,14 @@
 
 
 class LeaseTrackerWithoutIsolation(LeaseTracker):
-    """Counts no router that serves on without a lease."""
+    """Does not count routers that continue to serve without a lease."""
 
     def routers_behind(self, revision, without_lease):
         return super().routers_behind(revision, False)
 
 
 class IsolationLimitIgnored(PlacementControlPlane):
-    """Waits for leases alone where routers may act without one."""
+    """Waits only for leases, even if routers may act without one."""
 
     def __init__(self, *args, **more) -> None:
         super().__init__(*args, **more)
@@ -514,14 +517,14 @@
 
 
 class NoWaitTimer(ConditionTimer):
-    """Takes what holds at all for what has lasted."""
+    """Takes a condition that holds as one that has lasted long enough."""
 
     def has_lasted(self, key, holds, seconds):
         return super().has_lasted(key, holds, 0.0)
 
 
 class DeduplicationWaitSkipped(PlacementControlPlane):
-    """Tells new terms at once, and holds repeats no longer than that takes."""
+    """Announces a new placement at once, and blocks retries no longer than that takes."""
 
     def __init__(self, *args, **more) -> None:
         super().__init__(*args, **more)
@@ -552,7 +555,7 @@
 
 
 def test_clock_drift_beyond_the_stated_bound_is_detected(folder):
-    """The bound of clock rates is no ornament: a router whose clock runs at a third of it breaks all."""
+    """The bound on clock drift is needed: a router whose clock runs at a third of the rate breaks rules."""
     with pytest.raises(AssertionError, match="may place|arrived|ran in"):
         for seed in range(60):
             run_simulation(folder / str(seed), seed, 250, rates=(0.33, 1.0, 1.0))
@@ -562,7 +565,7 @@
 
 
 class Machine(RuleBasedStateMachine):
-    """The same steps as hypothesis chooses them, shrunk where they break."""
+    """The same steps, chosen by hypothesis and shrunk if a rule is broken."""
 
     folders = None
     numbers = count()
@@ -652,7 +655,7 @@
 
 
 def test_control_plane_counts_a_lease_as_expired_only_after_its_router():
-    """The arithmetic alone, over all rates and ways: sent, given, over."""
+    """The lease arithmetic alone, for all clock rates and delays: request sent, granted, expired."""
     draw = random.Random(5)
     for _ in range(20_000):
         lease, request_delay, answer_delay = (
@@ -662,10 +665,12 @@
         )
         fast, slow = draw.choice([(1.0, 0.9905), (1.0095, 1.0), (1.0047, 0.9953), (1.0, 1.0)])
         held_lease, lease_table = HeldLease(), LeaseTable(-1e6, lease, in_flight_grace=0.5)
-        held_lease.renew(0.0, lease)  # by the router's clock, at its question
+        held_lease.renew(0.0, lease)  # by the router's clock, when it sent its request
         lease_table.grant("r", "run", 1, lease, request_delay * fast)
         free = 0.0
         while lease_table.active_before(2, free * fast):
             free += 0.01 + lease / 200.0
         assert not held_lease.is_valid(free * slow), (lease, request_delay, answer_delay, fast, slow)
-        assert not held_lease.is_valid((free - 0.5) * slow), "nor within the time of flight before"
+        assert not held_lease.is_valid((free - 0.5) * slow), (
+            "the router must have stopped the time of flight earlier"
+        )
--- a/tests/test_placement_table.py
+++ b/tests/test_placement_table.py
@@ -1,4 +1,4 @@
-"""The table by which a router finds the shard of a key."""
+"""The shard table, by which a router finds the shard of a key."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -41,8 +41,8 @@
 
 
 def test_conflicting_prefix_belongs_to_earlier_shard_and_other_prefixes_still_apply():
-    """Two rows with one prefix raised TypeError at the router that sorted them (`'<' not supported between
-    instances of 'ShardAssignment'`): it took over nothing of that update, nor of any that came after it."""
+    """Guards against a TypeError (`'<' not supported between instances of 'ShardAssignment'`) when a router
+    sorted two assignments with the same prefix: it applied neither that update nor any later one."""
     assignments = [
         ShardAssignment(7, "late", ("a/", "only-late/"), US, False, 5),
         ShardAssignment(7, "early", ("a/",), EU, False, 3),
--- a/tests/test_placement_walk.py
+++ b/tests/test_placement_walk.py
@@ -1,4 +1,4 @@
-"""The routing decision with regions: the walk stays in a shard's regions, in their order."""
+"""Endpoint selection with regions: it stays within a shard's regions, in their order."""
 
 from helper import MARKED, READ, Action, Bench, Outcome, origin_row, row
 from test_random import Rules
@@ -13,7 +13,7 @@
 
 
 def route_within(bench, key, regions, traffic=READ):
-    operation, _ = bench.ask(key, traffic)  # asked once without, to have one that is well made
+    operation, _ = bench.ask(key, traffic)  # routed without regions first, to get a valid operation
     for attempt in operation.attempts:
         bench.end(attempt, Outcome.NOT_SENT, 0.0)
     operation.attempts.clear()
@@ -32,7 +32,7 @@
         assert answer.attempt.endpoint.zone == "a"
         endpoints_used.add(answer.attempt.endpoint.ident)
         bench.end(answer.attempt, Outcome.SUCCEEDED)
-    assert len(endpoints_used) == 4, "all of the region share its keys"
+    assert len(endpoints_used) == 4, "all servers of the region share its keys"
     for cache in bench.router.endpoints.values():
         if cache.zone == "a":
             cache.full_until = bench.now + 1.0
@@ -49,7 +49,7 @@
     a = frozenset("a")
     attempts = [route_within(bench, "hot", (a,))[1].attempt for _ in range(6)]
     endpoints = {attempt.endpoint.ident for attempt in attempts}
-    assert len(endpoints) == 3, "a hot key spreads over its region by load, and no further"
+    assert len(endpoints) == 3, "a hot key spreads by load over its region only"
     rows = [row(i, zone="abc"[i % 3]) for i in range(1, 10)]
     bench.hear([each for each in rows if each.zone != "a"] + [origin_row()])
     assert route_within(bench, "hot", (a,))[1].action is Action.REJECT
@@ -68,7 +68,7 @@
 
 def test_selection_without_regions_uses_no_region_rings(monkeypatch):
     def unexpected_call(*args):
-        raise AssertionError("looked at a region")
+        raise AssertionError("region rings were used")
 
     monkeypatch.setattr(HashRing, "rings_within", unexpected_call)
     for seed in range(3):
