--- a/gaugehinge/placement/admission.py
+++ b/gaugehinge/placement/admission.py
@@ -72,7 +72,9 @@
         # the rate of the pin or change its other settings.
         limit = max(self.available(regions[0]), already_reserved)
         if rate > limit + RATE_TOLERANCE:
-            raise AdmissionError(409, "region full", self._full_detail(regions[0], rate, limit), "regions[0]")
+            raise AdmissionError(
+                409, "region full", self._capacity_detail(regions[0], rate, limit), "regions[0]"
+            )
 
     def _check_names(self, regions: Sequence[str]) -> None:
         for position, name in enumerate(regions):
@@ -94,7 +96,7 @@
                 detail = f"no server stands in {name!r}; accepted: {', '.join(accepted) or 'none'}"
                 raise AdmissionError(409, "no server there", detail, f"regions[{position}]")
 
-    def _full_detail(self, region: str, rate: float, limit: float) -> str:
+    def _capacity_detail(self, region: str, rate: float, limit: float) -> str:
         others = [
             other for other in sorted(self.regions) if other != region and self.available(other) >= rate
         ]
--- a/gaugehinge/placement/server_list.py
+++ b/gaugehinge/placement/server_list.py
@@ -29,7 +29,7 @@
         self.reported_relabelled: dict[str, float] = {}  # start time by uid, as told by the control plane
         # Whether discovery has answered. Until then there is no list to report, not even an empty one.
         self.is_known = False
-        self._by_number: dict[int, ServerPresence] = {}  # by endpoint ident, as used in routing decisions
+        self._by_ident: dict[int, ServerPresence] = {}  # by endpoint ident, as used in routing decisions
         self._pending_chunks: list[ServerListChunk] = []  # still to be sent
         self._sent_digest = ""
         self._sent_at = 0.0
@@ -69,7 +69,7 @@
             )
         accepts_new = entry.state is EndpointState.UP
         self.current[uid] = ReportedServer(uid, entry.zone, entry.weight, entry.started, accepts_new)
-        self._by_number[entry.ident] = ServerPresence(uid, entry.zone, entry.started)
+        self._by_ident[entry.ident] = ServerPresence(uid, entry.zone, entry.started)
 
     def _remove(self, uid: str) -> None:
         """Remember a server that leaves the list, as it may return in another zone without a restart."""
@@ -82,9 +82,7 @@
 
     def _forget_outdated(self) -> None:
         current = self.current
-        self._by_number = {
-            number: server for number, server in self._by_number.items() if server.uid in current
-        }
+        self._by_ident = {ident: server for ident, server in self._by_ident.items() if server.uid in current}
         self.relabelled = {
             uid: started_at
             for uid, started_at in self.relabelled.items()
@@ -101,7 +99,7 @@
         """Whether a server may get a key that is pinned to `regions`, which must not be empty."""
         if regions[-1] is None:
             return True
-        known = self._by_number.get(server.ident, UNKNOWN_SERVER)
+        known = self._by_ident.get(server.ident, UNKNOWN_SERVER)
         if self._is_relabelled(known):
             return False
         is_inside = any(region is not None and known.zone in region for region in regions)
--- a/gaugehinge/placement/shard_table.py
+++ b/gaugehinge/placement/shard_table.py
@@ -176,7 +176,7 @@
         self._rebuild(touched)
 
     def _rebuild(self, incarnations: set[int]) -> None:
-        by_incarnation: dict[int, list[ShardAssignment]] = {number: [] for number in incarnations}
+        by_incarnation: dict[int, list[ShardAssignment]] = {incarnation: [] for incarnation in incarnations}
         for assignment in self.assignments.values():
             if assignment.incarnation in by_incarnation:
                 by_incarnation[assignment.incarnation].append(assignment)
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -156,8 +156,10 @@
             self.registry.follow(feed)
             self.placement.hear(feed, asked_at)
 
-    def receive(self, key: bytes, repeat: bool) -> Operation | None:
-        operation = Operation(next(self.simulation.runs), DEDUPLICATED_WRITE, key, 0, True, repeat, 0.0, 9.0)
+    def receive(self, key: bytes, is_retry: bool) -> Operation | None:
+        operation = Operation(
+            next(self.simulation.runs), DEDUPLICATED_WRITE, key, 0, True, is_retry, 0.0, 9.0
+        )
         return operation if self.placement.constrain(operation) is None else None
 
     def begin_attempt(self, operation, zone: str) -> Attempt | None:
@@ -346,9 +348,9 @@
         self.confined_checks += len(found)
         return found
 
-    def check_attempt(self, key: bytes, zone: str, what: str) -> None:
+    def check_attempt(self, key: bytes, zone: str, event: str) -> None:
         confined = self.confined_zones()
-        assert zone in confined.get(key, zone), f"{what}: {key} in {zone}, confined to {confined[key]}"
+        assert zone in confined.get(key, zone), f"{event}: {key} in {zone}, confined to {confined[key]}"
 
     def check_invariants(self) -> None:
         confined = self.confined_zones()
@@ -667,10 +669,10 @@
         held_lease, lease_table = HeldLease(), LeaseTable(-1e6, lease, in_flight_grace=0.5)
         held_lease.renew(0.0, lease)  # by the router's clock, when it sent its request
         lease_table.grant("r", "run", 1, lease, request_delay * fast)
-        free = 0.0
-        while lease_table.active_before(2, free * fast):
-            free += 0.01 + lease / 200.0
-        assert not held_lease.is_valid(free * slow), (lease, request_delay, answer_delay, fast, slow)
-        assert not held_lease.is_valid((free - 0.5) * slow), (
+        elapsed = 0.0
+        while lease_table.active_before(2, elapsed * fast):
+            elapsed += 0.01 + lease / 200.0
+        assert not held_lease.is_valid(elapsed * slow), (lease, request_delay, answer_delay, fast, slow)
+        assert not held_lease.is_valid((elapsed - 0.5) * slow), (
             "the router must have stopped the time of flight earlier"
         )
--- a/tests/test_placement_table.py
+++ b/tests/test_placement_table.py
@@ -22,21 +22,21 @@
         for i, (prefix, affinity) in enumerate(by_prefix.items())
     ]
     table = ShardTable()
-    for each in assignments:
-        table.update([each], [])
+    for assignment in assignments:
+        table.update([assignment], [])
     rebuilt = ShardTable()
     rebuilt.update(reversed(assignments), [], is_complete=True)
     for key in keys:
         matching = sorted((prefix for prefix in by_prefix if key.startswith(prefix)), key=len, reverse=True)
         affinity = next((by_prefix[prefix] for prefix in matching if by_prefix[prefix] is not None), None)
-        for each in (table, rebuilt):
-            found = each.find(b"7/" + key.encode())
+        for candidate in (table, rebuilt):
+            found = candidate.find(b"7/" + key.encode())
             assert (found is None) is (not matching)
             if found is not None:
                 assert found.regions == (affinity.search_order() if affinity else (None,))
                 assert found.required is bool(affinity and affinity.required)
         assert table.find(b"8/" + key.encode()) is None
-    table.update([], [each.key for each in assignments])
+    table.update([], [assignment.key for assignment in assignments])
     assert not table.rules and not table.assignments
 
 
--- a/tests/test_placement_walk.py
+++ b/tests/test_placement_walk.py
@@ -6,9 +6,12 @@
 from gaugehinge.routing.hash_ring import HashRing
 
 
-def fleet(zones="abc", each=4, **changes) -> Bench:
+def fleet(zones="abc", servers_per_zone=4, **changes) -> Bench:
     bench = Bench(caches=0, cache_aside=False, **changes)
-    bench.hear([row(i, zone=zones[i % len(zones)]) for i in range(1, each * len(zones) + 1)] + [origin_row()])
+    bench.hear(
+        [row(i, zone=zones[i % len(zones)]) for i in range(1, servers_per_zone * len(zones) + 1)]
+        + [origin_row()]
+    )
     return bench
 
 
@@ -45,7 +48,7 @@
 
 
 def test_load_bound_uses_the_regions_mean_and_a_region_may_become_empty():
-    bench = fleet(each=3)
+    bench = fleet(servers_per_zone=3)
     a = frozenset("a")
     attempts = [route_within(bench, "hot", (a,))[1].attempt for _ in range(6)]
     endpoints = {attempt.endpoint.ident for attempt in attempts}
