--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -131,9 +131,9 @@
                             await placement.store_writer.run_sync(
                                 placement.capacity.warn_overcommitted, placement.store_writer.store
                             )
-                        assert [wording in line for line in log_lines if "region eu bears" in line][-1:] == [
-                            True
-                        ]
+                        assert [wording in line for line in log_lines if "capacity of region eu" in line][
+                            -1:
+                        ] == [True]
                         if state == "gone":
                             tag = {"If-Match": response.headers["etag"]}
                             for allowance, status in ((401, 409), (300, 200)):
@@ -144,7 +144,7 @@
                                 assert response.status_code == status, response.text
                 finally:
                     logger.remove(handler_id)
-                assert sum("region eu bears" in line for line in log_lines) == 2, (
+                assert sum("capacity of region eu" in line for line in log_lines) == 2, (
                     "one log line for each change"
                 )
 
