--- a/gaugehinge/recovery/datagram.py
+++ b/gaugehinge/recovery/datagram.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from math import isfinite
 
-from .evidence import Told, Verdict
+from .restart_scope import Told, Verdict
 
 MAGIC = 0xE7
 VERSION = 1
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -31,13 +31,13 @@
 from ..net.service import Service
 from ..routing.types import Effect, EndpointEntry, EndpointState, Operation
 from ..tenancy.feed import Feed
-from . import asking, evidence, trust
+from . import restart_scope, staleness_rules, startup_spreading
 from .datagram import Wire, digest
-from .effects import Effects
-from .evidence import Verdict
+from .incarnations import Lives
 from .list_transformers import BelievedStarts, ListGate
-from .lives import Lives
-from .opening import Bearing, Facts, Opening, Order, Stage, Waits
+from .recovery_ramp import Bearing, Facts, Opening, Order, Stage, Waits
+from .restart_scope import Verdict
+from .retry_fencing import Effects
 from .snapshot import Entry, Kept, Learnt, SnapshotFile, boot_of, identity_of
 
 LOOK = 0.05  # seconds between two looks at what has come
@@ -79,10 +79,10 @@
         self.file = SnapshotFile(entry.snapshot, identity_of(key, service.configuration.name, self.me))
         self.began = self.clock()
         self.former: Kept | None = None
-        self.age = trust.Age(inf, False)
-        self.mind: evidence.Mind
-        self.slack = evidence.slack_of(self.routers, asking.told_each(self.routers))
-        self.said: dict[int, trust.Said] = {}  # by peer, the last of each
+        self.age = staleness_rules.Age(inf, False)
+        self.mind: restart_scope.Mind
+        self.slack = restart_scope.slack_of(self.routers, startup_spreading.told_each(self.routers))
+        self.said: dict[int, staleness_rules.Said] = {}  # by peer, the last of each
         self.walls: dict[int, float] = {}  # by peer, how far its wall clock is from ours
         self.heard: dict[int, float] = {}  # by peer, when
         self.lived_lost: dict[int, float] = {}  # by peer that lived on, when it saw marks lost last
@@ -97,7 +97,7 @@
             )
         )
         self.facts = Facts(keeper=follower is None, parts=follower is None)
-        self.store = trust.KnownStore("", 0, {})
+        self.store = staleness_rules.KnownStore("", 0, {})
         self.older_until = 0.0  # a keeper from before what was heard is not followed until then; 0: none is
         self.keeper_run = ""
         self.servers: dict[str, EndpointTarget] = {}  # as discovery told them, follows the list
@@ -129,12 +129,12 @@
         if kept is None:
             logger.warning("recovery: no snapshot: {}", why)
         else:
-            self.age = trust.age(kept, self.wall(), self.steady(), self.boot())
+            self.age = staleness_rules.age(kept, self.wall(), self.steady(), self.boot())
             self._take(kept)
-        run = min((kept.run if kept else 0) + 1, evidence.MOST_NUMBER)
+        run = min((kept.run if kept else 0) + 1, restart_scope.MOST_NUMBER)
         known = tuple(kept.runs[: self.routers]) if kept else ()
-        lately = tuple(kept.lately[: self.routers]) if kept and trust.belief("lately", self.age) else ()
-        self.mind = evidence.begin(
+        lately = tuple(kept.lately[: self.routers]) if kept and staleness_rules.belief("lately", self.age) else ()
+        self.mind = restart_scope.begin(
             self.me,
             digest(self.deployment.zone),
             run,
@@ -159,14 +159,14 @@
 
     def _take(self, kept: Kept) -> None:
         """What of the snapshot is believed at once."""
-        self.store = trust.KnownStore(kept.store, kept.revision, dict(kept.incarnations), kept.floor)
-        part = trust.belief("learnt", self.age)
+        self.store = staleness_rules.KnownStore(kept.store, kept.revision, dict(kept.incarnations), kept.floor)
+        part = staleness_rules.belief("learnt", self.age)
         self.known_rev = kept.list_rev
         self.known_starts = {each.uid: each.started for each in kept.servers}
         self.learnt = Learnt(kept.learnt.reads * part, kept.learnt.writes * part)
 
     def _join_feed(self) -> None:
-        places = asking.places(self.me, self.routers)
+        places = startup_spreading.places(self.me, self.routers)
         self.asks_at = self.began + places.discovery
         self.tells_from = places.messages
         if self.follower is not None:
@@ -276,8 +276,8 @@
     def _weigh_list(self, update: EndpointListUpdate) -> None:
         """Whether a whole list is one from before."""
         told = {target.uid: target.entry.started for target in update.targets}
-        standing = trust.list_answer(self.known_rev, self.known_starts, update.rev, told)
-        if standing is trust.Standing.OLDER:
+        standing = staleness_rules.list_answer(self.known_rev, self.known_starts, update.rev, told)
+        if standing is staleness_rules.Standing.OLDER:
             if self.old_list_until in (0.0, inf):
                 self.old_list_until = self.clock() + float(self.entry.doubt)
                 logger.warning(
@@ -300,9 +300,9 @@
     def _with_believed_starts(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
         """The list with the times at which servers are believed to have started."""
         known = {each.uid: each.started for each in self.former.servers} if self.former else {}
-        spread = asking.window(self.routers, asking.DISCOVERY_EACH)
+        spread = startup_spreading.window(self.routers, startup_spreading.DISCOVERY_EACH)
         in_service = self.uptime() > self.order.waits.list + spread
-        off = trust.clock_off(0.0, list(self.walls.values()))
+        off = staleness_rules.clock_off(0.0, list(self.walls.values()))
         targets = []
         for target in update.targets:
             told = target.entry.started
@@ -316,7 +316,7 @@
             elif seen is None or seen[0] != told:
                 lived = self.mind.verdict.lived or in_service
                 before, now = known.get(target.uid), self.clock()
-                believed = trust.believed_start(told, before, self.began, lived, off, now)
+                believed = staleness_rules.believed_start(told, before, self.began, lived, off, now)
                 seen = self.starts[target.uid] = (told, believed)
             if seen is not None:
                 target = target._replace(entry=target.entry._replace(started=seen[1]))
@@ -396,8 +396,8 @@
 
     def _kept(self, number: int) -> bool:
         """Whether in that peer's zone a server of each cell is known to have lived while it was away."""
-        away = evidence.absence(self.mind, number)
-        if away is None or self.uptime() > away[1] + evidence.LATE * self.mind.bound:
+        away = restart_scope.absence(self.mind, number)
+        if away is None or self.uptime() > away[1] + restart_scope.LATE * self.mind.bound:
             return False
         since, until = (self.began + at for at in away)
         zone, origin = self.mind.peers[number].zone, self.deployment.origin_kind
@@ -415,7 +415,7 @@
         service = self.service
         in_hand = len(self.dispatcher.pending_operations) + len(service.pool.pending)
         in_hand += sum(front.clients.has_pending_replies() for front in service.fronts)
-        self.mind = evidence.leave(self.mind, in_hand)
+        self.mind = restart_scope.leave(self.mind, in_hand)
         how = f"with {in_hand} in hand" if in_hand else "in order"
         logger.info("recovery: run {} ends {}", self.mind.run, how)
         if self.mind.leaving and self.service.gossip is not None:
@@ -440,16 +440,16 @@
             self._hear_peer(told)
         return True
 
-    def _hear_peer(self, told: evidence.Told) -> None:
+    def _hear_peer(self, told: restart_scope.Told) -> None:
         uptime, before = self.uptime(), self.mind
-        self.mind, echo = evidence.hear(before, told, uptime)
+        self.mind, echo = restart_scope.hear(before, told, uptime)
         if echo is not None:
             self._tell(told.me, echo)
         if told.echo != self.mind.mark or told.mark != self.mind.peers[told.me].mark:
             return
         self.heard[told.me] = uptime
         self.walls[told.me] = told.wall - self.wall()
-        self.said[told.me] = trust.Said(
+        self.said[told.me] = staleness_rules.Said(
             told.epoch,
             told.run,
             told.ready,
@@ -464,7 +464,7 @@
             self.lived_lost[told.me] = uptime - told.lost_ago
         self._changed(before)
 
-    def _changed(self, before: evidence.Mind) -> None:
+    def _changed(self, before: restart_scope.Mind) -> None:
         """What a change of mind brings."""
         mind = self.mind
         if mind.run != before.run:
@@ -479,7 +479,7 @@
 
     def _decided(self) -> None:
         mind, now = self.mind, self.clock()
-        anew = sum(evidence.anew(mind, number) for number in range(self.routers))
+        anew = sum(restart_scope.anew(mind, number) for number in range(self.routers))
         lived = sum(peer.lived for peer in mind.peers)
         logger.info(
             "recovery: {} after {:.1f} s: of {} peers {} lived on, {} began anew; epoch {}",
@@ -505,18 +505,18 @@
             return
         await trio.sleep(self.tells_from)
         while True:
-            enough = trust.enough([said for said in self.said.values()], self.routers)
+            enough = staleness_rules.enough([said for said in self.said.values()], self.routers)
             settled = self.mind.verdict not in (Verdict.DECIDING, Verdict.APART)
-            late = self.uptime() > evidence.LATE * self.mind.bound
-            for number in asking.round_of(self.me, self.routers, self.turn, (enough and settled) or late):
+            late = self.uptime() > restart_scope.LATE * self.mind.bound
+            for number in startup_spreading.round_of(self.me, self.routers, self.turn, (enough and settled) or late):
                 self._tell(number)
             self.turn += 1
-            await trio.sleep(asking.ROUND)
+            await trio.sleep(startup_spreading.ROUND)
 
     def _tell(self, number: int, echo: tuple[int, float] | None = None) -> None:
         now, effects = self.clock(), self.effects
         settled = self.mind.verdict is not Verdict.DECIDING
-        told = evidence.say(
+        told = restart_scope.say(
             self.mind,
             number,
             now - self.began,
@@ -542,7 +542,7 @@
             bool(self.former and self.former.keeper_run)
             and (feed.control_plane_run == self.former.keeper_run),
         )
-        self.mind = evidence.hear_keeper(before, same, self.uptime())
+        self.mind = restart_scope.hear_keeper(before, same, self.uptime())
         self.keeper_run = feed.control_plane_run
         self.facts.keeper = True
         self._changed(before)
@@ -550,8 +550,8 @@
     def filter_feed(self, feed: Feed) -> Feed:
         """What of a feed is followed. Raises FeedError while it is from before what was heard."""
         now, known = self.clock(), self._known_store()
-        standing = trust.keeper_answer(known, feed.store_id, feed.revision, feed.complete)
-        if standing is not trust.Standing.FOLLOWED:
+        standing = staleness_rules.keeper_answer(known, feed.store_id, feed.revision, feed.complete)
+        if standing is not staleness_rules.Standing.FOLLOWED:
             what = f"store {feed.store_id} revision {feed.revision}, heard was {known.name} {known.revision}"
             if not self.older_until:
                 self.older_until = now + float(self.entry.doubt)
@@ -562,7 +562,7 @@
         elif self.older_until:
             logger.info("recovery: keeper is at revision {} again", feed.revision)
         rows = [(row.incarnation, row.name) for row in feed.tenants]
-        refused = set(trust.strangers(known, rows))
+        refused = set(staleness_rules.strangers(known, rows))
         if refused:
             logger.error("recovery: numbers {} were other tenants': not served", sorted(refused))
             feed = msgspec.structs.replace(
@@ -570,12 +570,12 @@
             )
         self.older_until = 0.0
         named = [row for row in rows if row[0] not in refused]
-        self.store = trust.remember(known._replace(name=feed.store_id, revision=feed.revision), named)
+        self.store = staleness_rules.remember(known._replace(name=feed.store_id, revision=feed.revision), named)
         return feed
 
-    def _known_store(self) -> trust.KnownStore:
+    def _known_store(self) -> staleness_rules.KnownStore:
         """What this router knows, and what the best of its peers does."""
-        best = trust.agree(list(self.said.values()))
+        best = staleness_rules.agree(list(self.said.values()))
         if best is None or not self.store.name or best.store != digest(self.store.name):
             return self.store
         if self.facts.keeper:
@@ -613,7 +613,7 @@
     def _look(self) -> None:
         before, now = self.mind, self.clock()
         uptime = now - self.began
-        self.mind = evidence.look(before, uptime)
+        self.mind = restart_scope.look(before, uptime)
         self._changed(before)
         self.facts.verdict = self.mind.verdict
         self.facts.parts = self.facts.parts or (self.facts.keeper and self._parts_ready())
@@ -633,7 +633,7 @@
             self.intercepting = False
         self._learn(now)
         self._look_at_connections(now)
-        anew = evidence.elsewhere(self.mind, uptime, self.slack)
+        anew = restart_scope.elsewhere(self.mind, uptime, self.slack)
         if anew > self.elsewhere:
             told = f"{anew} of {self.routers - 1} peers began anew within {self.slack:.0f} s"
             logger.info("recovery: a loss elsewhere: {}", told)
@@ -713,7 +713,7 @@
             self.boot(),
             epoch=mind.epoch,
             runs=[max(peer.run, peer.known_run) for peer in mind.peers],
-            lately=list(evidence.heard_lately(mind, self.uptime(), self.slack)),
+            lately=list(restart_scope.heard_lately(mind, self.uptime(), self.slack)),
             list_rev=self.list_rev if self.servers else self.former.list_rev if self.former else -1,
             servers=self._entries(),
             learnt=self.learnt,
--- a/gaugehinge/recovery/opening.py
+++ b/gaugehinge/recovery/recovery_ramp.py
@@ -15,7 +15,7 @@
 from enum import Enum
 
 from ..routing.types import Deployment, Effect
-from .evidence import Verdict
+from .restart_scope import Verdict
 
 STEP = 0.25  # seconds
 RISE = 1.5  # of a lane's rate, a step in which it bound and what it let in went well
--- a/gaugehinge/recovery/effects.py
+++ b/gaugehinge/recovery/retry_fencing.py
@@ -16,7 +16,7 @@
 from math import inf
 
 from ..routing.types import DeduplicationScope, Deployment, Effect, EndpointEntry, EndpointState
-from .evidence import Verdict
+from .restart_scope import Verdict
 
 MOST_BORN = 4096  # marks whose first try came here after the loss; the oldest goes first
 
--- a/gaugehinge/recovery/snapshot.py
+++ b/gaugehinge/recovery/snapshot.py
@@ -1,7 +1,7 @@
 """What a router keeps of itself over its end, in one small file: whole or not at all.
 
 A digest, then the body; written beside and renamed, so that a loss of power leaves the one before or the new
-one. Blocking; used from a thread. What may be believed of it is said in trust.py, not here.
+one. Blocking; used from a thread. What may be believed of it is said in staleness_rules.py, not here.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
     keeper_run: str = ""
     store: str = ""
     revision: int = 0  # of tenants, as followed
-    incarnations: dict[str, str] = {}  # names by number, of all ever seen on that store: see trust.py
+    incarnations: dict[str, str] = {}  # names by number, of all seen on that store: see staleness_rules.py
     floor: int = 0  # of those numbers
     parts: dict[str, bytes] = {}  # of placement, drains: as they gave it
 
--- a/gaugehinge/recovery/trust.py
+++ b/gaugehinge/recovery/staleness_rules.py
@@ -11,7 +11,7 @@
 from statistics import median
 from typing import NamedTuple
 
-from .evidence import Verdict
+from .restart_scope import Verdict
 from .snapshot import Kept
 
 
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -17,8 +17,8 @@
 from gaugehinge.placement.build import build_placement
 from gaugehinge.placement.messages import ControlPlaneUpdate, RouterReport
 from gaugehinge.recovery.driver import Recovery
-from gaugehinge.recovery.evidence import Verdict
-from gaugehinge.recovery.opening import Stage
+from gaugehinge.recovery.recovery_ramp import Stage
+from gaugehinge.recovery.restart_scope import Verdict
 from gaugehinge.routing.types import Operation
 from gaugehinge.subsystems import Subsystems
 from gaugehinge.tenancy.feed import Feed, Report
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -18,14 +18,14 @@
 from gaugehinge.installation.form import Installation, RecoveryEntry
 from gaugehinge.net.endpoint_list import read_endpoint_list
 from gaugehinge.net.resp import bulk
-from gaugehinge.recovery import asking, evidence, trust
+from gaugehinge.recovery import restart_scope, staleness_rules, startup_spreading
 from gaugehinge.recovery.build import RecoveryKeyError, read_key
 from gaugehinge.recovery.datagram import LENGTH, Wire
 from gaugehinge.recovery.driver import Recovery
-from gaugehinge.recovery.effects import MOST_BORN, Effects
-from gaugehinge.recovery.evidence import Told, Verdict
-from gaugehinge.recovery.lives import Life, Lives
-from gaugehinge.recovery.opening import Bearing, Facts, Opening, Order, Stage, Waits, portion
+from gaugehinge.recovery.incarnations import Life, Lives
+from gaugehinge.recovery.recovery_ramp import Bearing, Facts, Opening, Order, Stage, Waits, portion
+from gaugehinge.recovery.restart_scope import Told, Verdict
+from gaugehinge.recovery.retry_fencing import MOST_BORN, Effects
 from gaugehinge.recovery.snapshot import MOST_BYTES, Entry, Kept, SnapshotFile, encode, identity_of
 from gaugehinge.routing.types import DeduplicationScope
 from gaugehinge.subsystems import Subsystems
@@ -97,7 +97,7 @@
     assert Wire(b"other" * 4).read(good) is None
     assert wire.read(good[:-1]) is None and wire.read(good[:1] + b"\x09" + good[2:]) is None
     assert wire.read(good[:40] + bytes([good[40] ^ 1]) + good[41:]) is None
-    most = evidence.MOST_NUMBER
+    most = restart_scope.MOST_NUMBER
     greatest = Told(1, 2, most, most, 2**63, 5.0, you_run=most, epoch=most, list_rev=2**63 - 1)
     assert wire.read(wire.write(greatest)) == greatest
     words = Told(1, 2, 3, 4, 5, 6.0, left=True, kept=True)
@@ -119,98 +119,98 @@
 
 def test_ages_and_beliefs():
     old = kept()
-    assert trust.age(old, 99.0, 530.0, "boot-1") == trust.Age(30.0, True)  # the wall clock is not asked
-    assert trust.age(old, 1060.0, 3.0, "boot-2") == trust.Age(60.0, False)
-    back = trust.age(old, 900.0, 3.0, "boot-2")
-    assert not back.sure and trust.belief("learnt", back) == 0.0 == trust.belief("lately", back)
-    fresh, month = trust.Age(10.0, True), trust.Age(30 * 86400.0, False)
-    assert trust.belief("learnt", fresh) > 0.99 and trust.belief("learnt", month) < 1e-6
-    assert trust.belief("lately", fresh) == 1.0 and trust.belief("lately", month) == 0.0
-    assert trust.belief("run", fresh) == 1.0
-    assert not any(trust.belief(name, fresh) for name in ("list", "leases", "grants", "marks"))
+    assert staleness_rules.age(old, 99.0, 530.0, "boot-1") == staleness_rules.Age(30.0, True)  # the wall clock is not asked
+    assert staleness_rules.age(old, 1060.0, 3.0, "boot-2") == staleness_rules.Age(60.0, False)
+    back = staleness_rules.age(old, 900.0, 3.0, "boot-2")
+    assert not back.sure and staleness_rules.belief("learnt", back) == 0.0 == staleness_rules.belief("lately", back)
+    fresh, month = staleness_rules.Age(10.0, True), staleness_rules.Age(30 * 86400.0, False)
+    assert staleness_rules.belief("learnt", fresh) > 0.99 and staleness_rules.belief("learnt", month) < 1e-6
+    assert staleness_rules.belief("lately", fresh) == 1.0 and staleness_rules.belief("lately", month) == 0.0
+    assert staleness_rules.belief("run", fresh) == 1.0
+    assert not any(staleness_rules.belief(name, fresh) for name in ("list", "leases", "grants", "marks"))
 
 
 def test_a_clock_an_hour_off_takes_no_cold_server_for_a_warm_one():
     started, began = 10_000.0, 10_003.0  # true times
     for off in (3600.0, -3600.0):  # of our own clock
         own_began = began + off
-        assert trust.clock_off(began + off, [began, began, began]) == -off
+        assert staleness_rules.clock_off(began + off, [began, began, began]) == -off
         # No peer has spoken yet, and the list tells a start that is not the one that was known.
-        believed = trust.believed_start(started, 4.0, own_began, False, 0.0, own_began)
+        believed = staleness_rules.believed_start(started, 4.0, own_began, False, 0.0, own_began)
         assert own_began - believed <= 0.0  # it counts as just started, whatever the clock says
-        assert trust.believed_start(started, 4.0, own_began, True, -off, own_began) == started + off
+        assert staleness_rules.believed_start(started, 4.0, own_began, True, -off, own_began) == started + off
     # Most of the fleet goes an hour behind the servers' clock: a start is no later than it was told of.
     for lived in (False, True):
-        assert trust.believed_start(began + 3600.0, 4.0, began, lived, 0.0, began + 2.0) == began + 2.0
+        assert staleness_rules.believed_start(began + 3600.0, 4.0, began, lived, 0.0, began + 2.0) == began + 2.0
     naive = started  # without the rule: an hour of age, and a budget of a warm server
     assert began + 3600.0 - naive > 3600.0
-    assert trust.clock_off(0.0, [3600.0]) == 0.0  # one other says nothing of who is right
+    assert staleness_rules.clock_off(0.0, [3600.0]) == 0.0  # one other says nothing of who is right
 
 
 def test_lists_and_keepers_from_before_are_seen():
     known = {"a": 10.0, "b": 20.0}
-    older, same = trust.Standing.OLDER, trust.Standing.FOLLOWED
-    assert trust.list_answer(9, known, 4, {"a": 5.0, "b": 20.0}) is older
-    assert trust.list_answer(9, known, 4, {"a": 10.0, "gone": 15.0}) is older
-    assert trust.list_answer(9, known, 1, {"a": 30.0, "b": 31.0, "new": 32.0}) is same  # it counts anew
-    assert trust.list_answer(9, known, 10, {"a": 5.0}) is same
-    store = trust.KnownStore("s1", 20, {"1": "acme", "2": "bolt"})
-    assert trust.keeper_answer(store, "s1", 12, True) is older
-    assert trust.keeper_answer(store, "s1", 20, False) is same
-    assert trust.keeper_answer(store, "s2", 3, True) is trust.Standing.OTHER
-    assert trust.strangers(store, [(1, "acme"), (2, "coda"), (3, "dune")]) == [2]
-    after = trust.remember(store, [(n, f"t{n}") for n in range(3, 3 + trust.MOST_NUMBERS)])
-    assert len(after.incarnations) == trust.MOST_NUMBERS and after.floor == 2
-    assert trust.strangers(after, [(1, "acme"), (9, "t9")]) == [1]
+    older, same = staleness_rules.Standing.OLDER, staleness_rules.Standing.FOLLOWED
+    assert staleness_rules.list_answer(9, known, 4, {"a": 5.0, "b": 20.0}) is older
+    assert staleness_rules.list_answer(9, known, 4, {"a": 10.0, "gone": 15.0}) is older
+    assert staleness_rules.list_answer(9, known, 1, {"a": 30.0, "b": 31.0, "new": 32.0}) is same  # it counts anew
+    assert staleness_rules.list_answer(9, known, 10, {"a": 5.0}) is same
+    store = staleness_rules.KnownStore("s1", 20, {"1": "acme", "2": "bolt"})
+    assert staleness_rules.keeper_answer(store, "s1", 12, True) is older
+    assert staleness_rules.keeper_answer(store, "s1", 20, False) is same
+    assert staleness_rules.keeper_answer(store, "s2", 3, True) is staleness_rules.Standing.OTHER
+    assert staleness_rules.strangers(store, [(1, "acme"), (2, "coda"), (3, "dune")]) == [2]
+    after = staleness_rules.remember(store, [(n, f"t{n}") for n in range(3, 3 + staleness_rules.MOST_NUMBERS)])
+    assert len(after.incarnations) == staleness_rules.MOST_NUMBERS and after.floor == 2
+    assert staleness_rules.strangers(after, [(1, "acme"), (9, "t9")]) == [1]
 
 
 def said(epoch, ready=False, verdict=Verdict.APART, revision=0, list_rev=0):
-    return trust.Said(epoch, 1, ready, verdict, list_rev, 0, 0, revision, -1.0)
+    return staleness_rules.Said(epoch, 1, ready, verdict, list_rev, 0, 0, revision, -1.0)
 
 
 def test_of_answers_that_contradict_the_epoch_counts_then_who_lived_on():
     low, high = said(1, True, revision=90), said(2, revision=40)
     lived = said(2, verdict=Verdict.LONE, revision=30)
-    assert trust.agree([low, high]) is high and trust.agree([low, high, lived]) is lived
-    assert trust.agree([]) is None
-    assert trust.enough([said(1, True, Verdict.LONE)], 9) and not trust.enough([low, high], 9)
+    assert staleness_rules.agree([low, high]) is high and staleness_rules.agree([low, high, lived]) is lived
+    assert staleness_rules.agree([]) is None
+    assert staleness_rules.enough([said(1, True, Verdict.LONE)], 9) and not staleness_rules.enough([low, high], 9)
 
 
 # ---------------------------------------------------------------- evidence
 
 
 def test_older_files_are_told_their_number_and_prove_nothing():
-    mind = evidence.begin(0, 1, 3, 11, (3, 9), (-1, 9), 3.0, 0)
-    peer = evidence.begin(1, 1, 10, 22, (57, 9), (56, -1), 3.0, 4)
-    peer, echo = evidence.hear(peer, evidence.say(mind, 1, 0.5), 2.0)
+    mind = restart_scope.begin(0, 1, 3, 11, (3, 9), (-1, 9), 3.0, 0)
+    peer = restart_scope.begin(1, 1, 10, 22, (57, 9), (56, -1), 3.0, 4)
+    peer, echo = restart_scope.hear(peer, restart_scope.say(mind, 1, 0.5), 2.0)
     assert echo == (11, 0.5)  # run 3 is of the past, and its sender is told so
-    mind, _ = evidence.hear(mind, evidence.say(peer, 0, 2.0, echo), 0.6)
+    mind, _ = restart_scope.hear(mind, restart_scope.say(peer, 0, 2.0, echo), 0.6)
     assert mind.run == 58 and mind.epoch == 4 and set(mind.before) == {-1}
     assert mind.verdict is Verdict.DECIDING  # its snapshot would have proved that the peer began anew
-    assert evidence.look(mind, 3.0).verdict is Verdict.APART
+    assert restart_scope.look(mind, 3.0).verdict is Verdict.APART
 
 
 def test_silence_is_no_loss_elsewhere():
-    mind = evidence.begin(0, 1, 3, 11, (3, 9, 9), (-1, 9, 9), 3.0, 0)
+    mind = restart_scope.begin(0, 1, 3, 11, (3, 9, 9), (-1, 9, 9), 3.0, 0)
     for mark, run in ((22, 10), (23, 11)):
-        mind, _ = evidence.hear(mind, Told(1, 0, 1, run, mark, 1.0, 11, 0.0), float(run))
-    assert evidence.elsewhere(mind, 12.0, 5.0) == 1 and evidence.elsewhere(mind, 60.0, 5.0) == 0
+        mind, _ = restart_scope.hear(mind, Told(1, 0, 1, run, mark, 1.0, 11, 0.0), float(run))
+    assert restart_scope.elsewhere(mind, 12.0, 5.0) == 1 and restart_scope.elsewhere(mind, 60.0, 5.0) == 0
 
 
 def heard(mind, *words):
     for told, uptime in words:
-        mind, _ = evidence.hear(mind, told, uptime)
+        mind, _ = restart_scope.hear(mind, told, uptime)
     return mind
 
 
 def test_of_a_message_that_comes_late_or_again_nobody_lives_longer():
-    mind = evidence.begin(0, 1, 3, 11, (3, 9, 9), (-1, 9, 9), 3.0, 0)
+    mind = restart_scope.begin(0, 1, 3, 11, (3, 9, 9), (-1, 9, 9), 3.0, 0)
     last = Told(1, 0, 1, 10, 22, 4.0, 11, 4.0, left=True)
     mind = heard(mind, (last, 4.1), (last, 9.0), (Told(1, 0, 1, 11, 23, 1.0, 11, 9.5), 9.6))
-    assert evidence.absence(mind, 1) == (4.0, 9.6)  # and not from 9.0 on
-    assert evidence.say(mind, 1, 9.7).you_left and not evidence.say(mind, 2, 9.7).you_left
+    assert restart_scope.absence(mind, 1) == (4.0, 9.6)  # and not from 9.0 on
+    assert restart_scope.say(mind, 1, 9.7).you_left and not restart_scope.say(mind, 2, 9.7).you_left
     mind = heard(mind, (Told(1, 0, 1, 13, 24, 1.0, 11, 11.0), 11.2))
-    assert not evidence.say(mind, 1, 11.3).you_left  # run 12 was never heard: nobody knows how it ended
+    assert not restart_scope.say(mind, 1, 11.3).you_left  # run 12 was never heard: nobody knows how it ended
 
 
 # ---------------------------------------------------------------- servers' lives
@@ -243,7 +243,7 @@
 
 def calls(routers: int, starts: list[float], spread=True) -> list[float]:
     return sorted(
-        at + (asking.places(n, routers).discovery if spread else 0.0) for n, at in enumerate(starts)
+        at + (startup_spreading.places(n, routers).discovery if spread else 0.0) for n, at in enumerate(starts)
     )
 
 
@@ -254,23 +254,23 @@
 @pytest.mark.parametrize("routers", [2, 10, 200, 1000])
 def test_routers_that_start_together_do_not_herd(routers):
     at_once = most_within(calls(routers, [0.0] * routers), 0.1)
-    assert at_once <= asking.most_at_once(routers, asking.DISCOVERY_EACH, 0.1, 0.0) <= 13
-    worst = asking.most_at_once(routers, asking.DISCOVERY_EACH, 0.1, 1.0)
+    assert at_once <= startup_spreading.most_at_once(routers, startup_spreading.DISCOVERY_EACH, 0.1, 0.0) <= 13
+    worst = startup_spreading.most_at_once(routers, startup_spreading.DISCOVERY_EACH, 0.1, 1.0)
     draw = random.Random(4)
     for _ in range(20 if routers <= 200 else 2):
         starts = [draw.random() for _ in range(routers)]
         assert most_within(calls(routers, starts), 0.1) <= min(worst, 40)
-    spiteful = [1.0 - min(asking.places(n, routers).discovery, 1.0) for n in range(routers)]
+    spiteful = [1.0 - min(startup_spreading.places(n, routers).discovery, 1.0) for n in range(routers)]
     assert most_within(calls(routers, spiteful), 0.1) <= worst
     if routers == 200:  # without the places all come in one instant
         assert most_within(calls(routers, [0.0] * routers, spread=False), 0.1) == 200
 
 
 def test_every_peer_is_told_in_turn_and_enough_means_fewer():
-    told = [n for turn in range(13) for n in asking.round_of(5, 200, turn, False)]
+    told = [n for turn in range(13) for n in startup_spreading.round_of(5, 200, turn, False)]
     assert set(told) == set(range(200)) - {5} and len(told) == 13 * 16
-    assert len(asking.round_of(5, 200, 0, True)) == 1 and asking.round_of(0, 1, 0, False) == []
-    cycle = [n for turn in range(9) for n in asking.round_of(0, 10, turn, True)]
+    assert len(startup_spreading.round_of(5, 200, 0, True)) == 1 and startup_spreading.round_of(0, 1, 0, False) == []
+    cycle = [n for turn in range(9) for n in startup_spreading.round_of(0, 10, turn, True)]
     assert set(cycle) == set(range(1, 10))
 
 
@@ -646,11 +646,11 @@
         await client.send("KV.GET", "k", "id-1", "c=read,t=acme,d=60000")
         await until(lambda: cache.commands)
         await recovery.before_exit()
-        assert not evidence.say(recovery.mind, 1, 9.0).left
+        assert not restart_scope.say(recovery.mind, 1, 9.0).left
         dispatcher.fail_rest()
         await until(lambda: not dispatcher.pending_operations and not made.service.pool.pending)
         await recovery.before_exit()
-        assert evidence.say(recovery.mind, 1, 9.0).left
+        assert restart_scope.say(recovery.mind, 1, 9.0).left
     assert SnapshotFile(played.entry.snapshot, identity_of(KEY, "n0", 0)).load()[0].run == 1
 
 
@@ -725,15 +725,15 @@
     async with fleet(tmp_path, [Cache()], build_extensions=played.build) as made:
         recovery, dispatcher = played.made, made.service.dispatcher
         recovery._tell = lambda number, echo=None: told.append(
-            evidence.say(recovery.mind, number, recovery.uptime(), echo)
+            restart_scope.say(recovery.mind, number, recovery.uptime(), echo)
         )
         assert recovery.mind.verdict is Verdict.DECIDING
-        peer = evidence.begin(1, recovery.mind.zone, 5, 77, (0, 5), (-1, -1), 3.0, 6)
-        peer = evidence.hear(peer, evidence.say(recovery.mind, 1, 0.0), 40.0)[0]
+        peer = restart_scope.begin(1, recovery.mind.zone, 5, 77, (0, 5), (-1, -1), 3.0, 6)
+        peer = restart_scope.hear(peer, restart_scope.say(recovery.mind, 1, 0.0), 40.0)[0]
         assert "recovering" in repr(made.service.lifecycle.phase).lower()
-        dispatcher.on_gossip(1, Wire(b"wrong key" * 2).write(evidence.say(peer, 0, 40.0)))
+        dispatcher.on_gossip(1, Wire(b"wrong key" * 2).write(restart_scope.say(peer, 0, 40.0)))
         assert recovery.wire.dropped["mark"] == 1 and recovery.mind.epoch == 0
-        lived = evidence.say(peer, 0, 40.0, lost_ago=3.0)._replace(lived=True)
+        lived = restart_scope.say(peer, 0, 40.0, lost_ago=3.0)._replace(lived=True)
         before = recovery.clock()
         dispatcher.on_gossip(1, recovery.wire.write(lived))
         after = recovery.clock()
--- a/tests/test_recovery_model.py
+++ b/tests/test_recovery_model.py
@@ -1,4 +1,4 @@
-"""The state machine of gaugehinge.recovery.evidence, searched whole in a small world: three routers in two
+"""The state machine of gaugehinge.recovery.restart_scope, searched whole in a small world: three routers in two
 zones, a keeper, messages that are lost, late and told twice also over a loss, single ends and losses of all;
 then ordered ends, whose words come late or never, beside losses of one and of a zone with its servers.
 What each router claims is held against what truly was. Mutants of the machine are found by the same search.
@@ -12,8 +12,8 @@
 
 import pytest
 
-from gaugehinge.recovery import evidence
-from gaugehinge.recovery.evidence import Mind, Told, Verdict
+from gaugehinge.recovery import restart_scope
+from gaugehinge.recovery.restart_scope import Mind, Told, Verdict
 
 N = 3
 ZONES = (1, 1, 2)
@@ -58,19 +58,19 @@
 
 def say(world: World, one: int, other: int, echo=None) -> Told:
     router = world.routers[one]
-    return evidence.say(router.mind, other, float(world.tick - router.started), echo)
+    return restart_scope.say(router.mind, other, float(world.tick - router.started), echo)
 
 
 def hear(world: World, told: Told) -> tuple[World, tuple[int, float] | None]:
     router = world.routers[told.to]
-    mind, echo = evidence.hear(router.mind, told, float(world.tick - router.started))
+    mind, echo = restart_scope.hear(router.mind, told, float(world.tick - router.started))
     return world._replace(routers=put(world.routers, told.to, router._replace(mind=mind))), echo
 
 
 def start(world: World, one: int) -> World:
     router = world.routers[one]
     disk = router.disk._replace(run=router.disk.run + 1)
-    mind = evidence.begin(
+    mind = restart_scope.begin(
         one, ZONES[one], disk.run, world.marks + 1, disk.known, disk.lately, BOUND, disk.epoch
     )
     new = router._replace(mind=mind, disk=disk._replace(lately=(-1,) * N), started=world.tick)
@@ -81,7 +81,7 @@
     """One ends. What it said last to each may still come to them, once or more, at any time."""
     router = world.routers[one]
     if order:
-        router = router._replace(mind=evidence.leave(router.mind, 0))
+        router = router._replace(mind=restart_scope.leave(router.mind, 0))
         world = world._replace(routers=put(world.routers, one, router))
     forced = router.forced if order else world.tick
     alive = sum(1 << n for n, each in enumerate(world.routers) if each.mind is not None and n != one)
@@ -100,15 +100,15 @@
 @lru_cache(300_000)  # the same talk takes place in many worlds
 def talk(one: Router, other: Router, tick: int, back: bool, lost: int) -> tuple[Router, Router]:
     """One says its word to another, who answers at once where that is due."""
-    away, more = evidence.absence(one.mind, other.mind.me), {}
+    away, more = restart_scope.absence(one.mind, other.mind.me), {}
     if away is not None and lost < one.started + away[0]:
         more = {"kept": True}  # as its connections to servers prove it
-    told = evidence.say(one.mind, other.mind.me, float(tick - one.started), **more)
-    mind, echo = evidence.hear(other.mind, told, float(tick - other.started))
+    told = restart_scope.say(one.mind, other.mind.me, float(tick - one.started), **more)
+    mind, echo = restart_scope.hear(other.mind, told, float(tick - other.started))
     other = other._replace(mind=mind)
     if echo is not None and back:
-        told = evidence.say(mind, one.mind.me, float(tick - other.started), echo)
-        one = one._replace(mind=evidence.hear(one.mind, told, float(tick - one.started))[0])
+        told = restart_scope.say(mind, one.mind.me, float(tick - other.started), echo)
+        one = one._replace(mind=restart_scope.hear(one.mind, told, float(tick - one.started))[0])
     return one, other
 
 
@@ -116,9 +116,9 @@
 def written(router: Router, tick: int, keeper: int) -> Router:
     """The end of a tick: a look at the time, and the snapshot."""
     uptime = float(tick - router.started)
-    mind = evidence.look(router.mind, uptime)
+    mind = restart_scope.look(router.mind, uptime)
     known = tuple(max(peer.run, peer.known_run) for peer in mind.peers)
-    lately = evidence.heard_lately(mind, uptime, 0.0)
+    lately = restart_scope.heard_lately(mind, uptime, 0.0)
     return router._replace(mind=mind, disk=Disk(mind.run, known, lately, mind.epoch, keeper))
 
 
@@ -158,7 +158,7 @@
         elif world.ends:
             yield end(world._replace(ends=world.ends - 1), one)
         if keeper and router.mind is not None and router.disk.keeper:
-            mind = evidence.hear_keeper(
+            mind = restart_scope.hear_keeper(
                 router.mind, router.disk.keeper == world.keeper, float(world.tick - router.started)
             )
             yield world._replace(routers=put(world.routers, one, router._replace(mind=mind)))
@@ -166,7 +166,7 @@
         if world.orders and router.mind is not None and ZONES[one] == 1:
             less = world._replace(orders=world.orders - 1)
             yield end(less, one, order=True)
-            asked = router._replace(mind=evidence.leave(router.mind, 1))
+            asked = router._replace(mind=restart_scope.leave(router.mind, 1))
             if asked != router:
                 yield less._replace(routers=put(world.routers, one, asked))
     if world.losses:
@@ -208,7 +208,7 @@
             return f"{one} claims ZONE, and a mate lived on"
         mates = [n for n in range(N) if n != one and ZONES[n] == ZONES[one]]
         heard = all(mind.peers[n].mark for n in range(N) if n != one)
-        if mind.verdict is Verdict.LONE and mates and heard and all(evidence.anew(mind, n) for n in mates):
+        if mind.verdict is Verdict.LONE and mates and heard and all(restart_scope.anew(mind, n) for n in mates):
             since, until = router.ended, router.started
             if not router.order or any(since <= world.routers[n].forced < until for n in mates):
                 return f"{one} claims LONE, and one of its zone ended with something in hand"
@@ -274,7 +274,7 @@
     rolled = told_to_end(half, 1)._replace(**silent)
     back = told_to_end(again(told_to_end(up, 1), 1), 0)
     half = half._replace(**silent)
-    asked = half.routers[1]._replace(mind=evidence.leave(half.routers[1].mind, 1))
+    asked = half.routers[1]._replace(mind=restart_scope.leave(half.routers[1].mind, 1))
     asked = pass_time(half._replace(routers=put(half.routers, 1, asked)), ALL_LINKS)
     return {
         "both were rolled, and the zone": (rolled._replace(losses=1), 3),
@@ -324,80 +324,80 @@
 
 
 def no_echo(monkeypatch):
-    hear = evidence.hear
+    hear = restart_scope.hear
     monkeypatch.setattr(
-        evidence, "hear", lambda mind, told, uptime: hear(mind, told._replace(echo=mind.mark), uptime)
+        restart_scope, "hear", lambda mind, told, uptime: hear(mind, told._replace(echo=mind.mark), uptime)
     )
 
 
 def old_runs_prove(monkeypatch):
-    begin = evidence.begin
+    begin = restart_scope.begin
 
     def wrong_begin(me, zone, run, mark, known, before, *rest):
         return begin(me, zone, run, mark, known, known, *rest)
 
-    monkeypatch.setattr(evidence, "begin", wrong_begin)
+    monkeypatch.setattr(restart_scope, "begin", wrong_begin)
 
 
 def silence_proves(monkeypatch):
-    anew = evidence.anew
-    monkeypatch.setattr(evidence, "anew", lambda mind, n: not mind.peers[n].mark or anew(mind, n))
+    anew = restart_scope.anew
+    monkeypatch.setattr(restart_scope, "anew", lambda mind, n: not mind.peers[n].mark or anew(mind, n))
 
 
 def apart_is_most(monkeypatch):
-    judge = evidence._judge
+    judge = restart_scope._judge
 
     def wrong_judge(mind, bound_over):
         verdict = judge(mind, bound_over)
         return Verdict.MOST if verdict is Verdict.APART else verdict
 
-    monkeypatch.setattr(evidence, "_judge", wrong_judge)
+    monkeypatch.setattr(restart_scope, "_judge", wrong_judge)
 
 
 def who_is_up_for_longer_lived_on(monkeypatch):
-    hear = evidence.hear
+    hear = restart_scope.hear
 
     def wrong_hear(mind, told, uptime):
         return hear(mind, told._replace(lived=told.lived or told.uptime > uptime), uptime)
 
-    monkeypatch.setattr(evidence, "hear", wrong_hear)
+    monkeypatch.setattr(restart_scope, "hear", wrong_hear)
 
 
 def never_decides(monkeypatch):
-    monkeypatch.setattr(evidence, "look", lambda mind, uptime: mind)
+    monkeypatch.setattr(restart_scope, "look", lambda mind, uptime: mind)
 
 
 def said_with_something_in_hand(monkeypatch):
-    monkeypatch.setattr(evidence, "leave", lambda mind, in_hand: mind._replace(leaving=True))
+    monkeypatch.setattr(restart_scope, "leave", lambda mind, in_hand: mind._replace(leaving=True))
 
 
 def one_runs_word_is_anothers(monkeypatch):
-    prove = evidence._prove
+    prove = restart_scope._prove
 
     def wrong_prove(peer, told, uptime):
         after = prove(peer, told, uptime)
         return after._replace(former_left=peer.left or peer.former_left or after.former_left)
 
-    monkeypatch.setattr(evidence, "_prove", wrong_prove)
+    monkeypatch.setattr(restart_scope, "_prove", wrong_prove)
 
 
 def mates_words_suffice(monkeypatch):
     monkeypatch.setattr(
-        evidence,
+        restart_scope,
         "in_order",
         lambda mind, mates: mind.kept and all(mind.peers[n].ordered for n in mates),
     )
 
 
 def words_prove_servers_lives(monkeypatch):
-    in_order = evidence.in_order
-    monkeypatch.setattr(evidence, "in_order", lambda mind, mates: in_order(mind._replace(kept=True), mates))
+    in_order = restart_scope.in_order
+    monkeypatch.setattr(restart_scope, "in_order", lambda mind, mates: in_order(mind._replace(kept=True), mates))
 
 
 def any_number_of_runs_since(monkeypatch):
-    in_order = evidence.in_order
-    many = (evidence.MOST_NUMBER,) * N
-    monkeypatch.setattr(evidence, "in_order", lambda mind, mates: in_order(mind._replace(known=many), mates))
+    in_order = restart_scope.in_order
+    many = (restart_scope.MOST_NUMBER,) * N
+    monkeypatch.setattr(restart_scope, "in_order", lambda mind, mates: in_order(mind._replace(known=many), mates))
 
 
 ORDERLY_MUTANTS = [
