--- a/gaugehinge/recovery/datagram.py
+++ b/gaugehinge/recovery/datagram.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass, field
 from math import isfinite
 
-from .restart_scope import Told, Verdict
+from .restart_scope import PeerMessage, Verdict
 
 MAGIC = 0xE7
 VERSION = 1
 MARK_BYTES = 16  # of the digest that go along
 FORM = struct.Struct("<BBIIIQQdQdQ?fIB?dQQIIQfBx")
-FLAGS = ("left", "you_left", "ordered", "kept")  # by bit. Routers that know none of them send 0: nothing said
+FLAGS = ("clean_shutdown", "receiver_clean_shutdown", "confirmed_clean_shutdown", "zone_servers_survived")  # by bit. Routers that know none of them send 0: nothing said
 LENGTH = FORM.size + MARK_BYTES
 MOST_BYTES = 256
 if LENGTH > MOST_BYTES or LENGTH % 4 == 0:
@@ -38,32 +38,32 @@
     key: bytes
     dropped: dict[str, int] = field(default_factory=lambda: dict.fromkeys(("form", "version", "mark"), 0))
 
-    def write(self, told: Told) -> bytes:
+    def write(self, told: PeerMessage) -> bytes:
         """A message as it goes out."""
         body = FORM.pack(
             MAGIC,
             VERSION,
-            told.me,
-            told.to,
+            told.sender,
+            told.receiver,
             told.zone,
             told.run,
-            told.mark,
+            told.nonce,
             told.uptime,
-            told.echo,
+            told.echo_nonce,
             told.echo_uptime,
-            told.you_run,
-            told.lived,
-            told.lived_ago,
+            told.receiver_run,
+            told.survived,
+            told.last_heard_ago,
             told.epoch,
             told.verdict,
             told.ready,
-            told.wall,
+            told.wall_clock,
             told.list_rev,
-            told.list_sum,
-            told.keeper,
-            told.store,
-            told.revision,
-            told.lost_ago,
+            told.list_checksum,
+            told.control_plane_run,
+            told.store_digest,
+            told.store_revision,
+            told.keys_lost_ago,
             sum(getattr(told, name) << bit for bit, name in enumerate(FLAGS)),
         )
         return body + self._mark(body)
@@ -72,7 +72,7 @@
         """Whether a datagram is of this kind at all: others are the module's."""
         return len(payload) == LENGTH and payload[0] == MAGIC
 
-    def read(self, payload: bytes) -> Told | None:
+    def read(self, payload: bytes) -> PeerMessage | None:
         """A message that came; None where it cannot be read, which is counted by cause."""
         if not self.mine(payload):
             return self._drop("form")
@@ -83,8 +83,8 @@
             return self._drop("mark")
         _, _, *figures, flags = FORM.unpack(body)
         said = {name: bool(flags >> bit & 1) for bit, name in enumerate(FLAGS)} if flags else {}
-        told = Told(*figures, **said)
-        times = (told.uptime, told.echo_uptime, told.lived_ago, told.wall, told.lost_ago)
+        told = PeerMessage(*figures, **said)
+        times = (told.uptime, told.echo_uptime, told.last_heard_ago, told.wall_clock, told.keys_lost_ago)
         known = told.verdict in Verdict._value2member_map_
         if not all(map(isfinite, times)) or min(times[:3]) < 0.0 or not known:
             return self._drop("form")
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -33,11 +33,11 @@
 from ..tenancy.feed import Feed
 from . import restart_scope, staleness_rules, startup_spreading
 from .datagram import Wire, digest
-from .incarnations import Lives
-from .list_transformers import BelievedStarts, ListGate
-from .recovery_ramp import Bearing, Facts, Opening, Order, Stage, Waits
+from .incarnations import IncarnationTracker
+from .list_transformers import EstimatedStarts, ListGate
+from .recovery_ramp import LoadLimits, RecoveryRamp, Stage, StageTimeouts, StartupProgress, StartupSequence
 from .restart_scope import Verdict
-from .retry_fencing import Effects
+from .retry_fencing import RetryFence
 from .snapshot import Entry, Kept, Learnt, SnapshotFile, boot_of, identity_of
 
 LOOK = 0.05  # seconds between two looks at what has come
@@ -79,24 +79,24 @@
         self.file = SnapshotFile(entry.snapshot, identity_of(key, service.configuration.name, self.me))
         self.began = self.clock()
         self.former: Kept | None = None
-        self.age = staleness_rules.Age(inf, False)
-        self.mind: restart_scope.Mind
-        self.slack = restart_scope.slack_of(self.routers, startup_spreading.told_each(self.routers))
-        self.said: dict[int, staleness_rules.Said] = {}  # by peer, the last of each
+        self.age = staleness_rules.SnapshotAge(inf, False)
+        self.mind: restart_scope.TierView
+        self.slack = restart_scope.restart_slack(self.routers, startup_spreading.steady_messages_per_second(self.routers))
+        self.said: dict[int, staleness_rules.PeerReport] = {}  # by peer, the last of each
         self.walls: dict[int, float] = {}  # by peer, how far its wall clock is from ours
         self.heard: dict[int, float] = {}  # by peer, when
         self.lived_lost: dict[int, float] = {}  # by peer that lived on, when it saw marks lost last
-        self.effects = Effects(deployment, float(entry.repeats), self.began)
-        self.opening = Opening(deployment, secrets.randbits(32))
-        self.order = Order(
-            Waits(
+        self.effects = RetryFence(deployment, float(entry.repeats), self.began)
+        self.opening = RecoveryRamp(deployment, secrets.randbits(32))
+        self.order = StartupSequence(
+            StageTimeouts(
                 float(entry.keeper_wait) if follower is not None else 0.0,
                 float(entry.list_wait),
                 float(entry.keeper_wait) if follower is not None else 0.0,
                 float(entry.decide),
             )
         )
-        self.facts = Facts(keeper=follower is None, parts=follower is None)
+        self.facts = StartupProgress(control_plane=follower is None, subsystems=follower is None)
         self.store = staleness_rules.KnownStore("", 0, {})
         self.older_until = 0.0  # a keeper from before what was heard is not followed until then; 0: none is
         self.keeper_run = ""
@@ -112,13 +112,13 @@
         self.turn = 0
         self.elsewhere = 0
         self.failed = False
-        self.lives = Lives()
+        self.lives = IncarnationTracker()
         self.connections_at = self.began
         self.dirty = trio.Event()
         self.saving = trio.Lock()  # two at a time would write into one file
         self.intercepting = False  # whether `intercept` has anything to do
         self.list_gate = ListGate(self._gate_list)
-        self.believed_starts = BelievedStarts(self._with_believed_starts)
+        self.believed_starts = EstimatedStarts(self._with_believed_starts)
 
     # -- the start
 
@@ -129,12 +129,12 @@
         if kept is None:
             logger.warning("recovery: no snapshot: {}", why)
         else:
-            self.age = staleness_rules.age(kept, self.wall(), self.steady(), self.boot())
+            self.age = staleness_rules.snapshot_age(kept, self.wall(), self.steady(), self.boot())
             self._take(kept)
-        run = min((kept.run if kept else 0) + 1, restart_scope.MOST_NUMBER)
+        run = min((kept.run if kept else 0) + 1, restart_scope.MAX_COUNTER)
         known = tuple(kept.runs[: self.routers]) if kept else ()
-        lately = tuple(kept.lately[: self.routers]) if kept and staleness_rules.belief("lately", self.age) else ()
-        self.mind = restart_scope.begin(
+        lately = tuple(kept.lately[: self.routers]) if kept and staleness_rules.confidence("lately", self.age) else ()
+        self.mind = restart_scope.initial_view(
             self.me,
             digest(self.deployment.zone),
             run,
@@ -148,7 +148,7 @@
             self.file.save(self._snapshot())
         except (OSError, ValueError) as bad:
             logger.warning("recovery: run {} could not be counted on the disk: {}", run, bad)
-        sure = "" if self.age.sure else "by wall clocks "
+        sure = "" if self.age.from_monotonic_clock else "by wall clocks "
         old = "none" if kept is None else f"{sure}{self.age.seconds:.1f} s old"
         logger.info("recovery: run {}, epoch {}, snapshot {}", run, self.mind.epoch, old)
         self._join_feed()
@@ -160,17 +160,17 @@
     def _take(self, kept: Kept) -> None:
         """What of the snapshot is believed at once."""
         self.store = staleness_rules.KnownStore(kept.store, kept.revision, dict(kept.incarnations), kept.floor)
-        part = staleness_rules.belief("learnt", self.age)
+        part = staleness_rules.confidence("learnt", self.age)
         self.known_rev = kept.list_rev
         self.known_starts = {each.uid: each.started for each in kept.servers}
         self.learnt = Learnt(kept.learnt.reads * part, kept.learnt.writes * part)
 
     def _join_feed(self) -> None:
-        places = startup_spreading.places(self.me, self.routers)
+        places = startup_spreading.startup_delays(self.me, self.routers)
         self.asks_at = self.began + places.discovery
         self.tells_from = places.messages
         if self.follower is not None:
-            self.follower.delay_first_call(places.keeper)
+            self.follower.delay_first_call(places.control_plane)
             self.follower.run_number = self.mind.run
             self.follower.add_part(self)
 
@@ -193,12 +193,12 @@
         now = self.clock()
         traffic = operation.traffic_type
         row, write = traffic.row, operation.is_write
-        if now < self.effects.until[row]:
-            final = self.effects.final(row, write, operation.is_client_retry, mark_of(payload.labels), now)
+        if now < self.effects.fenced_until[row]:
+            final = self.effects.must_reject(row, write, operation.is_client_retry, mark_of(payload.labels), now)
             if final and self.mind.verdict is not Verdict.DECIDING:
                 self._answer(operation, reply_callback, FAILED_REPLY)
                 return None
-        if self.opening.open and not self.old_list_until:
+        if self.opening.fully_open and not self.old_list_until:
             return reply_callback
         away = self._away(row, operation.tenant, write, now)
         if away:
@@ -210,7 +210,7 @@
             settled = not reply.startswith(b"-")
             if settled or self._tells(operation, reply):
                 at_origin = any(attempt.endpoint.origin for attempt in operation.attempts)
-                self.opening.ended(row, write, settled, at_origin)
+                self.opening.record_result(row, write, settled, at_origin)
             reply_callback(reply)
 
         return on_reply
@@ -219,9 +219,9 @@
         """Seconds to stay away; 0: let in."""
         harmless = not write and self.deployment.traffic_types[row].effect is Effect.IDEMPOTENT
         if self.old_list_until and not harmless:
-            return self.opening.away(1.0)
-        if self.order.stage not in (Stage.CLIENTS, Stage.OPEN):
-            return self.opening.away(min(self.order.left(now - self.began), 1.0))
+            return self.opening.retry_after(1.0)
+        if self.order.stage not in (Stage.RAMPING, Stage.OPEN):
+            return self.opening.retry_after(min(self.order.remaining(now - self.began), 1.0))
         return self.opening.admit(row, tenant, write, now)
 
     def _tells(self, operation: Operation, reply: bytes) -> bool:
@@ -263,9 +263,9 @@
         self.list_sum = zlib.crc32(repr(told).encode())
         entries = [target.entry for target in update.targets]
         self.effects.on_endpoints_changed(entries, update.complete, self.clock())
-        if self.effects.open(self.clock()):
+        if self.effects.is_active(self.clock()):
             self.intercepting = True
-        self.facts.list = self.facts.list or not cached
+        self.facts.endpoint_list = self.facts.endpoint_list or not cached
         self.dirty.set()
         if self.mind.verdict is not Verdict.DECIDING:
             return update
@@ -276,8 +276,8 @@
     def _weigh_list(self, update: EndpointListUpdate) -> None:
         """Whether a whole list is one from before."""
         told = {target.uid: target.entry.started for target in update.targets}
-        standing = staleness_rules.list_answer(self.known_rev, self.known_starts, update.rev, told)
-        if standing is staleness_rules.Standing.OLDER:
+        standing = staleness_rules.classify_list(self.known_rev, self.known_starts, update.rev, told)
+        if standing is staleness_rules.AnswerStatus.OLDER:
             if self.old_list_until in (0.0, inf):
                 self.old_list_until = self.clock() + float(self.entry.doubt)
                 logger.warning(
@@ -300,9 +300,9 @@
     def _with_believed_starts(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
         """The list with the times at which servers are believed to have started."""
         known = {each.uid: each.started for each in self.former.servers} if self.former else {}
-        spread = startup_spreading.window(self.routers, startup_spreading.DISCOVERY_EACH)
-        in_service = self.uptime() > self.order.waits.list + spread
-        off = staleness_rules.clock_off(0.0, list(self.walls.values()))
+        spread = startup_spreading.spread_window(self.routers, startup_spreading.DISCOVERY_CALLS_PER_SECOND)
+        in_service = self.uptime() > self.order.timeouts.endpoint_list + spread
+        off = staleness_rules.clock_correction(0.0, list(self.walls.values()))
         targets = []
         for target in update.targets:
             told = target.entry.started
@@ -314,9 +314,9 @@
             if target.entry.state is EndpointState.GONE:
                 self.starts.pop(target.uid, None)
             elif seen is None or seen[0] != told:
-                lived = self.mind.verdict.lived or in_service
+                lived = self.mind.verdict.fleet_survived or in_service
                 before, now = known.get(target.uid), self.clock()
-                believed = staleness_rules.believed_start(told, before, self.began, lived, off, now)
+                believed = staleness_rules.estimated_start_time(told, before, self.began, lived, off, now)
                 seen = self.starts[target.uid] = (told, believed)
             if seen is not None:
                 target = target._replace(entry=target.entry._replace(started=seen[1]))
@@ -360,14 +360,14 @@
             for each in [other.connection for other in pool.pending.values()]
         )
         if failed:
-            doubted = self.lives.failed(endpoint.ident, standing, self.mind.verdict.lived, now)
+            doubted = self.lives.connect_failed(endpoint.ident, standing, self.mind.verdict.fleet_survived, now)
         else:
-            doubted = self.lives.broke(endpoint.ident, pending is not None, standing, now)
+            doubted = self.lives.connection_broke(endpoint.ident, pending is not None, standing, now)
         if doubted:
             self._doubt(endpoint.ident, endpoint.uid, now)
 
     def _doubt(self, ident: int, uid: str, now: float) -> None:
-        rows = self.effects.doubt(ident, now)
+        rows = self.effects.suspect_server(ident, now)
         if not rows:
             return
         logger.info("recovery: {} may have begun anew: no line to it stands, and none comes up", uid)
@@ -385,19 +385,19 @@
             return
         self.connections_at = now
         pool = self.service.pool
-        self.lives.follow(pool.endpoints)
+        self.lives.retain(pool.endpoints)
         in_use: dict[int, set[Connection]] = {}
         for pending in pool.pending.values():
             if pending.connection is not None:
                 in_use.setdefault(pending.connection.endpoint.ident, set()).add(pending.connection)
         for ident, endpoint in pool.endpoints.items():
             connections = [(connection, connection.idle_since) for connection in endpoint.idle]
-            self.lives.see(ident, connections, in_use.get(ident, set()).union(endpoint.idle), now)
+            self.lives.record_connections(ident, connections, in_use.get(ident, set()).union(endpoint.idle), now)
 
     def _kept(self, number: int) -> bool:
         """Whether in that peer's zone a server of each cell is known to have lived while it was away."""
-        away = restart_scope.absence(self.mind, number)
-        if away is None or self.uptime() > away[1] + restart_scope.LATE * self.mind.bound:
+        away = restart_scope.downtime(self.mind, number)
+        if away is None or self.uptime() > away[1] + restart_scope.LATE_RESTART_FACTOR * self.mind.decision_deadline:
             return False
         since, until = (self.began + at for at in away)
         zone, origin = self.mind.peers[number].zone, self.deployment.origin_kind
@@ -405,7 +405,7 @@
         for target in self.servers.values():
             each = target.entry
             if digest(each.zone) == zone and each.kind != origin:
-                cells[each.cell] = cells.get(each.cell, False) or self.lives.covers(each.ident, since, until)
+                cells[each.cell] = cells.get(each.cell, False) or self.lives.was_alive(each.ident, since, until)
         return bool(cells) and all(cells.values())
 
     # -- an ordered end
@@ -415,10 +415,10 @@
         service = self.service
         in_hand = len(self.dispatcher.pending_operations) + len(service.pool.pending)
         in_hand += sum(front.clients.has_pending_replies() for front in service.fronts)
-        self.mind = restart_scope.leave(self.mind, in_hand)
+        self.mind = restart_scope.begin_shutdown(self.mind, in_hand)
         how = f"with {in_hand} in hand" if in_hand else "in order"
         logger.info("recovery: run {} ends {}", self.mind.run, how)
-        if self.mind.leaving and self.service.gossip is not None:
+        if self.mind.shutting_down_cleanly and self.service.gossip is not None:
             for _ in range(WORDS):
                 for number in range(self.routers):
                     if number != self.me:
@@ -436,35 +436,35 @@
         if not self.wire.mine(payload):
             return False
         told = self.wire.read(payload)
-        if told is not None and 0 <= told.me < self.routers:
+        if told is not None and 0 <= told.sender < self.routers:
             self._hear_peer(told)
         return True
 
-    def _hear_peer(self, told: restart_scope.Told) -> None:
+    def _hear_peer(self, told: restart_scope.PeerMessage) -> None:
         uptime, before = self.uptime(), self.mind
-        self.mind, echo = restart_scope.hear(before, told, uptime)
+        self.mind, echo = restart_scope.receive_message(before, told, uptime)
         if echo is not None:
-            self._tell(told.me, echo)
-        if told.echo != self.mind.mark or told.mark != self.mind.peers[told.me].mark:
+            self._tell(told.sender, echo)
+        if told.echo_nonce != self.mind.nonce or told.nonce != self.mind.peers[told.sender].nonce:
             return
-        self.heard[told.me] = uptime
-        self.walls[told.me] = told.wall - self.wall()
-        self.said[told.me] = staleness_rules.Said(
+        self.heard[told.sender] = uptime
+        self.walls[told.sender] = told.wall_clock - self.wall()
+        self.said[told.sender] = staleness_rules.PeerReport(
             told.epoch,
             told.run,
             told.ready,
             Verdict(told.verdict),
             told.list_rev,
-            told.list_sum,
-            told.store,
-            told.revision,
-            told.lost_ago,
+            told.list_checksum,
+            told.store_digest,
+            told.store_revision,
+            told.keys_lost_ago,
         )
-        if told.lived and told.lost_ago >= 0.0:
-            self.lived_lost[told.me] = uptime - told.lost_ago
+        if told.survived and told.keys_lost_ago >= 0.0:
+            self.lived_lost[told.sender] = uptime - told.keys_lost_ago
         self._changed(before)
 
-    def _changed(self, before: restart_scope.Mind) -> None:
+    def _changed(self, before: restart_scope.TierView) -> None:
         """What a change of mind brings."""
         mind = self.mind
         if mind.run != before.run:
@@ -479,8 +479,8 @@
 
     def _decided(self) -> None:
         mind, now = self.mind, self.clock()
-        anew = sum(restart_scope.anew(mind, number) for number in range(self.routers))
-        lived = sum(peer.lived for peer in mind.peers)
+        anew = sum(restart_scope.proved_restarted(mind, number) for number in range(self.routers))
+        lived = sum(peer.survived for peer in mind.peers)
         logger.info(
             "recovery: {} after {:.1f} s: of {} peers {} lived on, {} began anew; epoch {}",
             mind.verdict.name.lower(),
@@ -491,12 +491,12 @@
             mind.epoch,
         )
         uptime = self.uptime()
-        self.effects.decided(mind.verdict, [uptime - at for at in self.lived_lost.values()], now)
+        self.effects.apply_verdict(mind.verdict, [uptime - at for at in self.lived_lost.values()], now)
         waiting, self.held_back = self.held_back, []
         for update in waiting:
             self._pass_on(update, False)
-        if mind.verdict is Verdict.LONE and self.order.stage is Stage.CLIENTS:
-            self.opening.open = True
+        if mind.verdict is Verdict.LONE and self.order.stage is Stage.RAMPING:
+            self.opening.fully_open = True
         self.dirty.set()
 
     async def _tell_on(self) -> None:
@@ -505,31 +505,31 @@
             return
         await trio.sleep(self.tells_from)
         while True:
-            enough = staleness_rules.enough([said for said in self.said.values()], self.routers)
+            enough = staleness_rules.heard_enough([said for said in self.said.values()], self.routers)
             settled = self.mind.verdict not in (Verdict.DECIDING, Verdict.APART)
-            late = self.uptime() > restart_scope.LATE * self.mind.bound
-            for number in startup_spreading.round_of(self.me, self.routers, self.turn, (enough and settled) or late):
+            late = self.uptime() > restart_scope.LATE_RESTART_FACTOR * self.mind.decision_deadline
+            for number in startup_spreading.peers_in_round(self.me, self.routers, self.turn, (enough and settled) or late):
                 self._tell(number)
             self.turn += 1
-            await trio.sleep(startup_spreading.ROUND)
+            await trio.sleep(startup_spreading.ROUND_INTERVAL)
 
     def _tell(self, number: int, echo: tuple[int, float] | None = None) -> None:
         now, effects = self.clock(), self.effects
         settled = self.mind.verdict is not Verdict.DECIDING
-        told = restart_scope.say(
+        told = restart_scope.build_message(
             self.mind,
             number,
             now - self.began,
             echo,
             ready=self.service.lifecycle.phase is Phase.READY,
-            wall=self.wall(),
+            wall_clock=self.wall(),
             list_rev=min(max(self.list_rev, 0), MOST_FIGURE),
-            list_sum=self.list_sum,
-            keeper=digest(self.keeper_run) if self.keeper_run else 0,
-            store=digest(self.store.name) if self.store.name else 0,
-            revision=min(self.store.revision, MOST_FIGURE),
-            lost_ago=now - effects.lost_at if settled and effects.open(now) else -1.0,
-            kept=self._kept(number),
+            list_checksum=self.list_sum,
+            control_plane_run=digest(self.keeper_run) if self.keeper_run else 0,
+            store_digest=digest(self.store.name) if self.store.name else 0,
+            store_revision=min(self.store.revision, MOST_FIGURE),
+            keys_lost_ago=now - effects.keys_lost_at if settled and effects.is_active(now) else -1.0,
+            zone_servers_survived=self._kept(number),
         )
         self.service.gossip.send((number,), self.wire.write(told))
 
@@ -542,16 +542,16 @@
             bool(self.former and self.former.keeper_run)
             and (feed.control_plane_run == self.former.keeper_run),
         )
-        self.mind = restart_scope.hear_keeper(before, same, self.uptime())
+        self.mind = restart_scope.receive_control_plane(before, same, self.uptime())
         self.keeper_run = feed.control_plane_run
-        self.facts.keeper = True
+        self.facts.control_plane = True
         self._changed(before)
 
     def filter_feed(self, feed: Feed) -> Feed:
         """What of a feed is followed. Raises FeedError while it is from before what was heard."""
         now, known = self.clock(), self._known_store()
-        standing = staleness_rules.keeper_answer(known, feed.store_id, feed.revision, feed.complete)
-        if standing is not staleness_rules.Standing.FOLLOWED:
+        standing = staleness_rules.classify_feed(known, feed.store_id, feed.revision, feed.complete)
+        if standing is not staleness_rules.AnswerStatus.CURRENT:
             what = f"store {feed.store_id} revision {feed.revision}, heard was {known.name} {known.revision}"
             if not self.older_until:
                 self.older_until = now + float(self.entry.doubt)
@@ -562,7 +562,7 @@
         elif self.older_until:
             logger.info("recovery: keeper is at revision {} again", feed.revision)
         rows = [(row.incarnation, row.name) for row in feed.tenants]
-        refused = set(staleness_rules.strangers(known, rows))
+        refused = set(staleness_rules.reassigned_incarnations(known, rows))
         if refused:
             logger.error("recovery: numbers {} were other tenants': not served", sorted(refused))
             feed = msgspec.structs.replace(
@@ -570,17 +570,17 @@
             )
         self.older_until = 0.0
         named = [row for row in rows if row[0] not in refused]
-        self.store = staleness_rules.remember(known._replace(name=feed.store_id, revision=feed.revision), named)
+        self.store = staleness_rules.remember_incarnations(known._replace(name=feed.store_id, revision=feed.revision), named)
         return feed
 
     def _known_store(self) -> staleness_rules.KnownStore:
         """What this router knows, and what the best of its peers does."""
-        best = staleness_rules.agree(list(self.said.values()))
-        if best is None or not self.store.name or best.store != digest(self.store.name):
+        best = staleness_rules.most_authoritative(list(self.said.values()))
+        if best is None or not self.store.name or best.store_digest != digest(self.store.name):
             return self.store
-        if self.facts.keeper:
+        if self.facts.control_plane:
             return self.store  # in service each is told by the keeper itself: peers may be ahead of us
-        return self.store._replace(revision=max(self.store.revision, best.revision))
+        return self.store._replace(revision=max(self.store.revision, best.store_revision))
 
     # -- looks
 
@@ -601,7 +601,7 @@
 
     def _give_way(self) -> None:
         """A mistake here must not keep the router shut: as a start without recovery, but for repeats."""
-        self.opening.open, self.order.stage, self.old_list_until = True, Stage.OPEN, 0.0
+        self.opening.fully_open, self.order.stage, self.old_list_until = True, Stage.OPEN, 0.0
         waiting, self.held_back = self.held_back, []
         # Starts are believed as told where that is this package's matter alone, and no keeper's.
         gate = self.list_gate if self.follower is not None else self.believed_starts
@@ -613,27 +613,27 @@
     def _look(self) -> None:
         before, now = self.mind, self.clock()
         uptime = now - self.began
-        self.mind = restart_scope.look(before, uptime)
+        self.mind = restart_scope.check_deadline(before, uptime)
         self._changed(before)
         self.facts.verdict = self.mind.verdict
-        self.facts.parts = self.facts.parts or (self.facts.keeper and self._parts_ready())
+        self.facts.subsystems = self.facts.subsystems or (self.facts.control_plane and self._parts_ready())
         stage = self.order.stage
-        if stage not in (Stage.CLIENTS, Stage.OPEN):
-            after = self.order.step(self.facts, uptime)
-            if after is Stage.CLIENTS:
+        if stage not in (Stage.RAMPING, Stage.OPEN):
+            after = self.order.advance(self.facts, uptime)
+            if after is Stage.RAMPING:
                 self._let_in(now)
         if self.old_list_until and now >= self.old_list_until:
             self.old_list_until = 0.0
             logger.warning("recovery: the list is followed though it may be old")
-        self.opening.share([tenant.quota for tenant in self.dispatcher.router.tenants])
+        self.opening.set_shares([tenant.quota for tenant in self.dispatcher.router.tenants])
         self.opening.step(self._warmth(now), now)
-        if self.opening.open and self.order.stage is Stage.CLIENTS:
+        if self.opening.fully_open and self.order.stage is Stage.RAMPING:
             self.order.stage = Stage.OPEN
-        if self.order.stage is Stage.OPEN and not self.old_list_until and not self.effects.open(now):
+        if self.order.stage is Stage.OPEN and not self.old_list_until and not self.effects.is_active(now):
             self.intercepting = False
         self._learn(now)
         self._look_at_connections(now)
-        anew = restart_scope.elsewhere(self.mind, uptime, self.slack)
+        anew = restart_scope.recent_peer_restarts(self.mind, uptime, self.slack)
         if anew > self.elsewhere:
             told = f"{anew} of {self.routers - 1} peers began anew within {self.slack:.0f} s"
             logger.info("recovery: a loss elsewhere: {}", told)
@@ -642,14 +642,14 @@
 
     def _let_in(self, now: float) -> None:
         """Clients are let in from now on."""
-        if not self.facts.list:
+        if not self.facts.endpoint_list:
             self._use_kept_list()
         for waiting in self.held_back:
             self._pass_on(waiting, False)
         self.held_back = []
         router = self.dispatcher.router
         learnt, entry = self.learnt, self.entry
-        bearing = Bearing(
+        bearing = LoadLimits(
             self.routers,
             len(router.endpoints),
             float(entry.origin),
@@ -658,13 +658,13 @@
             learnt.writes,
         )
         if self.mind.verdict is Verdict.LONE:
-            self.opening.open = True
+            self.opening.fully_open = True
         else:
-            self.opening.begin(bearing, [tenant.quota for tenant in router.tenants], now)
+            self.opening.start(bearing, [tenant.quota for tenant in router.tenants], now)
         logger.info(
             "recovery: ready after {:.1f} s, {}: {} servers, {:.1f} reads and {:.1f} writes a second before",
             now - self.began,
-            "open" if self.opening.open else "in steps",
+            "open" if self.opening.fully_open else "in steps",
             len(router.endpoints),
             learnt.reads,
             learnt.writes,
@@ -691,7 +691,7 @@
         self.learnt = Learnt(_towards(old.reads, reads, span), _towards(old.writes, writes, span))
 
     def _flush_log(self) -> None:
-        for log in (self.order.log, self.opening.log, self.effects.log):
+        for log in (self.order.log_lines, self.opening.log_lines, self.effects.log_lines):
             for text in log:
                 logger.info("recovery: {}", text)
             log.clear()
@@ -713,7 +713,7 @@
             self.boot(),
             epoch=mind.epoch,
             runs=[max(peer.run, peer.known_run) for peer in mind.peers],
-            lately=list(restart_scope.heard_lately(mind, self.uptime(), self.slack)),
+            lately=list(restart_scope.recently_heard_runs(mind, self.uptime(), self.slack)),
             list_rev=self.list_rev if self.servers else self.former.list_rev if self.former else -1,
             servers=self._entries(),
             learnt=self.learnt,
@@ -721,7 +721,7 @@
             store=store.name,
             revision=store.revision,
             incarnations=dict(store.incarnations),
-            floor=store.floor,
+            floor=store.incarnation_floor,
             parts=parts,
         )
 
--- a/gaugehinge/recovery/incarnations.py
+++ b/gaugehinge/recovery/incarnations.py
@@ -12,76 +12,76 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, field
 
-KEEP = 120.0  # seconds for which a life is remembered after its last answer
-MOST_SPANS = 8  # of one server; the oldest goes first
-SIGN_KEEP = 5.0  # seconds in which broken connections and failed connects belong to one event
-SEVERAL = 2  # connections that broke in one instant, one of them with an operation on it: no lone reset
-INSTANT = 0.1  # seconds
+SPAN_RETENTION = 120.0  # seconds for which a life is remembered after its last answer
+MAX_SPANS = 8  # of one server; the oldest goes first
+SIGN_WINDOW = 5.0  # seconds in which broken connections and failed connects belong to one event
+MIN_BROKEN_CONNECTIONS = 2  # connections that broke in one instant, one of them with an operation on it: no lone reset
+SIMULTANEOUS_WINDOW = 0.1  # seconds
 
 
 @dataclass(slots=True)
-class Life:
+class ServerIncarnations:
     """One server's. As large as its open connections."""
 
     spans: list[tuple[float, float]] = field(default_factory=list)  # that were one life each, the newest last
-    seen: dict[Hashable, tuple[float, float]] = field(default_factory=dict)  # by open connection: first, last
+    connection_spans: dict[Hashable, tuple[float, float]] = field(default_factory=dict)  # by open connection: first, last
 
-    def see(self, connection: Hashable, answered: float) -> None:
+    def record_answer(self, connection: Hashable, answered_at: float) -> None:
         """An open connection was answered last at that time."""
-        since, last = self.seen.get(connection, (answered, -1.0))
-        if last == answered:
+        start, last_answer = self.connection_spans.get(connection, (answered_at, -1.0))
+        if last_answer == answered_at:
             return
-        self.seen[connection] = since, answered
-        until, rest = answered, []
-        for one, other in self.spans:
-            if other < since or one > until:
-                rest.append((one, other))
+        self.connection_spans[connection] = start, answered_at
+        end, separate = answered_at, []
+        for span_start, span_end in self.spans:
+            if span_end < start or span_start > end:
+                separate.append((span_start, span_end))
             else:
-                since, until = min(since, one), max(until, other)
-        rest.append((since, until))
-        rest.sort(key=lambda span: span[1])
-        self.spans = rest[-MOST_SPANS:]
+                start, end = min(start, span_start), max(end, span_end)
+        separate.append((start, end))
+        separate.sort(key=lambda span: span[1])
+        self.spans = separate[-MAX_SPANS:]
 
-    def forget(self, open_connections: set[Hashable], now: float) -> None:
+    def prune(self, open_connections: set[Hashable], now: float) -> None:
         """Only these are open still."""
-        if not self.seen.keys() <= open_connections:
-            self.seen = {each: told for each, told in self.seen.items() if each in open_connections}
-        if self.spans and self.spans[0][1] <= now - KEEP:
-            self.spans = [span for span in self.spans if span[1] > now - KEEP]
+        if not self.connection_spans.keys() <= open_connections:
+            self.connection_spans = {connection: span for connection, span in self.connection_spans.items() if connection in open_connections}
+        if self.spans and self.spans[0][1] <= now - SPAN_RETENTION:
+            self.spans = [span for span in self.spans if span[1] > now - SPAN_RETENTION]
 
-    def covers(self, since: float, until: float) -> bool:
+    def was_alive(self, start: float, end: float) -> bool:
         """Whether the server is proved to have lived all that time."""
-        return any(one <= since and until <= other for one, other in self.spans)
+        return any(span_start <= start and end <= span_end for span_start, span_end in self.spans)
 
 
 @dataclass(slots=True)
-class Signs:
+class RestartSigns:
     """That a server may have begun anew, as one event. Empty most of the time."""
 
-    at: float = 0.0  # of the last one
-    broke: list[float] = field(default_factory=list)  # connections, when
-    busy: bool = False  # one of these with an operation on it
-    failed: int = 0  # connects
+    last_at: float = 0.0  # of the last one
+    broken_at: list[float] = field(default_factory=list)  # connections, when
+    broke_in_use: bool = False  # one of these with an operation on it
+    failed_connects: int = 0  # connects
 
 
-class Lives:
+class IncarnationTracker:
     """Of all servers. Follows the list."""
 
     def __init__(self) -> None:
-        self.lives: dict[int, Life] = {}
-        self.signs: dict[int, Signs] = {}  # one goes with the doubt that it raised
-        self.up: set[int] = set()  # a connection has come up since the start, or since the last doubt
-        self.doubted: set[int] = set()
+        self.servers: dict[int, ServerIncarnations] = {}
+        self.restart_signs: dict[int, RestartSigns] = {}  # one goes with the doubt that it raised
+        self.connected: set[int] = set()  # a connection has come up since the start, or since the last doubt
+        self.suspected: set[int] = set()
 
-    def follow(self, idents: Iterable[int]) -> None:
+    def retain(self, idents: Iterable[int]) -> None:
         """These are in the list."""
-        named = set(idents)
-        self.lives = {ident: life for ident, life in self.lives.items() if ident in named}
-        self.signs = {ident: signs for ident, signs in self.signs.items() if ident in named}
-        self.up &= named
-        self.doubted &= named
+        listed = set(idents)
+        self.servers = {ident: server for ident, server in self.servers.items() if ident in listed}
+        self.restart_signs = {ident: signs for ident, signs in self.restart_signs.items() if ident in listed}
+        self.connected &= listed
+        self.suspected &= listed
 
-    def see(
+    def record_connections(
         self,
         ident: int,
         connections: Iterable[tuple[Hashable, float]],
@@ -89,48 +89,48 @@
         now: float,
     ) -> None:
         """Connections to a server that stand idle, and when each was answered last; all that are open."""
-        life = self.lives.setdefault(ident, Life())
-        for connection, answered in connections:
-            life.see(connection, answered)
-            self.up.add(ident)
-        life.forget(open_connections, now)
+        server = self.servers.setdefault(ident, ServerIncarnations())
+        for connection, answered_at in connections:
+            server.record_answer(connection, answered_at)
+            self.connected.add(ident)
+        server.prune(open_connections, now)
 
-    def covers(self, ident: int, since: float, until: float) -> bool:
+    def was_alive(self, ident: int, start: float, end: float) -> bool:
         """Whether that server is proved to have lived from one time to another."""
-        life = self.lives.get(ident)
-        return life is not None and life.covers(since, until)
+        server = self.servers.get(ident)
+        return server is not None and server.was_alive(start, end)
 
-    def broke(self, ident: int, busy: bool, standing: bool, now: float) -> bool:
+    def connection_broke(self, ident: int, broke_in_use: bool, other_connection_up: bool, now: float) -> bool:
         """The other end ended a connection. `busy`: with an operation on it; `standing`: another connection
         that had come up stands. Whether the server's memory is in doubt from now on."""
-        signs = self._signs(ident, now)
-        signs.broke = [at for at in signs.broke if at > now - INSTANT] + [now]
-        signs.busy = signs.busy or busy
-        self.up.add(ident)
-        return self._judge(ident, standing)
+        signs = self._current_signs(ident, now)
+        signs.broken_at = [at for at in signs.broken_at if at > now - SIMULTANEOUS_WINDOW] + [now]
+        signs.broke_in_use = signs.broke_in_use or broke_in_use
+        self.connected.add(ident)
+        return self._check_signs(ident, other_connection_up)
 
-    def failed(self, ident: int, standing: bool, lived: bool, now: float) -> bool:
+    def connect_failed(self, ident: int, other_connection_up: bool, fleet_survived: bool, now: float) -> bool:
         """A connection did not come up. The same. `lived`: the fleet lived through this router's start. What
         was never up in this run has lost nothing in it, and what is down loses nothing more."""
-        if not standing and ident not in self.up and (ident in self.doubted or not lived):
+        if not other_connection_up and ident not in self.connected and (ident in self.suspected or not fleet_survived):
             return False
-        self._signs(ident, now).failed += 1
-        return self._judge(ident, standing)
-
-    def _signs(self, ident: int, now: float) -> Signs:
-        signs = self.signs.get(ident)
-        if signs is None or signs.at < now - SIGN_KEEP:
-            signs = self.signs[ident] = Signs()
-        signs.at = now
+        self._current_signs(ident, now).failed_connects += 1
+        return self._check_signs(ident, other_connection_up)
+
+    def _current_signs(self, ident: int, now: float) -> RestartSigns:
+        signs = self.restart_signs.get(ident)
+        if signs is None or signs.last_at < now - SIGN_WINDOW:
+            signs = self.restart_signs[ident] = RestartSigns()
+        signs.last_at = now
         return signs
 
-    def _judge(self, ident: int, standing: bool) -> bool:
+    def _check_signs(self, ident: int, other_connection_up: bool) -> bool:
         """A connection that stands proves nothing yet, but is asked first: where it broke too, that is a
         sign."""
-        signs = self.signs[ident]
-        if standing or not (signs.failed or (signs.busy and len(signs.broke) >= SEVERAL)):
+        signs = self.restart_signs[ident]
+        if other_connection_up or not (signs.failed_connects or (signs.broke_in_use and len(signs.broken_at) >= MIN_BROKEN_CONNECTIONS)):
             return False
-        del self.signs[ident]
-        self.up.discard(ident)
-        self.doubted.add(ident)
+        del self.restart_signs[ident]
+        self.connected.discard(ident)
+        self.suspected.add(ident)
         return True
--- a/gaugehinge/recovery/list_transformers.py
+++ b/gaugehinge/recovery/list_transformers.py
@@ -24,13 +24,13 @@
         return self._gate(update, cached)
 
 
-class BelievedStarts:
+class EstimatedStarts:
     """Puts the times at which servers are believed to have started in place of those that were told."""
 
-    def __init__(self, believe: Callable[[EndpointListUpdate, bool], EndpointListUpdate]) -> None:
+    def __init__(self, estimate: Callable[[EndpointListUpdate, bool], EndpointListUpdate]) -> None:
         """`believe`: what `transform` is to do."""
-        self._believe = believe
+        self._estimate = estimate
 
     def transform(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
         """The update with the believed starts."""
-        return self._believe(update, cached)
+        return self._estimate(update, cached)
--- a/gaugehinge/recovery/recovery_ramp.py
+++ b/gaugehinge/recovery/recovery_ramp.py
@@ -14,325 +14,325 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ..routing.types import Deployment, Effect
+from ..routing.traffic_types import Deployment, Effect
 from .restart_scope import Verdict
 
-STEP = 0.25  # seconds
-RISE = 1.5  # of a lane's rate, a step in which it bound and what it let in went well
-RISE_BEYOND = 1.1  # the same of reads beyond steady service: that more is asked is the loss's own doing
-FALL = 0.6  # the same, a step back
-REST_STEPS = 4  # steps after one back in which nothing rises
-BAD_PART = 0.2  # of what ended in a step: this much not settled is a step back,
-GOOD_PART = 0.05  # and under this a step on
-BAD_LEAST = 3  # but never for fewer than this
-CALM_STEPS = 6  # steps in a row in which nobody was turned away: the lanes are of no use any more
-WARM_ENOUGH = 0.8  # and then: a quiet router is no proof for those that come back all at once
-LEAST_RATE = 2.0  # operations a second of a lane, whatever went wrong
-FIRST_RATE = 50.0  # of all routers together in the first lane, where nothing is known of the origin
-COLD_READS = 2.5  # a second at a cold server, from all routers together, where nothing else is known
-READS_AFTER = 0.5  # seconds after the other lane
-READ_ORIGIN = 0.5  # of the origin's part that reads may take by their misses at least,
-ORIGIN_FULL = 0.9  # and up to this, with what the other lane let in
-LEAST_MISSES = 0.02
-LEAST_SHARE = 1e-9
-LOW_PART = 0.05  # of a lane that what earns less gets, however much of what earns more there is
-LONGEST = 3.0  # times the warm-up, and LONGEST_MORE: with no failures the lanes end then
-LONGEST_MORE = 10.0
-AWAY_LEAST = 0.2  # seconds that a client is told to stay away
+STEP_INTERVAL = 0.25  # seconds
+INCREASE_FACTOR = 1.5  # of a lane's rate, a step in which it bound and what it let in went well
+INCREASE_FACTOR_ABOVE_STEADY = 1.1  # the same of reads beyond steady service: that more is asked is the loss's own doing
+DECREASE_FACTOR = 0.6  # the same, a step back
+HOLD_STEPS = 4  # steps after one back in which nothing rises
+FAILURE_RATIO_TO_DECREASE = 0.2  # of what ended in a step: this much not settled is a step back,
+MAX_FAILURE_RATIO_TO_INCREASE = 0.05  # and under this a step on
+MIN_FAILURES_TO_DECREASE = 3  # but never for fewer than this
+QUIET_STEPS_TO_OPEN = 6  # steps in a row in which nobody was turned away: the lanes are of no use any more
+MIN_WARMTH_TO_OPEN = 0.8  # and then: a quiet router is no proof for those that come back all at once
+MIN_RATE = 2.0  # operations a second of a lane, whatever went wrong
+INITIAL_WRITE_RATE = 50.0  # of all routers together in the first lane, where nothing is known of the origin
+DEFAULT_COLD_SERVER_READS = 2.5  # a second at a cold server, from all routers together, where nothing else is known
+READ_LANE_DELAY = 0.5  # seconds after the other lane
+MIN_READ_SHARE_OF_ORIGIN = 0.5  # of the origin's part that reads may take by their misses at least,
+MAX_ORIGIN_UTILIZATION = 0.9  # and up to this, with what the other lane let in
+MIN_MISS_RATIO = 0.02
+MIN_SHARE = 1e-9
+MIN_LOW_PRIORITY_SHARE = 0.05  # of a lane that what earns less gets, however much of what earns more there is
+MAX_RAMP_WARM_UPS = 3.0  # times the warm-up, and LONGEST_MORE: with no failures the lanes end then
+MAX_RAMP_EXTRA = 10.0
+MIN_RETRY_AFTER = 0.2  # seconds that a client is told to stay away
 
 
 class Stage(Enum):
     """Where a start stands."""
 
-    KEEPER = "keeper"
-    LIST = "list"
-    PARTS = "placement and grants"
-    EVIDENCE = "evidence"
-    CLIENTS = "clients, in steps"
+    CONTROL_PLANE = "keeper"
+    ENDPOINT_LIST = "list"
+    SUBSYSTEMS = "placement and grants"
+    RESTART_SCOPE = "evidence"
+    RAMPING = "clients, in steps"
     OPEN = "open"
 
 
 @dataclass(slots=True, frozen=True)
-class Waits:
+class StageTimeouts:
     """How long each is waited for at most, in seconds after the start."""
 
-    keeper: float
-    list: float
-    parts: float
-    evidence: float
+    control_plane: float
+    endpoint_list: float
+    subsystems: float
+    restart_scope: float
 
 
 @dataclass(slots=True)
-class Facts:
+class StartupProgress:
     """What has come by now."""
 
-    keeper: bool = False  # answered, or none is followed
-    list: bool = False  # of discovery
-    parts: bool = False  # all that are on were heard, or none is
+    control_plane: bool = False  # answered, or none is followed
+    endpoint_list: bool = False  # of discovery
+    subsystems: bool = False  # all that are on were heard, or none is
     verdict: Verdict = Verdict.DECIDING
 
 
-class Order:
+class StartupSequence:
     """The stages before clients. Each waits for its own thing; the bounds of all count from the start."""
 
-    def __init__(self, waits: Waits) -> None:
-        self.waits = waits
-        self.stage = Stage.KEEPER
-        self.missing: list[str] = []  # what was not waited for any longer
-        self.log: list[str] = []  # emptied by the driver
+    def __init__(self, timeouts: StageTimeouts) -> None:
+        self.timeouts = timeouts
+        self.stage = Stage.CONTROL_PLANE
+        self.timed_out: list[str] = []  # what was not waited for any longer
+        self.log_lines: list[str] = []  # emptied by the driver
 
-    def step(self, facts: Facts, uptime: float) -> Stage:
+    def advance(self, progress: StartupProgress, uptime: float) -> Stage:
         """The stage now."""
-        waits = self.waits
-        gates = (
-            (Stage.KEEPER, facts.keeper, waits.keeper),
-            (Stage.LIST, facts.list, waits.list),
-            (Stage.PARTS, facts.parts, waits.parts),
-            (Stage.EVIDENCE, facts.verdict is not Verdict.DECIDING, waits.evidence),
+        timeouts = self.timeouts
+        conditions = (
+            (Stage.CONTROL_PLANE, progress.control_plane, timeouts.control_plane),
+            (Stage.ENDPOINT_LIST, progress.endpoint_list, timeouts.endpoint_list),
+            (Stage.SUBSYSTEMS, progress.subsystems, timeouts.subsystems),
+            (Stage.RESTART_SCOPE, progress.verdict is not Verdict.DECIDING, timeouts.restart_scope),
         )
-        order = [gate[0] for gate in gates]
-        while self.stage in order:
-            place = order.index(self.stage)
-            _, come, bound = gates[place]
-            if not come and uptime < bound:
+        stages = [condition[0] for condition in conditions]
+        while self.stage in stages:
+            position = stages.index(self.stage)
+            _, done, timeout = conditions[position]
+            if not done and uptime < timeout:
                 return self.stage
-            if not come:
-                self.missing.append(self.stage.value)
-                self.log.append(f"{self.stage.value} not waited for any longer, after {uptime:.1f} s")
-            self.stage = order[place + 1] if place + 1 < len(order) else Stage.CLIENTS
+            if not done:
+                self.timed_out.append(self.stage.value)
+                self.log_lines.append(f"{self.stage.value} not waited for any longer, after {uptime:.1f} s")
+            self.stage = stages[position + 1] if position + 1 < len(stages) else Stage.RAMPING
         return self.stage
 
-    def left(self, uptime: float) -> float:
+    def remaining(self, uptime: float) -> float:
         """Seconds until clients are let in, at most."""
-        waits = self.waits
-        return max(max(waits.keeper, waits.list, waits.parts, waits.evidence) - uptime, 0.0)
+        timeouts = self.timeouts
+        return max(max(timeouts.control_plane, timeouts.endpoint_list, timeouts.subsystems, timeouts.restart_scope) - uptime, 0.0)
 
 
-def portion(total: float, shares: Sequence[float], wanted: Sequence[float]) -> list[float]:
+def divide_by_shares(total: float, shares: Sequence[float], demands: Sequence[float]) -> list[float]:
     """Divide what there is by shares among those that want some; what one does not want goes to the others.
     Those without a share get what is left, in equal parts."""
-    got = [0.0] * len(wanted)
-    for weights in (shares, [1.0] * len(wanted)):
-        hungry = [i for i, want in enumerate(wanted) if want > got[i] and weights[i] > LEAST_SHARE]
-        while hungry and total > 1e-9:
-            each = total / sum(weights[i] for i in hungry)
-            full = [i for i in hungry if wanted[i] - got[i] <= each * weights[i]]
-            for i in full or hungry:
-                more = min(wanted[i] - got[i], each * weights[i])
-                got[i] += more
-                total -= more
-            if not full:
-                return got
-            hungry = [i for i in hungry if i not in full]
-    return got
+    granted = [0.0] * len(demands)
+    for weights in (shares, [1.0] * len(demands)):
+        unsatisfied = [i for i, demand in enumerate(demands) if demand > granted[i] and weights[i] > MIN_SHARE]
+        while unsatisfied and total > 1e-9:
+            per_weight = total / sum(weights[i] for i in unsatisfied)
+            satisfied = [i for i in unsatisfied if demands[i] - granted[i] <= per_weight * weights[i]]
+            for i in satisfied or unsatisfied:
+                amount = min(demands[i] - granted[i], per_weight * weights[i])
+                granted[i] += amount
+                total -= amount
+            if not satisfied:
+                return granted
+            unsatisfied = [i for i in unsatisfied if i not in satisfied]
+    return granted
 
 
 @dataclass(slots=True)
-class Lane:
+class AdmissionLane:
     """What is let in of one kind, by tenant and payoff. As large as the table of tenants."""
 
     rate: float  # operations a second
-    ranks: int  # of payoff; 0 is the highest
-    tokens: list[float] = field(default_factory=list)
-    pool: float = 0.0  # what tenants left of it
-    rooms: list[float] = field(default_factory=list)  # by rank, what is left by those that earn more
-    asked: list[float] = field(default_factory=list)  # in this step, by tenant,
-    ranked: list[float] = field(default_factory=list)  # and by rank
-    turned: int = 0  # away, in this step
-    taken: int = 0  # in, in this step
-    settled: int = 0
+    priorities: int  # of payoff; 0 is the highest
+    tenant_tokens: list[float] = field(default_factory=list)
+    shared_tokens: float = 0.0  # what tenants left of it
+    priority_tokens: list[float] = field(default_factory=list)  # by rank, what is left by those that earn more
+    tenant_demand: list[float] = field(default_factory=list)  # in this step, by tenant,
+    priority_demand: list[float] = field(default_factory=list)  # and by rank
+    rejected: int = 0  # away, in this step
+    admitted: int = 0  # in, in this step
+    succeeded: int = 0
     failed: int = 0
-    rest: int = 0  # steps in which it does not rise
+    hold_steps: int = 0  # steps in which it does not rise
 
-    def size(self, tenants: int) -> None:
+    def resize(self, tenants: int) -> None:
         """So many tenants, and one place for those that have none."""
-        for figures in (self.tokens, self.asked):
-            figures.extend([0.0] * (tenants + 1 - len(figures)))
-        if not self.rooms:
-            self.rooms, self.ranked = [1.0] * self.ranks, [0.0] * self.ranks
+        for per_tenant in (self.tenant_tokens, self.tenant_demand):
+            per_tenant.extend([0.0] * (tenants + 1 - len(per_tenant)))
+        if not self.priority_tokens:
+            self.priority_tokens, self.priority_demand = [1.0] * self.priorities, [0.0] * self.priorities
 
-    def take(self, tenant: int, rank: int) -> bool:
+    def try_admit(self, tenant: int, priority: int) -> bool:
         """Whether one more is let in."""
-        if tenant + 2 > len(self.tokens):
-            self.size(tenant + 1)
-        self.asked[tenant] += 1.0
-        self.ranked[rank] += 1.0
-        if self.rooms[rank] >= 1.0:
-            if self.tokens[tenant] >= 1.0:
-                self.tokens[tenant] -= 1.0
-                self.rooms[rank] -= 1.0
-                self.taken += 1
+        if tenant + 2 > len(self.tenant_tokens):
+            self.resize(tenant + 1)
+        self.tenant_demand[tenant] += 1.0
+        self.priority_demand[priority] += 1.0
+        if self.priority_tokens[priority] >= 1.0:
+            if self.tenant_tokens[tenant] >= 1.0:
+                self.tenant_tokens[tenant] -= 1.0
+                self.priority_tokens[priority] -= 1.0
+                self.admitted += 1
                 return True
-            if self.pool >= 1.0:
-                self.pool -= 1.0
-                self.rooms[rank] -= 1.0
-                self.taken += 1
+            if self.shared_tokens >= 1.0:
+                self.shared_tokens -= 1.0
+                self.priority_tokens[priority] -= 1.0
+                self.admitted += 1
                 return True
-        self.turned += 1
+        self.rejected += 1
         return False
 
     def refill(self, shares: Sequence[float], span: float) -> None:
         """A step's worth, by the shares of those that asked in the last one."""
         total = self.rate * span
-        weights = [*shares, *[0.0] * (len(self.asked) - len(shares))]
-        got = portion(total, weights, self.asked)
-        for i, more in enumerate(got):
-            self.tokens[i] = min(self.tokens[i] + more, max(2.0, 2.0 * more))
-        self.pool = min(self.pool + max(total - sum(got), 0.0), max(2.0, 2.0 * total))
-        left = total
-        for rank, asked in enumerate(self.ranked):
-            room = max(left, LOW_PART * total)
-            self.rooms[rank] = min(self.rooms[rank] + room, max(2.0, 2.0 * room))
-            left -= asked
-        self.asked, self.ranked = [0.0] * len(self.asked), [0.0] * self.ranks
-
-    def judge(self) -> int:
+        weights = [*shares, *[0.0] * (len(self.tenant_demand) - len(shares))]
+        granted = divide_by_shares(total, weights, self.tenant_demand)
+        for i, amount in enumerate(granted):
+            self.tenant_tokens[i] = min(self.tenant_tokens[i] + amount, max(2.0, 2.0 * amount))
+        self.shared_tokens = min(self.shared_tokens + max(total - sum(granted), 0.0), max(2.0, 2.0 * total))
+        remaining = total
+        for priority, demand in enumerate(self.priority_demand):
+            allowance = max(remaining, MIN_LOW_PRIORITY_SHARE * total)
+            self.priority_tokens[priority] = min(self.priority_tokens[priority] + allowance, max(2.0, 2.0 * allowance))
+            remaining -= demand
+        self.tenant_demand, self.priority_demand = [0.0] * len(self.tenant_demand), [0.0] * self.priorities
+
+    def evaluate_step(self) -> int:
         """What the step showed: 1 well, -1 badly, 0 neither. Begins the next one."""
-        ended, failed, turned = self.settled + self.failed, self.failed, self.turned
-        self.settled = self.failed = self.turned = self.taken = 0
-        if failed >= BAD_LEAST and failed > BAD_PART * ended:
-            self.rest = REST_STEPS
+        finished, failed, rejected = self.succeeded + self.failed, self.failed, self.rejected
+        self.succeeded = self.failed = self.rejected = self.admitted = 0
+        if failed >= MIN_FAILURES_TO_DECREASE and failed > FAILURE_RATIO_TO_DECREASE * finished:
+            self.hold_steps = HOLD_STEPS
             return -1
-        if self.rest:
-            self.rest -= 1
+        if self.hold_steps:
+            self.hold_steps -= 1
             return 0
-        return 1 if turned and ended and failed <= GOOD_PART * ended else 0
+        return 1 if rejected and finished and failed <= MAX_FAILURE_RATIO_TO_INCREASE * finished else 0
 
 
 @dataclass(slots=True, frozen=True)
-class Bearing:
+class LoadLimits:
     """What this router's part of the load may be, in operations a second of all routers where not said."""
 
     routers: int
     servers: int
-    origin: float  # that the origin bears; 0: not told
-    cold_reads: float  # that one cold server bears; 0: not told
-    reads: float = 0.0  # of this router, in steady service before, times how far that is believed
-    writes: float = 0.0
+    origin_rate: float  # that the origin bears; 0: not told
+    cold_server_reads: float  # that one cold server bears; 0: not told
+    steady_reads: float = 0.0  # of this router, in steady service before, times how far that is believed
+    steady_writes: float = 0.0
 
 
-class Opening:
+class RecoveryRamp:
     """The two lanes."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
-        self.types = deployment.traffic_types
-        self.aside = deployment.cache_aside
-        self.longest_away = deployment.max_retry_after
-        self.cold_from, self.cold_time = deployment.cold_capacity, deployment.warm_up_time
-        payoffs = sorted({kind.priority_weight for kind in self.types}, reverse=True)
-        self.rank = [payoffs.index(kind.priority_weight) for kind in self.types]
-        self.seed, self.draws = seed, 0
-        self.writes = Lane(LEAST_RATE, len(payoffs))
-        self.reads = Lane(0.0, len(payoffs))
-        self.bearing = Bearing(1, 0, 0.0, 0.0)
-        self.misses = 1.0  # part of settled reads that went to the origin, smoothed
-        self.factor = 1.0  # of the reads' rate
-        self.began = self.stepped = -1.0
-        self.calm = 0
-        self.open = False
+        self.traffic_types = deployment.traffic_types
+        self.cache_aside = deployment.cache_aside
+        self.max_retry_after = deployment.max_retry_after
+        self.cold_capacity, self.warm_up_time = deployment.cold_capacity, deployment.warm_up_time
+        weights_by_priority = sorted({traffic_type.priority_weight for traffic_type in self.traffic_types}, reverse=True)
+        self.row_priority = [weights_by_priority.index(traffic_type.priority_weight) for traffic_type in self.traffic_types]
+        self.seed, self.draw_count = seed, 0
+        self.writes = AdmissionLane(MIN_RATE, len(weights_by_priority))
+        self.reads = AdmissionLane(0.0, len(weights_by_priority))
+        self.limits = LoadLimits(1, 0, 0.0, 0.0)
+        self.miss_ratio = 1.0  # part of settled reads that went to the origin, smoothed
+        self.read_rate_factor = 1.0  # of the reads' rate
+        self.started_at = self.last_step_at = -1.0
+        self.quiet_steps = 0
+        self.fully_open = False
         self.shares: Sequence[float] = ()
-        self.log: list[str] = []  # emptied by the driver
+        self.log_lines: list[str] = []  # emptied by the driver
 
-    def begin(self, bearing: Bearing, shares: Sequence[float], now: float) -> None:
+    def start(self, limits: LoadLimits, shares: Sequence[float], now: float) -> None:
         """Clients are let in from now on."""
-        self.bearing, self.began, self.stepped = bearing, now, now
-        self.share(shares)
-        part = bearing.origin / bearing.routers
-        start = 0.5 * (part or bearing.writes) or FIRST_RATE / bearing.routers
-        self.writes.rate = max(start, LEAST_RATE)
-        self.writes.pool = self.writes.rate * STEP
-        self.writes.rooms = [self.writes.pool] * self.writes.ranks
-
-    def share(self, shares: Sequence[float]) -> None:
+        self.limits, self.started_at, self.last_step_at = limits, now, now
+        self.set_shares(shares)
+        origin_share = limits.origin_rate / limits.routers
+        initial_rate = 0.5 * (origin_share or limits.steady_writes) or INITIAL_WRITE_RATE / limits.routers
+        self.writes.rate = max(initial_rate, MIN_RATE)
+        self.writes.shared_tokens = self.writes.rate * STEP_INTERVAL
+        self.writes.priority_tokens = [self.writes.shared_tokens] * self.writes.priorities
+
+    def set_shares(self, shares: Sequence[float]) -> None:
         """The tenants' shares, by place."""
         self.shares = shares
         for lane in (self.writes, self.reads):
-            lane.size(len(shares))
+            lane.resize(len(shares))
 
-    def lane(self, row: int, write: bool) -> Lane:
+    def lane_for(self, row: int, is_write: bool) -> AdmissionLane:
         """The lane of an operation: reads that may be repeated need caches, all else does not."""
-        return self.writes if write or self.types[row].effect is not Effect.IDEMPOTENT else self.reads
+        return self.writes if is_write or self.traffic_types[row].effect is not Effect.IDEMPOTENT else self.reads
 
-    def admit(self, row: int, tenant: int, write: bool, now: float) -> float:
+    def admit(self, row: int, tenant: int, is_write: bool, now: float) -> float:
         """0: it is let in; else seconds for its client to stay away."""
-        if self.open:
+        if self.fully_open:
             return 0.0
-        if self.began < 0.0:
-            return self.away(AWAY_LEAST)
-        lane = self.lane(row, write)
-        if lane.take(tenant, self.rank[row]):
+        if self.started_at < 0.0:
+            return self.retry_after(MIN_RETRY_AFTER)
+        lane = self.lane_for(row, is_write)
+        if lane.try_admit(tenant, self.row_priority[row]):
             return 0.0
         # As long as those that asked in this step take to be let in; spread, or they come back as one.
-        return self.away(sum(lane.asked) / max(lane.rate, LEAST_RATE))
+        return self.retry_after(sum(lane.tenant_demand) / max(lane.rate, MIN_RATE))
 
-    def away(self, least: float) -> float:
+    def retry_after(self, minimum: float) -> float:
         """Seconds to stay away: from that to twice as long, and within what clients may be told."""
-        self.draws += 1
-        chance = zlib.crc32(b"%d:%d" % (self.seed, self.draws)) / 0x100000000
-        return min(max(least, AWAY_LEAST), max(self.longest_away, AWAY_LEAST) * 0.5) * (1.0 + chance)
+        self.draw_count += 1
+        fraction = zlib.crc32(b"%d:%d" % (self.seed, self.draw_count)) / 0x100000000
+        return min(max(minimum, MIN_RETRY_AFTER), max(self.max_retry_after, MIN_RETRY_AFTER) * 0.5) * (1.0 + fraction)
 
-    def ended(self, row: int, write: bool, settled: bool, at_origin: bool) -> None:
+    def record_result(self, row: int, is_write: bool, succeeded: bool, from_origin: bool) -> None:
         """Something that was let in has its final answer."""
-        lane = self.lane(row, write)
-        if settled:
-            lane.settled += 1
+        lane = self.lane_for(row, is_write)
+        if succeeded:
+            lane.succeeded += 1
             if lane is self.reads:
-                self.misses += 0.02 * (at_origin - self.misses)
+                self.miss_ratio += 0.02 * (from_origin - self.miss_ratio)
         else:
             lane.failed += 1
 
     def step(self, warmth: float, now: float) -> None:
         """Once each STEP. `warmth`: mean over the servers, 0 just started, 1 warm."""
-        if self.open or self.began < 0.0 or now - self.stepped < STEP:
+        if self.fully_open or self.started_at < 0.0 or now - self.last_step_at < STEP_INTERVAL:
             return
-        span, self.stepped = now - self.stepped, now
-        turned, writes = self.writes.turned + self.reads.turned, self.writes.taken / span
-        one, other = self.writes.judge(), self.reads.judge()
-        self._step_writes(one)
-        self._step_reads(other, warmth, writes, now)
+        span, self.last_step_at = now - self.last_step_at, now
+        rejected, write_rate = self.writes.rejected + self.reads.rejected, self.writes.admitted / span
+        write_result, read_result = self.writes.evaluate_step(), self.reads.evaluate_step()
+        self._adjust_write_rate(write_result)
+        self._adjust_read_rate(read_result, warmth, write_rate, now)
         for lane in (self.writes, self.reads):
             lane.refill(self.shares, span)
-        self.calm = 0 if turned or one < 0 or other < 0 or self.reads.rate <= 0.0 else self.calm + 1
-        longest = LONGEST * self.cold_time + LONGEST_MORE
-        sound = min(one, other) >= 0 and not (self.writes.rest or self.reads.rest)
-        late = sound and now - self.began > longest
-        if (self.calm >= CALM_STEPS and warmth >= WARM_ENOUGH) or late:
-            self.open = True
-            self.log.append(f"open after {now - self.began:.1f} s: {self._figures(warmth)}")
-
-    def _step_writes(self, shown: int) -> None:
-        lane, bearing = self.writes, self.bearing
-        most = bearing.origin / bearing.routers or 1e9
-        if shown < 0:
-            lane.rate = max(lane.rate * FALL, LEAST_RATE)
-            self.log.append(f"step back of writes: {lane.rate:.1f} a second")
-        elif shown > 0:
-            lane.rate = max(min(lane.rate * RISE, most), LEAST_RATE)
-
-    def _step_reads(self, shown: int, warmth: float, writes: float, now: float) -> None:
-        if shown < 0:
-            self.factor *= FALL
-            self.log.append(f"step back of reads: {self.reads.rate * FALL:.1f} a second")
-        elif shown > 0:
-            beyond = 0.0 < self.bearing.reads <= self.reads.rate
-            self.factor *= RISE_BEYOND if beyond else RISE
-        if now - self.began < READS_AFTER:
+        self.quiet_steps = 0 if rejected or write_result < 0 or read_result < 0 or self.reads.rate <= 0.0 else self.quiet_steps + 1
+        max_duration = MAX_RAMP_WARM_UPS * self.warm_up_time + MAX_RAMP_EXTRA
+        healthy = min(write_result, read_result) >= 0 and not (self.writes.hold_steps or self.reads.hold_steps)
+        overdue = healthy and now - self.started_at > max_duration
+        if (self.quiet_steps >= QUIET_STEPS_TO_OPEN and warmth >= MIN_WARMTH_TO_OPEN) or overdue:
+            self.fully_open = True
+            self.log_lines.append(f"open after {now - self.started_at:.1f} s: {self._describe(warmth)}")
+
+    def _adjust_write_rate(self, result: int) -> None:
+        lane, limits = self.writes, self.limits
+        max_rate = limits.origin_rate / limits.routers or 1e9
+        if result < 0:
+            lane.rate = max(lane.rate * DECREASE_FACTOR, MIN_RATE)
+            self.log_lines.append(f"step back of writes: {lane.rate:.1f} a second")
+        elif result > 0:
+            lane.rate = max(min(lane.rate * INCREASE_FACTOR, max_rate), MIN_RATE)
+
+    def _adjust_read_rate(self, result: int, warmth: float, write_rate: float, now: float) -> None:
+        if result < 0:
+            self.read_rate_factor *= DECREASE_FACTOR
+            self.log_lines.append(f"step back of reads: {self.reads.rate * DECREASE_FACTOR:.1f} a second")
+        elif result > 0:
+            above_steady = 0.0 < self.limits.steady_reads <= self.reads.rate
+            self.read_rate_factor *= INCREASE_FACTOR_ABOVE_STEADY if above_steady else INCREASE_FACTOR
+        if now - self.started_at < READ_LANE_DELAY:
             return
-        bearing = self.bearing
-        each = bearing.cold_reads or COLD_READS
-        floor = each * bearing.servers / bearing.routers
-        speed = self.cold_from + (1.0 - self.cold_from) * warmth
-        base = max(bearing.reads * speed, floor * max(warmth / max(self.cold_from, 0.01), 1.0), 0.01)
-        rate = base * self.factor
-        if self.aside and bearing.origin:
-            part = bearing.origin / bearing.routers
-            left = max(READ_ORIGIN * part, ORIGIN_FULL * part - writes)
-            rate = min(rate, left / max(self.misses, LEAST_MISSES))
-            self.factor = rate / base  # what the origin holds back must not come all at once later
-        self.reads.rate = max(rate, LEAST_RATE)
-
-    def _figures(self, warmth: float) -> str:
+        limits = self.limits
+        per_server = limits.cold_server_reads or DEFAULT_COLD_SERVER_READS
+        min_rate = per_server * limits.servers / limits.routers
+        capacity = self.cold_capacity + (1.0 - self.cold_capacity) * warmth
+        base_rate = max(limits.steady_reads * capacity, min_rate * max(warmth / max(self.cold_capacity, 0.01), 1.0), 0.01)
+        rate = base_rate * self.read_rate_factor
+        if self.cache_aside and limits.origin_rate:
+            origin_share = limits.origin_rate / limits.routers
+            remaining = max(MIN_READ_SHARE_OF_ORIGIN * origin_share, MAX_ORIGIN_UTILIZATION * origin_share - write_rate)
+            rate = min(rate, remaining / max(self.miss_ratio, MIN_MISS_RATIO))
+            self.read_rate_factor = rate / base_rate  # what the origin holds back must not come all at once later
+        self.reads.rate = max(rate, MIN_RATE)
+
+    def _describe(self, warmth: float) -> str:
         return (
             f"writes {self.writes.rate:.1f}, reads {self.reads.rate:.1f} a second, "
-            f"misses {self.misses:.2f}, warm {warmth:.2f}"
+            f"misses {self.miss_ratio:.2f}, warm {warmth:.2f}"
         )
--- a/gaugehinge/recovery/retry_fencing.py
+++ b/gaugehinge/recovery/retry_fencing.py
@@ -15,144 +15,144 @@
 from collections.abc import Iterable, Sequence
 from math import inf
 
-from ..routing.types import DeduplicationScope, Deployment, Effect, EndpointEntry, EndpointState
+from ..routing.traffic_types import DeduplicationScope, Deployment, Effect, EndpointEntry, EndpointState
 from .restart_scope import Verdict
 
-MOST_BORN = 4096  # marks whose first try came here after the loss; the oldest goes first
+MAX_FRESH_KEYS = 4096  # marks whose first try came here after the loss; the oldest goes first
 
 
-class Effects:
+class RetryFence:
     """The windows in which repeats get their final answer. As large as the table of traffic types, and
     MOST_BORN marks while one is open."""
 
-    def __init__(self, deployment: Deployment, unrepeatable: float, now: float) -> None:
+    def __init__(self, deployment: Deployment, non_idempotent_window: float, now: float) -> None:
         """`unrepeatable`: seconds after a loss in which repeats of unrepeatable ones come. At the start
         nothing is known: all windows are open."""
-        self.types = deployment.traffic_types
-        self.aside = deployment.cache_aside
+        self.traffic_types = deployment.traffic_types
+        self.cache_aside = deployment.cache_aside
         self.origin_kind = deployment.origin_kind
-        self.memory = [
-            each.deduplication_window
-            if each.effect is Effect.WITH_IDEMPOTENCY_KEY
-            else unrepeatable
-            if each.effect is Effect.NON_IDEMPOTENT
+        self.retention = [
+            traffic_type.deduplication_window
+            if traffic_type.effect is Effect.WITH_IDEMPOTENCY_KEY
+            else non_idempotent_window
+            if traffic_type.effect is Effect.NON_IDEMPOTENT
             else 0.0
-            for each in self.types
+            for traffic_type in self.traffic_types
         ]
-        self.until = [now + memory if memory else -inf for memory in self.memory]
-        self.lost_at = now  # when marks were lost last, as far as is known
-        self.born: OrderedDict[bytes, None] = OrderedDict()
-        self.starts: dict[int, tuple[EndpointEntry, float]] = {}  # follows the list
-        self.refused = 0
-        self.log: list[str] = []  # emptied by the driver
+        self.fenced_until = [now + retention if retention else -inf for retention in self.retention]
+        self.keys_lost_at = now  # when marks were lost last, as far as is known
+        self.fresh_keys: OrderedDict[bytes, None] = OrderedDict()
+        self.servers: dict[int, tuple[EndpointEntry, float]] = {}  # follows the list
+        self.rejected = 0
+        self.log_lines: list[str] = []  # emptied by the driver
 
     # -- what is learnt
 
-    def decided(self, verdict: Verdict, lost_ago: Iterable[float], now: float) -> None:
+    def apply_verdict(self, verdict: Verdict, keys_lost_ago: Iterable[float], now: float) -> None:
         """The verdict is out. `lost_ago`: by each peer that lived on, seconds since it saw marks lost last,
         under 0: never. Where the fleet lived on, marks were kept but for what they saw."""
-        if not verdict.lived:
+        if not verdict.fleet_survived:
             return
-        told = [ago for ago in lost_ago if ago >= 0.0]
-        for row, memory in enumerate(self.memory):
-            kind = self.types[row]
-            kept = verdict is Verdict.LONE or (
-                kind.effect is Effect.WITH_IDEMPOTENCY_KEY
-                and kind.deduplication_scope is DeduplicationScope.ALL
+        reported = [ago for ago in keys_lost_ago if ago >= 0.0]
+        for row, retention in enumerate(self.retention):
+            traffic_type = self.traffic_types[row]
+            keys_kept = verdict is Verdict.LONE or (
+                traffic_type.effect is Effect.WITH_IDEMPOTENCY_KEY
+                and traffic_type.deduplication_scope is DeduplicationScope.ALL
             )
-            if not memory or not kept:
+            if not retention or not keys_kept:
                 continue  # our zone's own marks are gone with it
-            left = memory - min(told) if told else -inf
-            self.until[row] = min(self.until[row], now + left)
-        self._tidy(now)
+            remaining = retention - min(reported) if reported else -inf
+            self.fenced_until[row] = min(self.fenced_until[row], now + remaining)
+        self._drop_expired(now)
 
-    def on_endpoints_changed(self, entries: Sequence[EndpointEntry], whole: bool, now: float) -> None:
+    def on_endpoints_changed(self, entries: Sequence[EndpointEntry], complete: bool, now: float) -> None:
         """The list or its changes: where all servers of a group began anew, its marks are gone."""
         if not entries:
             return  # of a list that is empty for once nothing follows
-        first, named = not self.starts, {each.ident for each in entries}
-        if whole:
-            self.starts = {ident: kept for ident, kept in self.starts.items() if ident in named}
-        for each in entries:
-            known = self.starts.get(each.ident)
-            if each.state is EndpointState.GONE:
-                self.starts.pop(each.ident, None)
-            elif first or (known is not None and each.started <= known[0].started):
-                self.starts[each.ident] = (each, known[1] if known else -inf)
+        first_list, listed = not self.servers, {entry.ident for entry in entries}
+        if complete:
+            self.servers = {ident: server for ident, server in self.servers.items() if ident in listed}
+        for entry in entries:
+            previous = self.servers.get(entry.ident)
+            if entry.state is EndpointState.GONE:
+                self.servers.pop(entry.ident, None)
+            elif first_list or (previous is not None and entry.started <= previous[0].started):
+                self.servers[entry.ident] = (entry, previous[1] if previous else -inf)
             else:
-                self.starts[each.ident] = (each, now)
-        for row, kind in enumerate(self.types):
-            if kind.effect is Effect.WITH_IDEMPOTENCY_KEY:
-                self._open(row, self._lost_at(kind.deduplication_scope, now - self.memory[row]), now)
+                self.servers[entry.ident] = (entry, now)
+        for row, traffic_type in enumerate(self.traffic_types):
+            if traffic_type.effect is Effect.WITH_IDEMPOTENCY_KEY:
+                self._extend(row, self._group_lost_at(traffic_type.deduplication_scope, now - self.retention[row]), now)
 
-    def doubt(self, ident: int, now: float) -> list[int]:
+    def suspect_server(self, ident: int, now: float) -> list[int]:
         """What a server remembers is not known to be there any more, whatever the list says by now. Returns
         the rows of traffic types whose marks may be gone with it. Until the list told of the new start a
         repeat of what had run there ran again."""
-        known = self.starts.get(ident)
-        if known is None:
+        previous = self.servers.get(ident)
+        if previous is None:
             return []
-        self.starts[ident] = (known[0], now)
+        self.servers[ident] = (previous[0], now)
         rows = []
-        for row, kind in enumerate(self.types):
-            if kind.effect is Effect.WITH_IDEMPOTENCY_KEY:
-                lost_at = self._lost_at(kind.deduplication_scope, now - self.memory[row])
-                self._open(row, lost_at, now)
-                if lost_at == now:
+        for row, traffic_type in enumerate(self.traffic_types):
+            if traffic_type.effect is Effect.WITH_IDEMPOTENCY_KEY:
+                keys_lost_at = self._group_lost_at(traffic_type.deduplication_scope, now - self.retention[row])
+                self._extend(row, keys_lost_at, now)
+                if keys_lost_at == now:
                     rows.append(row)
         return rows
 
-    def _lost_at(self, group: DeduplicationScope, since: float) -> float:
+    def _group_lost_at(self, scope: DeduplicationScope, earliest: float) -> float:
         """When the last group lost the last member that remembered what ran since then; -inf: none did."""
-        groups: dict[object, list[float]] = {}
-        for listing, anew_at in self.starts.values():
-            if self.aside and listing.kind != self.origin_kind:
+        restarts_by_group: dict[object, list[float]] = {}
+        for entry, restarted_at in self.servers.values():
+            if self.cache_aside and entry.kind != self.origin_kind:
                 continue  # they are never written to
-            name = (
+            group = (
                 0
-                if group is DeduplicationScope.ALL
-                else listing.zone
-                if group is DeduplicationScope.ZONE
-                else listing.cell
+                if scope is DeduplicationScope.ALL
+                else entry.zone
+                if scope is DeduplicationScope.ZONE
+                else entry.cell
             )
-            groups.setdefault(name, []).append(anew_at)
-        return max((max(each) for each in groups.values() if min(each) > since), default=-inf)
+            restarts_by_group.setdefault(group, []).append(restarted_at)
+        return max((max(times) for times in restarts_by_group.values() if min(times) > earliest), default=-inf)
 
-    def _open(self, row: int, lost_at: float, now: float) -> None:
-        until = lost_at + self.memory[row]
-        if until <= self.until[row]:
+    def _extend(self, row: int, keys_lost_at: float, now: float) -> None:
+        fenced_until = keys_lost_at + self.retention[row]
+        if fenced_until <= self.fenced_until[row]:
             return
-        if self.until[row] < now:
-            self.log.append(f"marks lost: repeats of type {row} forfeited for {until - now:.1f} s")
-        if lost_at > self.lost_at:
-            self.lost_at = lost_at
-            self.born.clear()
-        self.until[row] = until
+        if self.fenced_until[row] < now:
+            self.log_lines.append(f"marks lost: repeats of type {row} forfeited for {fenced_until - now:.1f} s")
+        if keys_lost_at > self.keys_lost_at:
+            self.keys_lost_at = keys_lost_at
+            self.fresh_keys.clear()
+        self.fenced_until[row] = fenced_until
 
     # -- operations
 
-    def open(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Whether any window is."""
-        return any(now < until for until in self.until)
+        return any(now < fenced_until for fenced_until in self.fenced_until)
 
-    def final(self, row: int, write: bool, repeat: bool, mark: bytes, now: float) -> bool:
+    def must_reject(self, row: int, is_write: bool, is_retry: bool, key: bytes, now: float) -> bool:
         """Whether an operation that comes now gets its final answer without an attempt."""
-        if now >= self.until[row]:
+        if now >= self.fenced_until[row]:
             return False
-        if not write and self.types[row].effect is Effect.WITH_IDEMPOTENCY_KEY:
+        if not is_write and self.traffic_types[row].effect is Effect.WITH_IDEMPOTENCY_KEY:
             return False
-        if not repeat:
-            if mark:
+        if not is_retry:
+            if key:
                 # Its first try came after the loss: what runs of it from now on is remembered.
-                self.born[mark] = None
-                if len(self.born) > MOST_BORN:
-                    self.born.popitem(last=False)
+                self.fresh_keys[key] = None
+                if len(self.fresh_keys) > MAX_FRESH_KEYS:
+                    self.fresh_keys.popitem(last=False)
             return False
-        if mark and mark in self.born:
+        if key and key in self.fresh_keys:
             return False
-        self.refused += 1
+        self.rejected += 1
         return True
 
-    def _tidy(self, now: float) -> None:
-        if not self.open(now):
-            self.born.clear()
+    def _drop_expired(self, now: float) -> None:
+        if not self.is_active(now):
+            self.fresh_keys.clear()
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -108,14 +108,14 @@
 def test_clients_wait_for_leases_up_to_the_bound_and_bounces_for_want_of_one_close_no_lane(tmp_path):
     async def look(made, all_):
         recovery, lifecycle = made.recovery, all_.service.lifecycle
-        recovery.facts.keeper = True  # it answered once, and told no lease
+        recovery.facts.control_plane = True  # it answered once, and told no lease
         all_.service.dispatcher.on_endpoints_changed(
             read_endpoint_list({"rev": 2, "all": True, "targets": all_.targets})
         )
         while lifecycle.phase is Phase.RECOVERING:
             assert recovery.uptime() < 15.0
             await trio.sleep(0.01)
-        assert recovery.uptime() >= 1.0 and Stage.PARTS.value in recovery.order.missing
+        assert recovery.uptime() >= 1.0 and Stage.SUBSYSTEMS.value in recovery.order.timed_out
         failed = recovery.opening.writes.failed
         client = await all_.client()
         while made.placing.rejected < 3:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -22,10 +22,18 @@
 from gaugehinge.recovery.build import RecoveryKeyError, read_key
 from gaugehinge.recovery.datagram import LENGTH, Wire
 from gaugehinge.recovery.driver import Recovery
-from gaugehinge.recovery.incarnations import Life, Lives
-from gaugehinge.recovery.recovery_ramp import Bearing, Facts, Opening, Order, Stage, Waits, portion
-from gaugehinge.recovery.restart_scope import Told, Verdict
-from gaugehinge.recovery.retry_fencing import MOST_BORN, Effects
+from gaugehinge.recovery.incarnations import IncarnationTracker, ServerIncarnations
+from gaugehinge.recovery.recovery_ramp import (
+    LoadLimits,
+    RecoveryRamp,
+    Stage,
+    StageTimeouts,
+    StartupProgress,
+    StartupSequence,
+    divide_by_shares,
+)
+from gaugehinge.recovery.restart_scope import PeerMessage, Verdict
+from gaugehinge.recovery.retry_fencing import MAX_FRESH_KEYS, RetryFence
 from gaugehinge.recovery.snapshot import MOST_BYTES, Entry, Kept, SnapshotFile, encode, identity_of
 from gaugehinge.routing.types import DeduplicationScope
 from gaugehinge.subsystems import Subsystems
@@ -92,17 +100,17 @@
 
 def test_what_cannot_be_read_is_dropped_and_counted_by_cause():
     wire = Wire(KEY)
-    good = wire.write(Told(1, 2, 3, 4, 5, 6.0, lived=True, lost_ago=2.0))
-    assert len(good) == LENGTH <= 256 and wire.read(good).lived
+    good = wire.write(PeerMessage(1, 2, 3, 4, 5, 6.0, survived=True, keys_lost_ago=2.0))
+    assert len(good) == LENGTH <= 256 and wire.read(good).survived
     assert Wire(b"other" * 4).read(good) is None
     assert wire.read(good[:-1]) is None and wire.read(good[:1] + b"\x09" + good[2:]) is None
     assert wire.read(good[:40] + bytes([good[40] ^ 1]) + good[41:]) is None
-    most = restart_scope.MOST_NUMBER
-    greatest = Told(1, 2, most, most, 2**63, 5.0, you_run=most, epoch=most, list_rev=2**63 - 1)
+    most = restart_scope.MAX_COUNTER
+    greatest = PeerMessage(1, 2, most, most, 2**63, 5.0, receiver_run=most, epoch=most, list_rev=2**63 - 1)
     assert wire.read(wire.write(greatest)) == greatest
-    words = Told(1, 2, 3, 4, 5, 6.0, left=True, kept=True)
+    words = PeerMessage(1, 2, 3, 4, 5, 6.0, clean_shutdown=True, zone_servers_survived=True)
     assert wire.read(wire.write(words)) == words
-    endless = wire.write(Told(1, 2, 3, 4, 5, float("inf")))
+    endless = wire.write(PeerMessage(1, 2, 3, 4, 5, float("inf")))
     assert wire.read(endless) is None
     assert wire.dropped == {"form": 2, "version": 1, "mark": 1}
     rates = struct.pack("<34f", *[0.0] * 34)
@@ -119,123 +127,123 @@
 
 def test_ages_and_beliefs():
     old = kept()
-    assert staleness_rules.age(old, 99.0, 530.0, "boot-1") == staleness_rules.Age(30.0, True)  # the wall clock is not asked
-    assert staleness_rules.age(old, 1060.0, 3.0, "boot-2") == staleness_rules.Age(60.0, False)
-    back = staleness_rules.age(old, 900.0, 3.0, "boot-2")
-    assert not back.sure and staleness_rules.belief("learnt", back) == 0.0 == staleness_rules.belief("lately", back)
-    fresh, month = staleness_rules.Age(10.0, True), staleness_rules.Age(30 * 86400.0, False)
-    assert staleness_rules.belief("learnt", fresh) > 0.99 and staleness_rules.belief("learnt", month) < 1e-6
-    assert staleness_rules.belief("lately", fresh) == 1.0 and staleness_rules.belief("lately", month) == 0.0
-    assert staleness_rules.belief("run", fresh) == 1.0
-    assert not any(staleness_rules.belief(name, fresh) for name in ("list", "leases", "grants", "marks"))
+    assert staleness_rules.snapshot_age(old, 99.0, 530.0, "boot-1") == staleness_rules.SnapshotAge(30.0, True)  # the wall clock is not asked
+    assert staleness_rules.snapshot_age(old, 1060.0, 3.0, "boot-2") == staleness_rules.SnapshotAge(60.0, False)
+    back = staleness_rules.snapshot_age(old, 900.0, 3.0, "boot-2")
+    assert not back.from_monotonic_clock and staleness_rules.confidence("learnt", back) == 0.0 == staleness_rules.confidence("lately", back)
+    fresh, month = staleness_rules.SnapshotAge(10.0, True), staleness_rules.SnapshotAge(30 * 86400.0, False)
+    assert staleness_rules.confidence("learnt", fresh) > 0.99 and staleness_rules.confidence("learnt", month) < 1e-6
+    assert staleness_rules.confidence("lately", fresh) == 1.0 and staleness_rules.confidence("lately", month) == 0.0
+    assert staleness_rules.confidence("run", fresh) == 1.0
+    assert not any(staleness_rules.confidence(name, fresh) for name in ("list", "leases", "grants", "marks"))
 
 
 def test_a_clock_an_hour_off_takes_no_cold_server_for_a_warm_one():
     started, began = 10_000.0, 10_003.0  # true times
     for off in (3600.0, -3600.0):  # of our own clock
         own_began = began + off
-        assert staleness_rules.clock_off(began + off, [began, began, began]) == -off
+        assert staleness_rules.clock_correction(began + off, [began, began, began]) == -off
         # No peer has spoken yet, and the list tells a start that is not the one that was known.
-        believed = staleness_rules.believed_start(started, 4.0, own_began, False, 0.0, own_began)
+        believed = staleness_rules.estimated_start_time(started, 4.0, own_began, False, 0.0, own_began)
         assert own_began - believed <= 0.0  # it counts as just started, whatever the clock says
-        assert staleness_rules.believed_start(started, 4.0, own_began, True, -off, own_began) == started + off
+        assert staleness_rules.estimated_start_time(started, 4.0, own_began, True, -off, own_began) == started + off
     # Most of the fleet goes an hour behind the servers' clock: a start is no later than it was told of.
     for lived in (False, True):
-        assert staleness_rules.believed_start(began + 3600.0, 4.0, began, lived, 0.0, began + 2.0) == began + 2.0
+        assert staleness_rules.estimated_start_time(began + 3600.0, 4.0, began, lived, 0.0, began + 2.0) == began + 2.0
     naive = started  # without the rule: an hour of age, and a budget of a warm server
     assert began + 3600.0 - naive > 3600.0
-    assert staleness_rules.clock_off(0.0, [3600.0]) == 0.0  # one other says nothing of who is right
+    assert staleness_rules.clock_correction(0.0, [3600.0]) == 0.0  # one other says nothing of who is right
 
 
 def test_lists_and_keepers_from_before_are_seen():
     known = {"a": 10.0, "b": 20.0}
-    older, same = staleness_rules.Standing.OLDER, staleness_rules.Standing.FOLLOWED
-    assert staleness_rules.list_answer(9, known, 4, {"a": 5.0, "b": 20.0}) is older
-    assert staleness_rules.list_answer(9, known, 4, {"a": 10.0, "gone": 15.0}) is older
-    assert staleness_rules.list_answer(9, known, 1, {"a": 30.0, "b": 31.0, "new": 32.0}) is same  # it counts anew
-    assert staleness_rules.list_answer(9, known, 10, {"a": 5.0}) is same
+    older, same = staleness_rules.AnswerStatus.OLDER, staleness_rules.AnswerStatus.CURRENT
+    assert staleness_rules.classify_list(9, known, 4, {"a": 5.0, "b": 20.0}) is older
+    assert staleness_rules.classify_list(9, known, 4, {"a": 10.0, "gone": 15.0}) is older
+    assert staleness_rules.classify_list(9, known, 1, {"a": 30.0, "b": 31.0, "new": 32.0}) is same  # it counts anew
+    assert staleness_rules.classify_list(9, known, 10, {"a": 5.0}) is same
     store = staleness_rules.KnownStore("s1", 20, {"1": "acme", "2": "bolt"})
-    assert staleness_rules.keeper_answer(store, "s1", 12, True) is older
-    assert staleness_rules.keeper_answer(store, "s1", 20, False) is same
-    assert staleness_rules.keeper_answer(store, "s2", 3, True) is staleness_rules.Standing.OTHER
-    assert staleness_rules.strangers(store, [(1, "acme"), (2, "coda"), (3, "dune")]) == [2]
-    after = staleness_rules.remember(store, [(n, f"t{n}") for n in range(3, 3 + staleness_rules.MOST_NUMBERS)])
-    assert len(after.incarnations) == staleness_rules.MOST_NUMBERS and after.floor == 2
-    assert staleness_rules.strangers(after, [(1, "acme"), (9, "t9")]) == [1]
+    assert staleness_rules.classify_feed(store, "s1", 12, True) is older
+    assert staleness_rules.classify_feed(store, "s1", 20, False) is same
+    assert staleness_rules.classify_feed(store, "s2", 3, True) is staleness_rules.AnswerStatus.OTHER_STORE
+    assert staleness_rules.reassigned_incarnations(store, [(1, "acme"), (2, "coda"), (3, "dune")]) == [2]
+    after = staleness_rules.remember_incarnations(store, [(n, f"t{n}") for n in range(3, 3 + staleness_rules.MAX_INCARNATIONS)])
+    assert len(after.incarnations) == staleness_rules.MAX_INCARNATIONS and after.incarnation_floor == 2
+    assert staleness_rules.reassigned_incarnations(after, [(1, "acme"), (9, "t9")]) == [1]
 
 
 def said(epoch, ready=False, verdict=Verdict.APART, revision=0, list_rev=0):
-    return staleness_rules.Said(epoch, 1, ready, verdict, list_rev, 0, 0, revision, -1.0)
+    return staleness_rules.PeerReport(epoch, 1, ready, verdict, list_rev, 0, 0, revision, -1.0)
 
 
 def test_of_answers_that_contradict_the_epoch_counts_then_who_lived_on():
     low, high = said(1, True, revision=90), said(2, revision=40)
     lived = said(2, verdict=Verdict.LONE, revision=30)
-    assert staleness_rules.agree([low, high]) is high and staleness_rules.agree([low, high, lived]) is lived
-    assert staleness_rules.agree([]) is None
-    assert staleness_rules.enough([said(1, True, Verdict.LONE)], 9) and not staleness_rules.enough([low, high], 9)
+    assert staleness_rules.most_authoritative([low, high]) is high and staleness_rules.most_authoritative([low, high, lived]) is lived
+    assert staleness_rules.most_authoritative([]) is None
+    assert staleness_rules.heard_enough([said(1, True, Verdict.LONE)], 9) and not staleness_rules.heard_enough([low, high], 9)
 
 
 # ---------------------------------------------------------------- evidence
 
 
 def test_older_files_are_told_their_number_and_prove_nothing():
-    mind = restart_scope.begin(0, 1, 3, 11, (3, 9), (-1, 9), 3.0, 0)
-    peer = restart_scope.begin(1, 1, 10, 22, (57, 9), (56, -1), 3.0, 4)
-    peer, echo = restart_scope.hear(peer, restart_scope.say(mind, 1, 0.5), 2.0)
+    mind = restart_scope.initial_view(0, 1, 3, 11, (3, 9), (-1, 9), 3.0, 0)
+    peer = restart_scope.initial_view(1, 1, 10, 22, (57, 9), (56, -1), 3.0, 4)
+    peer, echo = restart_scope.receive_message(peer, restart_scope.build_message(mind, 1, 0.5), 2.0)
     assert echo == (11, 0.5)  # run 3 is of the past, and its sender is told so
-    mind, _ = restart_scope.hear(mind, restart_scope.say(peer, 0, 2.0, echo), 0.6)
-    assert mind.run == 58 and mind.epoch == 4 and set(mind.before) == {-1}
+    mind, _ = restart_scope.receive_message(mind, restart_scope.build_message(peer, 0, 2.0, echo), 0.6)
+    assert mind.run == 58 and mind.epoch == 4 and set(mind.runs_before_stop) == {-1}
     assert mind.verdict is Verdict.DECIDING  # its snapshot would have proved that the peer began anew
-    assert restart_scope.look(mind, 3.0).verdict is Verdict.APART
+    assert restart_scope.check_deadline(mind, 3.0).verdict is Verdict.APART
 
 
 def test_silence_is_no_loss_elsewhere():
-    mind = restart_scope.begin(0, 1, 3, 11, (3, 9, 9), (-1, 9, 9), 3.0, 0)
+    mind = restart_scope.initial_view(0, 1, 3, 11, (3, 9, 9), (-1, 9, 9), 3.0, 0)
     for mark, run in ((22, 10), (23, 11)):
-        mind, _ = restart_scope.hear(mind, Told(1, 0, 1, run, mark, 1.0, 11, 0.0), float(run))
-    assert restart_scope.elsewhere(mind, 12.0, 5.0) == 1 and restart_scope.elsewhere(mind, 60.0, 5.0) == 0
+        mind, _ = restart_scope.receive_message(mind, PeerMessage(1, 0, 1, run, mark, 1.0, 11, 0.0), float(run))
+    assert restart_scope.recent_peer_restarts(mind, 12.0, 5.0) == 1 and restart_scope.recent_peer_restarts(mind, 60.0, 5.0) == 0
 
 
 def heard(mind, *words):
     for told, uptime in words:
-        mind, _ = restart_scope.hear(mind, told, uptime)
+        mind, _ = restart_scope.receive_message(mind, told, uptime)
     return mind
 
 
 def test_of_a_message_that_comes_late_or_again_nobody_lives_longer():
-    mind = restart_scope.begin(0, 1, 3, 11, (3, 9, 9), (-1, 9, 9), 3.0, 0)
-    last = Told(1, 0, 1, 10, 22, 4.0, 11, 4.0, left=True)
-    mind = heard(mind, (last, 4.1), (last, 9.0), (Told(1, 0, 1, 11, 23, 1.0, 11, 9.5), 9.6))
-    assert restart_scope.absence(mind, 1) == (4.0, 9.6)  # and not from 9.0 on
-    assert restart_scope.say(mind, 1, 9.7).you_left and not restart_scope.say(mind, 2, 9.7).you_left
-    mind = heard(mind, (Told(1, 0, 1, 13, 24, 1.0, 11, 11.0), 11.2))
-    assert not restart_scope.say(mind, 1, 11.3).you_left  # run 12 was never heard: nobody knows how it ended
+    mind = restart_scope.initial_view(0, 1, 3, 11, (3, 9, 9), (-1, 9, 9), 3.0, 0)
+    last = PeerMessage(1, 0, 1, 10, 22, 4.0, 11, 4.0, clean_shutdown=True)
+    mind = heard(mind, (last, 4.1), (last, 9.0), (PeerMessage(1, 0, 1, 11, 23, 1.0, 11, 9.5), 9.6))
+    assert restart_scope.downtime(mind, 1) == (4.0, 9.6)  # and not from 9.0 on
+    assert restart_scope.build_message(mind, 1, 9.7).receiver_clean_shutdown and not restart_scope.build_message(mind, 2, 9.7).receiver_clean_shutdown
+    mind = heard(mind, (PeerMessage(1, 0, 1, 13, 24, 1.0, 11, 11.0), 11.2))
+    assert not restart_scope.build_message(mind, 1, 11.3).receiver_clean_shutdown  # run 12 was never heard: nobody knows how it ended
 
 
 # ---------------------------------------------------------------- servers' lives
 
 
 def test_answers_that_overlap_are_one_life():
-    life = Life()
+    life = ServerIncarnations()
     for line, answered in (("a", 1.0), ("b", 3.0), ("a", 4.0), ("b", 9.0), ("c", 12.0), ("c", 15.0)):
-        life.see(line, answered)
-    assert life.covers(1.0, 9.0) and life.covers(13.0, 15.0)
-    assert not life.covers(8.0, 13.0) and not life.covers(1.0, 9.1)  # connection c came up in a gap
-    life.forget({"c"}, 130.0)
-    assert life.spans == [(12.0, 15.0)] and set(life.seen) == {"c"}
+        life.record_answer(line, answered)
+    assert life.was_alive(1.0, 9.0) and life.was_alive(13.0, 15.0)
+    assert not life.was_alive(8.0, 13.0) and not life.was_alive(1.0, 9.1)  # connection c came up in a gap
+    life.prune({"c"}, 130.0)
+    assert life.spans == [(12.0, 15.0)] and set(life.connection_spans) == {"c"}
 
 
 def test_a_lone_reset_raises_no_doubt_and_a_server_that_is_down_raises_one():
-    lives = Lives()
-    assert not lives.failed(1, False, False, 1.0)  # it was never up: no loss of this run's
-    assert not lives.broke(1, True, False, 2.0)
-    assert not lives.failed(1, True, True, 9.0)  # the other is long ago, and a connection stands
-    assert lives.failed(1, False, True, 10.0)
-    assert not lives.failed(1, False, True, 11.0)  # it is down still, and loses nothing more
-    assert not lives.broke(1, False, True, 20.0) and not lives.broke(1, False, False, 20.01)  # both were idle
-    assert lives.broke(1, True, False, 20.02)
-    assert lives.failed(2, False, True, 1.0)  # where the fleet lived on it may have been up before
+    lives = IncarnationTracker()
+    assert not lives.connect_failed(1, False, False, 1.0)  # it was never up: no loss of this run's
+    assert not lives.connection_broke(1, True, False, 2.0)
+    assert not lives.connect_failed(1, True, True, 9.0)  # the other is long ago, and a connection stands
+    assert lives.connect_failed(1, False, True, 10.0)
+    assert not lives.connect_failed(1, False, True, 11.0)  # it is down still, and loses nothing more
+    assert not lives.connection_broke(1, False, True, 20.0) and not lives.connection_broke(1, False, False, 20.01)  # both were idle
+    assert lives.connection_broke(1, True, False, 20.02)
+    assert lives.connect_failed(2, False, True, 1.0)  # where the fleet lived on it may have been up before
 
 
 # ---------------------------------------------------------------- who is asked when
@@ -243,7 +251,7 @@
 
 def calls(routers: int, starts: list[float], spread=True) -> list[float]:
     return sorted(
-        at + (startup_spreading.places(n, routers).discovery if spread else 0.0) for n, at in enumerate(starts)
+        at + (startup_spreading.startup_delays(n, routers).discovery if spread else 0.0) for n, at in enumerate(starts)
     )
 
 
@@ -254,45 +262,45 @@
 @pytest.mark.parametrize("routers", [2, 10, 200, 1000])
 def test_routers_that_start_together_do_not_herd(routers):
     at_once = most_within(calls(routers, [0.0] * routers), 0.1)
-    assert at_once <= startup_spreading.most_at_once(routers, startup_spreading.DISCOVERY_EACH, 0.1, 0.0) <= 13
-    worst = startup_spreading.most_at_once(routers, startup_spreading.DISCOVERY_EACH, 0.1, 1.0)
+    assert at_once <= startup_spreading.max_calls_within(routers, startup_spreading.DISCOVERY_CALLS_PER_SECOND, 0.1, 0.0) <= 13
+    worst = startup_spreading.max_calls_within(routers, startup_spreading.DISCOVERY_CALLS_PER_SECOND, 0.1, 1.0)
     draw = random.Random(4)
     for _ in range(20 if routers <= 200 else 2):
         starts = [draw.random() for _ in range(routers)]
         assert most_within(calls(routers, starts), 0.1) <= min(worst, 40)
-    spiteful = [1.0 - min(startup_spreading.places(n, routers).discovery, 1.0) for n in range(routers)]
+    spiteful = [1.0 - min(startup_spreading.startup_delays(n, routers).discovery, 1.0) for n in range(routers)]
     assert most_within(calls(routers, spiteful), 0.1) <= worst
     if routers == 200:  # without the places all come in one instant
         assert most_within(calls(routers, [0.0] * routers, spread=False), 0.1) == 200
 
 
 def test_every_peer_is_told_in_turn_and_enough_means_fewer():
-    told = [n for turn in range(13) for n in startup_spreading.round_of(5, 200, turn, False)]
+    told = [n for turn in range(13) for n in startup_spreading.peers_in_round(5, 200, turn, False)]
     assert set(told) == set(range(200)) - {5} and len(told) == 13 * 16
-    assert len(startup_spreading.round_of(5, 200, 0, True)) == 1 and startup_spreading.round_of(0, 1, 0, False) == []
-    cycle = [n for turn in range(9) for n in startup_spreading.round_of(0, 10, turn, True)]
+    assert len(startup_spreading.peers_in_round(5, 200, 0, True)) == 1 and startup_spreading.peers_in_round(0, 1, 0, False) == []
+    cycle = [n for turn in range(9) for n in startup_spreading.peers_in_round(0, 10, turn, True)]
     assert set(cycle) == set(range(1, 10))
 
 
 # ---------------------------------------------------------------- effects
 
 
-def effects(**changes) -> Effects:
+def effects(**changes) -> RetryFence:
     kinds = (READ, replace(MARKED, deduplication_window=9.0), ONCE)
-    return Effects(replace(PLAIN, traffic_types=kinds, **changes), 5.0, 100.0)
+    return RetryFence(replace(PLAIN, traffic_types=kinds, **changes), 5.0, 100.0)
 
 
 def test_repeats_get_a_final_answer_for_the_memory_and_first_tries_do_not():
     made = effects()
-    assert made.final(1, True, True, b"m1", 100.1) and made.final(2, True, True, b"", 100.1)
-    assert not made.final(0, False, True, b"", 100.1) and not made.final(1, True, False, b"m2", 100.1)
-    assert not made.final(1, True, True, b"m2", 100.5)  # its first try came after the loss
-    assert not made.final(2, True, True, b"", 105.0) and made.final(1, True, True, b"m1", 108.9)
-    assert not made.final(1, True, True, b"m1", 109.0) and made.refused == 3
-    for n in range(MOST_BORN + 5):
-        made.until[1] = 200.0
-        made.final(1, True, False, b"%d" % n, 110.0)
-    assert len(made.born) == MOST_BORN
+    assert made.must_reject(1, True, True, b"m1", 100.1) and made.must_reject(2, True, True, b"", 100.1)
+    assert not made.must_reject(0, False, True, b"", 100.1) and not made.must_reject(1, True, False, b"m2", 100.1)
+    assert not made.must_reject(1, True, True, b"m2", 100.5)  # its first try came after the loss
+    assert not made.must_reject(2, True, True, b"", 105.0) and made.must_reject(1, True, True, b"m1", 108.9)
+    assert not made.must_reject(1, True, True, b"m1", 109.0) and made.rejected == 3
+    for n in range(MAX_FRESH_KEYS + 5):
+        made.fenced_until[1] = 200.0
+        made.must_reject(1, True, False, b"%d" % n, 110.0)
+    assert len(made.fresh_keys) == MAX_FRESH_KEYS
 
 
 def test_where_the_fleet_lived_on_marks_are_known_to_be_kept():
@@ -303,58 +311,58 @@
         (Verdict.APART, True),
     ):
         made = effects()
-        made.decided(verdict, [], 101.0)
-        assert made.final(1, True, True, b"m", 101.0) is open_ is made.open(101.0)
+        made.apply_verdict(verdict, [], 101.0)
+        assert made.must_reject(1, True, True, b"m", 101.0) is open_ is made.is_active(101.0)
     zone = effects()
-    zone.decided(Verdict.ZONE, [], 101.0)
-    assert not zone.final(1, True, True, b"m", 101.0)  # its group is all servers: some lived
-    assert zone.final(2, True, True, b"", 101.0)
+    zone.apply_verdict(Verdict.ZONE, [], 101.0)
+    assert not zone.must_reject(1, True, True, b"m", 101.0)  # its group is all servers: some lived
+    assert zone.must_reject(2, True, True, b"", 101.0)
     lone = effects()
-    lone.decided(Verdict.LONE, [6.0, 2.5], 101.0)  # peers saw marks lost 6 and 2.5 s ago
-    assert lone.final(1, True, True, b"m", 107.4) and not lone.final(1, True, True, b"m", 107.6)
+    lone.apply_verdict(Verdict.LONE, [6.0, 2.5], 101.0)  # peers saw marks lost 6 and 2.5 s ago
+    assert lone.must_reject(1, True, True, b"m", 107.4) and not lone.must_reject(1, True, True, b"m", 107.6)
 
 
 @pytest.mark.parametrize("group", list(DeduplicationScope))
 def test_a_group_that_began_anew_has_lost_its_marks(group):
     kinds = (READ, replace(MARKED, deduplication_window=9.0, deduplication_scope=group), ONCE)
-    made = Effects(replace(PLAIN, traffic_types=kinds, cache_aside=False), 5.0, 0.0)
+    made = RetryFence(replace(PLAIN, traffic_types=kinds, cache_aside=False), 5.0, 0.0)
     rows = [row(n, zone="ab"[n % 2], cell=n // 2) for n in range(4)]
     made.on_endpoints_changed(rows, True, 50.0)
     made.on_endpoints_changed([rows[0]._replace(started=60.0)], False, 60.0)
-    assert not made.open(60.0)  # another of its group remembers
+    assert not made.is_active(60.0)  # another of its group remembers
     made.on_endpoints_changed([], True, 61.0)  # a list that is empty for once
     made.on_endpoints_changed([each._replace(started=62.0) for each in rows[1:]], False, 62.0)
-    assert made.open(70.9) and not made.open(71.1) and "marks lost" in made.log[0]
+    assert made.is_active(70.9) and not made.is_active(71.1) and "marks lost" in made.log_lines[0]
 
 
 def test_an_origin_that_takes_writes_is_all_that_remembers():
     made = effects()
     made.on_endpoints_changed([row(1), origin_row()], True, 200.0)
     made.on_endpoints_changed([row(1, started=210.0)], False, 210.0)
-    assert not made.open(210.0)
+    assert not made.is_active(210.0)
     made.on_endpoints_changed([origin_row()._replace(started=211.0)], False, 211.0)
-    assert made.final(1, True, True, b"m", 219.0) and not made.open(220.5)
+    assert made.must_reject(1, True, True, b"m", 219.0) and not made.is_active(220.5)
 
 
 # ---------------------------------------------------------------- order and opening
 
 
 def test_stages_wait_for_their_own_bound_and_no_longer():
-    order = Order(Waits(4.0, 6.0, 4.0, 3.0))
-    facts = Facts()
-    assert order.step(facts, 1.0) is Stage.KEEPER and order.left(1.0) == 5.0
-    facts.keeper = True
-    assert order.step(facts, 1.5) is Stage.LIST
+    order = StartupSequence(StageTimeouts(4.0, 6.0, 4.0, 3.0))
+    facts = StartupProgress()
+    assert order.advance(facts, 1.0) is Stage.CONTROL_PLANE and order.remaining(1.0) == 5.0
+    facts.control_plane = True
+    assert order.advance(facts, 1.5) is Stage.ENDPOINT_LIST
     facts.verdict = Verdict.ALL
-    assert order.step(facts, 5.9) is Stage.LIST  # discovery comes last
-    assert order.step(facts, 6.0) is Stage.CLIENTS
-    assert order.missing == ["list", "placement and grants"]
+    assert order.advance(facts, 5.9) is Stage.ENDPOINT_LIST  # discovery comes last
+    assert order.advance(facts, 6.0) is Stage.RAMPING
+    assert order.timed_out == ["list", "placement and grants"]
 
 
 @given(st.lists(st.tuples(st.floats(0.01, 10), st.floats(0, 100)), min_size=1, max_size=8), st.floats(0, 200))
 def test_a_portion_is_by_shares_and_wastes_nothing(rows, total):
     shares, wanted = [r[0] for r in rows], [r[1] for r in rows]
-    got = portion(total, shares, wanted)
+    got = divide_by_shares(total, shares, wanted)
     assert all(g <= w + 1e-6 for g, w in zip(got, wanted, strict=True))
     assert sum(got) == pytest.approx(min(total, sum(wanted)), rel=1e-6, abs=1e-6)
 
@@ -370,11 +378,11 @@
         deployment = replace(
             PLAIN, router_count=routers, max_retry_after=2.0, warm_up_time=warm_up, cold_capacity=0.1
         )
-        made = [Opening(deployment, n) for n in range(routers)]
+        made = [RecoveryRamp(deployment, n) for n in range(routers)]
         for each in made:
             # 900 reads and 40 writes a second in all before; the origin bears 120 of anything.
-            each.begin(Bearing(routers, servers, origin, cold, 225.0, 10.0), [3.0, 1.0], 0.0)
-            each.open = not on
+            each.start(LoadLimits(routers, servers, origin, cold, 225.0, 10.0), [3.0, 1.0], 0.0)
+            each.fully_open = not on
         stored: set[int] = set()
         waiting: list[tuple[float, int, int, int, float]] = []
         self.over_origin = self.over_cold = 0.0
@@ -406,7 +414,7 @@
                 miss = key not in stored
                 good = at_server[key % servers] <= 2.5 * bears * tick
                 good = good and (not miss or misses <= 2.0 * origin * tick)
-                made[router].ended(0, False, good, miss)
+                made[router].record_result(0, False, good, miss)
                 if good:
                     stored.add(key)
                     self.settled[int(now)][tenant] += 1
@@ -428,29 +436,29 @@
 
 def test_payoff_comes_first_and_failures_are_a_step_back():
     dear, cheap = replace(ONCE, priority_weight=5.0), replace(MARKED, priority_weight=1.0)
-    opening = Opening(replace(PLAIN, traffic_types=(READ, cheap, dear), max_retry_after=2.0), 1)
-    opening.begin(Bearing(1, 4, 40.0, 0.0), [1.0], 0.0)
+    opening = RecoveryRamp(replace(PLAIN, traffic_types=(READ, cheap, dear), max_retry_after=2.0), 1)
+    opening.start(LoadLimits(1, 4, 40.0, 0.0), [1.0], 0.0)
     got, now = {1: 0, 2: 0}, 0.0
     for _ in range(40):
         for kind in (1, 2) * 20:  # 160 a second, where 20 to 40 are borne
             if not opening.admit(kind, 0, True, now):
                 got[kind] += 1
-                opening.ended(kind, True, True, True)
+                opening.record_result(kind, True, True, True)
         now += 0.25
         opening.step(0.0, now)
     assert got[2] > 5 * got[1] and got[2] + got[1] < 1.3 * 40.0 * 10.0
     before = opening.writes.rate
     for _ in range(8):
-        opening.ended(2, True, False, True)
+        opening.record_result(2, True, False, True)
     opening.step(0.0, now + 0.25)
-    assert opening.writes.rate < before and any("step back of writes" in text for text in opening.log)
+    assert opening.writes.rate < before and any("step back of writes" in text for text in opening.log_lines)
 
 
 def test_times_to_come_back_are_spread():
-    opening = Opening(replace(PLAIN, max_retry_after=2.0), 3)
+    opening = RecoveryRamp(replace(PLAIN, max_retry_after=2.0), 3)
     times = [opening.admit(0, 0, False, 0.0) for _ in range(200)]
     assert min(times) >= 0.2 and max(times) <= 2.0 and max(times) - min(times) > 0.15
-    opening.begin(Bearing(1, 4, 0.0, 0.0), [1.0], 0.0)
+    opening.start(LoadLimits(1, 4, 0.0, 0.0), [1.0], 0.0)
     later = [opening.admit(1, 0, True, 0.0) for _ in range(400)][-100:]
     assert max(later) > 1.5 and len({round(each, 2) for each in later}) > 50
 
@@ -492,7 +500,7 @@
     played = Played(tmp_path, list_wait=60.0)
     settings = {**SETTINGS, "replicasOfMe": 1}
     async with fleet(tmp_path, [Cache()], settings=settings, build_extensions=played.build) as made:
-        played.made.effects.until = [0.0, 1e12, 0.0]  # as long as this test takes
+        played.made.effects.fenced_until = [0.0, 1e12, 0.0]  # as long as this test takes
         client = await made.client()
         assert await client.ask("PING") == b"-ERR recovering\r\n"
         reply = await client.get()
@@ -501,12 +509,12 @@
         assert recovery.mind.verdict is Verdict.ALL and recovery.intercepting
         assert made.service.dispatcher.request_interceptors == (recovery,)
         made.service.dispatcher.on_endpoints_changed(told_list(made))
-        await until(lambda: recovery.order.stage in (Stage.CLIENTS, Stage.OPEN))
+        await until(lambda: recovery.order.stage in (Stage.RAMPING, Stage.OPEN))
         assert await client.ask("PING") == b"+PONG\r\n"
         await until(lambda: recovery.order.stage is Stage.OPEN)
         assert (await client.get()).startswith(b"$")
         assert recovery.intercepting  # the memory of marks is not over
-        recovery.effects.until = [0.0] * 3
+        recovery.effects.fenced_until = [0.0] * 3
         await until(lambda: not recovery.intercepting)
 
         def taken(reply):
@@ -528,14 +536,14 @@
 
     played, settings = Played(tmp_path), {**SETTINGS, "replicasOfMe": 1}
     async with fleet(tmp_path, [Cache()], origin, settings=settings, build_extensions=played.build) as made:
-        assert played.made.effects.until[1:] > [played.made.clock()] * 2
-        played.made.effects.until = [0.0, 1e12, 1e12]  # as long as this test takes
+        assert played.made.effects.fenced_until[1:] > [played.made.clock()] * 2
+        played.made.effects.fenced_until = [0.0, 1e12, 1e12]  # as long as this test takes
         made.service.dispatcher.on_endpoints_changed(told_list(made, boot_ms=5000))
         if switched_off:
-            played.made.effects.final = lambda *told: False
+            played.made.effects.must_reject = lambda *told: False
         client = await made.client()
-        await until(lambda: played.made.order.stage is Stage.CLIENTS)
-        played.made.opening.open = True
+        await until(lambda: played.made.order.stage is Stage.RAMPING)
+        played.made.opening.fully_open = True
         labels = "c=mark,t=acme,d=4000,k=m1"
         repeat = await client.put(labels=f"{labels},r=1")
         first = await client.put(labels=labels.replace("m1", "m2"))
@@ -590,10 +598,10 @@
         life = await nursery.start(origin.live)
         made.targets[-1]["endpoint"] = f"127.0.0.1:{origin.port}"
         made.service.dispatcher.on_endpoints_changed(told_list(made))
-        await until(lambda: recovery.order.stage in (Stage.CLIENTS, Stage.OPEN))
-        recovery.effects.until, recovery.opening.open = [0.0] * 3, True
+        await until(lambda: recovery.order.stage in (Stage.RAMPING, Stage.OPEN))
+        recovery.effects.fenced_until, recovery.opening.fully_open = [0.0] * 3, True
         if switched_off:
-            recovery.lives.broke = recovery.lives.failed = lambda *all_: False
+            recovery.lives.connection_broke = recovery.lives.connect_failed = lambda *all_: False
         client, other = await made.client(), await made.client()
         assert (await client.put(labels="c=mark,t=acme,d=4000,k=m0")).startswith(b"$")
         origin.how = "stall"
@@ -646,11 +654,11 @@
         await client.send("KV.GET", "k", "id-1", "c=read,t=acme,d=60000")
         await until(lambda: cache.commands)
         await recovery.before_exit()
-        assert not restart_scope.say(recovery.mind, 1, 9.0).left
+        assert not restart_scope.build_message(recovery.mind, 1, 9.0).clean_shutdown
         dispatcher.fail_rest()
         await until(lambda: not dispatcher.pending_operations and not made.service.pool.pending)
         await recovery.before_exit()
-        assert restart_scope.say(recovery.mind, 1, 9.0).left
+        assert restart_scope.build_message(recovery.mind, 1, 9.0).clean_shutdown
     assert SnapshotFile(played.entry.snapshot, identity_of(KEY, "n0", 0)).load()[0].run == 1
 
 
@@ -692,7 +700,7 @@
         else:
             recovery.old_list_until = recovery.clock()  # the doubt is over
         await until(lambda: not recovery.old_list_until)
-        recovery.effects.until, recovery.opening.open = [0.0] * 3, True
+        recovery.effects.fenced_until, recovery.opening.fully_open = [0.0] * 3, True
         assert (await client.put()).startswith(b"$")
 
 
@@ -725,21 +733,21 @@
     async with fleet(tmp_path, [Cache()], build_extensions=played.build) as made:
         recovery, dispatcher = played.made, made.service.dispatcher
         recovery._tell = lambda number, echo=None: told.append(
-            restart_scope.say(recovery.mind, number, recovery.uptime(), echo)
+            restart_scope.build_message(recovery.mind, number, recovery.uptime(), echo)
         )
         assert recovery.mind.verdict is Verdict.DECIDING
-        peer = restart_scope.begin(1, recovery.mind.zone, 5, 77, (0, 5), (-1, -1), 3.0, 6)
-        peer = restart_scope.hear(peer, restart_scope.say(recovery.mind, 1, 0.0), 40.0)[0]
+        peer = restart_scope.initial_view(1, recovery.mind.zone, 5, 77, (0, 5), (-1, -1), 3.0, 6)
+        peer = restart_scope.receive_message(peer, restart_scope.build_message(recovery.mind, 1, 0.0), 40.0)[0]
         assert "recovering" in repr(made.service.lifecycle.phase).lower()
-        dispatcher.on_gossip(1, Wire(b"wrong key" * 2).write(restart_scope.say(peer, 0, 40.0)))
+        dispatcher.on_gossip(1, Wire(b"wrong key" * 2).write(restart_scope.build_message(peer, 0, 40.0)))
         assert recovery.wire.dropped["mark"] == 1 and recovery.mind.epoch == 0
-        lived = restart_scope.say(peer, 0, 40.0, lost_ago=3.0)._replace(lived=True)
+        lived = restart_scope.build_message(peer, 0, 40.0, keys_lost_ago=3.0)._replace(survived=True)
         before = recovery.clock()
         dispatcher.on_gossip(1, recovery.wire.write(lived))
         after = recovery.clock()
         assert recovery.mind.verdict is Verdict.LONE and recovery.mind.epoch == 6
-        assert recovery.effects.open(before + 5.9)  # it saw marks lost 3 s ago, of 9
-        assert not recovery.effects.open(after + 6.1)
+        assert recovery.effects.is_active(before + 5.9)  # it saw marks lost 3 s ago, of 9
+        assert not recovery.effects.is_active(after + 6.1)
         dispatcher.on_gossip(1, struct.pack("<f", 4.0))
         assert dispatcher.router.gossip.peers[1][1] == (4.0,)
 
@@ -751,7 +759,7 @@
         client = await made.client()
         assert await client.ask("PING") == b"-ERR recovering\r\n"
         made.service.dispatcher.on_endpoints_changed(told_list(made))
-        played.made.opening.share = None
+        played.made.opening.set_shares = None
         await until(lambda: played.made.order.stage is Stage.OPEN)
         assert await client.ask("PING") == b"+PONG\r\n" and (await client.get()).startswith(b"$")
 
--- a/tests/test_recovery_model.py
+++ b/tests/test_recovery_model.py
@@ -13,7 +13,7 @@
 import pytest
 
 from gaugehinge.recovery import restart_scope
-from gaugehinge.recovery.restart_scope import Mind, Told, Verdict
+from gaugehinge.recovery.restart_scope import PeerMessage, TierView, Verdict
 
 N = 3
 ZONES = (1, 1, 2)
@@ -30,7 +30,7 @@
 
 
 class Router(NamedTuple):
-    mind: Mind | None  # None: it is down
+    mind: TierView | None  # None: it is down
     disk: Disk
     started: int = 0  # tick of the present or last run's start
     ended: int = -1  # of the former run; -1: there was none
@@ -42,7 +42,7 @@
 class World(NamedTuple):
     tick: int
     routers: tuple[Router, ...]
-    late: tuple[Told | None, ...]  # by receiver and sender: the last word of a run that ended
+    late: tuple[PeerMessage | None, ...]  # by receiver and sender: the last word of a run that ended
     keeper: int
     ends: int  # so many ends may still come
     marks: int  # drawn so far
@@ -56,21 +56,21 @@
     return row[:place] + (value,) + row[place + 1 :]
 
 
-def say(world: World, one: int, other: int, echo=None) -> Told:
+def say(world: World, one: int, other: int, echo=None) -> PeerMessage:
     router = world.routers[one]
-    return restart_scope.say(router.mind, other, float(world.tick - router.started), echo)
+    return restart_scope.build_message(router.mind, other, float(world.tick - router.started), echo)
 
 
-def hear(world: World, told: Told) -> tuple[World, tuple[int, float] | None]:
-    router = world.routers[told.to]
-    mind, echo = restart_scope.hear(router.mind, told, float(world.tick - router.started))
-    return world._replace(routers=put(world.routers, told.to, router._replace(mind=mind))), echo
+def hear(world: World, told: PeerMessage) -> tuple[World, tuple[int, float] | None]:
+    router = world.routers[told.receiver]
+    mind, echo = restart_scope.receive_message(router.mind, told, float(world.tick - router.started))
+    return world._replace(routers=put(world.routers, told.receiver, router._replace(mind=mind))), echo
 
 
 def start(world: World, one: int) -> World:
     router = world.routers[one]
     disk = router.disk._replace(run=router.disk.run + 1)
-    mind = restart_scope.begin(
+    mind = restart_scope.initial_view(
         one, ZONES[one], disk.run, world.marks + 1, disk.known, disk.lately, BOUND, disk.epoch
     )
     new = router._replace(mind=mind, disk=disk._replace(lately=(-1,) * N), started=world.tick)
@@ -81,7 +81,7 @@
     """One ends. What it said last to each may still come to them, once or more, at any time."""
     router = world.routers[one]
     if order:
-        router = router._replace(mind=restart_scope.leave(router.mind, 0))
+        router = router._replace(mind=restart_scope.begin_shutdown(router.mind, 0))
         world = world._replace(routers=put(world.routers, one, router))
     forced = router.forced if order else world.tick
     alive = sum(1 << n for n, each in enumerate(world.routers) if each.mind is not None and n != one)
@@ -100,15 +100,15 @@
 @lru_cache(300_000)  # the same talk takes place in many worlds
 def talk(one: Router, other: Router, tick: int, back: bool, lost: int) -> tuple[Router, Router]:
     """One says its word to another, who answers at once where that is due."""
-    away, more = restart_scope.absence(one.mind, other.mind.me), {}
+    away, more = restart_scope.downtime(one.mind, other.mind.own_number), {}
     if away is not None and lost < one.started + away[0]:
-        more = {"kept": True}  # as its connections to servers prove it
-    told = restart_scope.say(one.mind, other.mind.me, float(tick - one.started), **more)
-    mind, echo = restart_scope.hear(other.mind, told, float(tick - other.started))
+        more = {"zone_servers_survived": True}  # as its connections to servers prove it
+    told = restart_scope.build_message(one.mind, other.mind.own_number, float(tick - one.started), **more)
+    mind, echo = restart_scope.receive_message(other.mind, told, float(tick - other.started))
     other = other._replace(mind=mind)
     if echo is not None and back:
-        told = restart_scope.say(mind, one.mind.me, float(tick - other.started), echo)
-        one = one._replace(mind=restart_scope.hear(one.mind, told, float(tick - one.started))[0])
+        told = restart_scope.build_message(mind, one.mind.own_number, float(tick - other.started), echo)
+        one = one._replace(mind=restart_scope.receive_message(one.mind, told, float(tick - one.started))[0])
     return one, other
 
 
@@ -116,9 +116,9 @@
 def written(router: Router, tick: int, keeper: int) -> Router:
     """The end of a tick: a look at the time, and the snapshot."""
     uptime = float(tick - router.started)
-    mind = restart_scope.look(router.mind, uptime)
+    mind = restart_scope.check_deadline(router.mind, uptime)
     known = tuple(max(peer.run, peer.known_run) for peer in mind.peers)
-    lately = restart_scope.heard_lately(mind, uptime, 0.0)
+    lately = restart_scope.recently_heard_runs(mind, uptime, 0.0)
     return router._replace(mind=mind, disk=Disk(mind.run, known, lately, mind.epoch, keeper))
 
 
@@ -150,7 +150,7 @@
         for links in cuts:
             yield pass_time(world, links)
     for told in world.late:
-        if told is not None and world.routers[told.to].mind is not None:
+        if told is not None and world.routers[told.receiver].mind is not None:
             yield hear(world, told)[0]
     for one, router in enumerate(world.routers):
         if router.mind is None:
@@ -158,7 +158,7 @@
         elif world.ends:
             yield end(world._replace(ends=world.ends - 1), one)
         if keeper and router.mind is not None and router.disk.keeper:
-            mind = restart_scope.hear_keeper(
+            mind = restart_scope.receive_control_plane(
                 router.mind, router.disk.keeper == world.keeper, float(world.tick - router.started)
             )
             yield world._replace(routers=put(world.routers, one, router._replace(mind=mind)))
@@ -166,7 +166,7 @@
         if world.orders and router.mind is not None and ZONES[one] == 1:
             less = world._replace(orders=world.orders - 1)
             yield end(less, one, order=True)
-            asked = router._replace(mind=restart_scope.leave(router.mind, 1))
+            asked = router._replace(mind=restart_scope.begin_shutdown(router.mind, 1))
             if asked != router:
                 yield less._replace(routers=put(world.routers, one, asked))
     if world.losses:
@@ -196,7 +196,7 @@
             continue
         lived = [each.mind is not None and each.started < router.ended - SLACK for each in world.routers]
         lived[one] = False
-        if mind.verdict.lived and not router.witnesses:
+        if mind.verdict.fleet_survived and not router.witnesses:
             return f"{one} claims {mind.verdict.name}, and nobody lived through its end"
         if mind.verdict is Verdict.ALL and any(lived):
             return f"{one} claims ALL, and another lived on"
@@ -207,8 +207,8 @@
         ):
             return f"{one} claims ZONE, and a mate lived on"
         mates = [n for n in range(N) if n != one and ZONES[n] == ZONES[one]]
-        heard = all(mind.peers[n].mark for n in range(N) if n != one)
-        if mind.verdict is Verdict.LONE and mates and heard and all(restart_scope.anew(mind, n) for n in mates):
+        heard = all(mind.peers[n].nonce for n in range(N) if n != one)
+        if mind.verdict is Verdict.LONE and mates and heard and all(restart_scope.proved_restarted(mind, n) for n in mates):
             since, until = router.ended, router.started
             if not router.order or any(since <= world.routers[n].forced < until for n in mates):
                 return f"{one} claims LONE, and one of its zone ended with something in hand"
@@ -274,7 +274,7 @@
     rolled = told_to_end(half, 1)._replace(**silent)
     back = told_to_end(again(told_to_end(up, 1), 1), 0)
     half = half._replace(**silent)
-    asked = half.routers[1]._replace(mind=restart_scope.leave(half.routers[1].mind, 1))
+    asked = half.routers[1]._replace(mind=restart_scope.begin_shutdown(half.routers[1].mind, 1))
     asked = pass_time(half._replace(routers=put(half.routers, 1, asked)), ALL_LINKS)
     return {
         "both were rolled, and the zone": (rolled._replace(losses=1), 3),
@@ -324,80 +324,82 @@
 
 
 def no_echo(monkeypatch):
-    hear = restart_scope.hear
+    hear = restart_scope.receive_message
     monkeypatch.setattr(
-        restart_scope, "hear", lambda mind, told, uptime: hear(mind, told._replace(echo=mind.mark), uptime)
+        restart_scope, "receive_message", lambda mind, told, uptime: hear(mind, told._replace(echo_nonce=mind.nonce), uptime)
     )
 
 
 def old_runs_prove(monkeypatch):
-    begin = restart_scope.begin
+    begin = restart_scope.initial_view
 
     def wrong_begin(me, zone, run, mark, known, before, *rest):
         return begin(me, zone, run, mark, known, known, *rest)
 
-    monkeypatch.setattr(restart_scope, "begin", wrong_begin)
+    monkeypatch.setattr(restart_scope, "initial_view", wrong_begin)
 
 
 def silence_proves(monkeypatch):
-    anew = restart_scope.anew
-    monkeypatch.setattr(restart_scope, "anew", lambda mind, n: not mind.peers[n].mark or anew(mind, n))
+    anew = restart_scope.proved_restarted
+    monkeypatch.setattr(restart_scope, "proved_restarted", lambda mind, n: not mind.peers[n].nonce or anew(mind, n))
 
 
 def apart_is_most(monkeypatch):
-    judge = restart_scope._judge
+    judge = restart_scope._evaluate
 
     def wrong_judge(mind, bound_over):
         verdict = judge(mind, bound_over)
         return Verdict.MOST if verdict is Verdict.APART else verdict
 
-    monkeypatch.setattr(restart_scope, "_judge", wrong_judge)
+    monkeypatch.setattr(restart_scope, "_evaluate", wrong_judge)
 
 
 def who_is_up_for_longer_lived_on(monkeypatch):
-    hear = restart_scope.hear
+    hear = restart_scope.receive_message
 
     def wrong_hear(mind, told, uptime):
-        return hear(mind, told._replace(lived=told.lived or told.uptime > uptime), uptime)
+        return hear(mind, told._replace(survived=told.survived or told.uptime > uptime), uptime)
 
-    monkeypatch.setattr(restart_scope, "hear", wrong_hear)
+    monkeypatch.setattr(restart_scope, "receive_message", wrong_hear)
 
 
 def never_decides(monkeypatch):
-    monkeypatch.setattr(restart_scope, "look", lambda mind, uptime: mind)
+    monkeypatch.setattr(restart_scope, "check_deadline", lambda mind, uptime: mind)
 
 
 def said_with_something_in_hand(monkeypatch):
-    monkeypatch.setattr(restart_scope, "leave", lambda mind, in_hand: mind._replace(leaving=True))
+    monkeypatch.setattr(restart_scope, "begin_shutdown", lambda mind, in_hand: mind._replace(shutting_down_cleanly=True))
 
 
 def one_runs_word_is_anothers(monkeypatch):
-    prove = restart_scope._prove
+    prove = restart_scope._apply_verified
 
     def wrong_prove(peer, told, uptime):
         after = prove(peer, told, uptime)
-        return after._replace(former_left=peer.left or peer.former_left or after.former_left)
+        return after._replace(
+            previous_clean_shutdown=peer.clean_shutdown or peer.previous_clean_shutdown or after.previous_clean_shutdown
+        )
 
-    monkeypatch.setattr(restart_scope, "_prove", wrong_prove)
+    monkeypatch.setattr(restart_scope, "_apply_verified", wrong_prove)
 
 
 def mates_words_suffice(monkeypatch):
     monkeypatch.setattr(
         restart_scope,
-        "in_order",
-        lambda mind, mates: mind.kept and all(mind.peers[n].ordered for n in mates),
+        "zone_shut_down_cleanly",
+        lambda mind, mates: mind.zone_servers_survived and all(mind.peers[n].confirmed_clean_shutdown for n in mates),
     )
 
 
 def words_prove_servers_lives(monkeypatch):
-    in_order = restart_scope.in_order
-    monkeypatch.setattr(restart_scope, "in_order", lambda mind, mates: in_order(mind._replace(kept=True), mates))
+    in_order = restart_scope.zone_shut_down_cleanly
+    monkeypatch.setattr(restart_scope, "zone_shut_down_cleanly", lambda mind, mates: in_order(mind._replace(zone_servers_survived=True), mates))
 
 
 def any_number_of_runs_since(monkeypatch):
-    in_order = restart_scope.in_order
-    many = (restart_scope.MOST_NUMBER,) * N
-    monkeypatch.setattr(restart_scope, "in_order", lambda mind, mates: in_order(mind._replace(known=many), mates))
+    in_order = restart_scope.zone_shut_down_cleanly
+    many = (restart_scope.MAX_COUNTER,) * N
+    monkeypatch.setattr(restart_scope, "zone_shut_down_cleanly", lambda mind, mates: in_order(mind._replace(stored_runs=many), mates))
 
 
 ORDERLY_MUTANTS = [
