--- a/gaugehinge/recovery/__init__.py
+++ b/gaugehinge/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Recovery of a whole fleet from a power loss; off unless switched on by `[recovery]`."""
+"""Recovery of a whole fleet from a power loss; off unless enabled in `[recovery]`."""
--- a/gaugehinge/recovery/incarnations.py
+++ b/gaugehinge/recovery/incarnations.py
@@ -1,10 +1,11 @@
-"""What connections to servers tell of these servers' lives. No I/O, no clock of its own.
-
-An answer on a connection proves that the process at its other end has lived since an earlier answer on the
-same connection; two such times that overlap are one life. That is positive, and no list has to know of it. Of
-what broke off nothing is proved: a lone reset is a matter of every day, and so is a link that was cut. But
-where no connection stands any more and connecting fails as well, a server that began anew looks the same, and
-what it remembered is doubted.
+"""Infers from connections which servers stayed alive and which may have restarted. No I/O and no clock of its
+own.
+
+An answer on a connection proves that the process at the other end has been alive since an earlier answer on
+the same connection; two such spans that overlap belong to one incarnation. This is positive evidence and
+needs no list of endpoints. A broken connection proves nothing: single resets and cut links are everyday
+events. But if no connection is up any more and connecting fails too, a restarted server would look the same,
+so whether it still remembers its idempotency keys is in doubt.
 """
 
 from __future__ import annotations
@@ -12,22 +13,24 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, field
 
-SPAN_RETENTION = 120.0  # seconds for which a life is remembered after its last answer
-MAX_SPANS = 8  # of one server; the oldest goes first
-SIGN_WINDOW = 5.0  # seconds in which broken connections and failed connects belong to one event
-MIN_BROKEN_CONNECTIONS = 2  # connections that broke in one instant, one of them with an operation on it: no lone reset
-SIMULTANEOUS_WINDOW = 0.1  # seconds
+SPAN_RETENTION = 120.0  # seconds for which a span is remembered after its last answer
+MAX_SPANS = 8  # per server; the oldest is dropped first
+SIGN_WINDOW = 5.0  # seconds within which broken connections and failed connects belong to one event
+# So many connections that break at once, one of them with an operation on it, are more than a single reset.
+MIN_BROKEN_CONNECTIONS = 2
+SIMULTANEOUS_WINDOW = 0.1  # seconds within which connections count as broken at once
 
 
 @dataclass(slots=True)
 class ServerIncarnations:
-    """One server's. As large as its open connections."""
+    """Spans in which one server was alive. Its size grows with the server's open connections."""
 
-    spans: list[tuple[float, float]] = field(default_factory=list)  # that were one life each, the newest last
-    connection_spans: dict[Hashable, tuple[float, float]] = field(default_factory=dict)  # by open connection: first, last
+    spans: list[tuple[float, float]] = field(default_factory=list)  # each within one incarnation, newest last
+    # First and last answer of each open connection.
+    connection_spans: dict[Hashable, tuple[float, float]] = field(default_factory=dict)
 
     def record_answer(self, connection: Hashable, answered_at: float) -> None:
-        """An open connection was answered last at that time."""
+        """Records when an open connection last received an answer."""
         start, last_answer = self.connection_spans.get(connection, (answered_at, -1.0))
         if last_answer == answered_at:
             return
@@ -43,38 +46,38 @@
         self.spans = separate[-MAX_SPANS:]
 
     def prune(self, open_connections: set[Hashable], now: float) -> None:
-        """Only these are open still."""
+        """Forgets connections that are no longer open, and expired spans."""
         if not self.connection_spans.keys() <= open_connections:
             self.connection_spans = {connection: span for connection, span in self.connection_spans.items() if connection in open_connections}
         if self.spans and self.spans[0][1] <= now - SPAN_RETENTION:
             self.spans = [span for span in self.spans if span[1] > now - SPAN_RETENTION]
 
     def was_alive(self, start: float, end: float) -> bool:
-        """Whether the server is proved to have lived all that time."""
+        """Whether the server is proved to have been alive all that time, in one incarnation."""
         return any(span_start <= start and end <= span_end for span_start, span_end in self.spans)
 
 
 @dataclass(slots=True)
 class RestartSigns:
-    """That a server may have begun anew, as one event. Empty most of the time."""
+    """Signs of one event in which a server may have restarted. Empty most of the time."""
 
-    last_at: float = 0.0  # of the last one
-    broken_at: list[float] = field(default_factory=list)  # connections, when
-    broke_in_use: bool = False  # one of these with an operation on it
-    failed_connects: int = 0  # connects
+    last_at: float = 0.0  # when the last sign was seen
+    broken_at: list[float] = field(default_factory=list)  # when connections broke
+    broke_in_use: bool = False  # one of them had an operation on it
+    failed_connects: int = 0
 
 
 class IncarnationTracker:
-    """Of all servers. Follows the list."""
+    """The incarnations of all servers in the endpoint list."""
 
     def __init__(self) -> None:
         self.servers: dict[int, ServerIncarnations] = {}
-        self.restart_signs: dict[int, RestartSigns] = {}  # one goes with the doubt that it raised
-        self.connected: set[int] = set()  # a connection has come up since the start, or since the last doubt
+        self.restart_signs: dict[int, RestartSigns] = {}  # removed once they have raised a suspicion
+        self.connected: set[int] = set()  # a connection came up since the start or the last suspicion
         self.suspected: set[int] = set()
 
     def retain(self, idents: Iterable[int]) -> None:
-        """These are in the list."""
+        """Forgets servers that are no longer in the list."""
         listed = set(idents)
         self.servers = {ident: server for ident, server in self.servers.items() if ident in listed}
         self.restart_signs = {ident: signs for ident, signs in self.restart_signs.items() if ident in listed}
@@ -88,7 +91,7 @@
         open_connections: set[Hashable],
         now: float,
     ) -> None:
-        """Connections to a server that stand idle, and when each was answered last; all that are open."""
+        """Records a server's idle connections with the time of their last answer, and all that are open."""
         server = self.servers.setdefault(ident, ServerIncarnations())
         for connection, answered_at in connections:
             server.record_answer(connection, answered_at)
@@ -96,13 +99,16 @@
         server.prune(open_connections, now)
 
     def was_alive(self, ident: int, start: float, end: float) -> bool:
-        """Whether that server is proved to have lived from one time to another."""
+        """Whether that server is proved to have been alive from `start` to `end`, in one incarnation."""
         server = self.servers.get(ident)
         return server is not None and server.was_alive(start, end)
 
     def connection_broke(self, ident: int, broke_in_use: bool, other_connection_up: bool, now: float) -> bool:
-        """The other end ended a connection. `busy`: with an operation on it; `standing`: another connection
-        that had come up stands. Whether the server's memory is in doubt from now on."""
+        """Records that the server closed a connection. Returns whether the server may have lost its memory.
+
+        `broke_in_use`: an operation was on the connection; `other_connection_up`: another established
+        connection to the server is still open.
+        """
         signs = self._current_signs(ident, now)
         signs.broken_at = [at for at in signs.broken_at if at > now - SIMULTANEOUS_WINDOW] + [now]
         signs.broke_in_use = signs.broke_in_use or broke_in_use
@@ -110,8 +116,12 @@
         return self._check_signs(ident, other_connection_up)
 
     def connect_failed(self, ident: int, other_connection_up: bool, fleet_survived: bool, now: float) -> bool:
-        """A connection did not come up. The same. `lived`: the fleet lived through this router's start. What
-        was never up in this run has lost nothing in it, and what is down loses nothing more."""
+        """Records a failed connection attempt. Returns whether the server may have lost its memory.
+
+        `fleet_survived`: part of the fleet was running throughout this router's restart. A server to which no
+        connection came up in this run has lost nothing during it, and one that is down already loses nothing
+        more.
+        """
         if not other_connection_up and ident not in self.connected and (ident in self.suspected or not fleet_survived):
             return False
         self._current_signs(ident, now).failed_connects += 1
@@ -125,8 +135,11 @@
         return signs
 
     def _check_signs(self, ident: int, other_connection_up: bool) -> bool:
-        """A connection that stands proves nothing yet, but is asked first: where it broke too, that is a
-        sign."""
+        """Whether the signs suffice to suspect a restart.
+
+        A connection that is still open proves nothing yet, but is waited for: if it breaks too, that is a
+        sign.
+        """
         signs = self.restart_signs[ident]
         if other_connection_up or not (signs.failed_connects or (signs.broke_in_use and len(signs.broken_at) >= MIN_BROKEN_CONNECTIONS)):
             return False
--- a/gaugehinge/recovery/list_transformers.py
+++ b/gaugehinge/recovery/list_transformers.py
@@ -1,8 +1,8 @@
-"""The two places at which recovery takes part in the way of endpoint lists.
+"""The two transformers with which recovery takes part in processing endpoint lists.
 
-The gate is the first of all: nobody behind it sees a list before it is decided what of it to believe. The
-believed starts come last: all other extensions, and the keeper through them, see starts as discovery told
-them.
+The gate comes first: nothing behind it sees a list before recovery has decided how far to trust it. The
+estimated start times come last: all other extensions, and through them the control plane, see the start times
+that discovery reported.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
     """Holds lists back until the router has decided how much was lost."""
 
     def __init__(self, gate: Callable[[EndpointListUpdate, bool], EndpointListUpdate | None]) -> None:
-        """`gate`: what `transform` is to do."""
+        """`gate`: the function that `transform` calls."""
         self._gate = gate
 
     def transform(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate | None:
-        """The update itself, or None while it is held back."""
+        """Returns the update itself, or None while it is held back."""
         return self._gate(update, cached)
 
 
 class EstimatedStarts:
-    """Puts the times at which servers are believed to have started in place of those that were told."""
+    """Replaces the start times that discovery reported with estimated ones."""
 
     def __init__(self, estimate: Callable[[EndpointListUpdate, bool], EndpointListUpdate]) -> None:
-        """`believe`: what `transform` is to do."""
+        """`estimate`: the function that `transform` calls."""
         self._estimate = estimate
 
     def transform(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
-        """The update with the believed starts."""
+        """Returns the update with estimated start times."""
         return self._estimate(update, cached)
--- a/gaugehinge/recovery/startup_spreading.py
+++ b/gaugehinge/recovery/startup_spreading.py
@@ -1,7 +1,7 @@
-"""Who is asked for what, and when, by a router that has just started. No I/O, no clock of its own.
+"""Spreads the first calls of routers that start together. No I/O and no clock of its own.
 
-Power returns to all at once: what each router does first, hundreds do in the same second. Each has a place of
-its own in a window, by its number in the tier.
+Power returns to all routers at once: whatever each does first, hundreds do in the same second. Each router
+therefore gets its own position in a time window, by its number in the tier.
 """
 
 from __future__ import annotations
@@ -9,17 +9,18 @@
 from dataclasses import dataclass
 from math import ceil
 
-DISCOVERY_CALLS_PER_SECOND = 100.0  # calls a second that discovery is asked at most by routers that start at once
+DISCOVERY_CALLS_PER_SECOND = 100.0  # limit for all routers together when they start at the same time
 CONTROL_PLANE_CALLS_PER_SECOND = 100.0
-STARTUP_MESSAGES_PER_SECOND = 64.0  # messages a second of one router to peers until it has heard enough
-STEADY_MESSAGES_PER_SECOND = 6.0  # and afterwards: of hundreds a sample, of a few routers all, several times
-ROUND_INTERVAL = 0.25  # seconds between two rounds of messages
-GOLDEN_RATIO = 0.6180339887498949  # of a unit: any run of numbers lies evenly in it
+STARTUP_MESSAGES_PER_SECOND = 64.0  # from one router to its peers until it has heard enough
+# The same afterwards: reaches a sample of hundreds of routers, or all of a few several times.
+STEADY_MESSAGES_PER_SECOND = 6.0
+ROUND_INTERVAL = 0.25  # seconds between rounds of messages
+GOLDEN_RATIO = 0.6180339887498949  # its multiples modulo 1 spread consecutive numbers evenly
 
 
 @dataclass(slots=True, frozen=True)
 class StartupDelays:
-    """When a router first asks, in seconds after its start."""
+    """When a router makes its first calls, in seconds after its start."""
 
     discovery: float
     control_plane: float
@@ -27,32 +28,38 @@
 
 
 def spread_window(routers: int, calls_per_second: float) -> float:
-    """Seconds over which so many routers spread their first call."""
+    """Seconds over which `routers` routers spread their first call."""
     return (routers - 1) / calls_per_second
 
 
 def startup_delays(own_number: int, routers: int) -> StartupDelays:
-    """The places of one router. By number they lie evenly: of routers that start in one instant no more come
-    together than the rate says."""
+    """The delays of one router.
+
+    They are spread evenly by router number, so that routers that start at the same instant keep to the rates.
+    """
     position = (own_number * GOLDEN_RATIO) % 1.0
     return StartupDelays(
         spread_window(routers, DISCOVERY_CALLS_PER_SECOND) * position,
-        spread_window(routers, CONTROL_PLANE_CALLS_PER_SECOND) * ((position + 0.5) % 1.0),  # not both of one router in one instant
+        spread_window(routers, CONTROL_PLANE_CALLS_PER_SECOND) * ((position + 0.5) % 1.0),  # so that a router does not make both calls at the same time
         ROUND_INTERVAL * position,
     )
 
 
 def max_calls_within(routers: int, calls_per_second: float, span: float, start_spread: float) -> int:
-    """The most calls that can fall into any `span` seconds where all start within `starting` seconds, in the
-    worst order of starts that there is: all those whose places lie within both together."""
+    """The most calls that can fall into any `span` seconds if all routers start within `start_spread`
+    seconds.
+
+    Assumes the worst order of starts: every router whose delay lies within `span + start_spread` calls then.
+    """
     window = spread_window(routers, calls_per_second)
     if window <= 0.0:
         return routers
-    return min(routers, ceil(routers * min(1.0, (span + start_spread) / window)) + 2)  # 2: how even the places lie
+    return min(routers, ceil(routers * min(1.0, (span + start_spread) / window)) + 2)  # 2: unevenness of the positions
 
 
 def peers_in_round(own_number: int, routers: int, round_number: int, heard_enough: bool) -> list[int]:
-    """Peers told in this round, one after the other from the own number on; fewer once enough was heard."""
+    """Peers to send messages to in this round, in turn from the own number on; fewer once enough was
+    heard."""
     others = routers - 1
     if others <= 0:
         return []
@@ -61,5 +68,5 @@
 
 
 def steady_messages_per_second(routers: int) -> float:
-    """Peers that a router tells a second once enough was heard."""
+    """Messages that a router sends to its peers per second once it has heard enough."""
     return len(peers_in_round(0, routers, 0, True)) / ROUND_INTERVAL
