--- a/gaugehinge/recovery/incarnations.py
+++ b/gaugehinge/recovery/incarnations.py
@@ -1,5 +1,6 @@
-"""Infers from connections which servers stayed alive and which may have restarted. No I/O and no clock of its
-own.
+"""Infers from connections which servers stayed alive and which may have restarted.
+
+No I/O and no clock of its own.
 
 An answer on a connection proves that the process at the other end has been alive since an earlier answer on
 the same connection; two such spans that overlap belong to one incarnation. This is positive evidence and
@@ -137,7 +138,7 @@
     def _check_signs(self, ident: int, other_connection_up: bool) -> bool:
         """Whether the signs suffice to suspect a restart.
 
-        A connection that is still open proves nothing yet, but is waited for: if it breaks too, that is a
+        A connection that is still open proves nothing yet, but is tried first: if it breaks too, that is a
         sign.
         """
         signs = self.restart_signs[ident]
--- a/gaugehinge/recovery/recovery_ramp.py
+++ b/gaugehinge/recovery/recovery_ramp.py
@@ -1,10 +1,11 @@
-"""In which order service returns, and how much of it is let in at each step. No I/O, no clock and no chance
-but the seed.
-
-Keeper, list, placement and grants come before clients, each waited for up to a bound and no longer. Then two
-lanes open: what needs no cache, highest payoff first, within the origin's part; and reads, by what the cold
-servers of all bear together. Which server a read goes to is the decisions' matter as ever, with their own
-budget at each.
+"""Restores service step by step after a loss: the order of startup stages, and the load admitted at each
+step.
+
+The control plane, the endpoint list, placement and grants come before clients; each is waited for up to a
+timeout. Then two lanes admit operations at rising rates: one for what needs no cache, highest priority weight
+first, within this router's share of the origin's capacity; one for reads, by what all cold servers together
+can bear. Which server a read goes to is decided by routing as always, with its own budget per server. No I/O
+and no clock; the only randomness comes from the seed.
 """
 
 from __future__ import annotations
@@ -18,31 +19,38 @@
 from .restart_scope import Verdict
 
 STEP_INTERVAL = 0.25  # seconds
-INCREASE_FACTOR = 1.5  # of a lane's rate, a step in which it bound and what it let in went well
-INCREASE_FACTOR_ABOVE_STEADY = 1.1  # the same of reads beyond steady service: that more is asked is the loss's own doing
-DECREASE_FACTOR = 0.6  # the same, a step back
-HOLD_STEPS = 4  # steps after one back in which nothing rises
-FAILURE_RATIO_TO_DECREASE = 0.2  # of what ended in a step: this much not settled is a step back,
-MAX_FAILURE_RATIO_TO_INCREASE = 0.05  # and under this a step on
-MIN_FAILURES_TO_DECREASE = 3  # but never for fewer than this
-QUIET_STEPS_TO_OPEN = 6  # steps in a row in which nobody was turned away: the lanes are of no use any more
-MIN_WARMTH_TO_OPEN = 0.8  # and then: a quiet router is no proof for those that come back all at once
-MIN_RATE = 2.0  # operations a second of a lane, whatever went wrong
-INITIAL_WRITE_RATE = 50.0  # of all routers together in the first lane, where nothing is known of the origin
-DEFAULT_COLD_SERVER_READS = 2.5  # a second at a cold server, from all routers together, where nothing else is known
-READ_LANE_DELAY = 0.5  # seconds after the other lane
-MIN_READ_SHARE_OF_ORIGIN = 0.5  # of the origin's part that reads may take by their misses at least,
-MAX_ORIGIN_UTILIZATION = 0.9  # and up to this, with what the other lane let in
+# Factor on a lane's rate after a step in which the rate was the limit and few admitted operations failed.
+INCREASE_FACTOR = 1.5
+# The same for reads above the rate of steady service, where the higher demand is caused by the loss itself.
+INCREASE_FACTOR_ABOVE_STEADY = 1.1
+DECREASE_FACTOR = 0.6  # factor on a lane's rate after a step with too many failures
+HOLD_STEPS = 4  # steps after a decrease in which the rate does not rise
+FAILURE_RATIO_TO_DECREASE = 0.2  # failed part of the operations that ended in a step: above it the rate falls,
+MAX_FAILURE_RATIO_TO_INCREASE = 0.05  # and up to this it may rise
+MIN_FAILURES_TO_DECREASE = 3  # with fewer failures in a step the rate never falls
+# The lanes are no longer needed after this many steps in a row without a rejection,
+QUIET_STEPS_TO_OPEN = 6
+# and at this warmth: a quiet router does not prove that all clients can be served if they return at once.
+MIN_WARMTH_TO_OPEN = 0.8
+MIN_RATE = 2.0  # operations a second of a lane, whatever failed
+# Operations a second of all routers together in the write lane, if nothing is known of the origin.
+INITIAL_WRITE_RATE = 50.0
+# Reads a second at one cold server, from all routers together, if nothing else is known.
+DEFAULT_COLD_SERVER_READS = 2.5
+READ_LANE_DELAY = 0.5  # seconds by which the read lane starts after the write lane
+MIN_READ_SHARE_OF_ORIGIN = 0.5  # part of this router's share of the origin that read misses may use at least,
+MAX_ORIGIN_UTILIZATION = 0.9  # and part that both lanes together may use
 MIN_MISS_RATIO = 0.02
 MIN_SHARE = 1e-9
-MIN_LOW_PRIORITY_SHARE = 0.05  # of a lane that what earns less gets, however much of what earns more there is
-MAX_RAMP_WARM_UPS = 3.0  # times the warm-up, and LONGEST_MORE: with no failures the lanes end then
+MIN_LOW_PRIORITY_SHARE = 0.05  # part of a lane for lower priorities, however much of higher ones there is
+# Without failures the ramp ends after this many warm-up times plus `MAX_RAMP_EXTRA` seconds.
+MAX_RAMP_WARM_UPS = 3.0
 MAX_RAMP_EXTRA = 10.0
-MIN_RETRY_AFTER = 0.2  # seconds that a client is told to stay away
+MIN_RETRY_AFTER = 0.2  # seconds after which a rejected client may retry at the earliest
 
 
 class Stage(Enum):
-    """Where a start stands."""
+    """The stage that a starting router has reached. Values appear in the log."""
 
     CONTROL_PLANE = "keeper"
     ENDPOINT_LIST = "list"
@@ -54,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StageTimeouts:
-    """How long each is waited for at most, in seconds after the start."""
+    """Until when each stage is waited for at most, in seconds after the start."""
 
     control_plane: float
     endpoint_list: float
@@ -64,25 +72,25 @@
 
 @dataclass(slots=True)
 class StartupProgress:
-    """What has come by now."""
+    """What has arrived so far."""
 
-    control_plane: bool = False  # answered, or none is followed
-    endpoint_list: bool = False  # of discovery
-    subsystems: bool = False  # all that are on were heard, or none is
+    control_plane: bool = False  # it answered, or none is followed
+    endpoint_list: bool = False  # discovery answered
+    subsystems: bool = False  # all enabled subsystems have what they need, or none is enabled
     verdict: Verdict = Verdict.DECIDING
 
 
 class StartupSequence:
-    """The stages before clients. Each waits for its own thing; the bounds of all count from the start."""
+    """The stages before clients are admitted. Each has its own timeout, counted from the router's start."""
 
     def __init__(self, timeouts: StageTimeouts) -> None:
         self.timeouts = timeouts
         self.stage = Stage.CONTROL_PLANE
-        self.timed_out: list[str] = []  # what was not waited for any longer
-        self.log_lines: list[str] = []  # emptied by the driver
+        self.timed_out: list[str] = []  # stages that ended by their timeout
+        self.log_lines: list[str] = []  # written to the log and cleared by the driver
 
     def advance(self, progress: StartupProgress, uptime: float) -> Stage:
-        """The stage now."""
+        """Advances as far as possible and returns the stage reached."""
         timeouts = self.timeouts
         conditions = (
             (Stage.CONTROL_PLANE, progress.control_plane, timeouts.control_plane),
@@ -103,14 +111,16 @@
         return self.stage
 
     def remaining(self, uptime: float) -> float:
-        """Seconds until clients are let in, at most."""
+        """Seconds until clients are admitted, at most."""
         timeouts = self.timeouts
         return max(max(timeouts.control_plane, timeouts.endpoint_list, timeouts.subsystems, timeouts.restart_scope) - uptime, 0.0)
 
 
 def divide_by_shares(total: float, shares: Sequence[float], demands: Sequence[float]) -> list[float]:
-    """Divide what there is by shares among those that want some; what one does not want goes to the others.
-    Those without a share get what is left, in equal parts."""
+    """Divides `total` by shares, up to each demand; what one does not need goes to the others.
+
+    Those without a share get what is left, in equal parts.
+    """
     granted = [0.0] * len(demands)
     for weights in (shares, [1.0] * len(demands)):
         unsatisfied = [i for i, demand in enumerate(demands) if demand > granted[i] and weights[i] > MIN_SHARE]
@@ -129,30 +139,30 @@
 
 @dataclass(slots=True)
 class AdmissionLane:
-    """What is let in of one kind, by tenant and payoff. As large as the table of tenants."""
+    """Rate limiter for one kind of operation, by tenant and priority. Grows with the table of tenants."""
 
     rate: float  # operations a second
-    priorities: int  # of payoff; 0 is the highest
+    priorities: int  # number of priority levels; 0 is the highest
     tenant_tokens: list[float] = field(default_factory=list)
-    shared_tokens: float = 0.0  # what tenants left of it
-    priority_tokens: list[float] = field(default_factory=list)  # by rank, what is left by those that earn more
-    tenant_demand: list[float] = field(default_factory=list)  # in this step, by tenant,
-    priority_demand: list[float] = field(default_factory=list)  # and by rank
-    rejected: int = 0  # away, in this step
-    admitted: int = 0  # in, in this step
+    shared_tokens: float = 0.0  # what tenants left unused
+    priority_tokens: list[float] = field(default_factory=list)  # by priority, what higher ones leave
+    tenant_demand: list[float] = field(default_factory=list)  # operations asked for in this step, by tenant
+    priority_demand: list[float] = field(default_factory=list)  # the same by priority
+    rejected: int = 0  # in this step
+    admitted: int = 0  # in this step
     succeeded: int = 0
     failed: int = 0
-    hold_steps: int = 0  # steps in which it does not rise
+    hold_steps: int = 0  # steps for which the rate does not rise
 
     def resize(self, tenants: int) -> None:
-        """So many tenants, and one place for those that have none."""
+        """Makes room for `tenants` tenants and one entry for operations without a tenant."""
         for per_tenant in (self.tenant_tokens, self.tenant_demand):
             per_tenant.extend([0.0] * (tenants + 1 - len(per_tenant)))
         if not self.priority_tokens:
             self.priority_tokens, self.priority_demand = [1.0] * self.priorities, [0.0] * self.priorities
 
     def try_admit(self, tenant: int, priority: int) -> bool:
-        """Whether one more is let in."""
+        """Whether one more operation is admitted."""
         if tenant + 2 > len(self.tenant_tokens):
             self.resize(tenant + 1)
         self.tenant_demand[tenant] += 1.0
@@ -172,7 +182,7 @@
         return False
 
     def refill(self, shares: Sequence[float], span: float) -> None:
-        """A step's worth, by the shares of those that asked in the last one."""
+        """Adds the tokens of one step, by the shares of the tenants that asked in the last step."""
         total = self.rate * span
         weights = [*shares, *[0.0] * (len(self.tenant_demand) - len(shares))]
         granted = divide_by_shares(total, weights, self.tenant_demand)
@@ -187,7 +197,7 @@
         self.tenant_demand, self.priority_demand = [0.0] * len(self.tenant_demand), [0.0] * self.priorities
 
     def evaluate_step(self) -> int:
-        """What the step showed: 1 well, -1 badly, 0 neither. Begins the next one."""
+        """Ends a step and resets its counters: 1 if the rate may rise, -1 if it has to fall, else 0."""
         finished, failed, rejected = self.succeeded + self.failed, self.failed, self.rejected
         self.succeeded = self.failed = self.rejected = self.admitted = 0
         if failed >= MIN_FAILURES_TO_DECREASE and failed > FAILURE_RATIO_TO_DECREASE * finished:
@@ -201,18 +211,19 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadLimits:
-    """What this router's part of the load may be, in operations a second of all routers where not said."""
+    """What bounds this router's load. Rates are operations a second of all routers unless said otherwise."""
 
     routers: int
     servers: int
-    origin_rate: float  # that the origin bears; 0: not told
-    cold_server_reads: float  # that one cold server bears; 0: not told
-    steady_reads: float = 0.0  # of this router, in steady service before, times how far that is believed
+    origin_rate: float  # what the origin can bear; 0: not configured
+    cold_server_reads: float  # what one cold server can bear; 0: not configured
+    # Of this router in steady service before the loss, times the confidence in that figure.
+    steady_reads: float = 0.0
     steady_writes: float = 0.0
 
 
 class RecoveryRamp:
-    """The two lanes."""
+    """Raises the admitted load in two lanes until all operations are admitted."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self.traffic_types = deployment.traffic_types
@@ -225,16 +236,16 @@
         self.writes = AdmissionLane(MIN_RATE, len(weights_by_priority))
         self.reads = AdmissionLane(0.0, len(weights_by_priority))
         self.limits = LoadLimits(1, 0, 0.0, 0.0)
-        self.miss_ratio = 1.0  # part of settled reads that went to the origin, smoothed
-        self.read_rate_factor = 1.0  # of the reads' rate
+        self.miss_ratio = 1.0  # part of successful reads that went to the origin, smoothed
+        self.read_rate_factor = 1.0  # on the rate of the read lane
         self.started_at = self.last_step_at = -1.0
         self.quiet_steps = 0
         self.fully_open = False
         self.shares: Sequence[float] = ()
-        self.log_lines: list[str] = []  # emptied by the driver
+        self.log_lines: list[str] = []  # written to the log and cleared by the driver
 
     def start(self, limits: LoadLimits, shares: Sequence[float], now: float) -> None:
-        """Clients are let in from now on."""
+        """Starts to admit clients."""
         self.limits, self.started_at, self.last_step_at = limits, now, now
         self.set_shares(shares)
         origin_share = limits.origin_rate / limits.routers
@@ -244,17 +255,17 @@
         self.writes.priority_tokens = [self.writes.shared_tokens] * self.writes.priorities
 
     def set_shares(self, shares: Sequence[float]) -> None:
-        """The tenants' shares, by place."""
+        """Sets the tenants' shares, by tenant number."""
         self.shares = shares
         for lane in (self.writes, self.reads):
             lane.resize(len(shares))
 
     def lane_for(self, row: int, is_write: bool) -> AdmissionLane:
-        """The lane of an operation: reads that may be repeated need caches, all else does not."""
+        """The lane of an operation: idempotent reads need caches, everything else goes to the write lane."""
         return self.writes if is_write or self.traffic_types[row].effect is not Effect.IDEMPOTENT else self.reads
 
     def admit(self, row: int, tenant: int, is_write: bool, now: float) -> float:
-        """0: it is let in; else seconds for its client to stay away."""
+        """0 if the operation is admitted, else seconds after which its client may retry."""
         if self.fully_open:
             return 0.0
         if self.started_at < 0.0:
@@ -262,17 +273,17 @@
         lane = self.lane_for(row, is_write)
         if lane.try_admit(tenant, self.row_priority[row]):
             return 0.0
-        # As long as those that asked in this step take to be let in; spread, or they come back as one.
+        # The time it takes to admit this step's demand; spread out, or clients would return together.
         return self.retry_after(sum(lane.tenant_demand) / max(lane.rate, MIN_RATE))
 
     def retry_after(self, minimum: float) -> float:
-        """Seconds to stay away: from that to twice as long, and within what clients may be told."""
+        """Seconds to wait before a retry: drawn between `minimum` and twice that, within the client limit."""
         self.draw_count += 1
         fraction = zlib.crc32(b"%d:%d" % (self.seed, self.draw_count)) / 0x100000000
         return min(max(minimum, MIN_RETRY_AFTER), max(self.max_retry_after, MIN_RETRY_AFTER) * 0.5) * (1.0 + fraction)
 
     def record_result(self, row: int, is_write: bool, succeeded: bool, from_origin: bool) -> None:
-        """Something that was let in has its final answer."""
+        """Records the final answer of an admitted operation."""
         lane = self.lane_for(row, is_write)
         if succeeded:
             lane.succeeded += 1
@@ -282,7 +293,8 @@
             lane.failed += 1
 
     def step(self, warmth: float, now: float) -> None:
-        """Once each STEP. `warmth`: mean over the servers, 0 just started, 1 warm."""
+        """Adjusts the lanes every `STEP_INTERVAL`. `warmth`: mean over the servers, 0 just started, 1
+        warm."""
         if self.fully_open or self.started_at < 0.0 or now - self.last_step_at < STEP_INTERVAL:
             return
         span, self.last_step_at = now - self.last_step_at, now
@@ -328,7 +340,7 @@
             origin_share = limits.origin_rate / limits.routers
             remaining = max(MIN_READ_SHARE_OF_ORIGIN * origin_share, MAX_ORIGIN_UTILIZATION * origin_share - write_rate)
             rate = min(rate, remaining / max(self.miss_ratio, MIN_MISS_RATIO))
-            self.read_rate_factor = rate / base_rate  # what the origin holds back must not come all at once later
+            self.read_rate_factor = rate / base_rate  # or what the origin holds back would come all at once later
         self.reads.rate = max(rate, MIN_RATE)
 
     def _describe(self, warmth: float) -> str:
--- a/gaugehinge/recovery/retry_fencing.py
+++ b/gaugehinge/recovery/retry_fencing.py
@@ -1,12 +1,13 @@
-"""Repeats of what may have run before a loss, at servers whose memory is gone. No I/O, no clock of its own.
+"""Rejects retries of operations that may have run before a loss, while servers may have forgotten their keys.
 
-A client marks a repeat. Of a deduplicated one the servers drop it, as long as they remember its mark; after a
-loss they remember nothing, and it would run again. So for the stated memory it gets its final answer here
-(`-ERR`: it may have run), unless it is known that the marks were kept, or that the first try came after the
-loss. The same for unrepeatable ones, for a time that the installation states.
+Clients mark their retries. Servers drop a retry of a deduplicated operation as long as they remember its
+idempotency key (its mark); after a loss they remember none, and it would run again. For the deduplication
+window such a retry therefore gets its final answer here (`-ERR`: it may have run), unless the keys are known
+to have been kept or the first attempt is known to have come after the loss. The same holds for non-idempotent
+operations, for a time set in the installation.
 
-The cost: for that time a client that was cut off by the loss learns nothing but that nobody knows. A first
-try costs nothing at any time.
+The cost: during that time a client that was cut off by the loss does not learn whether its operation ran.
+First attempts are never affected. No I/O and no clock of its own.
 """
 
 from __future__ import annotations
@@ -18,16 +19,20 @@
 from ..routing.traffic_types import DeduplicationScope, Deployment, Effect, EndpointEntry, EndpointState
 from .restart_scope import Verdict
 
-MAX_FRESH_KEYS = 4096  # marks whose first try came here after the loss; the oldest goes first
+MAX_FRESH_KEYS = 4096  # keys first seen here after the loss; the oldest is dropped first
 
 
 class RetryFence:
-    """The windows in which repeats get their final answer. As large as the table of traffic types, and
-    MOST_BORN marks while one is open."""
+    """The time windows, by traffic type, in which retries are rejected.
+
+    Its size grows with the table of traffic types, plus up to `MAX_FRESH_KEYS` keys while a window is active.
+    """
 
     def __init__(self, deployment: Deployment, non_idempotent_window: float, now: float) -> None:
-        """`unrepeatable`: seconds after a loss in which repeats of unrepeatable ones come. At the start
-        nothing is known: all windows are open."""
+        """`non_idempotent_window`: seconds after a loss in which retries of non-idempotent operations arrive.
+
+        At the start nothing is known, so all windows are active.
+        """
         self.traffic_types = deployment.traffic_types
         self.cache_aside = deployment.cache_aside
         self.origin_kind = deployment.origin_kind
@@ -40,17 +45,19 @@
             for traffic_type in self.traffic_types
         ]
         self.fenced_until = [now + retention if retention else -inf for retention in self.retention]
-        self.keys_lost_at = now  # when marks were lost last, as far as is known
+        self.keys_lost_at = now  # when servers last lost keys, as far as is known
         self.fresh_keys: OrderedDict[bytes, None] = OrderedDict()
-        self.servers: dict[int, tuple[EndpointEntry, float]] = {}  # follows the list
+        self.servers: dict[int, tuple[EndpointEntry, float]] = {}  # entry and restart time of each listed server
         self.rejected = 0
-        self.log_lines: list[str] = []  # emptied by the driver
+        self.log_lines: list[str] = []  # written to the log and cleared by the driver
 
-    # -- what is learnt
+    # -- events
 
     def apply_verdict(self, verdict: Verdict, keys_lost_ago: Iterable[float], now: float) -> None:
-        """The verdict is out. `lost_ago`: by each peer that lived on, seconds since it saw marks lost last,
-        under 0: never. Where the fleet lived on, marks were kept but for what they saw."""
+        """Shortens the windows if the fleet survived: keys were then kept, except for losses that peers saw.
+
+        `keys_lost_ago`: from each peer that survived, seconds since it last saw keys lost; negative: never.
+        """
         if not verdict.fleet_survived:
             return
         reported = [ago for ago in keys_lost_ago if ago >= 0.0]
@@ -61,15 +68,15 @@
                 and traffic_type.deduplication_scope is DeduplicationScope.ALL
             )
             if not retention or not keys_kept:
-                continue  # our zone's own marks are gone with it
+                continue  # keys kept within our zone were lost with it
             remaining = retention - min(reported) if reported else -inf
             self.fenced_until[row] = min(self.fenced_until[row], now + remaining)
         self._drop_expired(now)
 
     def on_endpoints_changed(self, entries: Sequence[EndpointEntry], complete: bool, now: float) -> None:
-        """The list or its changes: where all servers of a group began anew, its marks are gone."""
+        """Takes in a list or its changes: if all servers of a group restarted, the group's keys are lost."""
         if not entries:
-            return  # of a list that is empty for once nothing follows
+            return  # a temporarily empty list proves nothing
         first_list, listed = not self.servers, {entry.ident for entry in entries}
         if complete:
             self.servers = {ident: server for ident, server in self.servers.items() if ident in listed}
@@ -86,9 +93,11 @@
                 self._extend(row, self._group_lost_at(traffic_type.deduplication_scope, now - self.retention[row]), now)
 
     def suspect_server(self, ident: int, now: float) -> list[int]:
-        """What a server remembers is not known to be there any more, whatever the list says by now. Returns
-        the rows of traffic types whose marks may be gone with it. Until the list told of the new start a
-        repeat of what had run there ran again."""
+        """Records that a server may have lost its keys, whatever the list says so far.
+
+        Returns the rows of the traffic types whose keys may be lost with it. Without this, a retry of an
+        operation that had run on the server ran again until the list reported the server's new start.
+        """
         previous = self.servers.get(ident)
         if previous is None:
             return []
@@ -103,11 +112,12 @@
         return rows
 
     def _group_lost_at(self, scope: DeduplicationScope, earliest: float) -> float:
-        """When the last group lost the last member that remembered what ran since then; -inf: none did."""
+        """The latest time by which every server of some group had restarted since `earliest`; -inf: no
+        group."""
         restarts_by_group: dict[object, list[float]] = {}
         for entry, restarted_at in self.servers.values():
             if self.cache_aside and entry.kind != self.origin_kind:
-                continue  # they are never written to
+                continue  # in cache-aside mode only the origin takes writes
             group = (
                 0
                 if scope is DeduplicationScope.ALL
@@ -123,7 +133,7 @@
         if fenced_until <= self.fenced_until[row]:
             return
         if self.fenced_until[row] < now:
-            self.log_lines.append(f"marks lost: repeats of type {row} forfeited for {fenced_until - now:.1f} s")
+            self.log_lines.append(f"marks lost: retries of traffic type {row} rejected for {fenced_until - now:.1f} s")
         if keys_lost_at > self.keys_lost_at:
             self.keys_lost_at = keys_lost_at
             self.fresh_keys.clear()
@@ -132,18 +142,18 @@
     # -- operations
 
     def is_active(self, now: float) -> bool:
-        """Whether any window is."""
+        """Whether any window is active."""
         return any(now < fenced_until for fenced_until in self.fenced_until)
 
     def must_reject(self, row: int, is_write: bool, is_retry: bool, key: bytes, now: float) -> bool:
-        """Whether an operation that comes now gets its final answer without an attempt."""
+        """Whether an operation that arrives now gets its final answer without an attempt."""
         if now >= self.fenced_until[row]:
             return False
         if not is_write and self.traffic_types[row].effect is Effect.WITH_IDEMPOTENCY_KEY:
             return False
         if not is_retry:
             if key:
-                # Its first try came after the loss: what runs of it from now on is remembered.
+                # Its first attempt came after the loss: servers remember whatever runs of it from now on.
                 self.fresh_keys[key] = None
                 if len(self.fresh_keys) > MAX_FRESH_KEYS:
                     self.fresh_keys.popitem(last=False)
--- a/gaugehinge/recovery/staleness_rules.py
+++ b/gaugehinge/recovery/staleness_rules.py
@@ -1,5 +1,6 @@
-"""What a router believes of what it kept from before, item by item, and of a keeper or a list that say less
-than was known already. No I/O, no clock of its own.
+"""Decides how far a router trusts its stored state, item by item, and data that is older than what it knows.
+
+Such data comes from a control plane or an endpoint list that has gone back. No I/O and no clock of its own.
 """
 
 from __future__ import annotations
@@ -16,107 +17,107 @@
 
 
 class TrustRule(Enum):
-    """How far an item is believed."""
+    """How far a stored item is trusted."""
 
     TRUSTED = "trusted"
-    DECAYING = "trusted with doubt that grows with age"
-    REVALIDATED = "asked first"
-    DISCARDED = "never"
+    DECAYING = "trusted less with age"
+    REVALIDATED = "requested again before use"
+    DISCARDED = "never trusted"
 
 
 class StateItem(NamedTuple):
-    """One item of the snapshot, or of what a router had and does not keep."""
+    """One item of the snapshot, or of state that a router had and does not store."""
 
     name: str
     rule: TrustRule
-    cost_if_wrong: str  # what happens where it is believed and wrong
-    cost_of_asking: str  # what it costs to ask for it instead
+    cost_if_wrong: str  # what happens if it is trusted and wrong
+    cost_of_asking: str  # what it costs to request it again instead
 
 
 STATE_ITEMS = (
     StateItem(
         "run",
         TrustRule.TRUSTED,
-        "two runs of one number: peers tell it on, the keeper refuses a grant",
-        "nobody could tell a new run from an old one",
+        "two runs have the same number: peers report it, the control plane refuses a grant",
+        "a new run could not be told from an old one",
     ),
-    StateItem("epoch", TrustRule.TRUSTED, "none: it only ever counts as a least", "nothing"),
-    StateItem("runs", TrustRule.TRUSTED, "none: each only ever counts as a least", "nothing"),
+    StateItem("epoch", TrustRule.TRUSTED, "nothing: it is only used as a lower bound", "nothing"),
+    StateItem("runs", TrustRule.TRUSTED, "nothing: each is only used as a lower bound", "nothing"),
     StateItem(
         "lately",
         TrustRule.DECAYING,
-        "a peer that lived on counts as begun anew: caution that was not needed",
-        "a loss of all is known later, or only as one of most",
+        "a peer that survived is taken to have restarted: needless caution",
+        "a loss of the whole tier is recognised later, or only as a loss of most of it",
     ),
     StateItem(
         "list",
         TrustRule.REVALIDATED,
-        "commands go to what has these addresses now",
+        "commands go to whatever has these addresses now",
         "nothing is served until discovery answers, for `list_wait` at most",
     ),
     StateItem(
         "learnt",
         TrustRule.DECAYING,
-        "cold servers or the origin get too much, or too little, for some steps",
-        "opening starts from the floor: some steps more",
+        "cold servers or the origin get too much or too little load for some steps",
+        "the ramp starts from its minimum and takes some steps more",
     ),
     StateItem(
         "tenants",
         TrustRule.TRUSTED,
-        "none: the revision only ever counts as a least",
-        "a keeper restored from a backup would not be noticed",
+        "nothing: the revision is only used as a lower bound",
+        "a control plane restored from a backup would not be noticed",
     ),
     StateItem(
         "incarnations",
         TrustRule.TRUSTED,
-        "a tenant is refused that could be served",
-        "two tenants could meet in one key space",
+        "a tenant that could be served is refused",
+        "two tenants could share one key space",
     ),
     StateItem(
         "placement",
         TrustRule.REVALIDATED,
         "an `only` key goes to a server outside its region",
-        "`only` shards are bounced until the keeper answers",
+        "`only` shards are rejected until the control plane answers",
     ),
     StateItem(
         "grants",
         TrustRule.DISCARDED,
-        "the origin is pushed over its limit",
-        "the floor is used until the keeper answers",
+        "the origin is loaded beyond its limit",
+        "the floor is used until the control plane answers",
     ),
-    StateItem("leases", TrustRule.DISCARDED, "two act where one may", "as placement and grants"),
-    StateItem("marks", TrustRule.DISCARDED, "an effect takes place twice", "repeats get a final answer for the memory"),
+    StateItem("leases", TrustRule.DISCARDED, "two routers act where only one may", "as for placement and grants"),
+    StateItem("marks", TrustRule.DISCARDED, "an effect takes place twice", "retries are rejected for the deduplication window"),
     StateItem(
         "wall",
         TrustRule.DECAYING,
-        "an age is taken for another: doubt too great or too small",
-        "nothing that was learnt would be of use after a boot",
+        "an age is misjudged: the state is trusted too little or too much",
+        "nothing that was learnt could be used after a reboot",
     ),
 )
 
-LEARNT_HALF_LIFE = 3600.0  # seconds in which half of what was learnt is lost
-MAX_SNAPSHOT_AGE = 86400.0  # a snapshot older than that proves nothing of who was heard before our end
-MAX_INCARNATIONS = 8192  # incarnations that are remembered
-CLOCK_TOLERANCE = 5.0  # seconds; under it a machine's clock counts as right
+LEARNT_HALF_LIFE = 3600.0  # seconds after which learnt figures count half
+MAX_SNAPSHOT_AGE = 86400.0  # seconds; an older snapshot proves nothing about who was heard before our end
+MAX_INCARNATIONS = 8192  # tenant incarnations that are remembered
+CLOCK_TOLERANCE = 5.0  # seconds; a clock that is off by no more counts as right
 
 
 @dataclass(slots=True, frozen=True)
 class SnapshotAge:
     """How old a snapshot is."""
 
-    seconds: float  # inf: not known, as with a clock that went back
-    from_monotonic_clock: bool  # by the monotonic clock of one boot
+    seconds: float  # inf: unknown, for instance because a clock went back
+    from_monotonic_clock: bool  # measured by the monotonic clock within one boot
 
 
 def snapshot_age(kept: Kept, wall_clock: float, monotonic: float, boot: str) -> SnapshotAge:
-    """By the clock of the boot where that is the same, else by wall clocks, which may be off."""
+    """By the monotonic clock if the machine was not rebooted, else by wall clocks, which may be off."""
     if boot and kept.boot == boot and monotonic >= kept.steady:
         return SnapshotAge(monotonic - kept.steady, True)
     return SnapshotAge(wall_clock - kept.wall if wall_clock >= kept.wall else inf, False)
 
 
 def confidence(name: str, age: SnapshotAge) -> float:
-    """How far an item is believed, 0 to 1."""
+    """How far an item is trusted, 0 to 1."""
     rule = next(item.rule for item in STATE_ITEMS if item.name == name)
     if rule is TrustRule.TRUSTED:
         return 1.0
@@ -128,8 +129,11 @@
 
 
 def clock_correction(own_clock: float, peer_clocks: Sequence[float]) -> float:
-    """Seconds to add to the own wall clock. `others`: what peers told at this moment. The middle of all
-    counts, where three or more have spoken: less say nothing of who is right."""
+    """Seconds to add to the own wall clock: the median of all clocks' differences from it.
+
+    `peer_clocks`: what peers report at this moment. With fewer than three clocks, the own one included, there
+    is no telling who is right, and the result is 0.
+    """
     if len(peer_clocks) < 2:
         return 0.0
     correction = median([0.0, *(other - own_clock for other in peer_clocks)])
@@ -141,38 +145,38 @@
 ) -> float:
     """When a server started, by the own clock, in seconds; 0: long ago.
 
-    `told`: by the list; `before`: what the snapshot's list told of it, None: nothing; `began`: when this
-    router started; `lived`: whether the fleet lived on; `off`: as `clock_off`; `now`: when the list told it.
-    A server whose start is not the one that was known began anew: after a loss that was not long before this
-    router did, whatever the clocks say.
+    `listed`: start time in the list; `previous`: the one in the snapshot's list, or None; `router_started`:
+    when this router started; `fleet_survived`: whether part of the fleet did; `correction`: as by
+    `clock_correction`; `now`: when the list arrived. A server whose start time differs from the known one has
+    restarted: after a loss of the fleet, it did so not long before this router, whatever the clocks say.
     """
     if listed <= 0.0:
         return 0.0
-    # None starts later than it is told of. Where the routers' clocks go an hour behind the servers', most of
-    # them too, every server would stay cold for that hour, and reads be bounced.
+    # No server starts after it is listed. Without this bound, if most routers' clocks were an hour behind the
+    # servers' clocks, every server would count as cold for that hour and reads would be rejected.
     started = min(listed - correction, now)
     return max(started, router_started) if not fleet_survived and listed != previous else started
 
 
 class AnswerStatus(Enum):
-    """What a keeper's or a discovery's answer is beside what was known."""
+    """How an answer of the control plane or of discovery compares with what was known."""
 
     CURRENT = "followed"
-    OLDER = "older"  # of the same store or list, from before what was heard
-    OTHER_STORE = "other"  # another store: a disk was lost
+    OLDER = "older"  # of the same store or list, but from before what is known
+    OTHER_STORE = "other"  # of another store: a disk was lost
 
 
 class KnownStore(NamedTuple):
-    """What is known of the keeper's store."""
+    """What is known of the control plane's store."""
 
-    name: str  # empty: nothing
-    revision: int  # heard by this router in any run, or told by a peer that was heard
-    incarnations: Mapping[str, str]  # names by number, of whichever store
-    incarnation_floor: int = 0  # numbers up to this one are not kept: none of them may come for the first time
+    name: str  # empty: nothing is known
+    revision: int  # heard by this router in any run, or reported by a peer
+    incarnations: Mapping[str, str]  # tenant names by incarnation number, of any store
+    incarnation_floor: int = 0  # numbers up to this one are forgotten: none may appear as new
 
 
 def classify_feed(known: KnownStore, name: str, revision: int, complete: bool) -> AnswerStatus:
-    """Where a feed stands. Changes of the store that is followed are never older."""
+    """Classifies a feed. Changes of the store that is followed are never older."""
     if known.name and name != known.name:
         return AnswerStatus.OTHER_STORE
     if known.name and complete and revision < known.revision:
@@ -181,11 +185,11 @@
 
 
 def classify_list(known_rev: int, known_starts: Mapping[str, float], rev: int, listed: Mapping[str, float]) -> AnswerStatus:
-    """Where a whole list stands beside what was known: versions, -1 for none, and starts of servers by name.
+    """Classifies a complete list by its revision (-1: none) and the start times of its servers by uid.
 
-    A version that went back alone proves nothing: discovery may count anew after its own loss. With it, a
-    server that started earlier than was known, or one that was not known and is no newer than all that were,
-    is what an old list shows.
+    A lower revision alone proves nothing: discovery may count from the start again after its own loss. A list
+    is old if, besides, a server started earlier than was known, or an unknown server started no later than
+    the newest known one.
     """
     if rev >= known_rev or not known_starts:
         return AnswerStatus.CURRENT
@@ -196,8 +200,11 @@
 
 
 def reassigned_incarnations(known: KnownStore, rows: Sequence[tuple[int, str]]) -> list[int]:
-    """Incarnations of a feed that another tenant bore: a store that went back, or that was made anew, gives a
-    number again, and its bearer would be let into the keys of the one before."""
+    """Incarnation numbers of a feed that belonged to another tenant before.
+
+    A store that went back or was created anew assigns a number again; its new tenant would get access to the
+    keys of the previous one.
+    """
     return [
         number
         for number, name in rows
@@ -206,7 +213,7 @@
 
 
 def remember_incarnations(known: KnownStore, rows: Sequence[tuple[int, str]]) -> KnownStore:
-    """The same, with the rows of a feed that was followed; the lowest numbers beyond the most go."""
+    """Adds the rows of an accepted feed; drops the lowest numbers beyond `MAX_INCARNATIONS`."""
     names = {**known.incarnations, **{str(number): name for number, name in rows}}
     incarnation_floor = known.incarnation_floor
     for number in sorted(names, key=int)[: max(len(names) - MAX_INCARNATIONS, 0)]:
@@ -216,7 +223,7 @@
 
 
 class PeerReport(NamedTuple):
-    """What one peer said of the fleet."""
+    """What one peer reported about the fleet."""
 
     epoch: int
     run: int  # of the peer
@@ -226,12 +233,15 @@
     list_checksum: int
     store_digest: int
     store_revision: int
-    keys_lost_ago: float  # at this moment; under 0: never
+    keys_lost_ago: float  # seconds before the report; negative: never
 
 
 def most_authoritative(reports: Sequence[PeerReport]) -> PeerReport | None:
-    """What counts where answers contradict: the highest epoch, then those that lived on or are ready, then
-    the highest revision and list. Never who says that his clock is right, never how many say so."""
+    """The report that counts if reports contradict each other.
+
+    The highest epoch wins, then routers that survived or are ready, then the highest store revision and list
+    revision. Claims about clocks and the number of equal reports never count.
+    """
     return max(
         reports,
         key=lambda report: (report.epoch, report.verdict.fleet_survived or report.ready, report.store_revision, report.list_rev),
@@ -240,6 +250,9 @@
 
 
 def heard_enough(reports: Sequence[PeerReport], routers: int) -> bool:
-    """Whether further peers need not be asked: one that lived on and is ready has said all, else more than
-    half of the tier have."""
+    """Whether no further peers need to be asked.
+
+    That is so once one that survived and is ready has reported, or more than half of the tier (this router
+    included) is known.
+    """
     return any(report.verdict.fleet_survived and report.ready for report in reports) or 2 * (len(reports) + 1) > routers
--- a/gaugehinge/recovery/startup_spreading.py
+++ b/gaugehinge/recovery/startup_spreading.py
@@ -40,7 +40,7 @@
     position = (own_number * GOLDEN_RATIO) % 1.0
     return StartupDelays(
         spread_window(routers, DISCOVERY_CALLS_PER_SECOND) * position,
-        spread_window(routers, CONTROL_PLANE_CALLS_PER_SECOND) * ((position + 0.5) % 1.0),  # so that a router does not make both calls at the same time
+        spread_window(routers, CONTROL_PLANE_CALLS_PER_SECOND) * ((position + 0.5) % 1.0),  # not both at the same time
         ROUND_INTERVAL * position,
     )
 
