--- a/gaugehinge/recovery/recovery_ramp.py
+++ b/gaugehinge/recovery/recovery_ramp.py
@@ -1,5 +1,4 @@
-"""Restores service step by step after a loss: the order of startup stages, and the load admitted at each
-step.
+"""Restores service after a loss: the order of startup stages, and the load admitted at each step.
 
 The control plane, the endpoint list, placement and grants come before clients; each is waited for up to a
 timeout. Then two lanes admit operations at rising rates: one for what needs no cache, highest priority weight
@@ -15,7 +14,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ..routing.traffic_types import Deployment, Effect
+from ..routing.types import Deployment, Effect
 from .restart_scope import Verdict
 
 STEP_INTERVAL = 0.25  # seconds
--- a/gaugehinge/recovery/retry_fencing.py
+++ b/gaugehinge/recovery/retry_fencing.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterable, Sequence
 from math import inf
 
-from ..routing.traffic_types import DeduplicationScope, Deployment, Effect, EndpointEntry, EndpointState
+from ..routing.types import DeduplicationScope, Deployment, Effect, EndpointEntry, EndpointState
 from .restart_scope import Verdict
 
 MAX_FRESH_KEYS = 4096  # keys first seen here after the loss; the oldest is dropped first
