--- a/tests/test_recovery_model.py
+++ b/tests/test_recovery_model.py
@@ -1,7 +1,10 @@
-"""The state machine of gaugehinge.recovery.restart_scope, searched whole in a small world: three routers in two
-zones, a keeper, messages that are lost, late and told twice also over a loss, single ends and losses of all;
-then ordered ends, whose words come late or never, beside losses of one and of a zone with its servers.
-What each router claims is held against what truly was. Mutants of the machine are found by the same search.
+"""Model checking of the state machine in gaugehinge.recovery.restart_scope.
+
+The search goes through all states of a small world: three routers in two zones and a control plane. Messages
+are lost, late or duplicated, also across a loss; single routers or all of them fail. A second search adds
+clean shutdowns, announced late or never, alongside the loss of one router or of a zone with its servers. Each
+verdict is compared with what really happened, and the same searches have to detect faulty variants of the
+state machine.
 """
 
 from __future__ import annotations
@@ -18,7 +21,7 @@
 ROUTER_COUNT = 3
 ZONES = (1, 1, 2)
 DECISION_DEADLINE = 2.0  # ticks
-SLACK = 2  # ticks: heard within one before the snapshot, which is written each tick
+SLACK = 2  # ticks: a peer is heard within one before the snapshot, which is written each tick
 
 
 class StoredState(NamedTuple):
@@ -30,26 +33,26 @@
 
 
 class Router(NamedTuple):
-    view: TierView | None  # None: it is down
+    view: TierView | None  # None: the router is down
     stored: StoredState
-    started: int = 0  # tick of the present or last run's start
-    ended: int = -1  # of the former run; -1: there was none
-    survivors: int = 0  # mask of peers that lived from that end to our present start
-    clean_shutdown: bool = False  # that end was in order: nothing was in hand
-    crashed_at: int = -1  # when it ended otherwise last
+    started: int = 0  # tick at which its present or last run started
+    ended: int = -1  # tick at which its previous run ended; -1: there was none
+    survivors: int = 0  # bit mask of the peers that were up from that end to its present start
+    clean_shutdown: bool = False  # that end was a shutdown with nothing in flight
+    crashed_at: int = -1  # tick at which it last ended otherwise
 
 
 class World(NamedTuple):
     tick: int
     routers: tuple[Router, ...]
-    late_messages: tuple[PeerMessage | None, ...]  # by receiver and sender: the last word of a run that ended
+    late_messages: tuple[PeerMessage | None, ...]  # by receiver and sender: last message of a run that ended
     control_plane: int
-    crashes_left: int  # so many ends may still come
-    nonces_drawn: int  # drawn so far
-    shutdowns_left: int = 0  # so many routers may still be told to end
-    zone_losses_left: int = 0  # so many times may zone 1 still lose power,
-    zone_lost_at: int = -1  # and when it did last
-    clean_messages_only: bool = False  # of late words, only those of ordered ends come
+    crashes_left: int  # crashes that may still happen, of one router or of all
+    nonces_drawn: int
+    shutdowns_left: int = 0  # routers that may still be told to shut down
+    zone_losses_left: int = 0  # how often zone 1 may still lose power
+    zone_lost_at: int = -1  # tick at which it last lost power
+    clean_messages_only: bool = False  # only late messages of clean shutdowns are delivered
 
 
 def replaced(row: tuple, index: int, value) -> tuple:
@@ -78,7 +81,7 @@
 
 
 def stop_router(world: World, number: int, clean: bool = False) -> World:
-    """One ends. What it said last to each may still come to them, once or more, at any time."""
+    """Stops a router. Its last message to each peer may still arrive, once or more, at any time."""
     router = world.routers[number]
     if clean:
         router = router._replace(view=restart_scope.begin_shutdown(router.view, 0))
@@ -97,12 +100,12 @@
     return world._replace(routers=tuple(routers), late_messages=late_messages)
 
 
-@lru_cache(300_000)  # the same talk takes place in many worlds
+@lru_cache(300_000)  # the same exchange takes place in many worlds
 def exchange(sender: Router, receiver: Router, tick: int, reply_arrives: bool, zone_lost_at: int) -> tuple[Router, Router]:
-    """One says its word to another, who answers at once where that is due."""
+    """Sends one message; the receiver answers immediately if an answer is due."""
     downtime, other_fields = restart_scope.downtime(sender.view, receiver.view.own_number), {}
     if downtime is not None and zone_lost_at < sender.started + downtime[0]:
-        other_fields = {"zone_servers_survived": True}  # as its connections to servers prove it
+        other_fields = {"zone_servers_survived": True}  # as the sender's connections to servers would prove
     message = restart_scope.build_message(sender.view, receiver.view.own_number, float(tick - sender.started), **other_fields)
     view, echo = restart_scope.receive_message(receiver.view, message, float(tick - receiver.started))
     receiver = receiver._replace(view=view)
@@ -114,7 +117,7 @@
 
 @lru_cache(300_000)
 def after_tick(router: Router, tick: int, control_plane: int) -> Router:
-    """The end of a tick: a look at the time, and the snapshot."""
+    """Ends a tick: checks the deadline and writes the snapshot."""
     uptime = float(tick - router.started)
     view = restart_scope.check_deadline(router.view, uptime)
     known_runs = tuple(max(peer.run, peer.known_run) for peer in view.peers)
@@ -123,7 +126,7 @@
 
 
 def advance_tick(world: World, links: frozenset[tuple[int, int]]) -> World:
-    """A tick: what passes by the links that are up, then snapshots."""
+    """One tick: messages over the links that are up, then snapshots."""
     tick, routers = world.tick + 1, list(world.routers)
     for sender, receiver in sorted(links):
         if routers[sender].view is not None and routers[receiver].view is not None:
@@ -141,11 +144,11 @@
     for mask in range(8)
 ]
 ALL_LINKS = LINK_SETS[-1]
-LINK_SETS += [ALL_LINKS - {link} for link in sorted(ALL_LINKS)]  # and each one's messages one way only
+LINK_SETS += [ALL_LINKS - {link} for link in sorted(ALL_LINKS)]  # and all links except one direction of one pair
 
 
 def successors(world: World, ticks: int, control_plane: bool, link_sets=LINK_SETS):
-    """All that may happen next."""
+    """All worlds that may follow."""
     if world.tick < ticks:
         for links in link_sets:
             yield advance_tick(world, links)
@@ -184,7 +187,7 @@
 
 
 def false_claim(world: World, previous_world: World) -> str:
-    """A claim that is new and not true; empty where there is none."""
+    """Describes a new verdict that is not true; empty if there is none."""
     for number, router in enumerate(world.routers):
         view = router.view
         if view is None:
@@ -197,28 +200,28 @@
         survived = [other.view is not None and other.started < router.ended - SLACK for other in world.routers]
         survived[number] = False
         if view.verdict.fleet_survived and not router.survivors:
-            return f"{number} claims {view.verdict.name}, and nobody lived through its end"
+            return f"{number} claims {view.verdict.name}, but nobody survived its end"
         if view.verdict is Verdict.ALL and any(survived):
-            return f"{number} claims ALL, and another lived on"
+            return f"{number} claims ALL, but another router survived"
         if view.verdict is Verdict.MOST and 2 * sum(survived) >= ROUTER_COUNT:
-            return f"{number} claims MOST, and most lived on"
+            return f"{number} claims MOST, but most survived"
         if view.verdict is Verdict.ZONE and any(
             survived[n] for n in range(ROUTER_COUNT) if n != number and ZONES[n] == ZONES[number]
         ):
-            return f"{number} claims ZONE, and a mate lived on"
+            return f"{number} claims ZONE, but a router of its zone survived"
         zone_peers = [n for n in range(ROUTER_COUNT) if n != number and ZONES[n] == ZONES[number]]
         heard = all(view.peers[n].nonce for n in range(ROUTER_COUNT) if n != number)
         if view.verdict is Verdict.LONE and zone_peers and heard and all(restart_scope.proved_restarted(view, n) for n in zone_peers):
             stopped, started = router.ended, router.started
             if not router.clean_shutdown or any(stopped <= world.routers[n].crashed_at < started for n in zone_peers):
-                return f"{number} claims LONE, and one of its zone ended with something in hand"
+                return f"{number} claims LONE, but a router of its zone ended with operations in flight"
             if stopped <= world.zone_lost_at <= started:
-                return f"{number} claims LONE, and its zone lost power"
+                return f"{number} claims LONE, but its zone lost power"
     return ""
 
 
 def initial_world(crashes_left: int, **fields: int) -> World:
-    """All are up, and know of each other."""
+    """All routers are up and have heard each other."""
     world = World(0, (Router(None, StoredState()),) * ROUTER_COUNT, (None,) * (ROUTER_COUNT * ROUTER_COUNT), 1, crashes_left, 0, **fields)
     for number in range(ROUTER_COUNT):
         world = start_router(world, number)
@@ -228,7 +231,7 @@
 def search(
     world: World, ticks: int, control_plane: bool = False, max_states: int = 1_000_000, link_sets=LINK_SETS
 ) -> tuple[int, int, str]:
-    """States, transitions, and what was wrong first."""
+    """Returns the numbers of states and transitions, and the first false claim."""
     visited, queue, transitions = {world}, deque([world]), 0
     while queue:
         current = queue.popleft()
@@ -247,7 +250,7 @@
 
 
 def world_after_partition(crashes_left: int) -> World:
-    """Router 0 heard nobody for three ticks; meanwhile 1 and 2 began anew, and hear each other."""
+    """Router 0 heard nobody for three ticks; meanwhile 1 and 2 restarted and hear each other."""
     world = stop_router(stop_router(initial_world(crashes_left), 1), 2)
     world = start_router(start_router(world, 1), 2)
     for _ in range(3):
@@ -256,18 +259,18 @@
 
 
 def shut_down_cleanly(world: World, number: int) -> World:
-    """One ends in order, and router 2 hears of it."""
+    """A router shuts down cleanly, and router 2 hears of it."""
     world = stop_router(world, number, clean=True)
     return deliver(world, world.late_messages[2 * ROUTER_COUNT + number])[0]
 
 
 def restart(world: World, number: int) -> World:
-    """It is back, and heard."""
+    """Starts the router again and lets the others hear it."""
     return advance_tick(advance_tick(start_router(world, number), ALL_LINKS), ALL_LINKS)
 
 
 def clean_shutdown_worlds() -> dict[str, tuple[World, int]]:
-    """With what may come from there on, and for how many ticks. Words of former runs come late in one."""
+    """Worlds to search from, each with the number of ticks. In one, messages of previous runs arrive late."""
     up = initial_world(0, clean_messages_only=True)
     half = shut_down_cleanly(up, 0)
     silent = {"late_messages": (None,) * (ROUTER_COUNT * ROUTER_COUNT)}
@@ -287,15 +290,15 @@
     }
 
 
-FEW_LINK_SETS = (ALL_LINKS, LINK_SETS[1])  # and router 2 heard by nobody
-MAX_CLEAN_SHUTDOWN_STATES = 12_000  # states of a beginning
+FEW_LINK_SETS = (ALL_LINKS, LINK_SETS[1])  # all links, or only those between routers 0 and 1
+MAX_CLEAN_SHUTDOWN_STATES = 12_000  # per starting world
 
 
 def test_rolling_restart_of_a_zone_is_not_reported_as_zone_loss():
     verdicts = {}
     for zone_lost_at in (-1, 2):
         world = clean_shutdown_worlds()["both were rolled"][0]
-        world = world._replace(zone_lost_at=zone_lost_at)  # behind their words: nobody ends by it
+        world = world._replace(zone_lost_at=zone_lost_at)  # when both had announced their end: no router is stopped by it
         world = start_router(start_router(advance_tick(world, ALL_LINKS), 0), 1)
         for _ in range(4):
             world = advance_tick(world, ALL_LINKS)
