--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -81,7 +81,9 @@
         self.former: Kept | None = None
         self.age = staleness_rules.SnapshotAge(inf, False)
         self.mind: restart_scope.TierView
-        self.slack = restart_scope.restart_slack(self.routers, startup_spreading.steady_messages_per_second(self.routers))
+        self.slack = restart_scope.restart_slack(
+            self.routers, startup_spreading.steady_messages_per_second(self.routers)
+        )
         self.said: dict[int, staleness_rules.PeerReport] = {}  # by peer, the last of each
         self.walls: dict[int, float] = {}  # by peer, how far its wall clock is from ours
         self.heard: dict[int, float] = {}  # by peer, when
@@ -133,7 +135,11 @@
             self._take(kept)
         run = min((kept.run if kept else 0) + 1, restart_scope.MAX_COUNTER)
         known = tuple(kept.runs[: self.routers]) if kept else ()
-        lately = tuple(kept.lately[: self.routers]) if kept and staleness_rules.confidence("lately", self.age) else ()
+        lately = (
+            tuple(kept.lately[: self.routers])
+            if kept and staleness_rules.confidence("lately", self.age)
+            else ()
+        )
         self.mind = restart_scope.initial_view(
             self.me,
             digest(self.deployment.zone),
@@ -159,7 +165,9 @@
 
     def _take(self, kept: Kept) -> None:
         """What of the snapshot is believed at once."""
-        self.store = staleness_rules.KnownStore(kept.store, kept.revision, dict(kept.incarnations), kept.floor)
+        self.store = staleness_rules.KnownStore(
+            kept.store, kept.revision, dict(kept.incarnations), kept.floor
+        )
         part = staleness_rules.confidence("learnt", self.age)
         self.known_rev = kept.list_rev
         self.known_starts = {each.uid: each.started for each in kept.servers}
@@ -194,7 +202,9 @@
         traffic = operation.traffic_type
         row, write = traffic.row, operation.is_write
         if now < self.effects.fenced_until[row]:
-            final = self.effects.must_reject(row, write, operation.is_client_retry, mark_of(payload.labels), now)
+            final = self.effects.must_reject(
+                row, write, operation.is_client_retry, mark_of(payload.labels), now
+            )
             if final and self.mind.verdict is not Verdict.DECIDING:
                 self._answer(operation, reply_callback, FAILED_REPLY)
                 return None
@@ -360,7 +370,9 @@
             for each in [other.connection for other in pool.pending.values()]
         )
         if failed:
-            doubted = self.lives.connect_failed(endpoint.ident, standing, self.mind.verdict.fleet_survived, now)
+            doubted = self.lives.connect_failed(
+                endpoint.ident, standing, self.mind.verdict.fleet_survived, now
+            )
         else:
             doubted = self.lives.connection_broke(endpoint.ident, pending is not None, standing, now)
         if doubted:
@@ -392,12 +404,17 @@
                 in_use.setdefault(pending.connection.endpoint.ident, set()).add(pending.connection)
         for ident, endpoint in pool.endpoints.items():
             connections = [(connection, connection.idle_since) for connection in endpoint.idle]
-            self.lives.record_connections(ident, connections, in_use.get(ident, set()).union(endpoint.idle), now)
+            self.lives.record_connections(
+                ident, connections, in_use.get(ident, set()).union(endpoint.idle), now
+            )
 
     def _kept(self, number: int) -> bool:
         """Whether in that peer's zone a server of each cell is known to have lived while it was away."""
         away = restart_scope.downtime(self.mind, number)
-        if away is None or self.uptime() > away[1] + restart_scope.LATE_RESTART_FACTOR * self.mind.decision_deadline:
+        if (
+            away is None
+            or self.uptime() > away[1] + restart_scope.LATE_RESTART_FACTOR * self.mind.decision_deadline
+        ):
             return False
         since, until = (self.began + at for at in away)
         zone, origin = self.mind.peers[number].zone, self.deployment.origin_kind
@@ -405,7 +422,9 @@
         for target in self.servers.values():
             each = target.entry
             if digest(each.zone) == zone and each.kind != origin:
-                cells[each.cell] = cells.get(each.cell, False) or self.lives.was_alive(each.ident, since, until)
+                cells[each.cell] = cells.get(each.cell, False) or self.lives.was_alive(
+                    each.ident, since, until
+                )
         return bool(cells) and all(cells.values())
 
     # -- an ordered end
@@ -508,7 +527,9 @@
             enough = staleness_rules.heard_enough([said for said in self.said.values()], self.routers)
             settled = self.mind.verdict not in (Verdict.DECIDING, Verdict.APART)
             late = self.uptime() > restart_scope.LATE_RESTART_FACTOR * self.mind.decision_deadline
-            for number in startup_spreading.peers_in_round(self.me, self.routers, self.turn, (enough and settled) or late):
+            for number in startup_spreading.peers_in_round(
+                self.me, self.routers, self.turn, (enough and settled) or late
+            ):
                 self._tell(number)
             self.turn += 1
             await trio.sleep(startup_spreading.ROUND_INTERVAL)
@@ -570,7 +591,9 @@
             )
         self.older_until = 0.0
         named = [row for row in rows if row[0] not in refused]
-        self.store = staleness_rules.remember_incarnations(known._replace(name=feed.store_id, revision=feed.revision), named)
+        self.store = staleness_rules.remember_incarnations(
+            known._replace(name=feed.store_id, revision=feed.revision), named
+        )
         return feed
 
     def _known_store(self) -> staleness_rules.KnownStore:
--- a/gaugehinge/recovery/incarnations.py
+++ b/gaugehinge/recovery/incarnations.py
@@ -49,7 +49,11 @@
     def prune(self, open_connections: set[Hashable], now: float) -> None:
         """Forgets connections that are no longer open, and expired spans."""
         if not self.connection_spans.keys() <= open_connections:
-            self.connection_spans = {connection: span for connection, span in self.connection_spans.items() if connection in open_connections}
+            self.connection_spans = {
+                connection: span
+                for connection, span in self.connection_spans.items()
+                if connection in open_connections
+            }
         if self.spans and self.spans[0][1] <= now - SPAN_RETENTION:
             self.spans = [span for span in self.spans if span[1] > now - SPAN_RETENTION]
 
@@ -123,7 +127,11 @@
         connection came up in this run has lost nothing during it, and one that is down already loses nothing
         more.
         """
-        if not other_connection_up and ident not in self.connected and (ident in self.suspected or not fleet_survived):
+        if (
+            not other_connection_up
+            and ident not in self.connected
+            and (ident in self.suspected or not fleet_survived)
+        ):
             return False
         self._current_signs(ident, now).failed_connects += 1
         return self._check_signs(ident, other_connection_up)
@@ -142,7 +150,9 @@
         sign.
         """
         signs = self.restart_signs[ident]
-        if other_connection_up or not (signs.failed_connects or (signs.broke_in_use and len(signs.broken_at) >= MIN_BROKEN_CONNECTIONS)):
+        if other_connection_up or not (
+            signs.failed_connects or (signs.broke_in_use and len(signs.broken_at) >= MIN_BROKEN_CONNECTIONS)
+        ):
             return False
         del self.restart_signs[ident]
         self.connected.discard(ident)
--- a/gaugehinge/recovery/recovery_ramp.py
+++ b/gaugehinge/recovery/recovery_ramp.py
@@ -24,7 +24,9 @@
 INCREASE_FACTOR_ABOVE_STEADY = 1.1
 DECREASE_FACTOR = 0.6  # factor on a lane's rate after a step with too many failures
 HOLD_STEPS = 4  # steps after a decrease in which the rate does not rise
-FAILURE_RATIO_TO_DECREASE = 0.2  # failed part of the operations that ended in a step: above it the rate falls,
+FAILURE_RATIO_TO_DECREASE = (
+    0.2  # failed part of the operations that ended in a step: above it the rate falls,
+)
 MAX_FAILURE_RATIO_TO_INCREASE = 0.05  # and up to this it may rise
 MIN_FAILURES_TO_DECREASE = 3  # with fewer failures in a step the rate never falls
 # The lanes are no longer needed after this many steps in a row without a rejection,
@@ -112,7 +114,11 @@
     def remaining(self, uptime: float) -> float:
         """Seconds until clients are admitted, at most."""
         timeouts = self.timeouts
-        return max(max(timeouts.control_plane, timeouts.endpoint_list, timeouts.subsystems, timeouts.restart_scope) - uptime, 0.0)
+        return max(
+            max(timeouts.control_plane, timeouts.endpoint_list, timeouts.subsystems, timeouts.restart_scope)
+            - uptime,
+            0.0,
+        )
 
 
 def divide_by_shares(total: float, shares: Sequence[float], demands: Sequence[float]) -> list[float]:
@@ -122,7 +128,9 @@
     """
     granted = [0.0] * len(demands)
     for weights in (shares, [1.0] * len(demands)):
-        unsatisfied = [i for i, demand in enumerate(demands) if demand > granted[i] and weights[i] > MIN_SHARE]
+        unsatisfied = [
+            i for i, demand in enumerate(demands) if demand > granted[i] and weights[i] > MIN_SHARE
+        ]
         while unsatisfied and total > 1e-9:
             per_weight = total / sum(weights[i] for i in unsatisfied)
             satisfied = [i for i in unsatisfied if demands[i] - granted[i] <= per_weight * weights[i]]
@@ -191,7 +199,9 @@
         remaining = total
         for priority, demand in enumerate(self.priority_demand):
             allowance = max(remaining, MIN_LOW_PRIORITY_SHARE * total)
-            self.priority_tokens[priority] = min(self.priority_tokens[priority] + allowance, max(2.0, 2.0 * allowance))
+            self.priority_tokens[priority] = min(
+                self.priority_tokens[priority] + allowance, max(2.0, 2.0 * allowance)
+            )
             remaining -= demand
         self.tenant_demand, self.priority_demand = [0.0] * len(self.tenant_demand), [0.0] * self.priorities
 
@@ -229,8 +239,12 @@
         self.cache_aside = deployment.cache_aside
         self.max_retry_after = deployment.max_retry_after
         self.cold_capacity, self.warm_up_time = deployment.cold_capacity, deployment.warm_up_time
-        weights_by_priority = sorted({traffic_type.priority_weight for traffic_type in self.traffic_types}, reverse=True)
-        self.row_priority = [weights_by_priority.index(traffic_type.priority_weight) for traffic_type in self.traffic_types]
+        weights_by_priority = sorted(
+            {traffic_type.priority_weight for traffic_type in self.traffic_types}, reverse=True
+        )
+        self.row_priority = [
+            weights_by_priority.index(traffic_type.priority_weight) for traffic_type in self.traffic_types
+        ]
         self.seed, self.draw_count = seed, 0
         self.writes = AdmissionLane(MIN_RATE, len(weights_by_priority))
         self.reads = AdmissionLane(0.0, len(weights_by_priority))
@@ -261,7 +275,9 @@
 
     def lane_for(self, row: int, is_write: bool) -> AdmissionLane:
         """The lane of an operation: idempotent reads need caches, everything else goes to the write lane."""
-        return self.writes if is_write or self.traffic_types[row].effect is not Effect.IDEMPOTENT else self.reads
+        return (
+            self.writes if is_write or self.traffic_types[row].effect is not Effect.IDEMPOTENT else self.reads
+        )
 
     def admit(self, row: int, tenant: int, is_write: bool, now: float) -> float:
         """0 if the operation is admitted, else seconds after which its client may retry."""
@@ -279,7 +295,9 @@
         """Seconds to wait before a retry: drawn between `minimum` and twice that, within the client limit."""
         self.draw_count += 1
         fraction = zlib.crc32(b"%d:%d" % (self.seed, self.draw_count)) / 0x100000000
-        return min(max(minimum, MIN_RETRY_AFTER), max(self.max_retry_after, MIN_RETRY_AFTER) * 0.5) * (1.0 + fraction)
+        return min(max(minimum, MIN_RETRY_AFTER), max(self.max_retry_after, MIN_RETRY_AFTER) * 0.5) * (
+            1.0 + fraction
+        )
 
     def record_result(self, row: int, is_write: bool, succeeded: bool, from_origin: bool) -> None:
         """Records the final answer of an admitted operation."""
@@ -303,9 +321,15 @@
         self._adjust_read_rate(read_result, warmth, write_rate, now)
         for lane in (self.writes, self.reads):
             lane.refill(self.shares, span)
-        self.quiet_steps = 0 if rejected or write_result < 0 or read_result < 0 or self.reads.rate <= 0.0 else self.quiet_steps + 1
+        self.quiet_steps = (
+            0
+            if rejected or write_result < 0 or read_result < 0 or self.reads.rate <= 0.0
+            else self.quiet_steps + 1
+        )
         max_duration = MAX_RAMP_WARM_UPS * self.warm_up_time + MAX_RAMP_EXTRA
-        healthy = min(write_result, read_result) >= 0 and not (self.writes.hold_steps or self.reads.hold_steps)
+        healthy = min(write_result, read_result) >= 0 and not (
+            self.writes.hold_steps or self.reads.hold_steps
+        )
         overdue = healthy and now - self.started_at > max_duration
         if (self.quiet_steps >= QUIET_STEPS_TO_OPEN and warmth >= MIN_WARMTH_TO_OPEN) or overdue:
             self.fully_open = True
@@ -333,13 +357,19 @@
         per_server = limits.cold_server_reads or DEFAULT_COLD_SERVER_READS
         min_rate = per_server * limits.servers / limits.routers
         capacity = self.cold_capacity + (1.0 - self.cold_capacity) * warmth
-        base_rate = max(limits.steady_reads * capacity, min_rate * max(warmth / max(self.cold_capacity, 0.01), 1.0), 0.01)
+        base_rate = max(
+            limits.steady_reads * capacity, min_rate * max(warmth / max(self.cold_capacity, 0.01), 1.0), 0.01
+        )
         rate = base_rate * self.read_rate_factor
         if self.cache_aside and limits.origin_rate:
             origin_share = limits.origin_rate / limits.routers
-            remaining = max(MIN_READ_SHARE_OF_ORIGIN * origin_share, MAX_ORIGIN_UTILIZATION * origin_share - write_rate)
+            remaining = max(
+                MIN_READ_SHARE_OF_ORIGIN * origin_share, MAX_ORIGIN_UTILIZATION * origin_share - write_rate
+            )
             rate = min(rate, remaining / max(self.miss_ratio, MIN_MISS_RATIO))
-            self.read_rate_factor = rate / base_rate  # or what the origin holds back would come all at once later
+            self.read_rate_factor = (
+                rate / base_rate
+            )  # or what the origin holds back would come all at once later
         self.reads.rate = max(rate, MIN_RATE)
 
     def _describe(self, warmth: float) -> str:
--- a/gaugehinge/recovery/restart_scope.py
+++ b/gaugehinge/recovery/restart_scope.py
@@ -149,7 +149,18 @@
     of uptime.
     """
     peers = tuple(Peer(known_run=each) for each in stored_runs)
-    view = TierView(own_number, zone, run, nonce, peers, runs_before_stop, decision_deadline, epoch=epoch, stored_epoch=epoch, stored_runs=stored_runs)
+    view = TierView(
+        own_number,
+        zone,
+        run,
+        nonce,
+        peers,
+        runs_before_stop,
+        decision_deadline,
+        epoch=epoch,
+        stored_epoch=epoch,
+        stored_runs=stored_runs,
+    )
     return _update_verdict(view, 0.0)
 
 
@@ -170,7 +181,13 @@
     return max(MIN_SLACK, 1.5 * (routers - 1) / peers_per_second) if routers > 1 else MIN_SLACK
 
 
-def build_message(view: TierView, receiver: int, uptime: float, echo: tuple[int, float] | None = None, **other_fields: object) -> PeerMessage:
+def build_message(
+    view: TierView,
+    receiver: int,
+    uptime: float,
+    echo: tuple[int, float] | None = None,
+    **other_fields: object,
+) -> PeerMessage:
     """The next message to a peer.
 
     `echo`: nonce and uptime of the message that this one answers, if it answers one; `other_fields`: fields
@@ -199,22 +216,37 @@
         return message
     # Only for the run whose nonce is verified: the announcement of another run does not apply to it.
     receiver_clean_shutdown = peer.previous_clean_shutdown and nonce == peer.nonce
-    return message._replace(clean_shutdown=view.shutting_down_cleanly, receiver_clean_shutdown=receiver_clean_shutdown, confirmed_clean_shutdown=view.confirmed_clean_shutdown)
+    return message._replace(
+        clean_shutdown=view.shutting_down_cleanly,
+        receiver_clean_shutdown=receiver_clean_shutdown,
+        confirmed_clean_shutdown=view.confirmed_clean_shutdown,
+    )
 
 
-def receive_message(view: TierView, message: PeerMessage, uptime: float) -> tuple[TierView, tuple[int, float] | None]:
+def receive_message(
+    view: TierView, message: PeerMessage, uptime: float
+) -> tuple[TierView, tuple[int, float] | None]:
     """Takes a message into account.
 
     Also returns the nonce and uptime to echo in an immediate answer, if the sender has not heard this run
     yet.
     """
-    if message.receiver != view.own_number or message.sender == view.own_number or not 0 <= message.sender < len(view.peers):
+    if (
+        message.receiver != view.own_number
+        or message.sender == view.own_number
+        or not 0 <= message.sender < len(view.peers)
+    ):
         return view, None
     peer = view.peers[message.sender]
     known_run = max(peer.known_run, peer.run)
     if message.run < known_run and message.nonce != peer.nonce:
-        return view, (message.nonce, message.uptime)  # a past run, or one with an old snapshot: it has to be told
-    peer = peer._replace(echo_nonce=message.nonce, echo_uptime=message.uptime, known_run=max(known_run, message.run))
+        return view, (
+            message.nonce,
+            message.uptime,
+        )  # a past run, or one with an old snapshot: it has to be told
+    peer = peer._replace(
+        echo_nonce=message.nonce, echo_uptime=message.uptime, known_run=max(known_run, message.run)
+    )
     verified = message.echo_nonce == view.nonce
     if verified:
         peer = _apply_verified(peer, message, uptime)
@@ -223,10 +255,24 @@
         if message.receiver_run > view.run:
             # It knows a later run of ours than our snapshot does: the snapshot is old and proves nothing.
             run = min(message.receiver_run + 1, MAX_COUNTER)
-            view = view._replace(run=run, runs_before_stop=(-1,) * len(view.runs_before_stop), snapshot_outdated=True, confirmed_clean_shutdown=False)
-        elif message.receiver_clean_shutdown and message.survived and message.receiver_run == view.run and not view.snapshot_outdated:
+            view = view._replace(
+                run=run,
+                runs_before_stop=(-1,) * len(view.runs_before_stop),
+                snapshot_outdated=True,
+                confirmed_clean_shutdown=False,
+            )
+        elif (
+            message.receiver_clean_shutdown
+            and message.survived
+            and message.receiver_run == view.run
+            and not view.snapshot_outdated
+        ):
             view = view._replace(confirmed_clean_shutdown=True)
-        view = view._replace(epoch=max(view.epoch, message.epoch), zone_servers_survived=view.zone_servers_survived or (message.zone_servers_survived and message.survived))
+        view = view._replace(
+            epoch=max(view.epoch, message.epoch),
+            zone_servers_survived=view.zone_servers_survived
+            or (message.zone_servers_survived and message.survived),
+        )
         view = _update_verdict(view, uptime)
     return view, None if verified else (message.nonce, message.uptime)
 
@@ -293,7 +339,10 @@
         view.confirmed_clean_shutdown
         and view.zone_servers_survived
         and not view.snapshot_outdated
-        and all(view.peers[n].confirmed_clean_shutdown and view.peers[n].run <= view.stored_runs[n] + 1 for n in zone_peers)
+        and all(
+            view.peers[n].confirmed_clean_shutdown and view.peers[n].run <= view.stored_runs[n] + 1
+            for n in zone_peers
+        )
     )
 
 
@@ -329,7 +378,9 @@
     if view.verdict is Verdict.ALL:
         return view
     verdict = _evaluate(view, uptime >= view.decision_deadline)
-    if view.verdict is Verdict.ZONE and not (verdict is Verdict.LONE and zone_shut_down_cleanly(view, _zone_peers(view))):
+    if view.verdict is Verdict.ZONE and not (
+        verdict is Verdict.LONE and zone_shut_down_cleanly(view, _zone_peers(view))
+    ):
         return view
     if verdict is view.verdict or verdict is Verdict.DECIDING:
         return view
@@ -346,7 +397,11 @@
 
 def _zone_peers(view: TierView) -> list[int]:
     """The other routers of our zone that were heard."""
-    return [n for n, peer in enumerate(view.peers) if n != view.own_number and peer.nonce and peer.zone == view.zone]
+    return [
+        n
+        for n, peer in enumerate(view.peers)
+        if n != view.own_number and peer.nonce and peer.zone == view.zone
+    ]
 
 
 def _evaluate(view: TierView, deadline_passed: bool) -> Verdict:
--- a/gaugehinge/recovery/retry_fencing.py
+++ b/gaugehinge/recovery/retry_fencing.py
@@ -47,7 +47,9 @@
         self.fenced_until = [now + retention if retention else -inf for retention in self.retention]
         self.keys_lost_at = now  # when servers last lost keys, as far as is known
         self.fresh_keys: OrderedDict[bytes, None] = OrderedDict()
-        self.servers: dict[int, tuple[EndpointEntry, float]] = {}  # entry and restart time of each listed server
+        self.servers: dict[
+            int, tuple[EndpointEntry, float]
+        ] = {}  # entry and restart time of each listed server
         self.rejected = 0
         self.log_lines: list[str] = []  # written to the log and cleared by the driver
 
@@ -90,7 +92,9 @@
                 self.servers[entry.ident] = (entry, now)
         for row, traffic_type in enumerate(self.traffic_types):
             if traffic_type.effect is Effect.WITH_IDEMPOTENCY_KEY:
-                self._extend(row, self._group_lost_at(traffic_type.deduplication_scope, now - self.retention[row]), now)
+                self._extend(
+                    row, self._group_lost_at(traffic_type.deduplication_scope, now - self.retention[row]), now
+                )
 
     def suspect_server(self, ident: int, now: float) -> list[int]:
         """Records that a server may have lost its keys, whatever the list says so far.
@@ -105,7 +109,9 @@
         rows = []
         for row, traffic_type in enumerate(self.traffic_types):
             if traffic_type.effect is Effect.WITH_IDEMPOTENCY_KEY:
-                keys_lost_at = self._group_lost_at(traffic_type.deduplication_scope, now - self.retention[row])
+                keys_lost_at = self._group_lost_at(
+                    traffic_type.deduplication_scope, now - self.retention[row]
+                )
                 self._extend(row, keys_lost_at, now)
                 if keys_lost_at == now:
                     rows.append(row)
@@ -126,14 +132,18 @@
                 else entry.cell
             )
             restarts_by_group.setdefault(group, []).append(restarted_at)
-        return max((max(times) for times in restarts_by_group.values() if min(times) > earliest), default=-inf)
+        return max(
+            (max(times) for times in restarts_by_group.values() if min(times) > earliest), default=-inf
+        )
 
     def _extend(self, row: int, keys_lost_at: float, now: float) -> None:
         fenced_until = keys_lost_at + self.retention[row]
         if fenced_until <= self.fenced_until[row]:
             return
         if self.fenced_until[row] < now:
-            self.log_lines.append(f"marks lost: retries of traffic type {row} rejected for {fenced_until - now:.1f} s")
+            self.log_lines.append(
+                f"marks lost: retries of traffic type {row} rejected for {fenced_until - now:.1f} s"
+            )
         if keys_lost_at > self.keys_lost_at:
             self.keys_lost_at = keys_lost_at
             self.fresh_keys.clear()
--- a/gaugehinge/recovery/staleness_rules.py
+++ b/gaugehinge/recovery/staleness_rules.py
@@ -85,8 +85,15 @@
         "the origin is loaded beyond its limit",
         "the floor is used until the control plane answers",
     ),
-    StateItem("leases", TrustRule.DISCARDED, "two routers act where only one may", "as for placement and grants"),
-    StateItem("marks", TrustRule.DISCARDED, "an effect takes place twice", "retries are rejected for the deduplication window"),
+    StateItem(
+        "leases", TrustRule.DISCARDED, "two routers act where only one may", "as for placement and grants"
+    ),
+    StateItem(
+        "marks",
+        TrustRule.DISCARDED,
+        "an effect takes place twice",
+        "retries are rejected for the deduplication window",
+    ),
     StateItem(
         "wall",
         TrustRule.DECAYING,
@@ -141,7 +148,12 @@
 
 
 def estimated_start_time(
-    listed: float, previous: float | None, router_started: float, fleet_survived: bool, correction: float, now: float
+    listed: float,
+    previous: float | None,
+    router_started: float,
+    fleet_survived: bool,
+    correction: float,
+    now: float,
 ) -> float:
     """When a server started, by the own clock, in seconds; 0: long ago.
 
@@ -184,7 +196,9 @@
     return AnswerStatus.CURRENT
 
 
-def classify_list(known_rev: int, known_starts: Mapping[str, float], rev: int, listed: Mapping[str, float]) -> AnswerStatus:
+def classify_list(
+    known_rev: int, known_starts: Mapping[str, float], rev: int, listed: Mapping[str, float]
+) -> AnswerStatus:
     """Classifies a complete list by its revision (-1: none) and the start times of its servers by uid.
 
     A lower revision alone proves nothing: discovery may count from the start again after its own loss. A list
@@ -244,7 +258,12 @@
     """
     return max(
         reports,
-        key=lambda report: (report.epoch, report.verdict.fleet_survived or report.ready, report.store_revision, report.list_rev),
+        key=lambda report: (
+            report.epoch,
+            report.verdict.fleet_survived or report.ready,
+            report.store_revision,
+            report.list_rev,
+        ),
         default=None,
     )
 
@@ -255,4 +274,7 @@
     That is so once one that survived and is ready has reported, or more than half of the tier (this router
     included) is known.
     """
-    return any(report.verdict.fleet_survived and report.ready for report in reports) or 2 * (len(reports) + 1) > routers
+    return (
+        any(report.verdict.fleet_survived and report.ready for report in reports)
+        or 2 * (len(reports) + 1) > routers
+    )
--- a/gaugehinge/recovery/startup_spreading.py
+++ b/gaugehinge/recovery/startup_spreading.py
@@ -40,7 +40,8 @@
     position = (own_number * GOLDEN_RATIO) % 1.0
     return StartupDelays(
         spread_window(routers, DISCOVERY_CALLS_PER_SECOND) * position,
-        spread_window(routers, CONTROL_PLANE_CALLS_PER_SECOND) * ((position + 0.5) % 1.0),  # not both at the same time
+        spread_window(routers, CONTROL_PLANE_CALLS_PER_SECOND)
+        * ((position + 0.5) % 1.0),  # not both at the same time
         ROUND_INTERVAL * position,
     )
 
@@ -54,7 +55,9 @@
     window = spread_window(routers, calls_per_second)
     if window <= 0.0:
         return routers
-    return min(routers, ceil(routers * min(1.0, (span + start_spread) / window)) + 2)  # 2: unevenness of the positions
+    return min(
+        routers, ceil(routers * min(1.0, (span + start_spread) / window)) + 2
+    )  # 2: unevenness of the positions
 
 
 def peers_in_round(own_number: int, routers: int, round_number: int, heard_enough: bool) -> list[int]:
@@ -63,7 +66,15 @@
     others = routers - 1
     if others <= 0:
         return []
-    count = min(others, max(int((STEADY_MESSAGES_PER_SECOND if heard_enough else STARTUP_MESSAGES_PER_SECOND) * ROUND_INTERVAL), 1))
+    count = min(
+        others,
+        max(
+            int(
+                (STEADY_MESSAGES_PER_SECOND if heard_enough else STARTUP_MESSAGES_PER_SECOND) * ROUND_INTERVAL
+            ),
+            1,
+        ),
+    )
     return [(own_number + 1 + (round_number * count + offset) % others) % routers for offset in range(count)]
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -127,13 +127,25 @@
 
 def test_ages_and_beliefs():
     old = kept()
-    assert staleness_rules.snapshot_age(old, 99.0, 530.0, "boot-1") == staleness_rules.SnapshotAge(30.0, True)  # the wall clock is not asked
-    assert staleness_rules.snapshot_age(old, 1060.0, 3.0, "boot-2") == staleness_rules.SnapshotAge(60.0, False)
+    assert staleness_rules.snapshot_age(old, 99.0, 530.0, "boot-1") == staleness_rules.SnapshotAge(
+        30.0, True
+    )  # the wall clock is not asked
+    assert staleness_rules.snapshot_age(old, 1060.0, 3.0, "boot-2") == staleness_rules.SnapshotAge(
+        60.0, False
+    )
     back = staleness_rules.snapshot_age(old, 900.0, 3.0, "boot-2")
-    assert not back.from_monotonic_clock and staleness_rules.confidence("learnt", back) == 0.0 == staleness_rules.confidence("lately", back)
+    assert not back.from_monotonic_clock and staleness_rules.confidence(
+        "learnt", back
+    ) == 0.0 == staleness_rules.confidence("lately", back)
     fresh, month = staleness_rules.SnapshotAge(10.0, True), staleness_rules.SnapshotAge(30 * 86400.0, False)
-    assert staleness_rules.confidence("learnt", fresh) > 0.99 and staleness_rules.confidence("learnt", month) < 1e-6
-    assert staleness_rules.confidence("lately", fresh) == 1.0 and staleness_rules.confidence("lately", month) == 0.0
+    assert (
+        staleness_rules.confidence("learnt", fresh) > 0.99
+        and staleness_rules.confidence("learnt", month) < 1e-6
+    )
+    assert (
+        staleness_rules.confidence("lately", fresh) == 1.0
+        and staleness_rules.confidence("lately", month) == 0.0
+    )
     assert staleness_rules.confidence("run", fresh) == 1.0
     assert not any(staleness_rules.confidence(name, fresh) for name in ("list", "leases", "grants", "marks"))
 
@@ -146,10 +158,16 @@
         # No peer has spoken yet, and the list tells a start that is not the one that was known.
         believed = staleness_rules.estimated_start_time(started, 4.0, own_began, False, 0.0, own_began)
         assert own_began - believed <= 0.0  # it counts as just started, whatever the clock says
-        assert staleness_rules.estimated_start_time(started, 4.0, own_began, True, -off, own_began) == started + off
+        assert (
+            staleness_rules.estimated_start_time(started, 4.0, own_began, True, -off, own_began)
+            == started + off
+        )
     # Most of the fleet goes an hour behind the servers' clock: a start is no later than it was told of.
     for lived in (False, True):
-        assert staleness_rules.estimated_start_time(began + 3600.0, 4.0, began, lived, 0.0, began + 2.0) == began + 2.0
+        assert (
+            staleness_rules.estimated_start_time(began + 3600.0, 4.0, began, lived, 0.0, began + 2.0)
+            == began + 2.0
+        )
     naive = started  # without the rule: an hour of age, and a budget of a warm server
     assert began + 3600.0 - naive > 3600.0
     assert staleness_rules.clock_correction(0.0, [3600.0]) == 0.0  # one other says nothing of who is right
@@ -160,14 +178,18 @@
     older, same = staleness_rules.AnswerStatus.OLDER, staleness_rules.AnswerStatus.CURRENT
     assert staleness_rules.classify_list(9, known, 4, {"a": 5.0, "b": 20.0}) is older
     assert staleness_rules.classify_list(9, known, 4, {"a": 10.0, "gone": 15.0}) is older
-    assert staleness_rules.classify_list(9, known, 1, {"a": 30.0, "b": 31.0, "new": 32.0}) is same  # it counts anew
+    assert (
+        staleness_rules.classify_list(9, known, 1, {"a": 30.0, "b": 31.0, "new": 32.0}) is same
+    )  # it counts anew
     assert staleness_rules.classify_list(9, known, 10, {"a": 5.0}) is same
     store = staleness_rules.KnownStore("s1", 20, {"1": "acme", "2": "bolt"})
     assert staleness_rules.classify_feed(store, "s1", 12, True) is older
     assert staleness_rules.classify_feed(store, "s1", 20, False) is same
     assert staleness_rules.classify_feed(store, "s2", 3, True) is staleness_rules.AnswerStatus.OTHER_STORE
     assert staleness_rules.reassigned_incarnations(store, [(1, "acme"), (2, "coda"), (3, "dune")]) == [2]
-    after = staleness_rules.remember_incarnations(store, [(n, f"t{n}") for n in range(3, 3 + staleness_rules.MAX_INCARNATIONS)])
+    after = staleness_rules.remember_incarnations(
+        store, [(n, f"t{n}") for n in range(3, 3 + staleness_rules.MAX_INCARNATIONS)]
+    )
     assert len(after.incarnations) == staleness_rules.MAX_INCARNATIONS and after.incarnation_floor == 2
     assert staleness_rules.reassigned_incarnations(after, [(1, "acme"), (9, "t9")]) == [1]
 
@@ -179,9 +201,14 @@
 def test_of_answers_that_contradict_the_epoch_counts_then_who_lived_on():
     low, high = said(1, True, revision=90), said(2, revision=40)
     lived = said(2, verdict=Verdict.LONE, revision=30)
-    assert staleness_rules.most_authoritative([low, high]) is high and staleness_rules.most_authoritative([low, high, lived]) is lived
+    assert (
+        staleness_rules.most_authoritative([low, high]) is high
+        and staleness_rules.most_authoritative([low, high, lived]) is lived
+    )
     assert staleness_rules.most_authoritative([]) is None
-    assert staleness_rules.heard_enough([said(1, True, Verdict.LONE)], 9) and not staleness_rules.heard_enough([low, high], 9)
+    assert staleness_rules.heard_enough(
+        [said(1, True, Verdict.LONE)], 9
+    ) and not staleness_rules.heard_enough([low, high], 9)
 
 
 # ---------------------------------------------------------------- evidence
@@ -201,8 +228,13 @@
 def test_silence_is_no_loss_elsewhere():
     mind = restart_scope.initial_view(0, 1, 3, 11, (3, 9, 9), (-1, 9, 9), 3.0, 0)
     for mark, run in ((22, 10), (23, 11)):
-        mind, _ = restart_scope.receive_message(mind, PeerMessage(1, 0, 1, run, mark, 1.0, 11, 0.0), float(run))
-    assert restart_scope.recent_peer_restarts(mind, 12.0, 5.0) == 1 and restart_scope.recent_peer_restarts(mind, 60.0, 5.0) == 0
+        mind, _ = restart_scope.receive_message(
+            mind, PeerMessage(1, 0, 1, run, mark, 1.0, 11, 0.0), float(run)
+        )
+    assert (
+        restart_scope.recent_peer_restarts(mind, 12.0, 5.0) == 1
+        and restart_scope.recent_peer_restarts(mind, 60.0, 5.0) == 0
+    )
 
 
 def heard(mind, *words):
@@ -216,9 +248,14 @@
     last = PeerMessage(1, 0, 1, 10, 22, 4.0, 11, 4.0, clean_shutdown=True)
     mind = heard(mind, (last, 4.1), (last, 9.0), (PeerMessage(1, 0, 1, 11, 23, 1.0, 11, 9.5), 9.6))
     assert restart_scope.downtime(mind, 1) == (4.0, 9.6)  # and not from 9.0 on
-    assert restart_scope.build_message(mind, 1, 9.7).receiver_clean_shutdown and not restart_scope.build_message(mind, 2, 9.7).receiver_clean_shutdown
+    assert (
+        restart_scope.build_message(mind, 1, 9.7).receiver_clean_shutdown
+        and not restart_scope.build_message(mind, 2, 9.7).receiver_clean_shutdown
+    )
     mind = heard(mind, (PeerMessage(1, 0, 1, 13, 24, 1.0, 11, 11.0), 11.2))
-    assert not restart_scope.build_message(mind, 1, 11.3).receiver_clean_shutdown  # run 12 was never heard: nobody knows how it ended
+    assert not restart_scope.build_message(
+        mind, 1, 11.3
+    ).receiver_clean_shutdown  # run 12 was never heard: nobody knows how it ended
 
 
 # ---------------------------------------------------------------- servers' lives
@@ -241,7 +278,9 @@
     assert not lives.connect_failed(1, True, True, 9.0)  # the other is long ago, and a connection stands
     assert lives.connect_failed(1, False, True, 10.0)
     assert not lives.connect_failed(1, False, True, 11.0)  # it is down still, and loses nothing more
-    assert not lives.connection_broke(1, False, True, 20.0) and not lives.connection_broke(1, False, False, 20.01)  # both were idle
+    assert not lives.connection_broke(1, False, True, 20.0) and not lives.connection_broke(
+        1, False, False, 20.01
+    )  # both were idle
     assert lives.connection_broke(1, True, False, 20.02)
     assert lives.connect_failed(2, False, True, 1.0)  # where the fleet lived on it may have been up before
 
@@ -251,7 +290,8 @@
 
 def calls(routers: int, starts: list[float], spread=True) -> list[float]:
     return sorted(
-        at + (startup_spreading.startup_delays(n, routers).discovery if spread else 0.0) for n, at in enumerate(starts)
+        at + (startup_spreading.startup_delays(n, routers).discovery if spread else 0.0)
+        for n, at in enumerate(starts)
     )
 
 
@@ -262,13 +302,21 @@
 @pytest.mark.parametrize("routers", [2, 10, 200, 1000])
 def test_routers_that_start_together_do_not_herd(routers):
     at_once = most_within(calls(routers, [0.0] * routers), 0.1)
-    assert at_once <= startup_spreading.max_calls_within(routers, startup_spreading.DISCOVERY_CALLS_PER_SECOND, 0.1, 0.0) <= 13
-    worst = startup_spreading.max_calls_within(routers, startup_spreading.DISCOVERY_CALLS_PER_SECOND, 0.1, 1.0)
+    assert (
+        at_once
+        <= startup_spreading.max_calls_within(routers, startup_spreading.DISCOVERY_CALLS_PER_SECOND, 0.1, 0.0)
+        <= 13
+    )
+    worst = startup_spreading.max_calls_within(
+        routers, startup_spreading.DISCOVERY_CALLS_PER_SECOND, 0.1, 1.0
+    )
     draw = random.Random(4)
     for _ in range(20 if routers <= 200 else 2):
         starts = [draw.random() for _ in range(routers)]
         assert most_within(calls(routers, starts), 0.1) <= min(worst, 40)
-    spiteful = [1.0 - min(startup_spreading.startup_delays(n, routers).discovery, 1.0) for n in range(routers)]
+    spiteful = [
+        1.0 - min(startup_spreading.startup_delays(n, routers).discovery, 1.0) for n in range(routers)
+    ]
     assert most_within(calls(routers, spiteful), 0.1) <= worst
     if routers == 200:  # without the places all come in one instant
         assert most_within(calls(routers, [0.0] * routers, spread=False), 0.1) == 200
@@ -277,7 +325,10 @@
 def test_every_peer_is_told_in_turn_and_enough_means_fewer():
     told = [n for turn in range(13) for n in startup_spreading.peers_in_round(5, 200, turn, False)]
     assert set(told) == set(range(200)) - {5} and len(told) == 13 * 16
-    assert len(startup_spreading.peers_in_round(5, 200, 0, True)) == 1 and startup_spreading.peers_in_round(0, 1, 0, False) == []
+    assert (
+        len(startup_spreading.peers_in_round(5, 200, 0, True)) == 1
+        and startup_spreading.peers_in_round(0, 1, 0, False) == []
+    )
     cycle = [n for turn in range(9) for n in startup_spreading.peers_in_round(0, 10, turn, True)]
     assert set(cycle) == set(range(1, 10))
 
@@ -293,7 +344,9 @@
 def test_repeats_get_a_final_answer_for_the_memory_and_first_tries_do_not():
     made = effects()
     assert made.must_reject(1, True, True, b"m1", 100.1) and made.must_reject(2, True, True, b"", 100.1)
-    assert not made.must_reject(0, False, True, b"", 100.1) and not made.must_reject(1, True, False, b"m2", 100.1)
+    assert not made.must_reject(0, False, True, b"", 100.1) and not made.must_reject(
+        1, True, False, b"m2", 100.1
+    )
     assert not made.must_reject(1, True, True, b"m2", 100.5)  # its first try came after the loss
     assert not made.must_reject(2, True, True, b"", 105.0) and made.must_reject(1, True, True, b"m1", 108.9)
     assert not made.must_reject(1, True, True, b"m1", 109.0) and made.rejected == 3
@@ -737,7 +790,9 @@
         )
         assert recovery.mind.verdict is Verdict.DECIDING
         peer = restart_scope.initial_view(1, recovery.mind.zone, 5, 77, (0, 5), (-1, -1), 3.0, 6)
-        peer = restart_scope.receive_message(peer, restart_scope.build_message(recovery.mind, 1, 0.0), 40.0)[0]
+        peer = restart_scope.receive_message(peer, restart_scope.build_message(recovery.mind, 1, 0.0), 40.0)[
+            0
+        ]
         assert "recovering" in repr(made.service.lifecycle.phase).lower()
         dispatcher.on_gossip(1, Wire(b"wrong key" * 2).write(restart_scope.build_message(peer, 0, 40.0)))
         assert recovery.wire.dropped["mark"] == 1 and recovery.mind.epoch == 0
--- a/tests/test_recovery_model.py
+++ b/tests/test_recovery_model.py
@@ -74,9 +74,18 @@
     router = world.routers[number]
     stored = router.stored._replace(run=router.stored.run + 1)
     view = restart_scope.initial_view(
-        number, ZONES[number], stored.run, world.nonces_drawn + 1, stored.known_runs, stored.recent_runs, DECISION_DEADLINE, stored.epoch
+        number,
+        ZONES[number],
+        stored.run,
+        world.nonces_drawn + 1,
+        stored.known_runs,
+        stored.recent_runs,
+        DECISION_DEADLINE,
+        stored.epoch,
+    )
+    new = router._replace(
+        view=view, stored=stored._replace(recent_runs=(-1,) * ROUTER_COUNT), started=world.tick
     )
-    new = router._replace(view=view, stored=stored._replace(recent_runs=(-1,) * ROUTER_COUNT), started=world.tick)
     return world._replace(routers=replaced(world.routers, number, new), nonces_drawn=world.nonces_drawn + 1)
 
 
@@ -89,29 +98,43 @@
     crashed_at = router.crashed_at if clean else world.tick
     alive = sum(1 << n for n, each in enumerate(world.routers) if each.view is not None and n != number)
     late_messages = tuple(
-        build_message(world, number, n // ROUTER_COUNT) if n % ROUTER_COUNT == number and n // ROUTER_COUNT != number and (clean or not world.clean_messages_only) else message
+        build_message(world, number, n // ROUTER_COUNT)
+        if n % ROUTER_COUNT == number
+        and n // ROUTER_COUNT != number
+        and (clean or not world.clean_messages_only)
+        else message
         for n, message in enumerate(world.late_messages)
     )
     routers = [
         each._replace(survivors=each.survivors & ~(1 << number)) if each.view is None else each
         for each in world.routers
     ]
-    routers[number] = router._replace(view=None, ended=world.tick, survivors=alive, clean_shutdown=clean, crashed_at=crashed_at)
+    routers[number] = router._replace(
+        view=None, ended=world.tick, survivors=alive, clean_shutdown=clean, crashed_at=crashed_at
+    )
     return world._replace(routers=tuple(routers), late_messages=late_messages)
 
 
 @lru_cache(300_000)  # the same exchange takes place in many worlds
-def exchange(sender: Router, receiver: Router, tick: int, reply_arrives: bool, zone_lost_at: int) -> tuple[Router, Router]:
+def exchange(
+    sender: Router, receiver: Router, tick: int, reply_arrives: bool, zone_lost_at: int
+) -> tuple[Router, Router]:
     """Sends one message; the receiver answers immediately if an answer is due."""
     downtime, other_fields = restart_scope.downtime(sender.view, receiver.view.own_number), {}
     if downtime is not None and zone_lost_at < sender.started + downtime[0]:
         other_fields = {"zone_servers_survived": True}  # as the sender's connections to servers would prove
-    message = restart_scope.build_message(sender.view, receiver.view.own_number, float(tick - sender.started), **other_fields)
+    message = restart_scope.build_message(
+        sender.view, receiver.view.own_number, float(tick - sender.started), **other_fields
+    )
     view, echo = restart_scope.receive_message(receiver.view, message, float(tick - receiver.started))
     receiver = receiver._replace(view=view)
     if echo is not None and reply_arrives:
-        message = restart_scope.build_message(view, sender.view.own_number, float(tick - receiver.started), echo)
-        sender = sender._replace(view=restart_scope.receive_message(sender.view, message, float(tick - sender.started))[0])
+        message = restart_scope.build_message(
+            view, sender.view.own_number, float(tick - receiver.started), echo
+        )
+        sender = sender._replace(
+            view=restart_scope.receive_message(sender.view, message, float(tick - sender.started))[0]
+        )
     return sender, receiver
 
 
@@ -122,7 +145,9 @@
     view = restart_scope.check_deadline(router.view, uptime)
     known_runs = tuple(max(peer.run, peer.known_run) for peer in view.peers)
     recent_runs = restart_scope.recently_heard_runs(view, uptime, 0.0)
-    return router._replace(view=view, stored=StoredState(view.run, known_runs, recent_runs, view.epoch, control_plane))
+    return router._replace(
+        view=view, stored=StoredState(view.run, known_runs, recent_runs, view.epoch, control_plane)
+    )
 
 
 def advance_tick(world: World, links: frozenset[tuple[int, int]]) -> World:
@@ -131,7 +156,9 @@
     for sender, receiver in sorted(links):
         if routers[sender].view is not None and routers[receiver].view is not None:
             reply_arrives = (receiver, sender) in links
-            routers[sender], routers[receiver] = exchange(routers[sender], routers[receiver], tick, reply_arrives, world.zone_lost_at)
+            routers[sender], routers[receiver] = exchange(
+                routers[sender], routers[receiver], tick, reply_arrives, world.zone_lost_at
+            )
     for n, router in enumerate(routers):
         if router.view is not None:
             routers[n] = after_tick(router, tick, world.control_plane)
@@ -144,7 +171,9 @@
     for mask in range(8)
 ]
 ALL_LINKS = LINK_SETS[-1]
-LINK_SETS += [ALL_LINKS - {link} for link in sorted(ALL_LINKS)]  # and all links except one direction of one pair
+LINK_SETS += [
+    ALL_LINKS - {link} for link in sorted(ALL_LINKS)
+]  # and all links except one direction of one pair
 
 
 def successors(world: World, ticks: int, control_plane: bool, link_sets=LINK_SETS):
@@ -162,7 +191,9 @@
             yield stop_router(world._replace(crashes_left=world.crashes_left - 1), number)
         if control_plane and router.view is not None and router.stored.control_plane:
             view = restart_scope.receive_control_plane(
-                router.view, router.stored.control_plane == world.control_plane, float(world.tick - router.started)
+                router.view,
+                router.stored.control_plane == world.control_plane,
+                float(world.tick - router.started),
             )
             yield world._replace(routers=replaced(world.routers, number, router._replace(view=view)))
     for number, router in enumerate(world.routers):
@@ -179,7 +210,9 @@
                 after_loss = stop_router(after_loss, number)
         yield after_loss
     if world.crashes_left and sum(router.view is not None for router in world.routers) > 1:
-        after_loss = world._replace(crashes_left=world.crashes_left - 1, control_plane=world.control_plane + control_plane)
+        after_loss = world._replace(
+            crashes_left=world.crashes_left - 1, control_plane=world.control_plane + control_plane
+        )
         for number, router in enumerate(world.routers):
             if router.view is not None:
                 after_loss = stop_router(after_loss, number)
@@ -197,7 +230,9 @@
         old = previous_world.routers[number].view
         if router.ended < 0 or (old is not None and old.verdict is view.verdict):
             continue
-        survived = [other.view is not None and other.started < router.ended - SLACK for other in world.routers]
+        survived = [
+            other.view is not None and other.started < router.ended - SLACK for other in world.routers
+        ]
         survived[number] = False
         if view.verdict.fleet_survived and not router.survivors:
             return f"{number} claims {view.verdict.name}, but nobody survived its end"
@@ -211,9 +246,16 @@
             return f"{number} claims ZONE, but a router of its zone survived"
         zone_peers = [n for n in range(ROUTER_COUNT) if n != number and ZONES[n] == ZONES[number]]
         heard = all(view.peers[n].nonce for n in range(ROUTER_COUNT) if n != number)
-        if view.verdict is Verdict.LONE and zone_peers and heard and all(restart_scope.proved_restarted(view, n) for n in zone_peers):
+        if (
+            view.verdict is Verdict.LONE
+            and zone_peers
+            and heard
+            and all(restart_scope.proved_restarted(view, n) for n in zone_peers)
+        ):
             stopped, started = router.ended, router.started
-            if not router.clean_shutdown or any(stopped <= world.routers[n].crashed_at < started for n in zone_peers):
+            if not router.clean_shutdown or any(
+                stopped <= world.routers[n].crashed_at < started for n in zone_peers
+            ):
                 return f"{number} claims LONE, but a router of its zone ended with operations in flight"
             if stopped <= world.zone_lost_at <= started:
                 return f"{number} claims LONE, but its zone lost power"
@@ -222,7 +264,15 @@
 
 def initial_world(crashes_left: int, **fields: int) -> World:
     """All routers are up and have heard each other."""
-    world = World(0, (Router(None, StoredState()),) * ROUTER_COUNT, (None,) * (ROUTER_COUNT * ROUTER_COUNT), 1, crashes_left, 0, **fields)
+    world = World(
+        0,
+        (Router(None, StoredState()),) * ROUTER_COUNT,
+        (None,) * (ROUTER_COUNT * ROUTER_COUNT),
+        1,
+        crashes_left,
+        0,
+        **fields,
+    )
     for number in range(ROUTER_COUNT):
         world = start_router(world, number)
     return advance_tick(advance_tick(world, ALL_LINKS), ALL_LINKS)._replace(tick=2)
@@ -283,7 +333,10 @@
         "both were rolled, and the zone": (rolled._replace(zone_losses_left=1), 3),
         "both were rolled": (rolled._replace(crashes_left=1), 3),
         "one was rolled and is back": (returned._replace(crashes_left=1), 3),
-        "one fell while the other was away": (restart(stop_router(half, 1), 1)._replace(shutdowns_left=1, **silent), 3),
+        "one fell while the other was away": (
+            restart(stop_router(half, 1), 1)._replace(shutdowns_left=1, **silent),
+            3,
+        ),
         "one was rolled, one was told to end amid its work": (busy._replace(crashes_left=1), 3),
         "one was rolled, and the zone": (half._replace(shutdowns_left=1, zone_losses_left=1), 2),
         "one was rolled": (half._replace(crashes_left=1, shutdowns_left=1), 2),
@@ -298,7 +351,9 @@
     verdicts = {}
     for zone_lost_at in (-1, 2):
         world = clean_shutdown_worlds()["both were rolled"][0]
-        world = world._replace(zone_lost_at=zone_lost_at)  # when both had announced their end: no router is stopped by it
+        world = world._replace(
+            zone_lost_at=zone_lost_at
+        )  # when both had announced their end: no router is stopped by it
         world = start_router(start_router(advance_tick(world, ALL_LINKS), 0), 1)
         for _ in range(4):
             world = advance_tick(world, ALL_LINKS)
@@ -310,7 +365,9 @@
     exchange.cache_clear(), after_tick.cache_clear()
     found = 0
     for name, (world, ticks) in clean_shutdown_worlds().items():
-        states, _, claim = search(world, world.tick + ticks, max_states=MAX_CLEAN_SHUTDOWN_STATES, link_sets=FEW_LINK_SETS)
+        states, _, claim = search(
+            world, world.tick + ticks, max_states=MAX_CLEAN_SHUTDOWN_STATES, link_sets=FEW_LINK_SETS
+        )
         assert not claim, (name, claim)
         found += states
     assert found > 40_000
@@ -329,7 +386,9 @@
 def echo_not_checked(monkeypatch):
     receive_message = restart_scope.receive_message
     monkeypatch.setattr(
-        restart_scope, "receive_message", lambda view, message, uptime: receive_message(view, message._replace(echo_nonce=view.nonce), uptime)
+        restart_scope,
+        "receive_message",
+        lambda view, message, uptime: receive_message(view, message._replace(echo_nonce=view.nonce), uptime),
     )
 
 
@@ -344,7 +403,11 @@
 
 def silence_counts_as_restart(monkeypatch):
     proved_restarted = restart_scope.proved_restarted
-    monkeypatch.setattr(restart_scope, "proved_restarted", lambda view, n: not view.peers[n].nonce or proved_restarted(view, n))
+    monkeypatch.setattr(
+        restart_scope,
+        "proved_restarted",
+        lambda view, n: not view.peers[n].nonce or proved_restarted(view, n),
+    )
 
 
 def apart_reported_as_most(monkeypatch):
@@ -361,7 +424,9 @@
     receive_message = restart_scope.receive_message
 
     def faulty_receive(view, message, uptime):
-        return receive_message(view, message._replace(survived=message.survived or message.uptime > uptime), uptime)
+        return receive_message(
+            view, message._replace(survived=message.survived or message.uptime > uptime), uptime
+        )
 
     monkeypatch.setattr(restart_scope, "receive_message", faulty_receive)
 
@@ -371,7 +436,9 @@
 
 
 def clean_shutdown_with_operations_in_flight(monkeypatch):
-    monkeypatch.setattr(restart_scope, "begin_shutdown", lambda view, in_flight: view._replace(shutting_down_cleanly=True))
+    monkeypatch.setattr(
+        restart_scope, "begin_shutdown", lambda view, in_flight: view._replace(shutting_down_cleanly=True)
+    )
 
 
 def clean_shutdown_carried_over_to_later_runs(monkeypatch):
@@ -380,7 +447,9 @@
     def faulty_apply(peer, message, uptime):
         updated = apply_verified(peer, message, uptime)
         return updated._replace(
-            previous_clean_shutdown=peer.clean_shutdown or peer.previous_clean_shutdown or updated.previous_clean_shutdown
+            previous_clean_shutdown=peer.clean_shutdown
+            or peer.previous_clean_shutdown
+            or updated.previous_clean_shutdown
         )
 
     monkeypatch.setattr(restart_scope, "_apply_verified", faulty_apply)
@@ -390,19 +459,29 @@
     monkeypatch.setattr(
         restart_scope,
         "zone_shut_down_cleanly",
-        lambda view, zone_peers: view.zone_servers_survived and all(view.peers[n].confirmed_clean_shutdown for n in zone_peers),
+        lambda view, zone_peers: (
+            view.zone_servers_survived and all(view.peers[n].confirmed_clean_shutdown for n in zone_peers)
+        ),
     )
 
 
 def server_survival_not_required(monkeypatch):
     clean_check = restart_scope.zone_shut_down_cleanly
-    monkeypatch.setattr(restart_scope, "zone_shut_down_cleanly", lambda view, zone_peers: clean_check(view._replace(zone_servers_survived=True), zone_peers))
+    monkeypatch.setattr(
+        restart_scope,
+        "zone_shut_down_cleanly",
+        lambda view, zone_peers: clean_check(view._replace(zone_servers_survived=True), zone_peers),
+    )
 
 
 def any_number_of_restarts_since(monkeypatch):
     clean_check = restart_scope.zone_shut_down_cleanly
     many = (restart_scope.MAX_COUNTER,) * ROUTER_COUNT
-    monkeypatch.setattr(restart_scope, "zone_shut_down_cleanly", lambda view, zone_peers: clean_check(view._replace(stored_runs=many), zone_peers))
+    monkeypatch.setattr(
+        restart_scope,
+        "zone_shut_down_cleanly",
+        lambda view, zone_peers: clean_check(view._replace(stored_runs=many), zone_peers),
+    )
 
 
 CLEAN_SHUTDOWN_MUTANTS = [
