--- a/gaugehinge/recovery/incarnations.py
+++ b/gaugehinge/recovery/incarnations.py
@@ -123,9 +123,9 @@
     def connect_failed(self, ident: int, other_connection_up: bool, fleet_survived: bool, now: float) -> bool:
         """Records a failed connection attempt. Returns whether the server may have lost its memory.
 
-        `fleet_survived`: part of the fleet was running throughout this router's restart. A server to which no
-        connection came up in this run has lost nothing during it, and one that is down already loses nothing
-        more.
+        `fleet_survived`: part of the fleet was running throughout this router's restart. If not, a server to
+        which no connection came up in this run has lost nothing during it. A server that is suspected already
+        and still down loses nothing more.
         """
         if (
             not other_connection_up
--- a/gaugehinge/recovery/recovery_ramp.py
+++ b/gaugehinge/recovery/recovery_ramp.py
@@ -310,8 +310,7 @@
             lane.failed += 1
 
     def step(self, warmth: float, now: float) -> None:
-        """Adjusts the lanes every `STEP_INTERVAL`. `warmth`: mean over the servers, 0 just started, 1
-        warm."""
+        """Adjusts the lanes every `STEP_INTERVAL`. `warmth`: mean of the servers, 0 just started, 1 warm."""
         if self.fully_open or self.started_at < 0.0 or now - self.last_step_at < STEP_INTERVAL:
             return
         span, self.last_step_at = now - self.last_step_at, now
--- a/gaugehinge/recovery/restart_scope.py
+++ b/gaugehinge/recovery/restart_scope.py
@@ -240,10 +240,8 @@
     peer = view.peers[message.sender]
     known_run = max(peer.known_run, peer.run)
     if message.run < known_run and message.nonce != peer.nonce:
-        return view, (
-            message.nonce,
-            message.uptime,
-        )  # a past run, or one with an old snapshot: it has to be told
+        # It is a past run, or one with an old snapshot, which has to be told so.
+        return view, (message.nonce, message.uptime)
     peer = peer._replace(
         echo_nonce=message.nonce, echo_uptime=message.uptime, known_run=max(known_run, message.run)
     )
--- a/gaugehinge/recovery/retry_fencing.py
+++ b/gaugehinge/recovery/retry_fencing.py
@@ -36,6 +36,7 @@
         self.traffic_types = deployment.traffic_types
         self.cache_aside = deployment.cache_aside
         self.origin_kind = deployment.origin_kind
+        # By traffic type, seconds for which its retries are rejected after a loss.
         self.retention = [
             traffic_type.deduplication_window
             if traffic_type.effect is Effect.WITH_IDEMPOTENCY_KEY
@@ -47,9 +48,8 @@
         self.fenced_until = [now + retention if retention else -inf for retention in self.retention]
         self.keys_lost_at = now  # when servers last lost keys, as far as is known
         self.fresh_keys: OrderedDict[bytes, None] = OrderedDict()
-        self.servers: dict[
-            int, tuple[EndpointEntry, float]
-        ] = {}  # entry and restart time of each listed server
+        # Entry and restart time of each listed server.
+        self.servers: dict[int, tuple[EndpointEntry, float]] = {}
         self.rejected = 0
         self.log_lines: list[str] = []  # written to the log and cleared by the driver
 
@@ -118,8 +118,7 @@
         return rows
 
     def _group_lost_at(self, scope: DeduplicationScope, earliest: float) -> float:
-        """The latest time by which every server of some group had restarted since `earliest`; -inf: no
-        group."""
+        """The latest time by which all servers of some group had restarted since `earliest`; -inf: none."""
         restarts_by_group: dict[object, list[float]] = {}
         for entry, restarted_at in self.servers.values():
             if self.cache_aside and entry.kind != self.origin_kind:
--- a/gaugehinge/recovery/staleness_rules.py
+++ b/gaugehinge/recovery/staleness_rules.py
@@ -158,7 +158,7 @@
     """When a server started, by the own clock, in seconds; 0: long ago.
 
     `listed`: start time in the list; `previous`: the one in the snapshot's list, or None; `router_started`:
-    when this router started; `fleet_survived`: whether part of the fleet did; `correction`: as by
+    when this router started; `fleet_survived`: whether part of the fleet survived; `correction`: as by
     `clock_correction`; `now`: when the list arrived. A server whose start time differs from the known one has
     restarted: after a loss of the fleet, it did so not long before this router, whatever the clocks say.
     """
--- a/gaugehinge/recovery/startup_spreading.py
+++ b/gaugehinge/recovery/startup_spreading.py
@@ -40,29 +40,26 @@
     position = (own_number * GOLDEN_RATIO) % 1.0
     return StartupDelays(
         spread_window(routers, DISCOVERY_CALLS_PER_SECOND) * position,
-        spread_window(routers, CONTROL_PLANE_CALLS_PER_SECOND)
-        * ((position + 0.5) % 1.0),  # not both at the same time
+        # Half a window apart, so that no router makes both calls at the same time.
+        spread_window(routers, CONTROL_PLANE_CALLS_PER_SECOND) * ((position + 0.5) % 1.0),
         ROUND_INTERVAL * position,
     )
 
 
 def max_calls_within(routers: int, calls_per_second: float, span: float, start_spread: float) -> int:
-    """The most calls that can fall into any `span` seconds if all routers start within `start_spread`
-    seconds.
+    """The most calls that can fall into any `span` seconds if all starts lie within `start_spread` seconds.
 
     Assumes the worst order of starts: every router whose delay lies within `span + start_spread` calls then.
     """
     window = spread_window(routers, calls_per_second)
     if window <= 0.0:
         return routers
-    return min(
-        routers, ceil(routers * min(1.0, (span + start_spread) / window)) + 2
-    )  # 2: unevenness of the positions
+    # 2: unevenness of the positions.
+    return min(routers, ceil(routers * min(1.0, (span + start_spread) / window)) + 2)
 
 
 def peers_in_round(own_number: int, routers: int, round_number: int, heard_enough: bool) -> list[int]:
-    """Peers to send messages to in this round, in turn from the own number on; fewer once enough was
-    heard."""
+    """Peers to message in this round, in turn from the own number on; fewer once enough was heard."""
     others = routers - 1
     if others <= 0:
         return []
