--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -202,7 +202,7 @@
         traffic = operation.traffic_type
         row, write = traffic.row, operation.is_write
         if now < self.effects.fenced_until[row]:
-            final = self.effects.must_reject(
+            final = self.effects.must_fail(
                 row, write, operation.is_client_retry, mark_of(payload.labels), now
             )
             if final and self.mind.verdict is not Verdict.DECIDING:
--- a/gaugehinge/recovery/incarnations.py
+++ b/gaugehinge/recovery/incarnations.py
@@ -50,8 +50,8 @@
         """Forgets connections that are no longer open, and expired spans."""
         if not self.connection_spans.keys() <= open_connections:
             self.connection_spans = {
-                connection: span
-                for connection, span in self.connection_spans.items()
+                connection: first_and_last
+                for connection, first_and_last in self.connection_spans.items()
                 if connection in open_connections
             }
         if self.spans and self.spans[0][1] <= now - SPAN_RETENTION:
--- a/gaugehinge/recovery/recovery_ramp.py
+++ b/gaugehinge/recovery/recovery_ramp.py
@@ -24,10 +24,10 @@
 INCREASE_FACTOR_ABOVE_STEADY = 1.1
 DECREASE_FACTOR = 0.6  # factor on a lane's rate after a step with too many failures
 HOLD_STEPS = 4  # steps after a decrease in which the rate does not rise
-FAILURE_RATIO_TO_DECREASE = (
-    0.2  # failed part of the operations that ended in a step: above it the rate falls,
-)
-MAX_FAILURE_RATIO_TO_INCREASE = 0.05  # and up to this it may rise
+# Failed part of the operations that ended in a step: above this the rate falls,
+FAILURE_RATIO_TO_DECREASE = 0.2
+# and up to this it may rise.
+MAX_FAILURE_RATIO_TO_INCREASE = 0.05
 MIN_FAILURES_TO_DECREASE = 3  # with fewer failures in a step the rate never falls
 # The lanes are no longer needed after this many steps in a row without a rejection,
 QUIET_STEPS_TO_OPEN = 6
@@ -366,9 +366,8 @@
                 MIN_READ_SHARE_OF_ORIGIN * origin_share, MAX_ORIGIN_UTILIZATION * origin_share - write_rate
             )
             rate = min(rate, remaining / max(self.miss_ratio, MIN_MISS_RATIO))
-            self.read_rate_factor = (
-                rate / base_rate
-            )  # or what the origin holds back would come all at once later
+            # Otherwise what the origin holds back would come all at once later.
+            self.read_rate_factor = rate / base_rate
         self.reads.rate = max(rate, MIN_RATE)
 
     def _describe(self, warmth: float) -> str:
--- a/gaugehinge/recovery/retry_fencing.py
+++ b/gaugehinge/recovery/retry_fencing.py
@@ -1,4 +1,4 @@
-"""Rejects retries of operations that may have run before a loss, while servers may have forgotten their keys.
+"""Fails retries of operations that may have run before a loss, while servers may have forgotten their keys.
 
 Clients mark their retries. Servers drop a retry of a deduplicated operation as long as they remember its
 idempotency key (its mark); after a loss they remember none, and it would run again. For the deduplication
@@ -23,7 +23,7 @@
 
 
 class RetryFence:
-    """The time windows, by traffic type, in which retries are rejected.
+    """The time windows, by traffic type, in which retries fail.
 
     Its size grows with the table of traffic types, plus up to `MAX_FRESH_KEYS` keys while a window is active.
     """
@@ -36,7 +36,7 @@
         self.traffic_types = deployment.traffic_types
         self.cache_aside = deployment.cache_aside
         self.origin_kind = deployment.origin_kind
-        # By traffic type, seconds for which its retries are rejected after a loss.
+        # By traffic type, seconds for which its retries fail after a loss.
         self.retention = [
             traffic_type.deduplication_window
             if traffic_type.effect is Effect.WITH_IDEMPOTENCY_KEY
@@ -50,7 +50,7 @@
         self.fresh_keys: OrderedDict[bytes, None] = OrderedDict()
         # Entry and restart time of each listed server.
         self.servers: dict[int, tuple[EndpointEntry, float]] = {}
-        self.rejected = 0
+        self.failed = 0
         self.log_lines: list[str] = []  # written to the log and cleared by the driver
 
     # -- events
@@ -141,7 +141,7 @@
             return
         if self.fenced_until[row] < now:
             self.log_lines.append(
-                f"marks lost: retries of traffic type {row} rejected for {fenced_until - now:.1f} s"
+                f"marks lost: retries of traffic type {row} fail for {fenced_until - now:.1f} s"
             )
         if keys_lost_at > self.keys_lost_at:
             self.keys_lost_at = keys_lost_at
@@ -154,7 +154,7 @@
         """Whether any window is active."""
         return any(now < fenced_until for fenced_until in self.fenced_until)
 
-    def must_reject(self, row: int, is_write: bool, is_retry: bool, key: bytes, now: float) -> bool:
+    def must_fail(self, row: int, is_write: bool, is_retry: bool, key: bytes, now: float) -> bool:
         """Whether an operation that arrives now gets its final answer without an attempt."""
         if now >= self.fenced_until[row]:
             return False
@@ -169,7 +169,7 @@
             return False
         if key and key in self.fresh_keys:
             return False
-        self.rejected += 1
+        self.failed += 1
         return True
 
     def _drop_expired(self, now: float) -> None:
--- a/gaugehinge/recovery/staleness_rules.py
+++ b/gaugehinge/recovery/staleness_rules.py
@@ -92,7 +92,7 @@
         "marks",
         TrustRule.DISCARDED,
         "an effect takes place twice",
-        "retries are rejected for the deduplication window",
+        "retries fail for the deduplication window",
     ),
     StateItem(
         "wall",
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -127,9 +127,8 @@
 
 def test_ages_and_beliefs():
     old = kept()
-    assert staleness_rules.snapshot_age(old, 99.0, 530.0, "boot-1") == staleness_rules.SnapshotAge(
-        30.0, True
-    )  # the wall clock is not asked
+    # the wall clock is not asked
+    assert staleness_rules.snapshot_age(old, 99.0, 530.0, "boot-1") == staleness_rules.SnapshotAge(30.0, True)
     assert staleness_rules.snapshot_age(old, 1060.0, 3.0, "boot-2") == staleness_rules.SnapshotAge(
         60.0, False
     )
@@ -178,9 +177,8 @@
     older, same = staleness_rules.AnswerStatus.OLDER, staleness_rules.AnswerStatus.CURRENT
     assert staleness_rules.classify_list(9, known, 4, {"a": 5.0, "b": 20.0}) is older
     assert staleness_rules.classify_list(9, known, 4, {"a": 10.0, "gone": 15.0}) is older
-    assert (
-        staleness_rules.classify_list(9, known, 1, {"a": 30.0, "b": 31.0, "new": 32.0}) is same
-    )  # it counts anew
+    # it counts anew
+    assert staleness_rules.classify_list(9, known, 1, {"a": 30.0, "b": 31.0, "new": 32.0}) is same
     assert staleness_rules.classify_list(9, known, 10, {"a": 5.0}) is same
     store = staleness_rules.KnownStore("s1", 20, {"1": "acme", "2": "bolt"})
     assert staleness_rules.classify_feed(store, "s1", 12, True) is older
@@ -253,9 +251,8 @@
         and not restart_scope.build_message(mind, 2, 9.7).receiver_clean_shutdown
     )
     mind = heard(mind, (PeerMessage(1, 0, 1, 13, 24, 1.0, 11, 11.0), 11.2))
-    assert not restart_scope.build_message(
-        mind, 1, 11.3
-    ).receiver_clean_shutdown  # run 12 was never heard: nobody knows how it ended
+    # run 12 was never heard: nobody knows how it ended
+    assert not restart_scope.build_message(mind, 1, 11.3).receiver_clean_shutdown
 
 
 # ---------------------------------------------------------------- servers' lives
@@ -278,9 +275,10 @@
     assert not lives.connect_failed(1, True, True, 9.0)  # the other is long ago, and a connection stands
     assert lives.connect_failed(1, False, True, 10.0)
     assert not lives.connect_failed(1, False, True, 11.0)  # it is down still, and loses nothing more
+    # both were idle
     assert not lives.connection_broke(1, False, True, 20.0) and not lives.connection_broke(
         1, False, False, 20.01
-    )  # both were idle
+    )
     assert lives.connection_broke(1, True, False, 20.02)
     assert lives.connect_failed(2, False, True, 1.0)  # where the fleet lived on it may have been up before
 
@@ -343,16 +341,14 @@
 
 def test_repeats_get_a_final_answer_for_the_memory_and_first_tries_do_not():
     made = effects()
-    assert made.must_reject(1, True, True, b"m1", 100.1) and made.must_reject(2, True, True, b"", 100.1)
-    assert not made.must_reject(0, False, True, b"", 100.1) and not made.must_reject(
-        1, True, False, b"m2", 100.1
-    )
-    assert not made.must_reject(1, True, True, b"m2", 100.5)  # its first try came after the loss
-    assert not made.must_reject(2, True, True, b"", 105.0) and made.must_reject(1, True, True, b"m1", 108.9)
-    assert not made.must_reject(1, True, True, b"m1", 109.0) and made.rejected == 3
+    assert made.must_fail(1, True, True, b"m1", 100.1) and made.must_fail(2, True, True, b"", 100.1)
+    assert not made.must_fail(0, False, True, b"", 100.1) and not made.must_fail(1, True, False, b"m2", 100.1)
+    assert not made.must_fail(1, True, True, b"m2", 100.5)  # its first try came after the loss
+    assert not made.must_fail(2, True, True, b"", 105.0) and made.must_fail(1, True, True, b"m1", 108.9)
+    assert not made.must_fail(1, True, True, b"m1", 109.0) and made.failed == 3
     for n in range(MAX_FRESH_KEYS + 5):
         made.fenced_until[1] = 200.0
-        made.must_reject(1, True, False, b"%d" % n, 110.0)
+        made.must_fail(1, True, False, b"%d" % n, 110.0)
     assert len(made.fresh_keys) == MAX_FRESH_KEYS
 
 
@@ -365,14 +361,14 @@
     ):
         made = effects()
         made.apply_verdict(verdict, [], 101.0)
-        assert made.must_reject(1, True, True, b"m", 101.0) is open_ is made.is_active(101.0)
+        assert made.must_fail(1, True, True, b"m", 101.0) is open_ is made.is_active(101.0)
     zone = effects()
     zone.apply_verdict(Verdict.ZONE, [], 101.0)
-    assert not zone.must_reject(1, True, True, b"m", 101.0)  # its group is all servers: some lived
-    assert zone.must_reject(2, True, True, b"", 101.0)
+    assert not zone.must_fail(1, True, True, b"m", 101.0)  # its group is all servers: some lived
+    assert zone.must_fail(2, True, True, b"", 101.0)
     lone = effects()
     lone.apply_verdict(Verdict.LONE, [6.0, 2.5], 101.0)  # peers saw marks lost 6 and 2.5 s ago
-    assert lone.must_reject(1, True, True, b"m", 107.4) and not lone.must_reject(1, True, True, b"m", 107.6)
+    assert lone.must_fail(1, True, True, b"m", 107.4) and not lone.must_fail(1, True, True, b"m", 107.6)
 
 
 @pytest.mark.parametrize("group", list(DeduplicationScope))
@@ -394,7 +390,7 @@
     made.on_endpoints_changed([row(1, started=210.0)], False, 210.0)
     assert not made.is_active(210.0)
     made.on_endpoints_changed([origin_row()._replace(started=211.0)], False, 211.0)
-    assert made.must_reject(1, True, True, b"m", 219.0) and not made.is_active(220.5)
+    assert made.must_fail(1, True, True, b"m", 219.0) and not made.is_active(220.5)
 
 
 # ---------------------------------------------------------------- order and opening
@@ -593,7 +589,7 @@
         played.made.effects.fenced_until = [0.0, 1e12, 1e12]  # as long as this test takes
         made.service.dispatcher.on_endpoints_changed(told_list(made, boot_ms=5000))
         if switched_off:
-            played.made.effects.must_reject = lambda *told: False
+            played.made.effects.must_fail = lambda *told: False
         client = await made.client()
         await until(lambda: played.made.order.stage is Stage.RAMPING)
         played.made.opening.fully_open = True
--- a/tests/test_recovery_model.py
+++ b/tests/test_recovery_model.py
@@ -171,9 +171,8 @@
     for mask in range(8)
 ]
 ALL_LINKS = LINK_SETS[-1]
-LINK_SETS += [
-    ALL_LINKS - {link} for link in sorted(ALL_LINKS)
-]  # and all links except one direction of one pair
+# And all links except one direction of one pair.
+LINK_SETS += [ALL_LINKS - {link} for link in sorted(ALL_LINKS)]
 
 
 def successors(world: World, ticks: int, control_plane: bool, link_sets=LINK_SETS):
@@ -351,9 +350,8 @@
     verdicts = {}
     for zone_lost_at in (-1, 2):
         world = clean_shutdown_worlds()["both were rolled"][0]
-        world = world._replace(
-            zone_lost_at=zone_lost_at
-        )  # when both had announced their end: no router is stopped by it
+        # Both have announced their end by then, so the loss stops no router.
+        world = world._replace(zone_lost_at=zone_lost_at)
         world = start_router(start_router(advance_tick(world, ALL_LINKS), 0), 1)
         for _ in range(4):
             world = advance_tick(world, ALL_LINKS)
