--- a/gaugehinge/drains/connection_budget.py
+++ b/gaugehinge/drains/connection_budget.py
@@ -20,11 +20,11 @@
 from .peer_close import wait_for_peer_close
 from .upstream_connections import UpstreamConnections
 
-MAX_WAITING = 256  # attempts that wait for a connection to one server
+MAX_WAITING_ATTEMPTS = 256  # attempts that wait for a connection to one server
 WAIT_FRACTION = 0.5  # of an attempt's time to wait for a connection; then another server is tried, or none
-RESET_TIME = 1.0  # seconds for which a connection counts that was reset, or that never came up
+RESET_HOLD_TIME = 1.0  # seconds for which a connection counts that was reset, or that never came up
 FORCED_CLOSE_FRACTION = 0.5  # of the close timeout: what is in use above the floors is closed then
-REST_MARGIN = 1.1  # by which a connection's rest is waited for
+REUSE_DELAY_MARGIN = 1.1  # by which a connection's rest is waited for
 
 
 @dataclass(slots=True, eq=False)
@@ -59,10 +59,10 @@
 
     def _upstream(self, endpoint: ServerPool) -> UpstreamConnections:
         name = self.upstream_name(endpoint)
-        found = self.upstreams.get(name)
-        if found is None:
-            found = self.upstreams[name] = UpstreamConnections()
-        return found
+        upstream = self.upstreams.get(name)
+        if upstream is None:
+            upstream = self.upstreams[name] = UpstreamConnections()
+        return upstream
 
     def _allowed(self, endpoint: ServerPool) -> int:
         return self.lease.allowed(self.upstream_name(endpoint), self.clock())
@@ -97,7 +97,9 @@
             self.service.pool._close(connection)
         elif upstream.waiting:
             pool = self.service.pool
-            pool.timers.call_at(pool.clock() + REST_MARGIN * REUSE_DELAY, self._serve_waiting, endpoint)
+            pool.timers.call_at(
+                pool.clock() + REUSE_DELAY_MARGIN * REUSE_DELAY, self._serve_waiting, endpoint
+            )
 
     def closed(self, connection: Connection) -> None:
         """Shut down the sending side, and count the connection until the server has closed it, too."""
@@ -114,7 +116,7 @@
     ) -> None:
         try:
             if half_closed is None or not await wait_for_peer_close(half_closed, self.close_timeout):
-                await trio.sleep(RESET_TIME)
+                await trio.sleep(RESET_HOLD_TIME)
         finally:
             if half_closed is not None:
                 half_closed.close()
@@ -126,7 +128,7 @@
     def wait(self, endpoint: ServerPool, pending: PendingAttempt) -> bool:
         """Keep an attempt for which no connection may be opened; False: it is not kept."""
         upstream = self._upstream(endpoint)
-        if len(upstream.waiting) >= MAX_WAITING or self.lease.closed:
+        if len(upstream.waiting) >= MAX_WAITING_ATTEMPTS or self.lease.closed:
             return False
         pool = self.service.pool
         now = pool.clock()
@@ -134,7 +136,7 @@
         self._set_timer(pending, wait_until, self._wait_timed_out, upstream, pending)
         upstream.waiting.append(pending)
         if endpoint.idle:  # one that has not had its rest
-            pool.timers.call_at(now + REST_MARGIN * REUSE_DELAY, self._serve_waiting, endpoint)
+            pool.timers.call_at(now + REUSE_DELAY_MARGIN * REUSE_DELAY, self._serve_waiting, endpoint)
         upstream.note_demand(len(endpoint.idle))
         return True
 
@@ -215,7 +217,9 @@
 
     def _forget_upstream(self, name: str) -> None:
         del self.upstreams[name]
-        self.upstream_names = {uid: each for uid, each in self.upstream_names.items() if each != name}
+        self.upstream_names = {
+            uid: other_name for uid, other_name in self.upstream_names.items() if other_name != name
+        }
 
     def close_idle(self, uids: Iterable[str]) -> None:
         """Close the idle connections to these servers."""
--- a/gaugehinge/drains/connection_counts.py
+++ b/gaugehinge/drains/connection_counts.py
@@ -26,9 +26,9 @@
 
 def count_for(counts: Mapping[str, int], upstream: str) -> int:
     """The entry of one upstream; a server without one has the entry of DEFAULT_SERVER."""
-    found = counts.get(upstream)
-    if found is not None:
-        return found
+    count = counts.get(upstream)
+    if count is not None:
+        return count
     return 0 if upstream == ORIGIN else counts.get(DEFAULT_SERVER, 0)
 
 
--- a/gaugehinge/drains/node_file.py
+++ b/gaugehinge/drains/node_file.py
@@ -53,8 +53,8 @@
         self._lock = -1
         try:
             self._take_lock()
-            before = self._read()
-            self.state = msgspec.structs.replace(before, run_number=before.run_number + 1)
+            previous = self._read()
+            self.state = msgspec.structs.replace(previous, run_number=previous.run_number + 1)
             self._write(self.state)
         except NodeFileLockedError:
             raise
@@ -78,23 +78,25 @@
         try:
             return msgspec.json.decode(unseal(data), type=NodeState)
         except (ValueError, msgspec.MsgspecError) as error:
-            aside = self.path.with_name(f"{self.path.name}.bad")
-            self.path.replace(aside)
-            logger.warning("drains: {} set aside as {}, this is a new node: {}", self.path, aside.name, error)
+            quarantine_path = self.path.with_name(f"{self.path.name}.bad")
+            self.path.replace(quarantine_path)
+            logger.warning(
+                "drains: {} set aside as {}, this is a new node: {}", self.path, quarantine_path.name, error
+            )
             return _new_state()
 
     def _write(self, state: NodeState) -> None:
-        part = self.path.with_name(self.path.name + ".part")
-        descriptor = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        temporary_path = self.path.with_name(self.path.name + ".part")
+        descriptor = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         with os.fdopen(descriptor, "wb") as file:
             file.write(seal(msgspec.json.encode(state)))
             file.flush()
             os.fsync(file.fileno())
-        part.replace(self.path)
-        folder = os.open(self.path.parent, os.O_RDONLY)
+        temporary_path.replace(self.path)
+        directory = os.open(self.path.parent, os.O_RDONLY)
         with suppress(OSError):
-            os.fsync(folder)
-        os.close(folder)
+            os.fsync(directory)
+        os.close(directory)
 
     def save(self, state: NodeState) -> bool:
         """Replace the state; False where it could not be written. Blocks on the disk."""
--- a/gaugehinge/drains/operation_counter.py
+++ b/gaugehinge/drains/operation_counter.py
@@ -34,10 +34,10 @@
 
     def record(self, report: RouterReport, run: str) -> None:
         """Add what ended since the report before; the first one of a run counts for nothing."""
-        before = self.totals.get(report.node)
-        if before is not None and before.run == run:
-            self.succeeded += max(report.succeeded - before.succeeded, 0)
-            self.lost += max(report.lost - before.lost, 0)
+        previous = self.totals.get(report.node)
+        if previous is not None and previous.run == run:
+            self.succeeded += max(report.succeeded - previous.succeeded, 0)
+            self.lost += max(report.lost - previous.lost, 0)
         self.totals[report.node] = RunTotals(run, report.succeeded, report.lost)
 
     def take(self) -> OperationCounts:
--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -28,11 +28,11 @@
 from .node_state_writer import NodeStateWriter
 
 CHECK_INTERVAL = 0.1  # seconds between two looks at what is open
-FIRST_CLOSE_TIMEOUT = 15.0  # seconds, until the control plane tells the close timeout
-POLL_FRACTION = 0.25  # of a lease that a call may stand open
-FAREWELL_TIME = 1.0  # seconds for closing all connections, and as many for reporting that
-FAREWELL_CHECK_INTERVAL = 0.01  # seconds
-LOST_PREFIXES = (b"-BUSY", b"-ERR failed")  # of answers that count as lost
+DEFAULT_CLOSE_TIMEOUT = 15.0  # seconds, until the control plane tells the close timeout
+LONG_POLL_FRACTION = 0.25  # of a lease that a call may stand open
+EXIT_STEP_TIMEOUT = 1.0  # seconds for closing all connections, and as many for reporting that
+EXIT_CHECK_INTERVAL = 0.01  # seconds
+LOST_REPLY_PREFIXES = (b"-BUSY", b"-ERR failed")  # of answers that count as lost
 RUN_NUMBER_STEP = 2  # two more, not one: of runs after the last known one nobody knows what they left open
 
 
@@ -63,7 +63,7 @@
         """Attach to the service, at the floors that the state file has."""
         now = self.clock()
         state = self.node_file.state
-        self.close_timeout = state.close_timeout or FIRST_CLOSE_TIMEOUT
+        self.close_timeout = state.close_timeout or DEFAULT_CLOSE_TIMEOUT
         floors_usable_at = now + self.close_timeout * (1.0 + MAX_CLOCK_DRIFT) + EXPIRY_MARGIN
         self.lease = LeaseHolder(dict(state.floors), floors_usable_at, state.admitted_by)
         self.state_writer = NodeStateWriter(self.node_file, self.nursery)
@@ -71,7 +71,7 @@
 
     def on_reply(self, reply: bytes) -> None:
         """Count final replies by whether they answered their operation."""
-        if reply.startswith(LOST_PREFIXES):
+        if reply.startswith(LOST_REPLY_PREFIXES):
             self.lost += 1
         else:
             self.succeeded += 1
@@ -137,7 +137,7 @@
             cpu_cores=self.load.cpu_cores,
             origin_connections=max(self.load.origin_connections, 0.0),
             operation_rate=self.load.operation_rate,
-            draining_servers={uid: self._used_at(uid) for uid in sorted(drained)[:MAX_SERVERS]},
+            draining_servers={uid: self._server_usage(uid) for uid in sorted(drained)[:MAX_SERVERS]},
             cache_attempts=self._cache_attempts(),
             servers=self._listed_servers() if self.wants_servers else [],
             restart_token=state.restart_token,
@@ -152,7 +152,7 @@
     def _in_flight(self) -> int:
         return len(self.service.dispatcher.pending_operations)
 
-    def _used_at(self, uid: str) -> int:
+    def _server_usage(self, uid: str) -> int:
         upstream = self.upstreams.get(uid)
         return upstream.counted + len(upstream.waiting) if upstream is not None else 0
 
@@ -192,11 +192,11 @@
         self.wants_servers = reply.wants_servers
         lease = reply.lease()
         if lease is not None and self.lease.accept(lease, self.reported_at):
-            self._follow(lease, reply.incarnation)
+            self._apply_lease(lease, reply.incarnation)
         if reply.restart_token and not self.restart_token:
             self._begin_shutdown(reply.restart_token)
         elif reply.immediate and self.restart_token:
-            self._end_at_once(reply.restart_token)
+            self._shut_down_immediately(reply.restart_token)
 
     def _exceed_run_number(self, known: int) -> None:
         """The state file is older than the node's last run: count on from that."""
@@ -211,7 +211,7 @@
             logger.warning("connections: not admitted by the keeper: {}", rejection)
         self.rejection = rejection
 
-    def _follow(self, lease: ConnectionLease, incarnation: str) -> None:
+    def _apply_lease(self, lease: ConnectionLease, incarnation: str) -> None:
         floors = dict(lease.floors)
         self.lease.floors, self.lease.admitted_by = floors, incarnation
         state = self.node_file.state
@@ -223,7 +223,7 @@
             self.state_writer.save(
                 admitted_by=incarnation, floors=dict(floors), close_timeout=self.close_timeout
             )
-        self.follower.limit_wait(POLL_FRACTION * lease.duration)
+        self.follower.limit_wait(LONG_POLL_FRACTION * lease.duration)
         self.enforce()
 
     def _begin_shutdown(self, restart_token: str) -> None:
@@ -232,7 +232,7 @@
         logger.info("told to end by {}: {} operations in hand", restart_token, self._in_flight())
         self.shut_down()
 
-    def _end_at_once(self, restart_token: str) -> None:
+    def _shut_down_immediately(self, restart_token: str) -> None:
         logger.warning("told to end at once by {}: {} in hand", restart_token, self._in_flight())
         self.service.dispatcher.fail_rest()
         self.nursery.cancel_scope.cancel()
@@ -250,13 +250,13 @@
     async def before_exit(self) -> None:
         """All is answered: close all connections, and report it once their servers have closed them, too."""
         self.close_all()
-        with trio.move_on_after(FAREWELL_TIME):
+        with trio.move_on_after(EXIT_STEP_TIMEOUT):
             while self.total_counted():  # noqa: ASYNC110 (an event of each upstream would say no more)
-                await trio.sleep(FAREWELL_CHECK_INTERVAL)
-        left = self.total_counted()
-        with trio.move_on_after(FAREWELL_TIME):
+                await trio.sleep(EXIT_CHECK_INTERVAL)
+        remaining = self.total_counted()
+        with trio.move_on_after(EXIT_STEP_TIMEOUT):
             try:
                 await self.follower.report_now()
             except Exception as error:  # the control plane finds out by the lease, later
                 logger.info("the keeper was not told that all is closed: {}", type(error).__name__)
-        logger.info("connections closed: {} left, run {}", left, self.node_file.state.run_number)
+        logger.info("connections closed: {} left, run {}", remaining, self.node_file.state.run_number)
