--- a/tests/test_drains_connections.py
+++ b/tests/test_drains_connections.py
@@ -26,19 +26,19 @@
     """A server that answers each command and closes a connection when it is told to."""
 
     def __init__(self):
-        self.open = self.most = 0
-        self.hold, self.answers = trio.Event(), trio.Event()
-        self.answers.set()
+        self.open = self.max_open = 0
+        self.ignore_close, self.may_reply = trio.Event(), trio.Event()
+        self.may_reply.set()
 
     async def serve(self, stream):
         self.open += 1
-        self.most = max(self.most, self.open)
+        self.max_open = max(self.max_open, self.open)
         try:
             while data := await stream.receive_some():
-                await self.answers.wait()
+                await self.may_reply.wait()
                 reply = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"
                 await stream.send_all(b"+OK\r\n" if data == FENCE_COMMAND else reply)
-            if not self.hold.is_set():
+            if not self.ignore_close.is_set():
                 return
             await trio.sleep_forever()
         finally:
@@ -47,7 +47,7 @@
 
 
 @asynccontextmanager
-async def connections(tmp_path, granted):
+async def agent_with_pool(tmp_path, granted):
     """A pool with an agent whose clock and grant the test sets."""
     async with trio.open_nursery() as nursery:
         server_side, clock, ended = FakeServer(), Clock(), []
@@ -63,8 +63,8 @@
             lambda attempt, outcome, *rest: ended.append((attempt, outcome)),
         )
         port = next(x for x in listeners if x.socket.family == socket.AF_INET).socket.getsockname()[1]
-        listing = EndpointEntry(1, "a", "std", 0, EndpointState.UP, 0.0)
-        target = EndpointTarget(listing, "s-1", ("127.0.0.1", port))
+        entry = EndpointEntry(1, "a", "std", 0, EndpointState.UP, 0.0)
+        target = EndpointTarget(entry, "s-1", ("127.0.0.1", port))
         pool.on_endpoints_changed(EndpointListUpdate(1, True, (target,)))
         router = SimpleNamespace(origin=None)
         service = SimpleNamespace(
@@ -76,7 +76,7 @@
         follower = SimpleNamespace(
             overrides=SimpleNamespace(drained=frozenset(), discovered=[]),
             limit_wait=lambda seconds: None,
-            report_now=unanswered,
+            report_now=fail_report,
         )
         time = SimpleNamespace(now=1000.0)
         agent = DrainsAgent(
@@ -84,15 +84,15 @@
         )
         pool.install(Extensions(connection_budget=agent))
         agent.close_timeout = 30.0
-        answer(agent, time, 1, granted)
+        deliver_reply(agent, time, 1, granted)
         server = SimpleNamespace(ident=1, origin=False, state=EndpointState.UP)
 
-        def send(time_out=5.0):
+        def send(timeout=5.0):
             attempt = Attempt(
                 SimpleNamespace(finished=False, deadline=inf, retry_deadline=inf), server, 0, clock()
             )
             payload = RequestPayload(b"i", b"k", (b"d=", b""), b"", b"*4\r\n$6\r\nKV.GET\r\n", b"", None)
-            pool.send(attempt, payload, time_out, RespCodec())
+            pool.send(attempt, payload, timeout, RespCodec())
             return attempt
 
         yield SimpleNamespace(
@@ -101,11 +101,11 @@
         nursery.cancel_scope.cancel()
 
 
-async def unanswered():
+async def fail_report():
     raise OSError("the control plane is away")
 
 
-def answer(agent, time, number, servers, lease=10.0):
+def deliver_reply(agent, time, number, servers, lease=10.0):
     """An answer of the control plane to a report that is sent now."""
     agent.report()
     raw = msgspec.json.encode(
@@ -123,40 +123,40 @@
     agent.hear(SimpleNamespace(parts={NAME: msgspec.Raw(raw)}), 0.0)
 
 
-def test_attempts_wait_for_a_connection_within_the_lease_and_late_ones_are_not_sent(
+def test_attempts_wait_for_a_leased_connection_and_are_not_sent_when_the_wait_times_out(
     tmp_path,
 ):
-    async def scene():
-        async with connections(tmp_path, 2) as setup:
+    async def scenario():
+        async with agent_with_pool(tmp_path, 2) as setup:
             attempts = [setup.send() for _ in range(12)]
             await until(lambda: len(setup.ended) == len(attempts))
             assert {outcome for _, outcome in setup.ended} == {
                 Outcome.SUCCEEDED
-            } and setup.server_side.most == 2
+            } and setup.server_side.max_open == 2
             report = msgspec.json.decode(setup.agent.report(), type=RouterReport)
             assert (
                 report.open_connections[DEFAULT_SERVER] == 2
                 and report.demand[DEFAULT_SERVER] >= 10
                 and report.number == 1
             )
-            setup.server_side.answers = trio.Event()
+            setup.server_side.may_reply = trio.Event()
             for _ in range(3):
-                setup.send(time_out=0.2)
+                setup.send(timeout=0.2)
             await until(lambda: len(setup.ended) == 15)
             outcomes = sorted(outcome.name for _, outcome in setup.ended[12:])
             assert outcomes == ["NOT_SENT", "TIMED_OUT", "TIMED_OUT"]
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_connection_counts_until_the_server_closes_it_and_a_lower_grant_closes_idle_ones(tmp_path):
-    async def scene():
-        async with connections(tmp_path, 3) as setup:
+def test_a_connection_counts_until_the_server_closes_it_and_a_lower_grant_closes_idle_connections(tmp_path):
+    async def scenario():
+        async with agent_with_pool(tmp_path, 3) as setup:
             for _ in range(3):
                 setup.send()
             await until(lambda: len(setup.ended) == 3)
-            setup.server_side.hold.set()  # the server does not notice that its connections end
-            answer(setup.agent, setup.time, 2, 1)
+            setup.server_side.ignore_close.set()  # the server does not notice that its connections end
+            deliver_reply(setup.agent, setup.time, 2, 1)
             endpoint = next(iter(setup.pool.endpoints.values()))
             assert len(endpoint.idle) == 1 and not setup.agent.may_open(endpoint)
             await trio.sleep(0.05)
@@ -165,15 +165,15 @@
                 == 3
                 == setup.server_side.open
             )
-            answer(setup.agent, setup.time, 1, 9)
+            deliver_reply(setup.agent, setup.time, 1, 9)
             assert setup.agent.lease.number == 2, "an answer of an older number is not followed"
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_router_suspended_beyond_its_lease_uses_nothing_of_the_old_grant(tmp_path):
-    async def scene():
-        async with connections(tmp_path, 3) as setup:
+def test_a_router_suspended_past_its_lease_expiry_falls_back_to_its_floors(tmp_path):
+    async def scenario():
+        async with agent_with_pool(tmp_path, 3) as setup:
             for _ in range(3):
                 setup.send()
             await until(lambda: len(setup.ended) == 3)
@@ -184,9 +184,9 @@
             assert not setup.agent.may_use(endpoint.idle[0]) and not setup.agent.may_open(endpoint)
             setup.send()
             await until(lambda: len(setup.ended) == 4)
-            assert setup.server_side.most == 3 and len(endpoint.idle) <= 1
+            assert setup.server_side.max_open == 3 and len(endpoint.idle) <= 1
             await setup.agent.before_exit()
             assert setup.agent.lease.closed and not setup.agent.may_open(endpoint)
             await until(lambda: setup.server_side.open == 0)
 
-    run(scene)
+    run(scenario)
--- a/tests/test_drains_files.py
+++ b/tests/test_drains_files.py
@@ -18,7 +18,7 @@
 from gaugehinge.store.records import encode
 
 
-def test_a_state_file_admits_one_process_and_a_torn_one_is_set_aside(tmp_path, caplog):
+def test_a_state_file_is_locked_by_one_process_and_quarantined_when_truncated(tmp_path, caplog):
     path = str(tmp_path / "node")
     first = NodeFile(path)
     with pytest.raises(NodeFileLockedError):
@@ -48,7 +48,7 @@
     )
 
 
-def test_the_high_water_mark_is_in_memory_intact_and_recent(tmp_path, caplog):
+def test_the_high_water_mark_must_be_in_memory_intact_and_recent(tmp_path, caplog):
     mounts = tmp_path / "mounts"
     mounts.write_text(f"tmpfs {tmp_path} tmpfs rw 0 0\n/dev/sda / ext4 rw 0 0\n")
     assert in_memory(tmp_path, mounts) and not in_memory(tmp_path / "x", mounts)
@@ -61,9 +61,9 @@
     assert not mark.covers("life", digests, 9.0, 3.0), "of a machine that was up for longer"
     assert mark.advance("life", 8, digests, False, 11.0) and not mark.covers("life", digests, 11.0, 3.0)
     assert mark.advance("life", 8, digests, True, 11.0)
-    whole = mark.path.read_bytes()
-    for torn in (whole[:40], whole.replace(b"bb", b"aa"), b""):
-        mark.path.write_bytes(torn)
+    intact = mark.path.read_bytes()
+    for corrupt in (intact[:40], intact.replace(b"bb", b"aa"), b""):
+        mark.path.write_bytes(corrupt)
         assert not mark.covers("life", digests, 11.0, 3.0)
     mark.path.unlink()
     mark.path.mkdir()  # it can neither be written nor taken away
@@ -78,7 +78,7 @@
 DATA = Path(__file__).parent / "data" / "drains-2f1733f"
 
 
-def test_a_state_file_of_the_version_before_is_read_and_written_alike(tmp_path):
+def test_a_state_file_of_the_previous_version_round_trips(tmp_path):
     path = tmp_path / "node"
     written = (DATA / "node-file").read_bytes()
     path.write_bytes(written)
@@ -91,7 +91,7 @@
     assert path.read_bytes() == written
 
 
-def test_a_high_water_mark_of_the_version_before_is_read_and_written_alike(tmp_path):
+def test_a_high_water_mark_of_the_previous_version_round_trips(tmp_path):
     path = tmp_path / "mark"
     written = (DATA / "high-water-mark").read_bytes()
     path.write_bytes(written)
@@ -103,7 +103,7 @@
     assert path.read_bytes() == written
 
 
-def test_an_admission_record_of_the_version_before_is_read_and_written_alike(tmp_path):
+def test_an_admission_record_of_the_previous_version_round_trips(tmp_path):
     written = (DATA / "store.db.drains").read_bytes()
     record = AdmissionRecord(tmp_path / "store.db")
     record.path.write_bytes(written)
@@ -131,12 +131,12 @@
         (STEP, RestartStep),
     ],
 )
-def test_rows_of_the_version_before_are_read_and_written_alike(kind, record_type):
+def test_rows_of_the_previous_version_round_trip(kind, record_type):
     body = json.loads((DATA / "rows.json").read_text())[kind].encode()
     assert encode(msgspec.json.decode(body, type=record_type)) == body
 
 
 @pytest.mark.parametrize(("name", "message_type"), [("report", RouterReport), ("reply", ControlPlaneReply)])
-def test_messages_of_the_version_before_are_read_and_written_alike(name, message_type):
+def test_messages_of_the_previous_version_round_trip(name, message_type):
     body = json.loads((DATA / "messages.json").read_text())[name].encode()
     assert msgspec.json.encode(msgspec.json.decode(body, type=message_type)) == body
--- a/tests/test_drains_processes.py
+++ b/tests/test_drains_processes.py
@@ -11,7 +11,7 @@
 SEEDS, JOBS = range(1, 6), 5
 
 
-def test_a_log_line_slightly_in_the_future_is_not_of_yesterday():
+def test_a_log_line_slightly_in_the_future_has_a_small_negative_age():
     wall = 1_700_000_000.25
     line = time.strftime("%H:%M:%S.500 INFO told to end", time.localtime(wall))
     assert written_ago(line, wall) == pytest.approx(-0.25)
@@ -24,10 +24,10 @@
     summary, faulty = [], []
 
     async def main():
-        async def seeds():
+        async def run_seeds():
             summary.append(await run_many(["drains"], list(SEEDS), JOBS, tmp_path, 280.0))
 
-        async def one_that_is_wrong():
+        async def run_faulty_router():
             with trio.fail_after(280):
                 # On a busy machine it may sleep through what it would take too much of: then once more.
                 for seed in range(1, 5):
@@ -36,15 +36,15 @@
                         break
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(seeds)
-            nursery.start_soon(one_that_is_wrong)
+            nursery.start_soon(run_seeds)
+            nursery.start_soon(run_faulty_router)
 
     trio.run(main)
-    played = summary[0].played
-    assert all(each.held for each in played), [each.line() for each in played]
-    seen = [each.outcome for each in played]
-    assert all(outcome.looked_at["connections"] > 100 for outcome in seen)
+    runs = summary[0].played
+    assert all(run.held for run in runs), [run.line() for run in runs]
+    outcomes = [run.outcome for run in runs]
+    assert all(outcome.looked_at["connections"] > 100 for outcome in outcomes)
     # A node that a busy machine keeps from coming back in time is skipped, as it is told; most are not.
-    rolled = sum(outcome.figures["routers.done"] + outcome.figures["servers.done"] for outcome in seen)
-    assert rolled >= 4 * len(seen)
-    assert {each.rule for each in faulty[-1].breaks} >= {"connections"}
+    restarted = sum(outcome.figures["routers.done"] + outcome.figures["servers.done"] for outcome in outcomes)
+    assert restarted >= 4 * len(outcomes)
+    assert {run.rule for run in faulty[-1].breaks} >= {"connections"}
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -28,153 +28,169 @@
 LEASE = 3.0
 
 
-class Together:
+class SubsystemsUnderTest:
     """A router with placement and recovery, as `gaugehinge serve` puts them together."""
 
     def __init__(self, tmp_path, silent) -> None:
-        times = {"keeper_wait": 1.0, "decide": 0.3, "list_wait": 0.4}
-        self.entry = RecoveryEntry(True, "key", str(tmp_path / "snap"), **times)
-        self.waits: list[float] = []  # that each call for news asked for
-        self.fed = trio.Event()
+        timeouts = {"keeper_wait": 1.0, "decide": 0.3, "list_wait": 0.4}
+        self.entry = RecoveryEntry(True, "key", str(tmp_path / "snap"), **timeouts)
+        self.max_waits: list[float] = []  # that each call for news asked for
+        self.third_call = trio.Event()
         self.silent = silent  # the keeper tells nothing
-        self.lists: list[list] = []  # of servers that the keeper was told
+        self.server_lists: list[list] = []  # of servers that the keeper was told
         self.secret = ""  # that the keeper knows; empty: it does not ask
 
     def build(self, service, nursery):
-        http = httpx.AsyncClient(base_url="http://keeper", transport=httpx.MockTransport(self.keeper))
+        http = httpx.AsyncClient(
+            base_url="http://keeper", transport=httpx.MockTransport(self.handle_control_plane_call)
+        )
         client = ControlPlaneClient(http)
         self.follower = ControlPlaneWatch(service, TenantRegistry(), EndpointOverrides(), client, None, 8)
         self.follower.load_snapshot()
-        self.placing = build_placement(service, self.follower)
+        self.placement = build_placement(service, self.follower)
         nursery.start_soon(self.follower.run)
         self.recovery = Recovery(service, self.entry, KEY, self.follower)
         self.recovery.begin(nursery)
-        return Subsystems(watch=self.follower, placement=self.placing, recovery=self.recovery).extensions()
+        return Subsystems(watch=self.follower, placement=self.placement, recovery=self.recovery).extensions()
 
-    async def keeper(self, request):
+    async def handle_control_plane_call(self, request):
         if self.silent:
             await trio.sleep_forever()
         if self.secret and request.headers.get("Authorization") != f"Bearer {self.secret}":
             return httpx.Response(401)
         report = msgspec.json.decode(request.content, type=Report)
-        self.waits.append(report.max_wait)
-        said = msgspec.json.decode(report.parts["placement"], type=RouterReport)
-        self.lists += [said.server_chunk.servers] if said.server_chunk is not None else []
-        if len(self.waits) == 3:
-            self.fed.set()
+        self.max_waits.append(report.max_wait)
+        placement_report = msgspec.json.decode(report.parts["placement"], type=RouterReport)
+        self.server_lists += (
+            [placement_report.server_chunk.servers] if placement_report.server_chunk is not None else []
+        )
+        if len(self.max_waits) == 3:
+            self.third_call.set()
         await trio.sleep(min(report.max_wait, 0.05))
-        told = ControlPlaneUpdate(1, "mark", report.known_revision == 0, [], [], LEASE, 2 * LEASE, [], "")
-        feed = Feed("store", 1, True, [], parts={"placement": msgspec.Raw(msgspec.json.encode(told))})
+        update = ControlPlaneUpdate(1, "mark", report.known_revision == 0, [], [], LEASE, 2 * LEASE, [], "")
+        feed = Feed("store", 1, True, [], parts={"placement": msgspec.Raw(msgspec.json.encode(update))})
         return httpx.Response(200, content=msgspec.json.encode(feed))
 
 
-def play(tmp_path, look, silent=False):
+def run_scenario(tmp_path, scenario, silent=False):
     async def main():
-        made = Together(tmp_path, silent)
+        setup = SubsystemsUnderTest(tmp_path, silent)
         settings = {**SETTINGS, "replicasOfMe": 1}
-        async with fleet(tmp_path, [Cache()], settings=settings, build_extensions=made.build) as all_:
+        async with fleet(
+            tmp_path, [Cache()], settings=settings, build_extensions=setup.build
+        ) as running_fleet:
             with trio.fail_after(20):
-                await look(made, all_)
+                await scenario(setup, running_fleet)
 
     trio.run(partial(main))
 
 
-def test_no_call_stands_open_for_longer_than_the_lease_that_the_first_answer_brought(tmp_path):
-    async def look(made, all_):
-        await made.fed.wait()
-        assert made.waits[0] == 0.0  # it asks who is there
-        assert 0.0 < max(made.waits[1:]) < 0.5 * LEASE
+def test_long_polls_stay_well_below_the_lease_duration_from_the_first_reply(tmp_path):
+    async def scenario(setup, running_fleet):
+        await setup.third_call.wait()
+        assert setup.max_waits[0] == 0.0  # it asks who is there
+        assert 0.0 < max(setup.max_waits[1:]) < 0.5 * LEASE
 
-    play(tmp_path, look)
+    run_scenario(tmp_path, scenario)
 
 
-def test_the_keeper_is_told_when_servers_started_by_the_list_and_not_by_what_one_router_believes(tmp_path):
-    async def look(made, all_):
-        targets = [{**each, "boot_ms": 5000} for each in all_.targets]
-        all_.service.dispatcher.on_endpoints_changed(
+def test_reported_server_start_times_come_from_the_endpoint_list_and_not_from_the_router(tmp_path):
+    async def scenario(setup, running_fleet):
+        targets = [{**each, "boot_ms": 5000} for each in running_fleet.targets]
+        running_fleet.service.dispatcher.on_endpoints_changed(
             read_endpoint_list({"rev": 2, "all": True, "targets": targets})
         )
-        while made.recovery.mind.verdict is Verdict.DECIDING or not all_.service.dispatcher.router.endpoints:
+        while (
+            setup.recovery.mind.verdict is Verdict.DECIDING
+            or not running_fleet.service.dispatcher.router.endpoints
+        ):
             await trio.sleep(0.01)
-        assert {server.started_at for server in made.placing.servers.current.values()} == {5.0}
-        told = [target.entry.started for target in made.follower.overrides.discovered if target.entry.started]
-        assert set(told) == {5.0}
-        believed = {cache.started for cache in all_.service.dispatcher.router.endpoints.values()}
-        assert min(believed) >= made.recovery.began  # nobody knows whether they lived on: cold
+        assert {server.started_at for server in setup.placement.servers.current.values()} == {5.0}
+        reported = [
+            target.entry.started for target in setup.follower.overrides.discovered if target.entry.started
+        ]
+        assert set(reported) == {5.0}
+        assumed = {cache.started for cache in running_fleet.service.dispatcher.router.endpoints.values()}
+        assert min(assumed) >= setup.recovery.began  # nobody knows whether they lived on: cold
 
-    play(tmp_path, look)
+    run_scenario(tmp_path, scenario)
 
 
-def test_clients_wait_for_leases_up_to_the_bound_and_bounces_for_want_of_one_close_no_lane(tmp_path):
-    async def look(made, all_):
-        recovery, lifecycle = made.recovery, all_.service.lifecycle
+def test_startup_waits_for_leases_up_to_a_limit_and_rejections_without_a_lease_are_not_failures(tmp_path):
+    async def scenario(setup, running_fleet):
+        recovery, lifecycle = setup.recovery, running_fleet.service.lifecycle
         recovery.facts.keeper = True  # it answered once, and told no lease
-        all_.service.dispatcher.on_endpoints_changed(
-            read_endpoint_list({"rev": 2, "all": True, "targets": all_.targets})
+        running_fleet.service.dispatcher.on_endpoints_changed(
+            read_endpoint_list({"rev": 2, "all": True, "targets": running_fleet.targets})
         )
         while lifecycle.phase is Phase.RECOVERING:
             assert recovery.uptime() < 15.0
             await trio.sleep(0.01)
         assert recovery.uptime() >= 1.0 and Stage.PARTS.value in recovery.order.missing
         failed = recovery.opening.writes.failed
-        client = await all_.client()
-        while made.placing.rejected < 3:
+        client = await running_fleet.client()
+        while setup.placement.rejected < 3:
             assert (await client.put()).startswith(b"-BUSY")
         assert recovery.opening.writes.failed == failed == 0
-        made.placing.lease.renew(trio.current_time(), 60.0)
+        setup.placement.lease.renew(trio.current_time(), 60.0)
         assert recovery._parts_ready()
 
-    play(tmp_path, look, silent=True)
+    run_scenario(tmp_path, scenario, silent=True)
 
 
-def test_a_read_with_no_room_in_its_region_says_nothing_of_the_fleet_and_a_write_does(tmp_path):
-    async def look(made, all_):
-        await made.fed.wait()
-        made.placing.lease.renew(trio.current_time(), 60.0)
-        tells, kind = made.recovery._tells, all_.service.configuration.settings.deployment.traffic_types[0]
+def test_a_rejected_read_pinned_to_a_region_is_not_a_fleet_failure_but_a_rejected_write_is(tmp_path):
+    async def scenario(setup, running_fleet):
+        await setup.third_call.wait()
+        setup.placement.lease.renew(trio.current_time(), 60.0)
+        counts_as_failure, traffic_type = (
+            setup.recovery._tells,
+            running_fleet.service.configuration.settings.deployment.traffic_types[0],
+        )
 
-        def one(write, *regions):
-            return Operation(1, kind, b"k", -1, write, False, 0.0, 1.0, regions=regions)
+        def operation(write, *regions):
+            return Operation(1, traffic_type, b"k", -1, write, False, 0.0, 1.0, regions=regions)
 
         pinned = (frozenset({"a"}),)
-        assert not tells(one(False, *pinned), b"-BUSY 200\r\n")
-        assert tells(one(False, *pinned), b"-ERR failed\r\n")
-        assert tells(one(True, *pinned), b"-BUSY 200\r\n")
-        assert tells(one(False, *pinned, None), b"-BUSY 200\r\n") and tells(one(False, None), b"-BUSY\r\n")
+        assert not counts_as_failure(operation(False, *pinned), b"-BUSY 200\r\n")
+        assert counts_as_failure(operation(False, *pinned), b"-ERR failed\r\n")
+        assert counts_as_failure(operation(True, *pinned), b"-BUSY 200\r\n")
+        assert counts_as_failure(operation(False, *pinned, None), b"-BUSY 200\r\n") and counts_as_failure(
+            operation(False, None), b"-BUSY\r\n"
+        )
 
-    play(tmp_path, look)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_router_that_has_no_list_yet_does_not_tell_the_keeper_that_there_are_no_servers(tmp_path):
-    async def look(made, all_):
-        await made.fed.wait()  # its list is held back while it decides
-        assert made.lists == []
-        all_.service.dispatcher.on_endpoints_changed(
-            read_endpoint_list({"rev": 2, "all": True, "targets": all_.targets})
+def test_a_router_without_an_endpoint_list_does_not_report_an_empty_server_list(tmp_path):
+    async def scenario(setup, running_fleet):
+        await setup.third_call.wait()  # its list is held back while it decides
+        assert setup.server_lists == []
+        running_fleet.service.dispatcher.on_endpoints_changed(
+            read_endpoint_list({"rev": 2, "all": True, "targets": running_fleet.targets})
         )
-        while not made.lists:
+        while not setup.server_lists:
             await trio.sleep(0.01)
-        assert len(made.lists[0]) == 1
+        assert len(setup.server_lists[0]) == 1
 
-    play(tmp_path, look)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_router_reads_its_secret_again_where_a_keeper_with_a_new_disk_knows_it_no_more(tmp_path):
-    async def look(made, all_):
-        await made.fed.wait()
+def test_a_router_rereads_its_secret_after_the_control_plane_rejects_it(tmp_path):
+    async def scenario(setup, running_fleet):
+        await setup.third_call.wait()
         file = tmp_path / "secret"
         file.write_text("former\n")
-        made.follower.client.read_secret = partial(read_secret, str(file))
-        made.secret, made.fed = "newer", trio.Event()
-        calls = len(made.waits)
-        while not made.follower.unreachable_since:
+        setup.follower.client.read_secret = partial(read_secret, str(file))
+        setup.secret, setup.third_call = "newer", trio.Event()
+        calls = len(setup.max_waits)
+        while not setup.follower.unreachable_since:
             await trio.sleep(0.01)
         file.unlink()  # amid its change
         await trio.sleep(0.3)
         file.write_text("newer\n")
-        while len(made.waits) == calls:
+        while len(setup.max_waits) == calls:
             await trio.sleep(0.01)
-        while made.follower.unreachable_since:
+        while setup.follower.unreachable_since:
             await trio.sleep(0.01)
 
-    play(tmp_path, look)
+    run_scenario(tmp_path, scenario)
