--- a/gaugehinge/drains/connection_budget.py
+++ b/gaugehinge/drains/connection_budget.py
@@ -1,4 +1,4 @@
-"""A router's connections within its lease, counted until their servers have closed them, too."""
+"""Keeps a router's connections within its lease. A connection counts until its server has closed it, too."""
 
 from __future__ import annotations
 
@@ -20,18 +20,23 @@
 from .peer_close import wait_for_peer_close
 from .upstream_connections import UpstreamConnections
 
-MAX_WAITING_ATTEMPTS = 256  # attempts that wait for a connection to one server
-WAIT_FRACTION = 0.5  # of an attempt's time to wait for a connection; then another server is tried, or none
-RESET_HOLD_TIME = 1.0  # seconds for which a connection counts that was reset, or that never came up
-FORCED_CLOSE_FRACTION = 0.5  # of the close timeout: what is in use above the floors is closed then
-REUSE_DELAY_MARGIN = 1.1  # by which a connection's rest is waited for
+MAX_WAITING_ATTEMPTS = 256  # per server
+# Share of an attempt's remaining time that it may wait for a connection. Then another server is tried, or
+# none.
+WAIT_FRACTION = 0.5
+RESET_HOLD_TIME = 1.0  # seconds that a connection counts after a reset, or if it was never established
+# Share of the close timeout after which connections above the allowed number (without a lease: above the
+# floors) are closed even if they are in use.
+FORCED_CLOSE_FRACTION = 0.5
+REUSE_DELAY_MARGIN = 1.1  # factor on REUSE_DELAY when waiting for an idle connection to become reusable
 
 
 @dataclass(slots=True, eq=False)
 class LeasedConnectionBudget:
-    """`net.connection_pool.ConnectionBudget`: says what may be opened and used by the lease.
+    """A `net.connection_pool.ConnectionBudget` that follows the router's connection lease.
 
-    Its clock goes on while the machine is suspended, and is read at each opening and each use.
+    The clock keeps running while the machine is suspended. It is read each time a connection is opened or
+    used, so that a lease that expired during a suspension is not used afterwards.
     """
 
     service: Service
@@ -39,16 +44,17 @@
     clock: Callable[[], float] = field(default=boot_clock, kw_only=True)
     lease: LeaseHolder = field(init=False)
     close_timeout: float = field(init=False, default=0.0)  # seconds
-    upstreams: dict[str, UpstreamConnections] = field(init=False, default_factory=dict)  # by `upstream_name`
-    upstream_names: dict[str, str] = field(init=False, default_factory=dict)  # by server; emptied with them
+    upstreams: dict[str, UpstreamConnections] = field(init=False, default_factory=dict)  # by upstream name
+    # By server uid; an entry is removed together with its upstream.
+    upstream_names: dict[str, str] = field(init=False, default_factory=dict)
 
-    # -- which upstream
+    # -- upstream names
 
     def upstream_name(self, endpoint: ServerPool) -> str:
-        """ORIGIN, or the server's name in the endpoint list.
+        """Return ORIGIN, or the server's uid from the endpoint list.
 
-        It stays the same for as long as a connection counts: the origin leaves the list before the
-        connections to it do.
+        The name is cached for as long as a connection counts: the origin leaves the endpoint list before its
+        connections are closed.
         """
         name = self.upstream_names.get(endpoint.uid)
         if name is None:
@@ -70,13 +76,13 @@
     # -- net.connection_pool.ConnectionBudget
 
     def may_open(self, endpoint: ServerPool) -> bool:
-        """Whether one more may be opened. Closing connections count: the server may hold them still."""
+        """Whether one more connection may be opened. Closing ones count: the server may still hold them."""
         return self._upstream(endpoint).counted < self._allowed(endpoint)
 
     def may_use(self, connection: Connection) -> bool:
-        """Whether a connection may carry an attempt.
+        """Whether a connection may carry another attempt.
 
-        One above what may be open now carries nothing more, or it would outlive its close timeout.
+        While more are open than allowed, none takes a further attempt: it could outlive the close timeout.
         """
         upstream = self._upstream(connection.endpoint)
         upstream.note_demand(len(connection.endpoint.idle))
@@ -89,7 +95,7 @@
         upstream.note_demand(len(connection.endpoint.idle))
 
     def rested(self, connection: Connection) -> None:
-        """Close a connection that became idle where it is above what may be open."""
+        """Handle a connection that became idle: close it if more are open than allowed."""
         endpoint = connection.endpoint
         upstream = self._upstream(endpoint)
         if upstream.open > self._allowed(endpoint):
@@ -102,12 +108,12 @@
             )
 
     def closed(self, connection: Connection) -> None:
-        """Shut down the sending side, and count the connection until the server has closed it, too."""
+        """Shut the connection's sending side down; it counts as closing until the server has closed it, too."""
         upstream = self._upstream(connection.endpoint)
         upstream.open -= 1
         upstream.closing += 1
         half_closed = None
-        with suppress(OSError):  # it never came up, or was reset
+        with suppress(OSError):  # it was never established, or was reset
             half_closed = connection.sock.dup()
         self.nursery.start_soon(self._await_close, half_closed, upstream, connection.endpoint)
 
@@ -126,7 +132,7 @@
     # -- attempts that wait for a connection
 
     def wait(self, endpoint: ServerPool, pending: PendingAttempt) -> bool:
-        """Keep an attempt for which no connection may be opened; False: it is not kept."""
+        """Queue an attempt for which no connection may be opened; False: it was not queued."""
         upstream = self._upstream(endpoint)
         if len(upstream.waiting) >= MAX_WAITING_ATTEMPTS or self.lease.closed:
             return False
@@ -135,7 +141,7 @@
         wait_until = now + WAIT_FRACTION * max(pending.deadline - now, 0.0)
         self._set_timer(pending, wait_until, self._wait_timed_out, upstream, pending)
         upstream.waiting.append(pending)
-        if endpoint.idle:  # one that has not had its rest
+        if endpoint.idle:  # a connection whose reuse delay is not over
             pool.timers.call_at(now + REUSE_DELAY_MARGIN * REUSE_DELAY, self._serve_waiting, endpoint)
         upstream.note_demand(len(endpoint.idle))
         return True
@@ -154,7 +160,7 @@
             self.service.pool._end_soon(pending, Outcome.NOT_SENT)
 
     def _serve_waiting(self, endpoint: ServerPool) -> None:
-        """Give free connections, and openings that are allowed, to the attempts that wait longest."""
+        """Start waiting attempts, oldest first, on idle connections or on new ones that are allowed."""
         upstream, pool = self._upstream(endpoint), self.service.pool
         while upstream.waiting:
             pending = upstream.waiting[0]
@@ -175,12 +181,12 @@
             else:
                 pool._open(endpoint, pending)
 
-    # -- connections above what is allowed
+    # -- connections above the allowed number
 
     def enforce(self) -> None:
-        """Close what is above the lease: idle connections at once, others when their attempt ends.
+        """Close connections above the allowed number: idle ones at once, others when their attempt ends.
 
-        What is still in use after half of the close timeout is closed, too.
+        Those still in use after half of the close timeout are closed, too.
         """
         now = self.clock()
         endpoints = {
@@ -212,7 +218,7 @@
         for pending in list(pool.pending.values()):
             connection = pending.connection
             if count and connection is not None and self.upstream_name(connection.endpoint) == name:
-                pool._close(connection)  # its reader wakes, and its attempt ends with a lost connection
+                pool._close(connection)  # wakes its reader, which ends the attempt as CONNECTION_LOST
                 count -= 1
 
     def _forget_upstream(self, name: str) -> None:
@@ -228,7 +234,7 @@
                 self.service.pool._close(endpoint.idle.pop(0))
 
     def close_all(self) -> None:
-        """Open nothing more, cancel what is pending and close all idle connections."""
+        """Stop opening connections, cancel pending attempts and close all idle connections."""
         self.lease.closed = True
         pool = self.service.pool
         for pending in list(pool.pending.values()):
@@ -240,11 +246,14 @@
     # -- counts
 
     def total_counted(self) -> int:
-        """Connections to all servers, those that are closing included."""
+        """Return the number of connections to all servers, closing ones included."""
         return sum(upstream.counted for upstream in self.upstreams.values())
 
     def counts_of(self, count: Callable[[UpstreamConnections], int]) -> ConnectionCounts:
-        """A count by upstream; of servers that the lease does not name the highest."""
+        """Return a count by upstream.
+
+        DEFAULT_SERVER has the highest count of the servers without an entry in the lease or its floors.
+        """
         named = {*self.lease.granted, *self.lease.floors}
         counts = {ORIGIN: 0, DEFAULT_SERVER: 0, **dict.fromkeys(named, 0)}
         for name, upstream in self.upstreams.items():
@@ -253,7 +262,7 @@
         return counts
 
     def origin_connections_in_use(self) -> int | None:
-        """Connections to the origin that are not idle; None where there are none to it."""
+        """Return how many connections to the origin are not idle; None if none to it are tracked."""
         origin = self.upstreams.get(ORIGIN)
         if origin is None:
             return None
--- a/gaugehinge/drains/connection_counts.py
+++ b/gaugehinge/drains/connection_counts.py
@@ -1,7 +1,7 @@
-"""Connection counts by upstream: the unit in which limits, floors and leases are stated.
+"""Connection counts by upstream, as used by limits, floors and leases.
 
-An upstream is the origin or one cache server. A server without a figure of its own uses the figure that
-stands for all servers.
+An upstream is the origin or one cache server. A server without an entry of its own uses the entry of
+DEFAULT_SERVER.
 """
 
 from __future__ import annotations
@@ -10,22 +10,21 @@
 from typing import NamedTuple
 
 ORIGIN = "origin"
-DEFAULT_SERVER = "servers"  # each cache server that has no entry of its own
+DEFAULT_SERVER = "servers"  # applies to each cache server without an entry of its own
 
-ConnectionCounts = dict[
-    str, int
-]  # by upstream: ORIGIN, DEFAULT_SERVER, or a server's name in the endpoint list
+# By upstream: ORIGIN, DEFAULT_SERVER, or a server's uid in the endpoint list.
+ConnectionCounts = dict[str, int]
 
 
 class UndersizedLimit(NamedTuple):
-    """A limit that the floors of all nodes do not fit into."""
+    """A limit that is lower than the sum of the floors of all nodes."""
 
     upstream: str
-    least: int  # the lowest value that would do
+    least: int  # the lowest sufficient limit
 
 
 def count_for(counts: Mapping[str, int], upstream: str) -> int:
-    """The entry of one upstream; a server without one has the entry of DEFAULT_SERVER."""
+    """Return the entry of an upstream. A server without one uses the entry of DEFAULT_SERVER."""
     count = counts.get(upstream)
     if count is not None:
         return count
@@ -35,7 +34,7 @@
 def undersized_limit(
     limits: Mapping[str, int], floors: Mapping[str, int], max_nodes: int
 ) -> UndersizedLimit | None:
-    """The first limit that is below the floors of `max_nodes` nodes; None where all are large enough."""
+    """Return the first limit below the floors of `max_nodes` nodes; None if all are large enough."""
     for upstream, limit in limits.items():
         least = max_nodes * count_for(floors, upstream)
         if least > limit:
@@ -44,12 +43,12 @@
 
 
 def maximum(*counts: Mapping[str, int]) -> ConnectionCounts:
-    """The largest entry of each upstream that any of the arguments names."""
+    """Return the largest entry of each upstream that any argument has an entry for."""
     upstreams = {upstream for each in counts for upstream in each}
     return {upstream: max(count_for(each, upstream) for each in counts) for upstream in sorted(upstreams)}
 
 
 def total(one: Mapping[str, int], other: Mapping[str, int]) -> ConnectionCounts:
-    """The sum of both entries of each upstream that either argument names."""
+    """Return the sum of both entries of each upstream that either argument has an entry for."""
     upstreams = {*one, *other}
     return {upstream: count_for(one, upstream) + count_for(other, upstream) for upstream in sorted(upstreams)}
--- a/gaugehinge/drains/operation_counter.py
+++ b/gaugehinge/drains/operation_counter.py
@@ -1,4 +1,4 @@
-"""Operations of all routers between two looks, from the totals that each run reports."""
+"""Counts operations of all routers between two reads, from the running totals that each run reports."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RunTotals(NamedTuple):
-    """Operations of one run since its start."""
+    """Operations of one run since it started."""
 
     run: str
     succeeded: int
@@ -18,7 +18,7 @@
 
 
 class OperationCounts(NamedTuple):
-    """Operations that ended."""
+    """Operations that ended between two calls of `OperationCounter.take`."""
 
     succeeded: int
     lost: int
@@ -26,14 +26,14 @@
 
 @dataclass(slots=True)
 class OperationCounter:
-    """Differences of reported totals, summed over all nodes."""
+    """Sums the increases of the reported totals over all nodes."""
 
     totals: dict[str, RunTotals] = field(default_factory=dict)  # by node
     succeeded: int = 0
     lost: int = 0
 
     def record(self, report: RouterReport, run: str) -> None:
-        """Add what ended since the report before; the first one of a run counts for nothing."""
+        """Add the operations that ended since the node's last report; a run's first report adds nothing."""
         previous = self.totals.get(report.node)
         if previous is not None and previous.run == run:
             self.succeeded += max(report.succeeded - previous.succeeded, 0)
@@ -41,12 +41,12 @@
         self.totals[report.node] = RunTotals(run, report.succeeded, report.lost)
 
     def take(self) -> OperationCounts:
-        """What was counted since the last call."""
+        """Return the counts since the last call, and reset them."""
         counts = OperationCounts(self.succeeded, self.lost)
         self.succeeded = self.lost = 0
         return counts
 
     def retain(self, nodes: Container[str]) -> None:
-        """Drop the totals of all other nodes."""
+        """Drop the totals of all nodes that are not in `nodes`."""
         for node in [node for node in self.totals if node not in nodes]:
             del self.totals[node]
--- a/gaugehinge/drains/peer_close.py
+++ b/gaugehinge/drains/peer_close.py
@@ -1,4 +1,4 @@
-"""Waiting until the peer of a TCP connection has closed it, too."""
+"""Waits until the peer of a TCP connection has closed its side."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 async def wait_for_peer_close(connection: socket.socket, max_wait: float) -> bool:
-    """Shut down the sending side, and read until the peer closes, for `max_wait` seconds at most.
+    """Shut down the sending side and read until the peer closes, for at most `max_wait` seconds.
 
-    False: the connection was reset, and the peer's process may not have noticed yet.
+    Returns False if the connection was reset: the peer's process may not have noticed that yet.
     """
     try:
         connection.setblocking(False)
