--- a/gaugehinge/drains/router.py
+++ b/gaugehinge/drains/router.py
@@ -1,4 +1,4 @@
-"""The router's part: it reports its connections, follows its lease and shuts down when it is told to."""
+"""The router's side of drains: reports its connections, follows its lease, and shuts down when told to."""
 
 from __future__ import annotations
 
@@ -27,18 +27,20 @@
 from .node_file import NodeFile
 from .node_state_writer import NodeStateWriter
 
-CHECK_INTERVAL = 0.1  # seconds between two looks at what is open
-DEFAULT_CLOSE_TIMEOUT = 15.0  # seconds, until the control plane tells the close timeout
-LONG_POLL_FRACTION = 0.25  # of a lease that a call may stand open
-EXIT_STEP_TIMEOUT = 1.0  # seconds for closing all connections, and as many for reporting that
+CHECK_INTERVAL = 0.1  # seconds between two checks of the open connections
+DEFAULT_CLOSE_TIMEOUT = 15.0  # seconds, used until the control plane sends the configured close timeout
+LONG_POLL_FRACTION = 0.25  # share of the lease duration that a long poll may stay open
+EXIT_STEP_TIMEOUT = 1.0  # seconds to close all connections, and again to report that they are closed
 EXIT_CHECK_INTERVAL = 0.01  # seconds
-LOST_REPLY_PREFIXES = (b"-BUSY", b"-ERR failed")  # of answers that count as lost
-RUN_NUMBER_STEP = 2  # two more, not one: of runs after the last known one nobody knows what they left open
+LOST_REPLY_PREFIXES = (b"-BUSY", b"-ERR failed")  # replies that count as a lost operation
+# Added to the last known run number if the state file is too old. It is 2, not 1: with 1 this run would count
+# as the direct successor of the last known run, but what runs in between left open is unknown.
+RUN_NUMBER_STEP = 2
 
 
 @dataclass(slots=True, eq=False)
 class DrainsAgent(LeasedConnectionBudget, FeedPart):
-    """A part of the feed; the connection budget, a reply observer and a shutdown hook of the router."""
+    """A feed part that also is the router's connection budget, a reply observer and a shutdown hook."""
 
     follower: ControlPlaneWatch
     node_file: NodeFile
@@ -49,18 +51,18 @@
     name: str = NAME
     state_writer: NodeStateWriter = field(init=False)
     load: LoadMeter = field(init=False)
-    sequence: int = 0  # of reports
-    reported_at: float = 0.0
-    ready_since: float = 0.0  # 0: it was not ready yet
-    succeeded: int = 0  # operations
-    lost: int = 0
+    sequence: int = 0  # of the last report
+    reported_at: float = 0.0  # seconds, when the last report was built
+    ready_since: float = 0.0  # seconds; 0: not ready yet
+    succeeded: int = 0  # operations of this run
+    lost: int = 0  # operations of this run
     restart_token: str = ""  # of the rolling restart that told this run to shut down
-    rejection: str = ""  # as logged last
-    wants_servers: bool = False
+    rejection: str = ""  # reason in the last reply, to log each reason once
+    wants_servers: bool = False  # the control plane asked for the list of servers
     lease_was_valid: bool = False
 
     def __post_init__(self) -> None:
-        """Attach to the service, at the floors that the state file has."""
+        """Start without a lease, at the floors from the state file."""
         now = self.clock()
         state = self.node_file.state
         self.close_timeout = state.close_timeout or DEFAULT_CLOSE_TIMEOUT
@@ -70,16 +72,16 @@
         self.load = LoadMeter(now)
 
     def on_reply(self, reply: bytes) -> None:
-        """Count final replies by whether they answered their operation."""
+        """Count a final reply as a succeeded or a lost operation."""
         if reply.startswith(LOST_REPLY_PREFIXES):
             self.lost += 1
         else:
             self.succeeded += 1
 
-    # -- by itself
+    # -- background task
 
     async def run(self) -> None:
-        """Keep connections within the lease, until cancelled."""
+        """Keep connections within the lease until cancelled."""
         while True:
             await trio.sleep(CHECK_INTERVAL)
             now = self.clock()
@@ -87,15 +89,15 @@
                 self.ready_since = now
             self._log_lease_mode(now)
             self.enforce()
-            self.close_idle(self.follower.overrides.drained)  # nothing more goes to a server that drains
+            self.close_idle(self.follower.overrides.drained)  # a draining server gets no new attempts
             self._measure(now)
 
     def _log_lease_mode(self, now: float) -> None:
         valid = self.lease.validity.is_valid(now)
         if valid is not self.lease_was_valid:
             self.lease_was_valid = valid
-            mode = f"granted {self.lease.granted}" if valid else f"at its floor {self.lease.floors}"
-            logger.info("connections {}: number {}", mode, self.lease.number)
+            mode = f"the grant {self.lease.granted}" if valid else f"the floors {self.lease.floors}"
+            logger.info("connections limited to {}: lease number {}", mode, self.lease.number)
 
     def _measure(self, now: float) -> None:
         in_use = self.origin_connections_in_use()
@@ -108,7 +110,7 @@
     # -- hosted.feed_parts.FeedPart
 
     def report(self) -> bytes | None:
-        """The report that goes with the next call, in JSON."""
+        """Return the JSON report for the next call to the control plane."""
         self.sequence += 1
         now = self.reported_at = self.clock()
         state, lease = self.node_file.state, self.lease
@@ -145,7 +147,7 @@
         return msgspec.json.encode(report)
 
     def _floors(self) -> ConnectionCounts:
-        """The highest floors that this node may fall back to, by its lease or its state file."""
+        """The higher of the floors in the lease and in the state file: the node may fall back to either."""
         lease, state = self.lease.floors, self.node_file.state.floors
         return {name: max(lease.get(name, 0), state.get(name, 0)) for name in {*lease, *state}}
 
@@ -175,7 +177,7 @@
         ][:MAX_SERVERS]
 
     def hear(self, feed: Feed, asked_at: float) -> None:
-        """Follow the control plane's answer to the last report. Raises FeedError where it is malformed."""
+        """Follow the control plane's reply to the last report. Raises FeedError if it is malformed."""
         raw = feed.parts.get(NAME)
         if raw is None:
             return
@@ -199,16 +201,16 @@
             self._shut_down_immediately(reply.restart_token)
 
     def _exceed_run_number(self, known: int) -> None:
-        """The state file is older than the node's last run: count on from that."""
+        """Take a run number above `known`: the state file is older than the node's last known run."""
         number = known + RUN_NUMBER_STEP
-        logger.warning("drains: the state file is older than run {}: this is run {}", known, number)
+        logger.warning("drains: the state file is older than run {}; continuing as run {}", known, number)
         state = msgspec.structs.replace(self.node_file.state, run_number=number)
         if not self.node_file.save(state):
             self.node_file.state = state
 
     def _log_rejection(self, rejection: str) -> None:
         if rejection and rejection != self.rejection:
-            logger.warning("connections: not admitted by the keeper: {}", rejection)
+            logger.warning("connections: the control plane did not admit this node: {}", rejection)
         self.rejection = rejection
 
     def _apply_lease(self, lease: ConnectionLease, incarnation: str) -> None:
@@ -229,34 +231,41 @@
     def _begin_shutdown(self, restart_token: str) -> None:
         self.restart_token = restart_token
         self.state_writer.save(restart_token=restart_token)
-        logger.info("told to end by {}: {} operations in hand", restart_token, self._in_flight())
+        logger.info("told to shut down by {}: {} operations in flight", restart_token, self._in_flight())
         self.shut_down()
 
     def _shut_down_immediately(self, restart_token: str) -> None:
-        logger.warning("told to end at once by {}: {} in hand", restart_token, self._in_flight())
+        logger.warning(
+            "told to shut down immediately by {}: {} operations in flight", restart_token, self._in_flight()
+        )
         self.service.dispatcher.fail_rest()
         self.nursery.cancel_scope.cancel()
 
     def away(self) -> None:
-        """Do nothing about a failed call: the clock alone says when the lease has expired."""
+        """Ignore a failed call: the lease expires by the clock alone."""
 
     def ready(self) -> bool:
-        """Whether connections may be opened, by a lease or at the floors. For `recovery`."""
+        """Whether the lease or the floors allow any connection. Used by `recovery`."""
         now = self.clock()
         return any(self.lease.allowed(upstream, now) for upstream in (ORIGIN, DEFAULT_SERVER))
 
-    # -- the end
+    # -- shutdown
 
     async def before_exit(self) -> None:
-        """All is answered: close all connections, and report it once their servers have closed them, too."""
+        """Close all connections, wait until their servers have closed them, too, and report that.
+
+        Called after all operations have been answered.
+        """
         self.close_all()
         with trio.move_on_after(EXIT_STEP_TIMEOUT):
-            while self.total_counted():  # noqa: ASYNC110 (an event of each upstream would say no more)
+            while self.total_counted():  # noqa: ASYNC110 (an event per upstream would not say more)
                 await trio.sleep(EXIT_CHECK_INTERVAL)
         remaining = self.total_counted()
         with trio.move_on_after(EXIT_STEP_TIMEOUT):
             try:
                 await self.follower.report_now()
-            except Exception as error:  # the control plane finds out by the lease, later
-                logger.info("the keeper was not told that all is closed: {}", type(error).__name__)
-        logger.info("connections closed: {} left, run {}", remaining, self.node_file.state.run_number)
+            except Exception as error:  # the control plane learns it later, when the lease expires
+                logger.info(
+                    "could not report the closed connections to the control plane: {}", type(error).__name__
+                )
+        logger.info("connections closed: {} remaining, run {}", remaining, self.node_file.state.run_number)
--- a/gaugehinge/rehearsal/drainsplay.py
+++ b/gaugehinge/rehearsal/drainsplay.py
@@ -32,7 +32,7 @@
 SPARE = 2  # nodes that may exist beside those that are meant: files are lost
 ROLL_TIME = 150.0  # seconds for a roll, on a machine with whatever load
 LOOK = 0.1  # seconds between two looks of the supervisor
-TOLD = "told to end by "
+TOLD = "told to shut down by "
 DAY = 86400.0
 GRANTED = 60.0  # seconds until all are granted something
 
