--- a/gaugehinge/drains/node_file.py
+++ b/gaugehinge/drains/node_file.py
@@ -1,7 +1,8 @@
-"""A router's own state file: it identifies a node over its runs, and admits one run at a time.
+"""A router's state file: it identifies a node across its runs and allows one run at a time.
 
-A lock beside it is held for the life of the process, also while that is stopped: a later run on the same file
-proves that the one before has ended. The file is replaced whole or not at all, at the start or from a thread.
+A lock file next to it is held for the life of the process, even while the process is stopped: a later run on
+the same state file proves that the run before it has ended. The state file is replaced atomically, at startup
+or from a thread.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 
 from .checksum import seal, unseal
 
-IDENTITY_BYTES = 8
+IDENTITY_BYTES = 8  # random bytes of a node's identity
 
 
 class NodeFileLockedError(OSError):
-    """Another process holds this state file."""
+    """Another process holds the lock of this state file."""
 
 
 class NodeState(
@@ -29,24 +30,25 @@
     frozen=True,
     rename={"admitted_by": "admitted", "restart_token": "rolled", "close_timeout": "closing"},
 ):
-    """What the file has."""
+    """Content of the state file."""
 
-    ident: str
-    run_number: int = 0
-    admitted_by: str = ""  # incarnation of the store that admitted this node; empty: none did
+    ident: str  # the node's identity, in hexadecimal
+    run_number: int = 0  # counts the runs on this file
+    admitted_by: str = ""  # incarnation of the store that admitted this node; empty: not admitted
     floors: dict[str, int] = {}
-    restart_token: str = ""  # of the rolling restart that ended a run last
-    close_timeout: float = 0.0  # seconds within which upstreams close what an earlier run left; 0: unknown
+    restart_token: str = ""  # of the rolling restart that last shut down a run
+    # Seconds within which upstreams close connections left by an earlier run; 0: unknown.
+    close_timeout: float = 0.0
 
 
 class NodeFile:
-    """The state file, held by one run."""
+    """The state file, locked by one run."""
 
     def __init__(self, path: str) -> None:
-        """Lock the file and count this run on it.
+        """Lock the file and increment its run number.
 
-        A file that cannot be used makes this another node, which has nothing until it is admitted. Raises
-        NodeFileLockedError.
+        If the file is unusable, this becomes a new node, which may open no connections until it is admitted.
+        Raises NodeFileLockedError.
         """
         self.path = Path(path)
         self.writable = True
@@ -59,7 +61,7 @@
         except NodeFileLockedError:
             raise
         except OSError as error:
-            logger.warning("drains: {} cannot be used, this is a new node: {}", path, error)
+            logger.warning("drains: state file {} is unusable, running as a new node: {}", path, error)
             self.state, self.writable = msgspec.structs.replace(_new_state(), run_number=1), False
 
     def _take_lock(self) -> None:
@@ -81,7 +83,10 @@
             quarantine_path = self.path.with_name(f"{self.path.name}.bad")
             self.path.replace(quarantine_path)
             logger.warning(
-                "drains: {} set aside as {}, this is a new node: {}", self.path, quarantine_path.name, error
+                "drains: invalid state file {} renamed to {}, running as a new node: {}",
+                self.path,
+                quarantine_path.name,
+                error,
             )
             return _new_state()
 
@@ -99,13 +104,13 @@
         os.close(directory)
 
     def save(self, state: NodeState) -> bool:
-        """Replace the state; False where it could not be written. Blocks on the disk."""
+        """Replace the state; False if it could not be written. Blocks on disk I/O."""
         if not self.writable:
             return False
         try:
             self._write(state)
         except OSError as error:
-            logger.warning("drains: {} not written: {}", self.path, error)
+            logger.warning("drains: state file {} not written: {}", self.path, error)
             return False
         self.state = state
         return True
--- a/gaugehinge/drains/node_state_writer.py
+++ b/gaugehinge/drains/node_state_writer.py
@@ -1,4 +1,4 @@
-"""Writes of the state file from a thread, one at a time."""
+"""Writes the state file from a thread, one write at a time."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclass(slots=True, eq=False)
 class NodeStateWriter:
-    """What changes during a write is written with the next one."""
+    """Writes changes in the background. Changes made during a write are merged into the next one."""
 
     file: NodeFile
     nursery: trio.Nursery
-    pending: dict[str, Any] = field(default_factory=dict)  # by field of NodeState
+    pending: dict[str, Any] = field(default_factory=dict)  # not yet written, by field of NodeState
     writing: bool = False
 
     def save(self, **changes: Any) -> None:
-        """Write changed fields of the NodeState soon."""
+        """Schedule a write of changed fields of the NodeState."""
         self.pending |= changes
         if not self.writing:
             self.writing = True
