--- a/gaugehinge/drains/api.py
+++ b/gaugehinge/drains/api.py
@@ -1,4 +1,4 @@
-"""Limits, leases and rolling restarts over HTTP: routes of the administration API."""
+"""Administration API routes for connection limits, leases and rolling restarts."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class DrainsApi:
-    """All calls of this subsystem."""
+    """All API operations of drains."""
 
     def __init__(self, controller: DrainsController) -> None:
-        """Handlers for one controller."""
+        """Create the handlers for one controller."""
         self.limits = LimitsApi(controller)
         self.leases = LeasesApi(controller)
         self.restarts = RestartsApi(controller)
 
     def routes(self) -> list[Route]:
-        """The routes of limits, leases and rolling restarts."""
+        """Return the routes for limits, leases and rolling restarts."""
         limits, leases, restarts = self.limits, self.leases, self.restarts
         return [
             Route("GET", "/v1/limits", "limits on connections", None, LimitPage, limits.list_limits),
--- a/gaugehinge/drains/api_types.py
+++ b/gaugehinge/drains/api_types.py
@@ -1,4 +1,7 @@
-"""Bodies of the API's calls on limits, leases and rolling restarts."""
+"""Request and response bodies of the API for limits, leases and rolling restarts.
+
+The docstrings of the bodies are published in the OpenAPI description.
+"""
 
 from __future__ import annotations
 
@@ -22,10 +25,10 @@
 ):
     """A limit, and what of it is held in the worst case."""
 
-    upstream: str  # `origin`, `servers` (each that is not named), or a server's name
+    upstream: str  # `origin`, `servers` (each server without its own limit), or a server's uid
     limit: int
-    held: int  # connections that nodes may have open at most, unknown nodes included
-    least: int  # that it can be lowered to
+    held: int  # most connections that nodes may have open, unknown nodes included
+    least: int  # the lowest value that the limit can be set to
     enforced: bool  # `held` is certainly within the limit
     revision: int
 
@@ -37,7 +40,7 @@
 
 
 class NodeStage(StrEnum):
-    """Where a node stands with its lease."""
+    """State of a node with regard to its lease."""
 
     GRANTED = "granted"
     SILENT = "silent"
@@ -62,11 +65,11 @@
     node: str
     run: str
     number: int
-    granted: dict[str, int]  # empty: it is at its floors
-    worst_case: dict[str, int]  # that it may have open
+    granted: dict[str, int]  # empty: the node is limited to its floors
+    worst_case: dict[str, int]  # most connections that it may have open
     open_connections: dict[str, int]  # as last reported
     demand: dict[str, int]
-    heard_ago: float  # seconds; -1: not by this run of the control plane
+    heard_ago: float  # seconds since its last report; -1: none to this run of the control plane
     stage: str  # a NodeStage
 
 
@@ -84,9 +87,9 @@
 
     nodes: list[NodeView]
     max_nodes: int
-    rejected: dict[str, str]  # nodes that are not admitted, and why
-    suspension_reason: str  # why no new node is admitted; empty: no reason
-    raises_in: float  # seconds until leases may be raised after this control plane's start
+    rejected: dict[str, str]  # by node that is not admitted: the reason
+    suspension_reason: str  # why no new node is admitted; empty: not suspended
+    raises_in: float  # seconds until leases may be raised, after a start of the control plane
 
 
 class StepView(msgspec.Struct, frozen=True, rename={"reason": "why"}):
@@ -123,7 +126,7 @@
     created_by: str
     created_at: float
     revision: int
-    steps: list[StepView] = []  # of one rolling restart alone
+    steps: list[StepView] = []  # only in the view of a single rolling restart
 
 
 class RestartPage(msgspec.Struct, frozen=True, rename={"restarts": "rolls"}):
--- a/gaugehinge/drains/build.py
+++ b/gaugehinge/drains/build.py
@@ -1,4 +1,4 @@
-"""The router's side of the subsystem, by the installation file."""
+"""Creates the router's side of drains from the installation file."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 def drains_builder(
     installation: Installation,
 ) -> Callable[[Service, trio.Nursery, ControlPlaneWatch], DrainsAgent]:
-    """What adds drains to a router that follows a control plane; this run is counted on its state file now.
+    """Return a function that adds drains to a router that follows a control plane.
 
-    Raises NodeFileLockedError.
+    This call already locks the state file and increments its run number. Raises NodeFileLockedError.
     """
     entry = installation.drains
     node_file = NodeFile(entry.file)
--- a/gaugehinge/drains/messages.py
+++ b/gaugehinge/drains/messages.py
@@ -1,4 +1,4 @@
-"""Messages between routers and the control plane, carried as a part of the feed. No I/O."""
+"""Messages of drains between routers and the control plane, carried as a part of the feed. No I/O."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 from .lease_types import ConnectionLease, NodeReport
 
-NAME = "drains"  # of the part, as in Report.parts and Feed.parts
-MAX_UPSTREAMS = 128  # of one report: the origin, all servers, and servers that are named
-MAX_SERVERS = 1024  # of one list
+NAME = "drains"  # of the part: its key in Report.parts and Feed.parts
+MAX_UPSTREAMS = 128  # per report: ORIGIN, DEFAULT_SERVER, and servers with an entry of their own
+MAX_SERVERS = 1024  # per list
 
 Text = Annotated[str, Meta(max_length=200)]
 Counts = Annotated[dict[Text, Annotated[int, Meta(ge=0, le=10**7)]], Meta(max_length=MAX_UPSTREAMS)]
 
 
 class ServerReport(msgspec.Struct, frozen=True, array_like=True):
-    """A server as discovery listed it to a router."""
+    """A server as a router received it from discovery."""
 
     uid: Text
     zone: Text
     kind: Text
-    up: bool  # by discovery alone
+    up: bool  # according to discovery alone
     started_at: float
 
 
@@ -48,7 +48,7 @@
         "restart_token": "rolled",
     },
 ):
-    """A router's part of its report. One of another build may have further fields."""
+    """The drains part of a router's report. A report of another build may have further fields."""
 
     node: Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,100}@[0-9a-f]{8,32}$")]
     run_number: Annotated[int, Meta(ge=1, le=1 << 53)]
@@ -67,18 +67,20 @@
     ready_for: Annotated[float, Meta(ge=0)] = 0.0  # seconds; 0: not ready
     draining: bool = False
     in_flight: Annotated[int, Meta(ge=0)] = 0
-    succeeded: Annotated[int, Meta(ge=0)] = 0  # operations since its start
-    lost: Annotated[int, Meta(ge=0)] = 0  # operations that were rejected or failed since its start
-    cpu_cores: Annotated[float, Meta(ge=0, le=1024)] = 0.0  # recently used
+    succeeded: Annotated[int, Meta(ge=0)] = 0  # operations since the run started
+    lost: Annotated[int, Meta(ge=0)] = 0  # rejected or failed operations since the run started
+    cpu_cores: Annotated[float, Meta(ge=0, le=1024)] = 0.0  # recent mean of CPU cores used
     origin_connections: Annotated[float, Meta(ge=0)] = 0.0  # recent mean of those in use
-    operation_rate: Annotated[float, Meta(ge=0)] = 0.0  # recent operations a second
-    draining_servers: Annotated[dict[Text, int], Meta(max_length=MAX_SERVERS)] = {}  # connections to each
-    cache_attempts: Annotated[int, Meta(ge=0)] = 0  # connections in use to cache servers
-    servers: Annotated[list[ServerReport], Meta(max_length=MAX_SERVERS)] = []  # where it was asked for them
-    restart_token: Text = ""  # of the rolling restart that ended a run of this node last
+    operation_rate: Annotated[float, Meta(ge=0)] = 0.0  # recent operations per second
+    # By uid: connections to the server, and attempts that wait for one.
+    draining_servers: Annotated[dict[Text, int], Meta(max_length=MAX_SERVERS)] = {}
+    # Pending attempts at cache servers: each uses a connection or waits for one.
+    cache_attempts: Annotated[int, Meta(ge=0)] = 0
+    servers: Annotated[list[ServerReport], Meta(max_length=MAX_SERVERS)] = []  # only if it was asked for them
+    restart_token: Text = ""  # of the rolling restart that last shut down a run of this node
 
     def node_report(self, run: str) -> NodeReport:
-        """The part of it that leases are decided by."""
+        """Return the part of the report that leases depend on."""
         return NodeReport(
             self.node,
             run,
@@ -113,24 +115,25 @@
         "rejection": "refused",
     },
 ):
-    """The control plane's part of an answer."""
+    """The drains part of the control plane's reply to a report."""
 
     incarnation: str  # of the store
-    number: int = 0  # of the lease; 0: none is issued, and what the router holds runs out
+    number: int = 0  # of the lease; 0: no lease is issued, and the one that the router holds expires
     issuer: str = ""
     granted: dict[str, int] = {}
     floors: dict[str, int] = {}
-    lease_duration: float = 0.0  # seconds, from when the router sent its report
+    lease_duration: float = 0.0  # seconds, counted from when the router sent its report
     predecessors_closed: bool = False  # as in ConnectionLease
-    close_timeout: float = 0.0  # seconds after an expired lease in which all above the floors is to be closed
-    run_number_above: int = 0  # the state file is older than the node's last run: exceed this run number
+    close_timeout: float = 0.0  # seconds after lease expiry to close all connections above the floors
+    # Not 0: the state file is older than the node's last run; the router has to take a higher run number.
+    run_number_above: int = 0
     restart_token: str = ""  # of the rolling restart that tells this run to shut down
-    immediate: bool = False  # without waiting for what is in flight
-    wants_servers: bool = False  # the next report is to list the servers
+    immediate: bool = False  # shut down without waiting for operations in flight
+    wants_servers: bool = False  # the next report has to list the servers
     rejection: str = ""  # why the node is not admitted
 
     def lease(self) -> ConnectionLease | None:
-        """The lease that it carries; None where it carries none."""
+        """Return the lease in this reply; None if there is none."""
         if not self.number:
             return None
         return ConnectionLease(
--- a/gaugehinge/drains/part.py
+++ b/gaugehinge/drains/part.py
@@ -1,4 +1,4 @@
-"""The control plane's part, as the control_plane calls it, and how it is made from settings."""
+"""The control plane's side of drains: an extension that is created from the settings."""
 
 from __future__ import annotations
 
@@ -32,24 +32,24 @@
     name: str = NAME
 
     def on_report(self, report: Report, now: float) -> None:
-        """Take a router's report. Raises ApiError where its part is malformed."""
+        """Handle a router's report. Raises ApiError if its drains part is malformed."""
         self.controller.on_report(report, now)
 
     def feed_section(self, store: Store, report: Report) -> bytes | None:
-        """On the store's thread: the part of the answer, in JSON."""
+        """Return this part of the reply, in JSON. Runs on the store's thread."""
         return self.controller.reply(store, report)
 
     def routes(self) -> list[Route]:
-        """What drains adds to the API."""
+        """Return the routes that drains adds to the administration API."""
         return DrainsApi(self.controller).routes()
 
     async def run(self) -> None:
-        """Plan until cancelled."""
+        """Run the controller until cancelled."""
         await self.controller.run()
 
 
 def control_plane_part(settings: ControlPlaneConfig) -> Callable[[ControlPlane], DrainsPart]:
-    """What makes the control plane's part, by its settings file."""
+    """Return a factory for the control plane's part, configured by its settings file."""
     zones_by_region = getattr(settings.placement, "regions", {})
     regions = {zone: region for region, zones in zones_by_region.items() for zone in zones}
     return lambda control_plane: create_part(control_plane, settings.drains, regions)
@@ -58,7 +58,7 @@
 def create_part(
     control_plane: ControlPlane, settings: DrainsConfig, regions: dict[str, str] | None = None
 ) -> DrainsPart:
-    """The part of one control plane run; `regions`: by zone, where they are named."""
+    """Create the part for one control plane run. `regions` maps zones to regions, if configured."""
     manager = LeaseManager(
         time.monotonic(),
         control_plane.leases.duration,
--- a/gaugehinge/drains/shard_pinning.py
+++ b/gaugehinge/drains/shard_pinning.py
@@ -1,4 +1,4 @@
-"""Shards that may be served in certain zones only: their last server there is not taken out."""
+"""Shards pinned to zones: a restart must not take out the last server in those zones."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def pinned_zones(control_plane: ControlPlane) -> Iterable[frozenset[str]]:
-    """The zones of each shard that may be served nowhere else, as placement has them."""
+    """Return the zone sets of the shards that placement allows in no other zones."""
     placement: Any = next((part for part in control_plane.extensions if part.name == "placement"), None)
     rows = placement.index.shards.values() if placement is not None else ()
     return {
@@ -23,7 +23,10 @@
 
 
 def last_of_shard(pinned_zones: Iterable[frozenset[str]], servers: dict[str, NodeStatus]) -> LastOfShard:
-    """A test whether a server is the last one up for a shard pinned to zones, others being unavailable."""
+    """Return a predicate: is a server the last one up in the zones of a pinned shard?
+
+    The predicate takes the server's name and the names of the nodes that count as unavailable.
+    """
     pinned = set(pinned_zones)
 
     def serves(uid: str, zones: frozenset[str], unavailable: frozenset[str]) -> bool:
@@ -32,7 +35,7 @@
 
     def is_last(name: str, unavailable: frozenset[str]) -> bool:
         if name not in servers:
-            return False  # a router
+            return False  # it is a router
         return any(
             servers[name].zone in zones
             and not any(serves(uid, zones, unavailable) for uid in servers if uid != name)
