--- a/tests/test_drains_connections.py
+++ b/tests/test_drains_connections.py
@@ -1,4 +1,4 @@
-"""A router's connections within its lease, against a server on loopback."""
+"""Tests that a router keeps its connections within its lease, against a server on the loopback interface."""
 
 import socket
 from contextlib import asynccontextmanager
@@ -23,7 +23,7 @@
 
 
 class FakeServer:
-    """A server that answers each command and closes a connection when it is told to."""
+    """A server that replies to each command, and closes after its peer unless `ignore_close` is set."""
 
     def __init__(self):
         self.open = self.max_open = 0
@@ -48,7 +48,7 @@
 
 @asynccontextmanager
 async def agent_with_pool(tmp_path, granted):
-    """A pool with an agent whose clock and grant the test sets."""
+    """A connection pool with a DrainsAgent whose clock and grant are set by the test."""
     async with trio.open_nursery() as nursery:
         server_side, clock, ended = FakeServer(), Clock(), []
         listeners = await nursery.start(trio.serve_tcp, server_side.serve, 0)
@@ -102,11 +102,11 @@
 
 
 async def fail_report():
-    raise OSError("the control plane is away")
+    raise OSError("the control plane is unreachable")
 
 
 def deliver_reply(agent, time, number, servers, lease=10.0):
-    """An answer of the control plane to a report that is sent now."""
+    """Deliver a control plane reply to a report that is sent now."""
     agent.report()
     raw = msgspec.json.encode(
         ControlPlaneReply(
@@ -155,7 +155,7 @@
             for _ in range(3):
                 setup.send()
             await until(lambda: len(setup.ended) == 3)
-            setup.server_side.ignore_close.set()  # the server does not notice that its connections end
+            setup.server_side.ignore_close.set()  # the server does not react to closed connections
             deliver_reply(setup.agent, setup.time, 2, 1)
             endpoint = next(iter(setup.pool.endpoints.values()))
             assert len(endpoint.idle) == 1 and not setup.agent.may_open(endpoint)
@@ -166,7 +166,7 @@
                 == setup.server_side.open
             )
             deliver_reply(setup.agent, setup.time, 1, 9)
-            assert setup.agent.lease.number == 2, "an answer of an older number is not followed"
+            assert setup.agent.lease.number == 2, "a reply with a lower lease number is ignored"
 
     run(scenario)
 
@@ -180,7 +180,7 @@
             endpoint = next(iter(setup.pool.endpoints.values()))
             setup.time.now += 9.0
             assert setup.agent.may_use(endpoint.idle[0])
-            setup.time.now += 0.9  # SIGSTOP until the lease is over; nothing of the agent has run since
+            setup.time.now += 0.9  # as after SIGSTOP until the lease has expired: the agent has not run since
             assert not setup.agent.may_use(endpoint.idle[0]) and not setup.agent.may_open(endpoint)
             setup.send()
             await until(lambda: len(setup.ended) == 4)
--- a/tests/test_drains_files.py
+++ b/tests/test_drains_files.py
@@ -1,4 +1,4 @@
-"""The files of this subsystem: a router's state file and the high-water mark."""
+"""Tests of the files of drains: state file, high-water mark, admission record and stored records."""
 
 import json
 from pathlib import Path
@@ -44,7 +44,7 @@
     third.close()
     (tmp_path / "a file").write_text("")
     assert not NodeFile(str(tmp_path / "a file" / "node")).save(third.state), (
-        "a node of its own, kept nowhere"
+        "an unwritable state file makes a new node that is not stored"
     )
 
 
@@ -54,11 +54,13 @@
     assert in_memory(tmp_path, mounts) and not in_memory(tmp_path / "x", mounts)
     assert HighWaterMarkFile.beside(tmp_path / "s.db", tmp_path / "x").path is None
     mark, digests = HighWaterMarkFile(tmp_path / "mark"), {7: "aa", 8: "bb"}.get
-    assert not mark.covers("life", digests, 10.0, 3.0), "there is none"
+    assert not mark.covers("life", digests, 10.0, 3.0), "there is no file"
     assert mark.advance("life", 7, digests, True, 10.0)
     assert mark.covers("life", digests, 12.9, 3.0) and not mark.covers("life", digests, 13.0, 3.0)
     assert not mark.covers("other", digests, 11.0, 3.0) and not mark.covers("life", {7: "cc"}.get, 11.0, 3.0)
-    assert not mark.covers("life", digests, 9.0, 3.0), "of a machine that was up for longer"
+    assert not mark.covers("life", digests, 9.0, 3.0), (
+        "written later than now: on a machine with a longer uptime"
+    )
     assert mark.advance("life", 8, digests, False, 11.0) and not mark.covers("life", digests, 11.0, 3.0)
     assert mark.advance("life", 8, digests, True, 11.0)
     intact = mark.path.read_bytes()
@@ -66,13 +68,13 @@
         mark.path.write_bytes(corrupt)
         assert not mark.covers("life", digests, 11.0, 3.0)
     mark.path.unlink()
-    mark.path.mkdir()  # it can neither be written nor taken away
+    mark.path.mkdir()  # can neither be written nor removed
     assert not mark.advance("life", 9, {9: "dd"}.get, True, 12.0)
     mark.path.rmdir()
     assert mark.advance("life", 9, {9: "dd"}.get, True, 12.0)
 
 
-# -- written by the version before
+# -- files, rows and messages written by the previous version
 
 
 DATA = Path(__file__).parent / "data" / "drains-2f1733f"
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -1,4 +1,4 @@
-"""What recovery, placement and drains do to each other in one router that follows a keeper."""
+"""Interactions of recovery, placement and drains in one router that follows a control plane."""
 
 from functools import partial
 
@@ -29,16 +29,16 @@
 
 
 class SubsystemsUnderTest:
-    """A router with placement and recovery, as `gaugehinge serve` puts them together."""
+    """A router with placement and recovery, combined as in `gaugehinge serve`, and a fake control plane."""
 
     def __init__(self, tmp_path, silent) -> None:
         timeouts = {"keeper_wait": 1.0, "decide": 0.3, "list_wait": 0.4}
         self.entry = RecoveryEntry(True, "key", str(tmp_path / "snap"), **timeouts)
-        self.max_waits: list[float] = []  # that each call for news asked for
+        self.max_waits: list[float] = []  # of each call, as requested by the router
         self.third_call = trio.Event()
-        self.silent = silent  # the keeper tells nothing
-        self.server_lists: list[list] = []  # of servers that the keeper was told
-        self.secret = ""  # that the keeper knows; empty: it does not ask
+        self.silent = silent  # the control plane never replies
+        self.server_lists: list[list] = []  # server lists that the router reported
+        self.secret = ""  # that the control plane expects; empty: none
 
     def build(self, service, nursery):
         http = httpx.AsyncClient(
@@ -88,7 +88,7 @@
 def test_long_polls_stay_well_below_the_lease_duration_from_the_first_reply(tmp_path):
     async def scenario(setup, running_fleet):
         await setup.third_call.wait()
-        assert setup.max_waits[0] == 0.0  # it asks who is there
+        assert setup.max_waits[0] == 0.0  # the first call does not wait
         assert 0.0 < max(setup.max_waits[1:]) < 0.5 * LEASE
 
     run_scenario(tmp_path, scenario)
@@ -111,7 +111,9 @@
         ]
         assert set(reported) == {5.0}
         assumed = {cache.started for cache in running_fleet.service.dispatcher.router.endpoints.values()}
-        assert min(assumed) >= setup.recovery.began  # nobody knows whether they lived on: cold
+        assert (
+            min(assumed) >= setup.recovery.began
+        )  # it is unknown whether they kept running, so they count as cold
 
     run_scenario(tmp_path, scenario)
 
@@ -119,7 +121,7 @@
 def test_startup_waits_for_leases_up_to_a_limit_and_rejections_without_a_lease_are_not_failures(tmp_path):
     async def scenario(setup, running_fleet):
         recovery, lifecycle = setup.recovery, running_fleet.service.lifecycle
-        recovery.facts.keeper = True  # it answered once, and told no lease
+        recovery.facts.keeper = True  # it replied once, without a lease
         running_fleet.service.dispatcher.on_endpoints_changed(
             read_endpoint_list({"rev": 2, "all": True, "targets": running_fleet.targets})
         )
@@ -163,7 +165,7 @@
 
 def test_a_router_without_an_endpoint_list_does_not_report_an_empty_server_list(tmp_path):
     async def scenario(setup, running_fleet):
-        await setup.third_call.wait()  # its list is held back while it decides
+        await setup.third_call.wait()  # the router holds its endpoint list back until recovery has decided
         assert setup.server_lists == []
         running_fleet.service.dispatcher.on_endpoints_changed(
             read_endpoint_list({"rev": 2, "all": True, "targets": running_fleet.targets})
@@ -175,6 +177,7 @@
     run_scenario(tmp_path, scenario)
 
 
+# For example, a control plane with a new disk does not know the former secret.
 def test_a_router_rereads_its_secret_after_the_control_plane_rejects_it(tmp_path):
     async def scenario(setup, running_fleet):
         await setup.third_call.wait()
@@ -185,7 +188,7 @@
         calls = len(setup.max_waits)
         while not setup.follower.unreachable_since:
             await trio.sleep(0.01)
-        file.unlink()  # amid its change
+        file.unlink()  # the file is missing for a moment while it is replaced
         await trio.sleep(0.3)
         file.write_text("newer\n")
         while len(setup.max_waits) == calls:
