--- a/gaugehinge/drains/connection_budget.py
+++ b/gaugehinge/drains/connection_budget.py
@@ -108,7 +108,7 @@
             )
 
     def closed(self, connection: Connection) -> None:
-        """Shut the connection's sending side down; it counts as closing until the server has closed it, too."""
+        """Shut the sending side down. The connection counts as closing until the server closes it, too."""
         upstream = self._upstream(connection.endpoint)
         upstream.open -= 1
         upstream.closing += 1
