--- a/tests/test_drains_files.py
+++ b/tests/test_drains_files.py
@@ -1,4 +1,4 @@
-"""The files of this subsystem: a router's state file and the high-water mark."""
+"""Tests of the files of drains: state file, high-water mark, admission record and stored records."""
 
 import json
 from pathlib import Path
@@ -18,7 +18,7 @@
 from gaugehinge.store.records import encode
 
 
-def test_a_state_file_admits_one_process_and_a_torn_one_is_set_aside(tmp_path, caplog):
+def test_a_state_file_is_locked_by_one_process_and_quarantined_when_truncated(tmp_path, caplog):
     path = str(tmp_path / "node")
     first = NodeFile(path)
     with pytest.raises(NodeFileLockedError):
@@ -44,41 +44,43 @@
     third.close()
     (tmp_path / "a file").write_text("")
     assert not NodeFile(str(tmp_path / "a file" / "node")).save(third.state), (
-        "a node of its own, kept nowhere"
+        "an unwritable state file makes a new node that is not stored"
     )
 
 
-def test_the_high_water_mark_is_in_memory_intact_and_recent(tmp_path, caplog):
+def test_the_high_water_mark_must_be_in_memory_intact_and_recent(tmp_path, caplog):
     mounts = tmp_path / "mounts"
     mounts.write_text(f"tmpfs {tmp_path} tmpfs rw 0 0\n/dev/sda / ext4 rw 0 0\n")
     assert in_memory(tmp_path, mounts) and not in_memory(tmp_path / "x", mounts)
     assert HighWaterMarkFile.beside(tmp_path / "s.db", tmp_path / "x").path is None
     mark, digests = HighWaterMarkFile(tmp_path / "mark"), {7: "aa", 8: "bb"}.get
-    assert not mark.covers("life", digests, 10.0, 3.0), "there is none"
+    assert not mark.covers("life", digests, 10.0, 3.0), "there is no file"
     assert mark.advance("life", 7, digests, True, 10.0)
     assert mark.covers("life", digests, 12.9, 3.0) and not mark.covers("life", digests, 13.0, 3.0)
     assert not mark.covers("other", digests, 11.0, 3.0) and not mark.covers("life", {7: "cc"}.get, 11.0, 3.0)
-    assert not mark.covers("life", digests, 9.0, 3.0), "of a machine that was up for longer"
+    assert not mark.covers("life", digests, 9.0, 3.0), (
+        "written later than now: on a machine with a longer uptime"
+    )
     assert mark.advance("life", 8, digests, False, 11.0) and not mark.covers("life", digests, 11.0, 3.0)
     assert mark.advance("life", 8, digests, True, 11.0)
-    whole = mark.path.read_bytes()
-    for torn in (whole[:40], whole.replace(b"bb", b"aa"), b""):
-        mark.path.write_bytes(torn)
+    intact = mark.path.read_bytes()
+    for corrupt in (intact[:40], intact.replace(b"bb", b"aa"), b""):
+        mark.path.write_bytes(corrupt)
         assert not mark.covers("life", digests, 11.0, 3.0)
     mark.path.unlink()
-    mark.path.mkdir()  # it can neither be written nor taken away
+    mark.path.mkdir()  # can neither be written nor removed
     assert not mark.advance("life", 9, {9: "dd"}.get, True, 12.0)
     mark.path.rmdir()
     assert mark.advance("life", 9, {9: "dd"}.get, True, 12.0)
 
 
-# -- written by the version before
+# -- files, rows and messages written by the previous version
 
 
 DATA = Path(__file__).parent / "data" / "drains-2f1733f"
 
 
-def test_a_state_file_of_the_version_before_is_read_and_written_alike(tmp_path):
+def test_a_state_file_of_the_previous_version_round_trips(tmp_path):
     path = tmp_path / "node"
     written = (DATA / "node-file").read_bytes()
     path.write_bytes(written)
@@ -91,7 +93,7 @@
     assert path.read_bytes() == written
 
 
-def test_a_high_water_mark_of_the_version_before_is_read_and_written_alike(tmp_path):
+def test_a_high_water_mark_of_the_previous_version_round_trips(tmp_path):
     path = tmp_path / "mark"
     written = (DATA / "high-water-mark").read_bytes()
     path.write_bytes(written)
@@ -103,7 +105,7 @@
     assert path.read_bytes() == written
 
 
-def test_an_admission_record_of_the_version_before_is_read_and_written_alike(tmp_path):
+def test_an_admission_record_of_the_previous_version_round_trips(tmp_path):
     written = (DATA / "store.db.drains").read_bytes()
     record = AdmissionRecord(tmp_path / "store.db")
     record.path.write_bytes(written)
@@ -131,12 +133,12 @@
         (STEP, RestartStep),
     ],
 )
-def test_rows_of_the_version_before_are_read_and_written_alike(kind, record_type):
+def test_rows_of_the_previous_version_round_trip(kind, record_type):
     body = json.loads((DATA / "rows.json").read_text())[kind].encode()
     assert encode(msgspec.json.decode(body, type=record_type)) == body
 
 
 @pytest.mark.parametrize(("name", "message_type"), [("report", RouterReport), ("reply", ControlPlaneReply)])
-def test_messages_of_the_version_before_are_read_and_written_alike(name, message_type):
+def test_messages_of_the_previous_version_round_trip(name, message_type):
     body = json.loads((DATA / "messages.json").read_text())[name].encode()
     assert msgspec.json.encode(msgspec.json.decode(body, type=message_type)) == body
