--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -20,8 +20,8 @@
 import trio
 from loguru import logger
 
-from gaugehinge.cluster.build import slot_fleet
-from gaugehinge.cluster.resp3 import CLIENT, Reader, command
+from gaugehinge.cluster.build import slot_routing_of
+from gaugehinge.cluster.resp3 import CLIENT_LIMITS, Reader, command
 from gaugehinge.cluster.slots import SLOTS
 from gaugehinge.forms import toml
 from gaugehinge.rehearsal.clusterplay import Play, playing
@@ -40,7 +40,7 @@
 
 async def reads(where: tuple[str, int], platform: bool, until: float, done: Counter, number: int) -> None:
     """One client that reads as fast as it is answered."""
-    stream, reader, count = await trio.open_tcp_stream(*where), Reader(CLIENT), 0
+    stream, reader, count = await trio.open_tcp_stream(*where), Reader(CLIENT_LIMITS), 0
     draw = random.Random(number)
     async with stream:
         while trio.current_time() < until:
@@ -116,12 +116,12 @@
 
 
 async def _move_all(made: Play, waiting: int) -> None:
-    keeper = slot_fleet(made.services[0]).keeper
-    stream, reader = await trio.open_tcp_stream(*made.clients[0]), Reader(CLIENT)
+    map_tracker = slot_routing_of(made.services[0]).map_tracker
+    stream, reader = await trio.open_tcp_stream(*made.clients[0]), Reader(CLIENT_LIMITS)
     keys = [b"k%d" % i for i in range(waiting)]
     for name in ("c-0", "c-1", "c-2", "c-3"):
         made.shards.all[name].data.update(dict.fromkeys(keys, b"v"))
-    before, redirected = keeper.fetches, made.shards.redirections
+    before, redirected = map_tracker.fetches, made.shards.redirections
     names = ["c-0", "c-1", "c-2", "c-3"]
     for slot in range(SLOTS):
         made.shards.owner[slot] = names[(names.index(made.shards.owner[slot]) + 1) % 4]
@@ -143,7 +143,7 @@
     span = time.perf_counter() - began
     click.echo(
         f"{waiting} operations behind a full remap: {dict(answers)} in {span:.2f} s, "
-        f"{made.shards.redirections - redirected} redirections, {keeper.fetches - before} fetches"
+        f"{made.shards.redirections - redirected} redirections, {map_tracker.fetches - before} fetches"
     )
 
 
--- a/gaugehinge/cli/serve_extensions.py
+++ b/gaugehinge/cli/serve_extensions.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     import trio
 
-    from ..cluster.fleet import SlotFleet
+    from ..cluster.slot_routing import SlotRouting
     from ..drains.router import DrainsAgent
     from ..hosted.control_plane_watch import ControlPlaneWatch
     from ..installation.form import Installation
@@ -78,7 +78,7 @@
 
 def _fleet_builder(
     installation: Installation,
-) -> Callable[[Service, trio.Nursery], SlotFleet | None] | None:
+) -> Callable[[Service, trio.Nursery], SlotRouting | None] | None:
     if not (installation.cluster.listen or installation.cluster.servers):
         return None
     from ..cluster.build import build_cluster
--- a/gaugehinge/cluster/build.py
+++ b/gaugehinge/cluster/build.py
@@ -12,58 +12,64 @@
 from ..net.service import Service
 from ..net.sockets import listener
 from ..routing.types import EndpointState
-from .fleet import SlotFleet
-from .front import ClusterClients, ClusterTerms, log_start
-from .keeper import Keeper
-from .slots import Node, SlotMap, even
-from .table import Entry
+from .command_table import CommandSpec
+from .front import ClusterClientServer, ClusterFrontConfig, log_start
+from .slot_map_tracker import SlotMapTracker
+from .slot_routing import SlotRouting
+from .slots import Node, SlotMap, even_slot_map
 
 
-def tier_map(told: ClusterEntry) -> SlotMap:
+def tier_map(cluster: ClusterEntry) -> SlotMap:
     """The routers of the tier as the nodes of a map: all slots in equal ranges, each with one router."""
     nodes = []
-    for i, text in enumerate(told.routers):
-        host, port = address(text, f"cluster.routers[{i}]")
+    for i, router_address in enumerate(cluster.routers):
+        host, port = address(router_address, f"cluster.routers[{i}]")
         nodes.append((Node(host, port, f"{i:040x}"),))
-    return even(nodes, 1)
+    return even_slot_map(nodes, 1)
 
 
-def terms_of(told: Installation) -> ClusterTerms:
+def front_config_of(installation: Installation) -> ClusterFrontConfig:
     """What the front is told."""
-    rows = {entry.name: (i, float(entry.abandon_time)) for i, entry in enumerate(told.traffic)}
+    traffic_rows = {
+        entry.name: (i, float(entry.abandon_time)) for i, entry in enumerate(installation.traffic)
+    }
     commands = {}
-    for entry in told.cluster.command:
-        row, abandon = rows[entry.traffic]
+    for entry in installation.cluster.command:
+        traffic_row, abandon_time = traffic_rows[entry.traffic]
         name = entry.name.upper().encode()
-        commands[name] = Entry(
-            name, row, entry.write, abandon, entry.keys, entry.joined, entry.least, entry.most
+        commands[name] = CommandSpec(
+            name, traffic_row, entry.write, abandon_time, entry.keys, entry.joined, entry.least, entry.most
         )
-    names = [tenant.name for tenant in told.tenants]
-    tenant = names.index(told.cluster.tenant) if told.cluster.tenant else -1
-    return ClusterTerms(commands, tier_map(told.cluster), told.tier.me, tenant)
+    names = [tenant.name for tenant in installation.tenants]
+    tenant = names.index(installation.cluster.tenant) if installation.cluster.tenant else -1
+    return ClusterFrontConfig(commands, tier_map(installation.cluster), installation.tier.me, tenant)
 
 
-def build_cluster(service: Service, nursery: trio.Nursery, installation: Installation) -> SlotFleet | None:
+def build_cluster(service: Service, nursery: trio.Nursery, installation: Installation) -> SlotRouting | None:
     """Add the cluster dialect: a listener where one is named, and the fleet where servers speak it."""
-    fleet = None
+    slot_routing = None
     if installation.cluster.servers:
-        fleet = add_fleet(service, nursery, installation.cluster.replicas)
+        slot_routing = add_slot_routing(service, nursery, installation.cluster.replicas)
     if installation.cluster.listen:
         add_front(service, nursery, installation)
-    return fleet
+    return slot_routing
 
 
-def cluster_extensions(fleet: SlotFleet | None) -> Extensions:
+def cluster_extensions(slot_routing: SlotRouting | None) -> Extensions:
     """The extensions of a router that has the cluster dialect and no other subsystem."""
-    if fleet is None:
+    if slot_routing is None:
         return Extensions()
-    return Extensions(routing_constraints=(fleet,), redirect_observers=(fleet,), server_codec=fleet.codec)
+    return Extensions(
+        routing_constraints=(slot_routing,),
+        redirect_observers=(slot_routing,),
+        server_codec=slot_routing.codec,
+    )
 
 
-def slot_fleet(service: Service) -> SlotFleet | None:
+def slot_routing_of(service: Service) -> SlotRouting | None:
     """The fleet of a service that runs; None where its servers do not speak the dialect."""
     constraints = service.extensions.routing_constraints
-    return next((each for each in constraints if isinstance(each, SlotFleet)), None)
+    return next((constraint for constraint in constraints if isinstance(constraint, SlotRouting)), None)
 
 
 def cluster_extension_builder(installation: Installation) -> ExtensionBuilder:
@@ -71,35 +77,37 @@
     return lambda service, nursery: cluster_extensions(build_cluster(service, nursery, installation))
 
 
-def add_fleet(service: Service, nursery: trio.Nursery, replicas: bool) -> SlotFleet:
+def add_slot_routing(service: Service, nursery: trio.Nursery, read_from_replicas: bool) -> SlotRouting:
     """The map that says where attempts to cluster-mode servers go, kept by a task."""
-    caches = service.dispatcher.router.endpoints
+    endpoints = service.dispatcher.router.endpoints
 
-    def presence(ident: int) -> EndpointState | None:
-        cache = caches.get(ident)
-        return cache.state if cache is not None else None
+    def endpoint_state(ident: int) -> EndpointState | None:
+        endpoint = endpoints.get(ident)
+        return endpoint.state if endpoint is not None else None
 
-    keeper = Keeper(service.configuration.settings.deployment.seed, service.clock())
-    fleet = SlotFleet(keeper, service.pool, service.timers, presence, replicas)
-    nursery.start_soon(fleet.run)
-    return fleet
+    slot_map_tracker = SlotMapTracker(service.configuration.settings.deployment.seed, service.clock())
+    slot_routing = SlotRouting(
+        slot_map_tracker, service.pool, service.timers, endpoint_state, read_from_replicas
+    )
+    nursery.start_soon(slot_routing.run)
+    return slot_routing
 
 
-def add_front(service: Service, nursery: trio.Nursery, told: Installation) -> ClusterClients:
+def add_front(service: Service, nursery: trio.Nursery, installation: Installation) -> ClusterClientServer:
     """A listener for clients of the dialect."""
-    configuration, terms = service.configuration, terms_of(told)
-    where = address(told.cluster.listen, "cluster.listen")
-    listening = listener(where, BACKLOG)
-    clients = ClusterClients(
+    configuration, config = service.configuration, front_config_of(installation)
+    listen_address = address(installation.cluster.listen, "cluster.listen")
+    sock = listener(listen_address, BACKLOG)
+    client_server = ClusterClientServer(
         configuration.settings,
         service.lifecycle,
         service.dispatcher,
         int(configuration.sockets * CLIENT_SHARE) // 2,
         configuration.memory // 2,
         nursery,
-        terms,
+        config,
         service.clients.admission_control,
     )
-    service.fronts.append(Front(clients, listening))
-    log_start(terms, where)
-    return clients
+    service.fronts.append(Front(client_server, sock))
+    log_start(config, listen_address)
+    return client_server
--- a/gaugehinge/cluster/front.py
+++ b/gaugehinge/cluster/front.py
@@ -30,13 +30,22 @@
 from ..net.resp import Malformed
 from ..routing.types import Operation
 from ..settings import Settings
-from .resp3 import CLIENT, Error, Message, Pairs, Reader, Status, encode
+from .command_table import (
+    CommandError,
+    CommandSpec,
+    KeyCommand,
+    add_key_prefix,
+    command_info_reply,
+    keys_of,
+    merge_replies,
+    split_by_key,
+)
+from .resp3 import CLIENT_LIMITS, Error, Message, Pairs, Reader, Status, encode
 from .slots import SLOTS, SlotMap, slot_of
-from .table import Entry, Piece, Refused, dressed, join, keys_of, split, table_answer
 
-MOST_NAME = 128  # bytes of a connection's name
-NULL2, NULL3 = b"$-1\r\n", b"_\r\n"
-LATER = object()  # the answer follows
+MAX_CLIENT_NAME_BYTES = 128  # bytes of a connection's name
+RESP2_NULL, RESP3_NULL = b"$-1\r\n", b"_\r\n"
+DEFERRED = object()  # the answer follows
 OK = b"+OK\r\n"
 
 
@@ -61,40 +70,42 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ClusterTerms:
+class ClusterFrontConfig:
     """What a router is told of its cluster front."""
 
-    commands: dict[bytes, Entry]
+    commands: dict[bytes, CommandSpec]
     tier: SlotMap  # of the routers as clients reach them; the order is that of their numbers
-    me: int  # this router's place among them
+    router_index: int  # this router's place among them
     tenant: int  # of all who come this way; -1: none
 
 
 @dataclass(slots=True, eq=False)
-class Whole:
+class PendingCommand:
     """A command of several keys until its last one is answered."""
 
-    entry: Entry
-    pieces: list[Piece]
-    answers: list[bytes | None]
-    left: int
-    bearer: Principal | None = None
+    spec: CommandSpec
+    key_commands: list[KeyCommand]
+    replies: list[bytes | None]
+    remaining: int
+    principal: Principal | None = None
 
 
 @dataclass(slots=True, eq=False)
-class ClusterClient(ClientConnection):
+class ClusterClientConnection(ClientConnection):
     """A connection with what the dialect remembers of it."""
 
-    version: int = 2
-    title: bytes = b""
-    parser: Any = field(default_factory=lambda: Reader(CLIENT))
-    under_way: dict[bytes, int] = field(default_factory=dict)  # by key; left with its last answer
-    backlog: deque[tuple[PendingReply, Whole]] = field(default_factory=deque)  # bounded with pending replies
-    bearer: Principal | None = None  # who comes there, where that is asked
+    resp_version: int = 2
+    client_name: bytes = b""
+    parser: Any = field(default_factory=lambda: Reader(CLIENT_LIMITS))
+    keys_in_flight: dict[bytes, int] = field(default_factory=dict)  # by key; left with its last answer
+    backlog: deque[tuple[PendingReply, PendingCommand]] = field(
+        default_factory=deque
+    )  # bounded with pending replies
+    principal: Principal | None = None  # who comes there, where that is asked
     credential: str = ""
 
 
-class ClusterClients(ClientServer):
+class ClusterClientServer(ClientServer):
     """All connections of the cluster dialect."""
 
     def __init__(
@@ -102,34 +113,34 @@
         settings: Settings,
         lifecycle: Lifecycle,
         dispatcher: Dispatcher,
-        most_clients: int,
+        max_connections: int,
         memory: int,
         nursery: trio.Nursery,
-        terms: ClusterTerms,
+        config: ClusterFrontConfig,
         admission_control: AdmissionControl | None = None,
     ) -> None:
-        super().__init__(settings, lifecycle, dispatcher, most_clients, memory, nursery, admission_control)
-        self.terms = terms
-        nodes = [each.nodes[0] for each in terms.tier]
-        self.node = nodes[terms.me]
-        self.others = [node for node in nodes if node is not self.node]
-        self.redirected = 0  # commands told another router, while it leaves
-        self._labels = [b"c=%b,d=" % name.encode() for name in settings.traffic_type_rows]  # by row
-        self.gate: Authenticator | None = None
-        self._unix: Callable[[], float] = time.time
-        self._run = secrets.token_hex(4)  # ids made here begin with it: new with each start
-        self._count = 0
-        self._words: dict[bytes, Callable[[ClusterClient, list[bytes]], Any]] = {
-            b"PING": lambda client, words: words[1] if len(words) > 1 else self._pong(),
+        super().__init__(settings, lifecycle, dispatcher, max_connections, memory, nursery, admission_control)
+        self.config = config
+        nodes = [slot_range.nodes[0] for slot_range in config.tier]
+        self.own_node = nodes[config.router_index]
+        self.other_nodes = [node for node in nodes if node is not self.own_node]
+        self.redirected_commands = 0  # commands told another router, while it leaves
+        self._label_heads = [b"c=%b,d=" % name.encode() for name in settings.traffic_type_rows]  # by row
+        self.authenticator: Authenticator | None = None
+        self._wall_clock: Callable[[], float] = time.time
+        self._id_prefix = secrets.token_hex(4)  # ids made here begin with it: new with each start
+        self._operation_count = 0
+        self._connection_commands: dict[bytes, Callable[[ClusterClientConnection, list[bytes]], Any]] = {
+            b"PING": lambda client, words: words[1] if len(words) > 1 else self._ping_reply(),
             b"ECHO": lambda client, words: words[1],
             b"SELECT": self._select,
-            b"QUIT": self._goodbye,
+            b"QUIT": self._quit_command,
             b"RESET": self._reset,
             b"HELLO": self._hello,
             b"AUTH": self._auth,
             b"CLIENT": self._client,
             b"CLUSTER": self._cluster,
-            b"COMMAND": self._command_table,
+            b"COMMAND": self._command_table_reply,
             b"READONLY": lambda client, words: Status(b"OK"),  # reads go where the decisions say
             b"READWRITE": lambda client, words: Status(b"OK"),
             b"ASKING": lambda client, words: Status(b"OK"),  # all slots are served here as they are
@@ -137,165 +148,195 @@
         }
 
     def new_connection(self, sock: socket.socket, now: float, source: str) -> ClientConnection:
-        return ClusterClient(sock, now, idle_since=now, source=source)
+        return ClusterClientConnection(sock, now, idle_since=now, source=source)
 
     # -- commands in
 
-    def _handle_command(self, client: ClusterClient, message: Message) -> None:
+    def _handle_command(self, client: ClusterClientConnection, message: Message) -> None:
         words = message.value
         if not isinstance(words, list) or not words or not all(type(word) is bytes for word in words):
             raise Malformed("a command is an array of bulk strings")
         name = words[0].upper()
-        entry = self.terms.commands.get(name)
+        spec = self.config.commands.get(name)
         try:
-            if entry is not None:
-                self._keyed(client, entry, words)
+            if spec is not None:
+                self._handle_keyed_command(client, spec, words)
                 return
-            plain = self._words.get(name)
-            if plain is None:
-                shown = words[0][:64].decode("latin-1").translate({13: " ", 10: " "})
-                raise Refused(f"ERR unknown command '{shown}'")
-            told = plain(client, words)
-        except (Refused, IndexError) as bad:
-            told = Error((str(bad) if isinstance(bad, Refused) else "ERR wrong number of arguments").encode())
-        if told is LATER:
+            handler = self._connection_commands.get(name)
+            if handler is None:
+                shown_name = words[0][:64].decode("latin-1").translate({13: " ", 10: " "})
+                raise CommandError(f"ERR unknown command '{shown_name}'")
+            result = handler(client, words)
+        except (CommandError, IndexError) as error:
+            result = Error(
+                (str(error) if isinstance(error, CommandError) else "ERR wrong number of arguments").encode()
+            )
+        if result is DEFERRED:
             return
-        self.reply(client, encode(told, client.version))
-
-    def _keyed(self, client: ClusterClient, entry: Entry, words: list[bytes]) -> None:
-        pieces = split(entry, words)
-        client.tenant = self.terms.tenant
-        bearer = self._bearer(client)
-        if bearer is not None:
-            client.tenant = bearer.tenant_index
-            most = bearer.row.max_value_size
-            if most and any(len(piece.value or b"") > most for piece in pieces):
-                raise Refused(f"ERR value over {most} bytes")
-            pieces = dressed(entry, words, pieces, bearer.key_prefix)
-        if self.lifecycle.phase is Phase.LEAVING and self.others:
+        self.reply(client, encode(result, client.resp_version))
+
+    def _handle_keyed_command(
+        self, client: ClusterClientConnection, spec: CommandSpec, words: list[bytes]
+    ) -> None:
+        key_commands = split_by_key(spec, words)
+        client.tenant = self.config.tenant
+        principal = self._require_principal(client)
+        if principal is not None:
+            client.tenant = principal.tenant_index
+            max_size = principal.row.max_value_size
+            if max_size and any(len(key_command.value or b"") > max_size for key_command in key_commands):
+                raise CommandError(f"ERR value over {max_size} bytes")
+            key_commands = add_key_prefix(spec, words, key_commands, principal.key_prefix)
+        if self.lifecycle.phase is Phase.LEAVING and self.other_nodes:
             # Drained by redirections, its clients lose nothing when it ends.
-            slot = slot_of(pieces[0].key)
-            other = self.others[slot % len(self.others)]
-            self.redirected += 1
-            self.reply(client, b"-MOVED %d %b:%d\r\n" % (slot, other.host.encode(), other.port))
+            slot = slot_of(key_commands[0].key)
+            target = self.other_nodes[slot % len(self.other_nodes)]
+            self.redirected_commands += 1
+            self.reply(client, b"-MOVED %d %b:%d\r\n" % (slot, target.host.encode(), target.port))
             return
-        held = sum(len(piece.words) + len(piece.value or b"") for piece in pieces)
-        full = self.limits.reserved_bytes + held > self.limits.max_reserved_bytes
-        full = full or len(self.dispatcher.pending_operations) + len(pieces) > self.limits.max_in_flight
-        if full or self.registry.is_over_limit(client) or self.is_overloaded():
+        size = sum(len(key_command.encoded) + len(key_command.value or b"") for key_command in key_commands)
+        over_limit = self.limits.reserved_bytes + size > self.limits.max_reserved_bytes
+        over_limit = (
+            over_limit
+            or len(self.dispatcher.pending_operations) + len(key_commands) > self.limits.max_in_flight
+        )
+        if over_limit or self.registry.is_over_limit(client) or self.is_overloaded():
             self.reply(client, BUSY_REPLY)  # it never ran
             return
-        pending_reply = PendingReply(reserved_bytes=held)
-        self.limits.reserved_bytes += held
+        pending_reply = PendingReply(reserved_bytes=size)
+        self.limits.reserved_bytes += size
         client.pending_replies.append(pending_reply)
-        whole = Whole(entry, pieces, [None] * len(pieces), len(pieces), bearer)
-        if client.backlog or self._conflicts(client, whole):
-            client.backlog.append((pending_reply, whole))
+        pending_command = PendingCommand(
+            spec, key_commands, [None] * len(key_commands), len(key_commands), principal
+        )
+        if client.backlog or self._must_wait(client, pending_command):
+            client.backlog.append((pending_reply, pending_command))
         else:
-            self._start(client, pending_reply, whole, client.data_arrived_at or self.clock())
+            self._start_command(
+                client, pending_reply, pending_command, client.data_arrived_at or self.clock()
+            )
 
     @staticmethod
-    def _conflicts(client: ClusterClient, whole: Whole) -> bool:
+    def _must_wait(client: ClusterClientConnection, pending_command: PendingCommand) -> bool:
         """Whether a command has to wait for one before it on its connection.
 
         Sent on side by side, a read behind a write of its key came back with the value from before.
         """
-        under_way = client.under_way
+        keys_in_flight = client.keys_in_flight
         return any(
-            under_way.get(piece.key, 0) < 0 or (whole.entry.write and under_way.get(piece.key, 0))
-            for piece in whole.pieces
+            keys_in_flight.get(key_command.key, 0) < 0
+            or (pending_command.spec.write and keys_in_flight.get(key_command.key, 0))
+            for key_command in pending_command.key_commands
         )
 
-    def _start(self, client: ClusterClient, pending_reply: PendingReply, whole: Whole, now: float) -> None:
-        entry = whole.entry
-        margin = min(REPLY_MARGIN + self.timers.lag, MAX_MARGIN_FRACTION * entry.abandon)
-        traffic = self.settings.deployment.traffic_types[entry.row]
-        for piece in whole.pieces:
+    def _start_command(
+        self,
+        client: ClusterClientConnection,
+        pending_reply: PendingReply,
+        pending_command: PendingCommand,
+        now: float,
+    ) -> None:
+        spec = pending_command.spec
+        margin = min(REPLY_MARGIN + self.timers.lag, MAX_MARGIN_FRACTION * spec.abandon_time)
+        traffic_type = self.settings.deployment.traffic_types[spec.traffic_row]
+        for key_command in pending_command.key_commands:
             # Reads under way count up; the one write that may be is a negative one.
-            client.under_way[piece.key] = -1 if entry.write else client.under_way.get(piece.key, 0) + 1
+            client.keys_in_flight[key_command.key] = (
+                -1 if spec.write else client.keys_in_flight.get(key_command.key, 0) + 1
+            )
         pending_reply.operation_handle = handles = []
-        for place, piece in enumerate(whole.pieces):
-            self._count += 1
+        for index, key_command in enumerate(pending_command.key_commands):
+            self._operation_count += 1
             operation = Operation(
                 0,
-                traffic,
-                piece.key,
+                traffic_type,
+                key_command.key,
                 client.tenant,
-                entry.write,
+                spec.write,
                 False,
                 now,
-                now + entry.abandon - margin,
+                now + spec.abandon_time - margin,
             )
-            answer = self._answerer(client, pending_reply, whole, place)
-            payload = self._cargo(client, entry, piece, whole.bearer)
+            send_reply = self._reply_callback(client, pending_reply, pending_command, index)
+            payload = self._request_payload(client, spec, key_command, pending_command.principal)
             if self.admission_control is None:
-                handles.append(self.dispatcher.submit(operation, payload, answer))
+                handles.append(self.dispatcher.submit(operation, payload, send_reply))
             else:
-                size = len(piece.words) + len(piece.value or b"")
+                size = len(key_command.encoded) + len(key_command.value or b"")
                 handles.append(
-                    self.admission_control.submit(operation, payload, answer, client.client_id, size)
+                    self.admission_control.submit(operation, payload, send_reply, client.client_id, size)
                 )
 
-    def _go_on(self, client: ClusterClient) -> None:
+    def _start_backlog(self, client: ClusterClientConnection) -> None:
         """Start what waited for the commands before it. Its time begins with its turn."""
-        while client.backlog and not self._conflicts(client, client.backlog[0][1]):
-            pending_reply, whole = client.backlog.popleft()
-            self._start(client, pending_reply, whole, self.clock())
+        while client.backlog and not self._must_wait(client, client.backlog[0][1]):
+            pending_reply, pending_command = client.backlog.popleft()
+            self._start_command(client, pending_reply, pending_command, self.clock())
 
-    def _cargo(
-        self, client: ClusterClient, entry: Entry, piece: Any, bearer: Principal | None
+    def _request_payload(
+        self,
+        client: ClusterClientConnection,
+        spec: CommandSpec,
+        key_command: Any,
+        principal: Principal | None,
     ) -> RequestPayload:
         """What goes on to servers: as it came, or in the platform's dialect with an id made here."""
-        ident = f"{self._run}{self._count:010x}".encode()
-        before, after = self._labels[entry.row], b""
-        if bearer is not None:
-            ident, after = bearer.id_prefix + ident, b",t=" + bearer.name.encode()
-        word = b"KV.SET" if entry.write else b"KV.GET"
-        head = b"*%d\r\n$6\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
-            4 + entry.write,
-            word,
-            len(piece.key),
-            piece.key,
+        ident = f"{self._id_prefix}{self._operation_count:010x}".encode()
+        label_head, label_tail = self._label_heads[spec.traffic_row], b""
+        if principal is not None:
+            ident, label_tail = principal.id_prefix + ident, b",t=" + principal.name.encode()
+        verb = b"KV.SET" if spec.write else b"KV.GET"
+        command_head = b"*%d\r\n$6\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
+            4 + spec.write,
+            verb,
+            len(key_command.key),
+            key_command.key,
             len(ident),
             ident,
         )
-        value = piece.value or b""
-        behind = b"$%d\r\n%b\r\n" % (len(value), value) if entry.write else b""
-        told = before + b"%d" % (entry.abandon * 1000) + after
+        value = key_command.value or b""
+        command_tail = b"$%d\r\n%b\r\n" % (len(value), value) if spec.write else b""
+        labels = label_head + b"%d" % (spec.abandon_time * 1000) + label_tail
         return RequestPayload(
             ident,
-            piece.key,
-            (before, after),
-            told,
-            head,
-            behind,
-            value if entry.write else None,
-            piece.words,
+            key_command.key,
+            (label_head, label_tail),
+            labels,
+            command_head,
+            command_tail,
+            value if spec.write else None,
+            key_command.encoded,
             partial(self.is_client_present, client),
         )
 
-    def _answerer(
-        self, client: ClusterClient, pending_reply: PendingReply, whole: Whole, place: int
+    def _reply_callback(
+        self,
+        client: ClusterClientConnection,
+        pending_reply: PendingReply,
+        pending_command: PendingCommand,
+        index: int,
     ) -> Callable[[bytes], None]:
-        def answer(reply: bytes) -> None:
-            whole.answers[place] = NULL3 if reply == NULL2 and client.version >= 3 else reply
-            whole.left -= 1
-            key, under_way = whole.pieces[place].key, client.under_way
-            if under_way.get(key, 0) > 1:
-                under_way[key] -= 1
+        def send_reply(reply: bytes) -> None:
+            pending_command.replies[index] = (
+                RESP3_NULL if reply == RESP2_NULL and client.resp_version >= 3 else reply
+            )
+            pending_command.remaining -= 1
+            key, keys_in_flight = pending_command.key_commands[index].key, client.keys_in_flight
+            if keys_in_flight.get(key, 0) > 1:
+                keys_in_flight[key] -= 1
             else:
-                under_way.pop(key, None)
-            if whole.left:
+                keys_in_flight.pop(key, None)
+            if pending_command.remaining:
                 return
             pending_reply.operation_handle = None
-            pending_reply.data = join(whole.entry, whole.answers)
+            pending_reply.data = merge_replies(pending_command.spec, pending_command.replies)
             self.limits.reserved_bytes += len(pending_reply.data) - pending_reply.reserved_bytes
             pending_reply.reserved_bytes = len(pending_reply.data)
             if client.backlog and self.registry.is_open(client):
-                self._go_on(client)
+                self._start_backlog(client)
             self.reply_writer.flush(client)
 
-        return answer
+        return send_reply
 
     def abandon_reply(self, pending_reply: PendingReply) -> None:
         for handle in list(pending_reply.operation_handle):
@@ -303,106 +344,108 @@
 
     # -- who is it
 
-    def require_authentication(self, gate: Authenticator, unix: Callable[[], float]) -> None:
+    def require_authentication(self, authenticator: Authenticator, wall_clock: Callable[[], float]) -> None:
         """From now on connections say whose they are. `unix`: the time by which credentials end."""
-        self.gate, self._unix = gate, unix
+        self.authenticator, self._wall_clock = authenticator, wall_clock
 
-    def _bearer(self, client: ClusterClient) -> Principal | None:
+    def _require_principal(self, client: ClusterClientConnection) -> Principal | None:
         """Whose a command is; None where nobody is asked. Raises Refused."""
-        if self.gate is None:
+        if self.authenticator is None:
             return None
-        bearer = client.bearer
-        why = "authentication required"
-        if bearer is not None:
-            why = bearer.rejection_reason(client.credential, self._unix())
-        if why == "authentication required":
-            client.bearer = None
-            raise Refused("NOAUTH Authentication required.")
-        if why:
-            raise Refused(f"ERR {why}")
-        return bearer
-
-    def _auth(self, client: ClusterClient, words: list[bytes]) -> Any:
-        if self.gate is None:
+        principal = client.principal
+        reason = "authentication required"
+        if principal is not None:
+            reason = principal.rejection_reason(client.credential, self._wall_clock())
+        if reason == "authentication required":
+            client.principal = None
+            raise CommandError("NOAUTH Authentication required.")
+        if reason:
+            raise CommandError(f"ERR {reason}")
+        return principal
+
+    def _auth(self, client: ClusterClientConnection, words: list[bytes]) -> Any:
+        if self.authenticator is None:
             return Error(b"ERR AUTH called without any password configured for this front")
         if len(words) not in (2, 3):
-            raise Refused("ERR wrong number of arguments for 'auth' command")
+            raise CommandError("ERR wrong number of arguments for 'auth' command")
         name = words[1] if len(words) == 3 else b""
-        return self._ask_who(client, name, words[-1], lambda: OK)
+        return self._authenticate(client, name, words[-1], lambda: OK)
 
-    def _ask_who(self, client: ClusterClient, name: bytes, secret: bytes, then: Callable[[], bytes]) -> Any:
+    def _authenticate(
+        self, client: ClusterClientConnection, name: bytes, secret: bytes, make_reply: Callable[[], bytes]
+    ) -> Any:
         """Have a secret checked; `then` makes the answer to one that is right."""
-        answer = self.reply_writer.defer_reply(client)
+        send_reply = self.reply_writer.defer_reply(client)
 
         async def check() -> None:
             reply = b"-ERR failed\r\n"
             try:
-                told = [word.decode("utf-8", "surrogateescape") for word in (name, secret)]
-                bearer, credential, reply = await self.gate.check(client.source, *told)
-                if bearer is not None:
-                    client.bearer, client.credential = bearer, credential
-                    reply = then()
+                decoded = [word.decode("utf-8", "surrogateescape") for word in (name, secret)]
+                principal, credential, reply = await self.authenticator.check(client.source, *decoded)
+                if principal is not None:
+                    client.principal, client.credential = principal, credential
+                    reply = make_reply()
             except Exception:  # a defect fails this check alone
                 logger.exception("authentication check failed")
             finally:
-                answer(reply)  # one that is not answered holds up all behind it
+                send_reply(reply)  # one that is not answered holds up all behind it
 
         self.nursery.start_soon(check)
-        return LATER
+        return DEFERRED
 
     # -- commands about the connection
 
-    def _pong(self) -> Any:
+    def _ping_reply(self) -> Any:
         phase = self.lifecycle.phase
         if phase in (Phase.READY, Phase.LEAVING):
             return Status(b"PONG")
         return Error(b"LOADING the router is " + phase.name.lower().encode())
 
-    def _select(self, client: ClusterClient, words: list[bytes]) -> Any:
+    def _select(self, client: ClusterClientConnection, words: list[bytes]) -> Any:
         return Status(b"OK") if words[1] == b"0" else Error(b"ERR SELECT is not allowed in cluster mode")
 
-    def _goodbye(self, client: ClusterClient, words: list[bytes]) -> Any:
+    def _quit_command(self, client: ClusterClientConnection, words: list[bytes]) -> Any:
         client.draining = True
         return Status(b"OK")
 
-    def _reset(self, client: ClusterClient, words: list[bytes]) -> Any:
-        client.version, client.title, client.bearer = 2, b"", None
+    def _reset(self, client: ClusterClientConnection, words: list[bytes]) -> Any:
+        client.resp_version, client.client_name, client.principal = 2, b"", None
         return Status(b"RESET")
 
-    def _hello(self, client: ClusterClient, words: list[bytes]) -> Any:
-        rest = words[1:]
-        version = client.version
-        if rest:
-            if rest[0] not in (b"2", b"3"):
+    def _hello(self, client: ClusterClientConnection, words: list[bytes]) -> Any:
+        options = words[1:]
+        resp_version = client.resp_version
+        if options:
+            if options[0] not in (b"2", b"3"):
                 return Error(b"NOPROTO unsupported protocol version")
-            version, rest = int(rest[0]), rest[1:]
-        title, who = client.title, None
-        while rest:
-            option = rest[0].upper()
-            if option == b"SETNAME" and len(rest) > 1:
-                title, rest = self._title(rest[1]), rest[2:]
-            elif option == b"AUTH" and len(rest) > 2:
-                if self.gate is None:
+            resp_version, options = int(options[0]), options[1:]
+        client_name, credentials = client.client_name, None
+        while options:
+            option = options[0].upper()
+            if option == b"SETNAME" and len(options) > 1:
+                client_name, options = self._valid_client_name(options[1]), options[2:]
+            elif option == b"AUTH" and len(options) > 2:
+                if self.authenticator is None:
                     return Error(b"WRONGPASS invalid username-password pair or user is disabled.")
-                who, rest = rest[1:3], rest[3:]
+                credentials, options = options[1:3], options[3:]
             else:
                 return Error(b"ERR Syntax error in HELLO option")
 
-        def done() -> Pairs:
-            client.version, client.title = version, title
-            return self._about(client, version)
+        def apply() -> Pairs:
+            client.resp_version, client.client_name = resp_version, client_name
+            return self._hello_reply(client, resp_version)
 
-        if who is None:
-            return done()
-        return self._ask_who(client, *who, lambda: encode(done(), version))
+        if credentials is None:
+            return apply()
+        return self._authenticate(client, *credentials, lambda: encode(apply(), resp_version))
 
     @staticmethod
-    def _about(client: ClusterClient, version: int) -> Pairs:
+    def _hello_reply(client: ClusterClientConnection, resp_version: int) -> Pairs:
         return Pairs(
             [
                 (b"server", b"gaugehinge"),
                 (b"version", __version__.encode()),
-                (b"proto", version),
+                (b"proto", resp_version),
                 (b"id", client.handle),
                 (b"mode", b"cluster"),
                 (b"role", b"master"),
@@ -411,26 +454,26 @@
         )
 
     @staticmethod
-    def _title(told: bytes) -> bytes:
-        if len(told) > MOST_NAME or any(not 33 <= letter <= 126 for letter in told):
-            raise Refused("ERR Client names cannot contain spaces, newlines or special characters.")
-        return told
-
-    def _client(self, client: ClusterClient, words: list[bytes]) -> Any:
-        what = words[1].upper()
-        if what == b"SETNAME":
-            client.title = self._title(words[2])
-        elif what == b"GETNAME":
-            return client.title or None
-        elif what == b"ID":
+    def _valid_client_name(name: bytes) -> bytes:
+        if len(name) > MAX_CLIENT_NAME_BYTES or any(not 33 <= byte <= 126 for byte in name):
+            raise CommandError("ERR Client names cannot contain spaces, newlines or special characters.")
+        return name
+
+    def _client(self, client: ClusterClientConnection, words: list[bytes]) -> Any:
+        subcommand = words[1].upper()
+        if subcommand == b"SETNAME":
+            client.client_name = self._valid_client_name(words[2])
+        elif subcommand == b"GETNAME":
+            return client.client_name or None
+        elif subcommand == b"ID":
             return client.handle
-        elif what == b"INFO":
-            return b"id=%d name=%b resp=%d\n" % (client.handle, client.title, client.version)
-        elif what not in (b"SETINFO", b"NO-EVICT", b"NO-TOUCH"):
-            raise Refused(f"ERR unknown subcommand '{what[:64].decode('latin-1')}'")
+        elif subcommand == b"INFO":
+            return b"id=%d name=%b resp=%d\n" % (client.handle, client.client_name, client.resp_version)
+        elif subcommand not in (b"SETINFO", b"NO-EVICT", b"NO-TOUCH"):
+            raise CommandError(f"ERR unknown subcommand '{subcommand[:64].decode('latin-1')}'")
         return Status(b"OK")
 
-    def _info(self, client: ClusterClient, words: list[bytes]) -> Any:
+    def _info(self, client: ClusterClientConnection, words: list[bytes]) -> Any:
         return (
             b"# Server\r\nredis_mode:cluster\r\nrouter_version:%b\r\n# Cluster\r\ncluster_enabled:1\r\n"
             % (__version__.encode())
@@ -438,39 +481,39 @@
 
     # -- the map of the tier
 
-    def _cluster(self, client: ClusterClient, words: list[bytes]) -> Any:
-        what = words[1].upper()
-        if what == b"SLOTS":
+    def _cluster(self, client: ClusterClientConnection, words: list[bytes]) -> Any:
+        subcommand = words[1].upper()
+        if subcommand == b"SLOTS":
             return [
-                [each.first, each.last, *(self._node(node) for node in each.nodes)]
-                for each in self.terms.tier
+                [slot_range.first, slot_range.last, *(self._node_entry(node) for node in slot_range.nodes)]
+                for slot_range in self.config.tier
             ]
-        if what == b"SHARDS":
-            return [self._shard(each) for each in self.terms.tier]
-        if what == b"NODES":
-            return b"".join(self._line(each) for each in self.terms.tier)
-        if what == b"INFO":
+        if subcommand == b"SHARDS":
+            return [self._shard_entry(slot_range) for slot_range in self.config.tier]
+        if subcommand == b"NODES":
+            return b"".join(self._nodes_line(slot_range) for slot_range in self.config.tier)
+        if subcommand == b"INFO":
             return self._cluster_info()
-        if what == b"MYID":
-            return self.node.ident.encode()
-        if what == b"KEYSLOT":
+        if subcommand == b"MYID":
+            return self.own_node.node_id.encode()
+        if subcommand == b"KEYSLOT":
             return slot_of(words[2])
-        if what == b"COUNTKEYSINSLOT":
+        if subcommand == b"COUNTKEYSINSLOT":
             if not words[2].isdigit() or int(words[2]) >= SLOTS:
-                raise Refused("ERR Invalid slot")
+                raise CommandError("ERR Invalid slot")
             return 0  # a router holds no keys
-        raise Refused(f"ERR unknown subcommand '{what[:64].decode('latin-1')}'")
+        raise CommandError(f"ERR unknown subcommand '{subcommand[:64].decode('latin-1')}'")
 
     @staticmethod
-    def _node(node: Any) -> list:
-        return [node.host.encode(), node.port, node.ident.encode(), []]
+    def _node_entry(node: Any) -> list:
+        return [node.host.encode(), node.port, node.node_id.encode(), []]
 
     @staticmethod
-    def _shard(each: Any) -> Pairs:
+    def _shard_entry(slot_range: Any) -> Pairs:
         nodes = [
             Pairs(
                 [
-                    (b"id", node.ident.encode()),
+                    (b"id", node.node_id.encode()),
                     (b"port", node.port),
                     (b"ip", node.host.encode()),
                     (b"endpoint", node.host.encode()),
@@ -479,31 +522,31 @@
                     (b"health", b"online"),
                 ]
             )
-            for node in each.nodes
+            for node in slot_range.nodes
         ]
-        return Pairs([(b"slots", [each.first, each.last]), (b"nodes", nodes)])
+        return Pairs([(b"slots", [slot_range.first, slot_range.last]), (b"nodes", nodes)])
 
-    def _line(self, each: Any) -> bytes:
-        node = each.nodes[0]
-        flags = b"myself,master" if node is self.node else b"master"
+    def _nodes_line(self, slot_range: Any) -> bytes:
+        node = slot_range.nodes[0]
+        flags = b"myself,master" if node is self.own_node else b"master"
         host = node.host.encode()
         return b"%b %b:%d@%d %b - 0 0 %d connected %d-%d\n" % (
-            node.ident.encode(),
+            node.node_id.encode(),
             host,
             node.port,
             node.port,
             flags,
-            self.terms.tier.epoch,
-            each.first,
-            each.last,
+            self.config.tier.epoch,
+            slot_range.first,
+            slot_range.last,
         )
 
     def _cluster_info(self) -> bytes:
-        tier = self.terms.tier
-        figures = {
+        tier = self.config.tier
+        fields = {
             "cluster_state": "ok",
-            "cluster_slots_assigned": tier.covered(),
-            "cluster_slots_ok": tier.covered(),
+            "cluster_slots_assigned": tier.covered_slot_count(),
+            "cluster_slots_ok": tier.covered_slot_count(),
             "cluster_slots_pfail": 0,
             "cluster_slots_fail": 0,
             "cluster_known_nodes": len(tier.ranges),
@@ -511,45 +554,45 @@
             "cluster_current_epoch": tier.epoch,
             "cluster_my_epoch": tier.epoch,
         }
-        return "".join(f"{name}:{value}\r\n" for name, value in figures.items()).encode()
+        return "".join(f"{name}:{value}\r\n" for name, value in fields.items()).encode()
 
-    def _command_table(self, client: ClusterClient, words: list[bytes]) -> Any:
-        entries: Sequence[Entry] = list(self.terms.commands.values())
+    def _command_table_reply(self, client: ClusterClientConnection, words: list[bytes]) -> Any:
+        specs: Sequence[CommandSpec] = list(self.config.commands.values())
         if len(words) == 1:
-            return table_answer(entries)
-        what = words[1].upper()
-        if what == b"COUNT":
-            return len(entries)
-        if what == b"LIST":
-            return [entry.name.lower() for entry in entries]
-        if what == b"INFO":
-            return table_answer(entries, words[2:] or None)
-        if what == b"DOCS":
+            return command_info_reply(specs)
+        subcommand = words[1].upper()
+        if subcommand == b"COUNT":
+            return len(specs)
+        if subcommand == b"LIST":
+            return [spec.name.lower() for spec in specs]
+        if subcommand == b"INFO":
+            return command_info_reply(specs, words[2:] or None)
+        if subcommand == b"DOCS":
             wanted = {word.upper() for word in words[2:]}
             return Pairs(
                 [
                     (
-                        entry.name.lower(),
-                        Pairs([(b"summary", b"served by the tier"), (b"arity", entry.arity)]),
+                        spec.name.lower(),
+                        Pairs([(b"summary", b"served by the tier"), (b"arity", spec.arity)]),
                     )
-                    for entry in entries
-                    if not wanted or entry.name in wanted
+                    for spec in specs
+                    if not wanted or spec.name in wanted
                 ]
             )
-        if what == b"GETKEYS":
-            entry = self.terms.commands.get(words[2].upper())
-            if entry is None:
-                raise Refused("ERR Invalid command specified")
-            return keys_of(entry, words[2:])
-        raise Refused(f"ERR unknown subcommand '{what[:64].decode('latin-1')}'")
+        if subcommand == b"GETKEYS":
+            spec = self.config.commands.get(words[2].upper())
+            if spec is None:
+                raise CommandError("ERR Invalid command specified")
+            return keys_of(spec, words[2:])
+        raise CommandError(f"ERR unknown subcommand '{subcommand[:64].decode('latin-1')}'")
 
 
-def log_start(terms: ClusterTerms, address: tuple[str, int]) -> None:
+def log_start(config: ClusterFrontConfig, address: tuple[str, int]) -> None:
     """The front's first line."""
     logger.info(
         "cluster front at {}:{}: {} commands, node {} of {}",
         *address,
-        len(terms.commands),
-        terms.me + 1,
-        len(terms.tier.ranges),
+        len(config.commands),
+        config.router_index + 1,
+        len(config.tier.ranges),
     )
--- a/gaugehinge/cluster/resp3.py
+++ b/gaugehinge/cluster/resp3.py
@@ -18,10 +18,10 @@
 
 DOUBLE = re.compile(rb"[+-]?(\d+(\.\d*)?|\.\d+)([eE][+-]?\d+)?")
 INTEGER = re.compile(rb"[+-]?\d{1,19}")
-BIG = re.compile(rb"[+-]?\d+")
-MOST_INT = 1 << 63
-FLOATS = {b"inf": inf, b"+inf": inf, b"-inf": -inf, b"nan": float("nan")}
-MOST_BESIDE = 64 * 1024  # bytes that heads and ends of one message may take beside its values
+BIG_INTEGER = re.compile(rb"[+-]?\d+")
+INT64_BOUND = 1 << 63
+SPECIAL_FLOATS = {b"inf": inf, b"+inf": inf, b"-inf": -inf, b"nan": float("nan")}
+MAX_FRAMING_BYTES = 64 * 1024  # bytes that heads and ends of one message may take beside its values
 
 
 class Status(bytes):
@@ -37,14 +37,14 @@
         return self.split(b" ", 1)[0]
 
 
-class Big(int):
+class BigNumber(int):
     """A big number."""
 
 
 class Verbatim(NamedTuple):
     """Text with its format, three letters."""
 
-    form: bytes
+    text_format: bytes
     text: bytes
 
 
@@ -64,15 +64,15 @@
 class Limits:
     """What one message may take. All of it is bounded before memory is used for it."""
 
-    value: int = 64 * 1024  # bytes of one string
+    string_bytes: int = 64 * 1024  # bytes of one string
     items: int = 4096  # of all aggregates of a message together
     depth: int = 7
-    line: int = 1024  # of a status, an error, a number or a head
-    whole: int = 1 << 20  # bytes of a message
+    line_bytes: int = 1024  # of a status, an error, a number or a head
+    message_bytes: int = 1 << 20  # bytes of a message
 
 
-CLIENT = Limits()
-SERVER = Limits(value=1 << 20, items=100_000, depth=8, whole=4 << 20)
+CLIENT_LIMITS = Limits()
+SERVER_LIMITS = Limits(string_bytes=1 << 20, items=100_000, depth=8, message_bytes=4 << 20)
 
 
 class Message(NamedTuple):
@@ -83,21 +83,21 @@
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenAggregate:
     """An aggregate that is not whole yet."""
 
     kind: int
-    left: int
+    remaining: int
     items: list[Any] = field(default_factory=list)
 
 
-MORE = object()  # not whole yet
-OPENED = object()  # an aggregate began
+INCOMPLETE = object()  # not whole yet
+AGGREGATE_OPENED = object()  # an aggregate began
 STATUS, ERROR, NUMBER, BULK, ARRAY = b"+-:$*"
 NULL, FLOAT, BOOL, BLOB_ERROR, VERBATIM, BIG_NUMBER, MAP, SET, ATTRIBUTE, PUSH = b"_,#!=(%~|>"
 STREAMED = b"$*~%!=>|"
-NAMES = {NUMBER: "number", NULL: "null", BOOL: "boolean", FLOAT: "double", BIG_NUMBER: "big number"}
-AGGREGATES = {ARRAY: 1, SET: 1, PUSH: 1, MAP: 2, ATTRIBUTE: 2}
+TYPE_NAMES = {NUMBER: "number", NULL: "null", BOOL: "boolean", FLOAT: "double", BIG_NUMBER: "big number"}
+VALUES_PER_ITEM = {ARRAY: 1, SET: 1, PUSH: 1, MAP: 2, ATTRIBUTE: 2}
 
 
 class Reader:
@@ -107,13 +107,13 @@
     as much as in one.
     """
 
-    def __init__(self, limits: Limits = CLIENT) -> None:
+    def __init__(self, limits: Limits = CLIENT_LIMITS) -> None:
         self.limits = limits
         self._buffer = bytearray()
-        self._at = 0  # read up to here; the message begins at 0
-        self._wanted = 0  # with fewer bytes the next step cannot be made
-        self._stack: list[_Open] = []
-        self._items = 0
+        self._position = 0  # read up to here; the message begins at 0
+        self._bytes_needed = 0  # with fewer bytes the next step cannot be made
+        self._stack: list[_OpenAggregate] = []
+        self._item_count = 0
 
     def __len__(self) -> int:
         return len(self._buffer)
@@ -125,89 +125,89 @@
     def next(self) -> Message | None:
         """The next whole message, or None until more has come. Raises Malformed, for good."""
         while True:
-            if len(self._buffer) < self._wanted or self._at >= len(self._buffer):
-                self._check_whole()
+            if len(self._buffer) < self._bytes_needed or self._position >= len(self._buffer):
+                self._check_message_size()
                 return None
-            value = self._step()
-            if value is MORE:
-                self._check_whole()
+            value = self._read_frame()
+            if value is INCOMPLETE:
+                self._check_message_size()
                 return None
-            if value is OPENED:
+            if value is AGGREGATE_OPENED:
                 continue
-            value = self._close(value)
-            if value is not MORE:
+            value = self._add_to_aggregate(value)
+            if value is not INCOMPLETE:
                 break
-        raw = bytes(self._buffer[: self._at])
-        del self._buffer[: self._at]
-        self._at = self._wanted = self._items = 0
+        raw = bytes(self._buffer[: self._position])
+        del self._buffer[: self._position]
+        self._position = self._bytes_needed = self._item_count = 0
         return Message(value, raw)
 
-    def _check_whole(self) -> None:
-        if len(self._buffer) > self.limits.whole + MOST_BESIDE:
+    def _check_message_size(self) -> None:
+        if len(self._buffer) > self.limits.message_bytes + MAX_FRAMING_BYTES:
             raise Malformed("message too long")
 
-    def _close(self, value: Any) -> Any:
+    def _add_to_aggregate(self, value: Any) -> Any:
         """Put a whole value where it belongs; the message's own value once that is whole."""
         while self._stack:
             top = self._stack[-1]
             top.items.append(value)
-            top.left -= 1
-            if top.left:
-                return MORE
+            top.remaining -= 1
+            if top.remaining:
+                return INCOMPLETE
             self._stack.pop()
             if top.kind == ATTRIBUTE:
-                return MORE  # it stands before a value and is none
-            value = _aggregate(top.kind, top.items)
+                return INCOMPLETE  # it stands before a value and is none
+            value = _build_aggregate(top.kind, top.items)
         return value
 
-    def _step(self) -> Any:
+    def _read_frame(self) -> Any:
         """Read one frame: a scalar's value, OPENED, or MORE."""
-        buffer, at = self._buffer, self._at
-        kind = buffer[at]
-        stop = buffer.find(b"\r\n", at, at + self.limits.line)
-        if stop < 0:
-            if len(buffer) - at >= self.limits.line:
+        buffer, position = self._buffer, self._position
+        kind = buffer[position]
+        line_end = buffer.find(b"\r\n", position, position + self.limits.line_bytes)
+        if line_end < 0:
+            if len(buffer) - position >= self.limits.line_bytes:
                 raise Malformed("line too long")
-            return MORE
-        line = bytes(buffer[at + 1 : stop])
-        if kind in AGGREGATES:
-            return self._open(kind, line, stop + 2)
+            return INCOMPLETE
+        line = bytes(buffer[position + 1 : line_end])
+        if kind in VALUES_PER_ITEM:
+            return self._open_aggregate(kind, line, line_end + 2)
         if kind in (BULK, VERBATIM, BLOB_ERROR):
-            return self._string(kind, line, stop + 2)
-        value = _scalar(kind, line)
-        self._at = stop + 2
+            return self._read_string(kind, line, line_end + 2)
+        value = _parse_scalar(kind, line)
+        self._position = line_end + 2
         return value
 
-    def _open(self, kind: int, line: bytes, place: int) -> Any:
+    def _open_aggregate(self, kind: int, line: bytes, start: int) -> Any:
         if kind == ARRAY and line == b"-1":
-            self._at = place
+            self._position = start
             return None
         if len(self._stack) + 1 > self.limits.depth:
             raise Malformed("nested too deep")
-        count = _length(kind, line, self.limits.items, "too many items") * AGGREGATES[kind]
-        self._items += count
-        if self._items > self.limits.items:
+        count = _parse_length(kind, line, self.limits.items, "too many items") * VALUES_PER_ITEM[kind]
+        self._item_count += count
+        if self._item_count > self.limits.items:
             raise Malformed("too many items")
-        self._at = place
+        self._position = start
         if count:
-            self._stack.append(_Open(kind, count))
-            return OPENED
-        return OPENED if kind == ATTRIBUTE else _aggregate(kind, [])
+            self._stack.append(_OpenAggregate(kind, count))
+            return AGGREGATE_OPENED
+        return AGGREGATE_OPENED if kind == ATTRIBUTE else _build_aggregate(kind, [])
 
-    def _string(self, kind: int, line: bytes, place: int) -> Any:
+    def _read_string(self, kind: int, line: bytes, start: int) -> Any:
         if kind == BULK and line == b"-1":
-            self._at = place
+            self._position = start
             return None
-        end = place + _length(kind, line, self.limits.value, "value too long")
-        if end + 2 > self.limits.whole + MOST_BESIDE:
+        end = start + _parse_length(kind, line, self.limits.string_bytes, "value too long")
+        if end + 2 > self.limits.message_bytes + MAX_FRAMING_BYTES:
             raise Malformed("message too long")
         if len(self._buffer) < end + 2:
-            self._wanted = end + 2
-            return MORE
+            self._bytes_needed = end + 2
+            return INCOMPLETE
         if self._buffer[end : end + 2] != b"\r\n":
             raise Malformed("value longer than told")
-        self._at, self._wanted = end + 2, 0
-        text = bytes(self._buffer[place:end])
+        self._position, self._bytes_needed = end + 2, 0
+        text = bytes(self._buffer[start:end])
         if kind == BULK:
             return text
         if kind == BLOB_ERROR:
@@ -217,7 +217,7 @@
         return Verbatim(text[:3], text[4:])
 
 
-def _aggregate(kind: int, items: list[Any]) -> Any:
+def _build_aggregate(kind: int, items: list[Any]) -> Any:
     if kind == ARRAY:
         return items
     if kind == SET:
@@ -227,35 +227,35 @@
     return Pairs(zip(items[::2], items[1::2], strict=True))
 
 
-def _scalar(kind: int, line: bytes) -> Any:
+def _parse_scalar(kind: int, line: bytes) -> Any:
     if kind == STATUS:
         return Status(line)
     if kind == ERROR:
         return Error(line)
-    if kind == NUMBER and INTEGER.fullmatch(line) and -MOST_INT <= int(line) < MOST_INT:
+    if kind == NUMBER and INTEGER.fullmatch(line) and -INT64_BOUND <= int(line) < INT64_BOUND:
         return int(line)
     if kind == NULL and not line:
         return None
     if kind == BOOL and line in (b"t", b"f"):
         return line == b"t"
-    if kind == FLOAT and (line.lower() in FLOATS or DOUBLE.fullmatch(line)):
-        return FLOATS[line.lower()] if line.lower() in FLOATS else float(line)
-    if kind == BIG_NUMBER and BIG.fullmatch(line):
-        return Big(line)
-    if kind in NAMES:
-        raise Malformed(f"not a {NAMES[kind]}")
+    if kind == FLOAT and (line.lower() in SPECIAL_FLOATS or DOUBLE.fullmatch(line)):
+        return SPECIAL_FLOATS[line.lower()] if line.lower() in SPECIAL_FLOATS else float(line)
+    if kind == BIG_NUMBER and BIG_INTEGER.fullmatch(line):
+        return BigNumber(line)
+    if kind in TYPE_NAMES:
+        raise Malformed(f"not a {TYPE_NAMES[kind]}")
     if kind in b";.":
         raise Malformed("streamed types are not taken")
     raise Malformed(f"no RESP type {chr(kind)!r}")
 
 
-def _length(kind: int, line: bytes, most: int, complaint: str) -> int:
+def _parse_length(kind: int, line: bytes, maximum: int, error_text: str) -> int:
     if line == b"?" and kind in STREAMED:
         raise Malformed("streamed types are not taken")
     if not line.isdigit() or (line.startswith(b"0") and line != b"0"):
         raise Malformed("not a length")
-    if len(line) > 9 or int(line) > most:
-        raise Malformed(complaint)
+    if len(line) > 9 or int(line) > maximum:
+        raise Malformed(error_text)
     return int(line)
 
 
@@ -272,18 +272,18 @@
     return b"".join(out)
 
 
-def _encode(value: Any, three: bool, out: list[bytes]) -> None:
+def _encode(value: Any, is_resp3: bool, out: list[bytes]) -> None:
     if value is None:
-        out.append(b"_\r\n" if three else b"$-1\r\n")
+        out.append(b"_\r\n" if is_resp3 else b"$-1\r\n")
     elif isinstance(value, bool):
-        out.append((b"#t\r\n" if value else b"#f\r\n") if three else b":%d\r\n" % value)
-    elif isinstance(value, Big):
-        out.append(b"(%d\r\n" % value if three else bulk(b"%d" % value))
+        out.append((b"#t\r\n" if value else b"#f\r\n") if is_resp3 else b":%d\r\n" % value)
+    elif isinstance(value, BigNumber):
+        out.append(b"(%d\r\n" % value if is_resp3 else bulk(b"%d" % value))
     elif isinstance(value, int):
         out.append(b":%d\r\n" % value)
     elif isinstance(value, float):
         text = _float_text(value)
-        out.append(b",%b\r\n" % text if three else bulk(text))
+        out.append(b",%b\r\n" % text if is_resp3 else bulk(text))
     elif isinstance(value, Status):
         out.append(b"+%b\r\n" % bytes(value))
     elif isinstance(value, Error):
@@ -294,18 +294,18 @@
         out.append(bulk(value.encode()))
     elif isinstance(value, Verbatim):
         text = b"%b:%b" % value
-        out.append(b"=%d\r\n%b\r\n" % (len(text), text) if three else bulk(value.text))
+        out.append(b"=%d\r\n%b\r\n" % (len(text), text) if is_resp3 else bulk(value.text))
     elif isinstance(value, Pairs | dict):
         pairs = value.items() if isinstance(value, dict) else value
-        out.append(b"%%%d\r\n" % len(value) if three else b"*%d\r\n" % (2 * len(value)))
+        out.append(b"%%%d\r\n" % len(value) if is_resp3 else b"*%d\r\n" % (2 * len(value)))
         for key, item in pairs:
-            _encode(key, three, out)
-            _encode(item, three, out)
+            _encode(key, is_resp3, out)
+            _encode(item, is_resp3, out)
     elif isinstance(value, list | tuple):
-        mark = b"~" if isinstance(value, Set) else b">" if isinstance(value, Push) else b"*"
-        out.append(b"%b%d\r\n" % (mark if three else b"*", len(value)))
+        type_mark = b"~" if isinstance(value, Set) else b">" if isinstance(value, Push) else b"*"
+        out.append(b"%b%d\r\n" % (type_mark if is_resp3 else b"*", len(value)))
         for item in value:
-            _encode(item, three, out)
+            _encode(item, is_resp3, out)
     else:
         raise TypeError(f"no RESP value: {value!r}")
 
--- a/gaugehinge/cluster/attempts.py
+++ b/gaugehinge/cluster/server_codec.py
@@ -13,14 +13,14 @@
 from ..net.connection import Connection
 from ..net.reply_fence import ReplyFence
 from ..routing.types import Outcome
-from .resp3 import SERVER, Error, Malformed, Message, Push, Reader, Status, command
+from .resp3 import SERVER_LIMITS, Error, Malformed, Message, Push, Reader, Status, command
 
 ASKING = command(b"ASKING")
 READONLY = command(b"READONLY")
 FENCE_COMMAND = command(b"PING")  # behind a request on a reused connection; +OK would be like a SET's reply
 FENCE_STATUS = b"PONG"
 # Never run there: being loaded, without a map, amid a move, told to a replica, out of memory or of places.
-NOT_TAKEN = frozenset(
+REJECTION_CODES = frozenset(
     [
         b"BUSY",
         b"TRYAGAIN",
@@ -33,20 +33,20 @@
         b"NOREPLICAS",
     ]
 )
-MAP_WRONG = frozenset([b"CLUSTERDOWN", b"READONLY", b"MASTERDOWN"])
-REDIRECTIONS = {b"MOVED": Outcome.MOVED, b"ASK": Outcome.ASK_REDIRECT}
+STALE_MAP_CODES = frozenset([b"CLUSTERDOWN", b"READONLY", b"MASTERDOWN"])
+REDIRECT_OUTCOMES = {b"MOVED": Outcome.MOVED, b"ASK": Outcome.ASK_REDIRECT}
 
 
 class ConnectionState:
     """What a connection to a server has to know: its reader, and answers that belong to no attempt."""
 
-    __slots__ = ("reader", "before", "replica", "fence")
+    __slots__ = ("reader", "preliminary_replies", "readonly_sent", "fence")
 
     def __init__(self) -> None:
-        self.reader = Reader(SERVER)
+        self.reader = Reader(SERVER_LIMITS)
         self.fence: ReplyFence[Message] = ReplyFence(FENCE_COMMAND, _is_fence_reply, _raw_bytes)
-        self.before = 0  # answers to come before the attempt's own
-        self.replica = False  # `READONLY` was said
+        self.preliminary_replies = 0  # answers to come before the attempt's own
+        self.readonly_sent = False  # `READONLY` was said
 
 
 def _is_fence_reply(message: Message) -> bool:
@@ -57,11 +57,11 @@
     return message.raw
 
 
-class ClusterDialect:
+class ClusterCodec:
     """The protocol of cluster-mode servers, RESP2."""
 
-    def __init__(self, own_slots_only: bool = False) -> None:
-        self.own_slots_only = own_slots_only  # no connection says READONLY: replicas are not read from
+    def __init__(self, owners_only: bool = False) -> None:
+        self.owners_only = owners_only  # no connection says READONLY: replicas are not read from
 
     def new_state(self) -> ConnectionState:
         """The state of a new connection."""
@@ -70,20 +70,20 @@
     def encode(self, connection: Connection, payload: RequestPayload, remaining_time: float) -> bytes:
         """The command as the client gave it; one of the platform's dialect as its plain like."""
         state: ConnectionState = connection.codec_state
-        out = payload.verbatim_command or plain(payload)
+        request = payload.verbatim_command or plain_command(payload)
         operation = connection.pending.attempt.operation
-        state.before = 0
+        state.preliminary_replies = 0
         if operation.ask_redirect:
             operation.ask_redirect = False
-            state.before += 1
-            out = ASKING + out
-        if not state.replica and not self.own_slots_only and not operation.is_write:
-            state.replica = True
-            state.before += 1
-            out = READONLY + out
+            state.preliminary_replies += 1
+            request = ASKING + request
+        if not state.readonly_sent and not self.owners_only and not operation.is_write:
+            state.readonly_sent = True
+            state.preliminary_replies += 1
+            request = READONLY + request
         fence = state.fence.arm()
         connection.trailing_bytes = len(fence)
-        return out + fence
+        return request + fence
 
     def decode(self, connection: Connection, data: bytes) -> ServerReply | None:
         """What came, or nothing at the end of the connection; the answer once it is whole."""
@@ -94,39 +94,39 @@
         while True:
             try:
                 message = state.reader.next()
-            except Malformed as bad:
-                raise MalformedReply(str(bad)) from None
+            except Malformed as error:
+                raise MalformedReply(str(error)) from None
             if message is None:
                 return None
             if isinstance(message.value, Push):
                 continue  # said unasked
-            if state.before:
-                state.before -= 1
+            if state.preliminary_replies:
+                state.preliminary_replies -= 1
                 if not isinstance(message.value, Status):
                     raise MalformedReply("an answer to ASKING or READONLY that is no status")
                 continue
             reply = state.fence.accept(message)
             if reply is not None:
                 reusable = not (len(state.reader) or state.fence.is_armed)
-                return read_answer(reply.value, reply.raw)._replace(reusable=reusable)
+                return interpret_reply(reply.value, reply.raw)._replace(reusable=reusable)
 
 
-def plain(payload: RequestPayload) -> bytes:
+def plain_command(payload: RequestPayload) -> bytes:
     """An operation of the platform's dialect for servers that have only plain commands."""
     if payload.value is None:
         return command(b"GET", payload.key)
     return command(b"SET", payload.key, payload.value)
 
 
-def read_answer(value: object, raw: bytes) -> ServerReply:
+def interpret_reply(value: object, raw: bytes) -> ServerReply:
     """What a whole answer means."""
     if not isinstance(value, Error):
         return ServerReply(Outcome.SUCCEEDED, raw)
     code = value.code
-    if code in REDIRECTIONS:
-        return ServerReply(REDIRECTIONS[code], bytes(value))
-    if code in NOT_TAKEN:
-        if code in MAP_WRONG:
+    if code in REDIRECT_OUTCOMES:
+        return ServerReply(REDIRECT_OUTCOMES[code], bytes(value))
+    if code in REJECTION_CODES:
+        if code in STALE_MAP_CODES:
             return ServerReply(Outcome.REJECTED, bytes(value))
         return ServerReply(Outcome.REJECTED)
     if code not in (b"ERR", b"WRONGTYPE"):
--- a/gaugehinge/cluster/slots.py
+++ b/gaugehinge/cluster/slots.py
@@ -30,7 +30,7 @@
 
     host: str
     port: int
-    ident: str = ""  # its node id, where told
+    node_id: str = ""  # its node id, where told
 
     @property
     def address(self) -> tuple[str, int]:
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Range:
+class SlotRange:
     """Slots from `first` to `last`, both included, and who serves them: the owner, then its replicas."""
 
     first: int
@@ -52,95 +52,100 @@
     A map is never changed: a change makes a new one, so that a map read before an await is whole.
     """
 
-    __slots__ = ("epoch", "ranges", "_firsts")
+    __slots__ = ("epoch", "ranges", "_first_slots")
 
-    def __init__(self, ranges: Iterable[Range], epoch: int = 0) -> None:
-        self.ranges = tuple(sorted(ranges, key=lambda each: each.first))
+    def __init__(self, ranges: Iterable[SlotRange], epoch: int = 0) -> None:
+        self.ranges = tuple(sorted(ranges, key=lambda slot_range: slot_range.first))
         self.epoch = epoch
-        self._firsts = [each.first for each in self.ranges]
+        self._first_slots = [slot_range.first for slot_range in self.ranges]
         last = -1
-        for each in self.ranges:
-            if not last < each.first <= each.last < SLOTS or not each.nodes:
-                raise ValueError(f"range {each.first}-{each.last}: outside, overlapping, or served by nobody")
-            last = each.last
+        for slot_range in self.ranges:
+            if not last < slot_range.first <= slot_range.last < SLOTS or not slot_range.nodes:
+                raise ValueError(
+                    f"range {slot_range.first}-{slot_range.last}: outside, overlapping, or served by nobody"
+                )
+            last = slot_range.last
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, SlotMap) and self.ranges == other.ranges
 
-    def __iter__(self) -> Iterator[Range]:
+    def __iter__(self) -> Iterator[SlotRange]:
         return iter(self.ranges)
 
     def nodes(self, slot: int) -> tuple[Node, ...]:
         """The owner, then its replicas; empty where nobody serves it."""
-        place = bisect_right(self._firsts, slot) - 1
-        if place < 0 or slot > self.ranges[place].last:
+        index = bisect_right(self._first_slots, slot) - 1
+        if index < 0 or slot > self.ranges[index].last:
             return ()
-        return self.ranges[place].nodes
+        return self.ranges[index].nodes
 
-    def covered(self) -> int:
+    def covered_slot_count(self) -> int:
         """How many slots are served."""
-        return sum(each.last - each.first + 1 for each in self.ranges)
+        return sum(slot_range.last - slot_range.first + 1 for slot_range in self.ranges)
 
-    def moved(self, slot: int, node: Node) -> SlotMap:
+    def with_slot_moved(self, slot: int, node: Node) -> SlotMap:
         """The map as a redirection tells it: one slot at another server, of whose replicas nothing is known.
 
         Its epoch is the same: the whole map is still to be fetched.
         """
-        known = next((each.nodes for each in self.ranges if each.nodes[0].address == node.address), (node,))
+        target_nodes = next(
+            (slot_range.nodes for slot_range in self.ranges if slot_range.nodes[0].address == node.address),
+            (node,),
+        )
         ranges = []
-        for each in self.ranges:
-            if not each.first <= slot <= each.last:
-                ranges.append(each)
+        for slot_range in self.ranges:
+            if not slot_range.first <= slot <= slot_range.last:
+                ranges.append(slot_range)
                 continue
-            if each.first < slot:
-                ranges.append(replace(each, last=slot - 1))
-            if slot < each.last:
-                ranges.append(replace(each, first=slot + 1))
-        return SlotMap(joined([*ranges, Range(slot, slot, known)]), self.epoch)
+            if slot_range.first < slot:
+                ranges.append(replace(slot_range, last=slot - 1))
+            if slot < slot_range.last:
+                ranges.append(replace(slot_range, first=slot + 1))
+        return SlotMap(merge_adjacent([*ranges, SlotRange(slot, slot, target_nodes)]), self.epoch)
 
 
-def joined(ranges: Iterable[Range]) -> list[Range]:
+def merge_adjacent(ranges: Iterable[SlotRange]) -> list[SlotRange]:
     """Neighbours that the same servers serve, as one."""
-    out: list[Range] = []
-    for each in sorted(ranges, key=lambda one: one.first):
-        if out and out[-1].last + 1 == each.first and out[-1].nodes == each.nodes:
-            out[-1] = replace(out[-1], last=each.last)
+    merged: list[SlotRange] = []
+    for slot_range in sorted(ranges, key=lambda slot_range: slot_range.first):
+        if merged and merged[-1].last + 1 == slot_range.first and merged[-1].nodes == slot_range.nodes:
+            merged[-1] = replace(merged[-1], last=slot_range.last)
         else:
-            out.append(each)
-    return out
+            merged.append(slot_range)
+    return merged
 
 
-def even(nodes: Iterable[tuple[Node, ...]], epoch: int = 0) -> SlotMap:
+def even_slot_map(nodes: Iterable[tuple[Node, ...]], epoch: int = 0) -> SlotMap:
     """All slots in equal ranges, in the order of the servers."""
     nodes = list(nodes)
-    edges = [SLOTS * i // len(nodes) for i in range(len(nodes) + 1)]
-    spans = zip(edges, edges[1:], nodes, strict=False)
-    return SlotMap([Range(first, end - 1, each) for first, end, each in spans if first < end], epoch)
+    bounds = [SLOTS * i // len(nodes) for i in range(len(nodes) + 1)]
+    spans = zip(bounds, bounds[1:], nodes, strict=False)
+    return SlotMap([SlotRange(first, end - 1, owners) for first, end, owners in spans if first < end], epoch)
 
 
-def read_slots(told: object, asked: tuple[str, int]) -> SlotMap:
+def parse_slots_reply(reply: object, queried_address: tuple[str, int]) -> SlotMap:
     """The answer to `CLUSTER SLOTS`. An empty host means the one that was asked. Raises ValueError."""
-    if not isinstance(told, list) or len(told) > SLOTS:
+    if not isinstance(reply, list) or len(reply) > SLOTS:
         raise ValueError("CLUSTER SLOTS: no list of ranges")
     ranges = []
-    for entry in told:
+    for entry in reply:
         if not isinstance(entry, list) or len(entry) < 3:
             raise ValueError("CLUSTER SLOTS: no range with its servers")
         first, last, *nodes = entry
         if type(first) is not int or type(last) is not int:
             raise ValueError("CLUSTER SLOTS: no slot numbers")
-        ranges.append(Range(first, last, tuple(_node(node, asked) for node in nodes)))
-    return SlotMap(joined(ranges))
+        ranges.append(SlotRange(first, last, tuple(_parse_node(node, queried_address) for node in nodes)))
+    return SlotMap(merge_adjacent(ranges))
 
 
-def _node(told: object, asked: tuple[str, int]) -> Node:
-    if not isinstance(told, list) or len(told) < 2 or not isinstance(told[0], bytes | None):
+def _parse_node(reply: object, queried_address: tuple[str, int]) -> Node:
+    if not isinstance(reply, list) or len(reply) < 2 or not isinstance(reply[0], bytes | None):
         raise ValueError("CLUSTER SLOTS: no server")
-    host, port = told[0], told[1]
-    ident = told[2] if len(told) > 2 and isinstance(told[2], bytes) else b""
+    host, port = reply[0], reply[1]
+    node_id = reply[2] if len(reply) > 2 and isinstance(reply[2], bytes) else b""
     if type(port) is not int or not 0 < port < 65536:
         raise ValueError("CLUSTER SLOTS: no port")
-    return Node(host.decode("latin-1") if host else asked[0], port, ident.decode("latin-1"))
+    return Node(host.decode("latin-1") if host else queried_address[0], port, node_id.decode("latin-1"))
 
 
 class Redirection(NamedTuple):
@@ -151,16 +156,16 @@
     node: Node
 
 
-def read_redirection(text: bytes, asked: tuple[str, int]) -> Redirection | None:
+def parse_redirection(message: bytes, queried_address: tuple[str, int]) -> Redirection | None:
     """`MOVED 3999 127.0.0.1:6381`; None for another error, or one that makes no sense."""
-    words = text.split(b" ")
+    words = message.split(b" ")
     if len(words) < 3 or words[0] not in (b"MOVED", b"ASK"):
         return None
     host, _, port = words[2].rpartition(b":")
     if not (words[1].isdigit() and len(words[1]) < 6 and port.isdigit() and len(port) < 6):
         return None
-    slot, number = int(words[1]), int(port)
-    if slot >= SLOTS or not 0 < number < 65536:
+    slot, port_number = int(words[1]), int(port)
+    if slot >= SLOTS or not 0 < port_number < 65536:
         return None
-    where = host.removeprefix(b"[").removesuffix(b"]").decode("latin-1") or asked[0]
-    return Redirection(words[0] == b"ASK", slot, Node(where, number))
+    target_host = host.removeprefix(b"[").removesuffix(b"]").decode("latin-1") or queried_address[0]
+    return Redirection(words[0] == b"ASK", slot, Node(target_host, port_number))
--- a/gaugehinge/emulator/shard_door.py
+++ b/gaugehinge/emulator/shard_door.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from ..cluster.resp3 import CLIENT, Malformed, Reader, encode
+from ..cluster.resp3 import CLIENT_LIMITS, Malformed, Reader, encode
 from ..net.sockets import receive, send_all, shut
 from .shards import Shard, Shards, Wire
 
@@ -79,7 +79,7 @@
 
     async def _serve(self, raw: socket.socket, router: int) -> None:
         self.lines.add(raw)
-        reader, wire = Reader(CLIENT), Wire()
+        reader, wire = Reader(CLIENT_LIMITS), Wire()
         try:
             while data := await receive(raw):
                 reader.feed(data)
--- a/gaugehinge/net/codec.py
+++ b/gaugehinge/net/codec.py
@@ -1,7 +1,7 @@
 """Codecs: how an attempt becomes bytes for one kind of server, and bytes become its reply. No I/O.
 
-`resp_codec` speaks to cache servers, `origin_codec` to the origin, `gaugehinge.cluster.attempts` to servers
-in cluster mode.
+`resp_codec` speaks to cache servers, `origin_codec` to the origin, `gaugehinge.cluster.server_codec` to
+servers in cluster mode.
 """
 
 from __future__ import annotations
--- a/gaugehinge/rehearsal/clusterplay.py
+++ b/gaugehinge/rehearsal/clusterplay.py
@@ -15,7 +15,7 @@
 import msgspec
 import trio
 
-from ..cluster.build import cluster_extension_builder, slot_fleet
+from ..cluster.build import cluster_extension_builder, slot_routing_of
 from ..emulator.directory import Directory, Entry
 from ..emulator.doors import DirectoryDoor
 from ..emulator.ports import Ports
@@ -267,8 +267,10 @@
     """Until every router has its list and its map."""
     with trio.fail_after(20):
         while True:
-            fleets = [fleet for service in made.services if (fleet := slot_fleet(service)) is not None]
-            maps = [fleet.keeper.map for fleet in fleets]
+            routings = [
+                routing for service in made.services if (routing := slot_routing_of(service)) is not None
+            ]
+            maps = [routing.map_tracker.map for routing in routings]
             if len(maps) == len(made.services) and all(maps):
                 return
             await trio.sleep(0.01)
--- a/gaugehinge/rehearsal/clusterrun.py
+++ b/gaugehinge/rehearsal/clusterrun.py
@@ -12,8 +12,8 @@
 
 import trio
 
-from ..cluster.build import slot_fleet
-from ..cluster.resp3 import CLIENT, Error, Reader, command
+from ..cluster.build import slot_routing_of
+from ..cluster.resp3 import CLIENT_LIMITS, Error, Reader, command
 from ..cluster.slots import slot_of
 from .clusterplay import BOOK, Play, playing
 
@@ -55,13 +55,13 @@
         draw = random.Random(self.draw.random())
         routers = self.made.plain if platform else self.made.clients
         where = routers[number % len(routers)]
-        stream, reader, count = None, Reader(CLIENT), 0
+        stream, reader, count = None, Reader(CLIENT_LIMITS), 0
         while not self.stopped:
             count += 1
             await trio.sleep(draw.random() * 0.02)
             token = TOKEN + b"%d-%d" % (number, count)
             if stream is None:
-                stream, reader = await trio.open_tcp_stream(*where), Reader(CLIENT)
+                stream, reader = await trio.open_tcp_stream(*where), Reader(CLIENT_LIMITS)
             words, kind = self._operation(draw, token, platform)
             await stream.send_all(command(*words))
             if draw.random() < 0.02:
@@ -183,7 +183,7 @@
             f"drains kept: a leg to {name} {late:.3f} s late" for name, late in self.made.late_attempts()
         ]
         told.redirections = self.made.shards.redirections
-        told.fetches = sum(slot_fleet(service).keeper.fetches for service in self.made.services)
+        told.fetches = sum(slot_routing_of(service).map_tracker.fetches for service in self.made.services)
 
 
 async def _answer(stream: trio.SocketStream, reader: Reader) -> object:
--- a/gaugehinge/subsystems.py
+++ b/gaugehinge/subsystems.py
@@ -12,7 +12,7 @@
 from .net.extensions import Extensions
 
 if TYPE_CHECKING:
-    from .cluster.fleet import SlotFleet
+    from .cluster.slot_routing import SlotRouting
     from .drains.router import DrainsAgent
     from .hosted.control_plane_watch import ControlPlaneWatch
     from .placement.router import RouterPlacement
@@ -25,7 +25,7 @@
 class Subsystems:
     """What is switched on; None: it is not."""
 
-    slot_fleet: SlotFleet | None = None
+    slot_routing: SlotRouting | None = None
     watch: ControlPlaneWatch | None = None
     placement: RouterPlacement | None = None
     drains: DrainsAgent | None = None
@@ -41,9 +41,9 @@
         recovery = self.recovery
         return Extensions(
             request_interceptors=_present(recovery),
-            routing_constraints=_present(self.slot_fleet, self.placement),
+            routing_constraints=_present(self.slot_routing, self.placement),
             attempt_policies=_present(self.placement),
-            redirect_observers=_present(self.slot_fleet),
+            redirect_observers=_present(self.slot_routing),
             reply_observers=_present(self.drains),
             endpoint_list_transformers=_present(
                 recovery.list_gate if recovery is not None else None,
@@ -56,7 +56,7 @@
             connection_observers=_present(recovery),
             shutdown_hooks=_present(self.drains, recovery),
             connection_budget=self.drains,
-            server_codec=self.slot_fleet.codec if self.slot_fleet is not None else None,
+            server_codec=self.slot_routing.codec if self.slot_routing is not None else None,
         )
 
 
--- a/tests/test_late_replies.py
+++ b/tests/test_late_replies.py
@@ -4,7 +4,7 @@
 import trio
 from loguru import logger
 
-from gaugehinge.cluster.attempts import ClusterDialect
+from gaugehinge.cluster.server_codec import ClusterCodec
 from gaugehinge.net import connection_pool, sockets
 from gaugehinge.net.codec import ConnectionLost, MalformedReply, RequestPayload
 from gaugehinge.net.connection import Connection, ServerPool
@@ -245,7 +245,7 @@
 )
 def test_a_copy_before_a_reply_of_a_server_in_cluster_mode(first, own):
     """There the fence is PING: +OK is what a SET gets. Two that are alike to the byte say the same."""
-    codec = ClusterDialect(own_slots_only=True)
+    codec = ClusterCodec(owners_only=True)
     connection = Connection(None, ServerPool(1, "s", ("127.0.0.1", 1), 0.0), codec.new_state(), None)
     connection.pending = type("Pending", (), {"attempt": type("A", (), {"operation": type("O", (), {})})})()
     connection.pending.attempt.operation.ask_redirect = False
@@ -263,7 +263,7 @@
         codec.decode(connection, first + own + b"+PONG\r\n")
 
 
-def connection_after(codec: ClusterDialect, payload: RequestPayload) -> Connection:
+def connection_after(codec: ClusterCodec, payload: RequestPayload) -> Connection:
     connection = Connection(None, ServerPool(1, "s", ("127.0.0.1", 1), 0.0), codec.new_state(), None)
     connection.pending = type("Pending", (), {"attempt": type("A", (), {"operation": type("O", (), {})})})()
     connection.pending.attempt.operation.ask_redirect = False
