--- a/gaugehinge/cluster/__init__.py
+++ b/gaugehinge/cluster/__init__.py
@@ -1,5 +1,5 @@
-"""The cluster dialect of RESP: a front for its clients and attempts to its servers, round the same decisions.
+"""Support for the Redis Cluster protocol: a front for cluster clients and a codec for cluster-mode servers.
 
-Written from the public specifications of RESP2, RESP3 and the cluster protocol. Off unless the installation
-file switches it on.
+Both use the same routing decisions as the platform's own dialect. Written from the public specifications of
+RESP2, RESP3 and the cluster protocol. Disabled unless the installation file enables it.
 """
--- a/gaugehinge/cluster/build.py
+++ b/gaugehinge/cluster/build.py
@@ -1,4 +1,4 @@
-"""The installation file's `cluster` to a front and attempts of a running service."""
+"""Builds the cluster front and the slot routing of a service from the `cluster` section of its file."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def tier_map(cluster: ClusterEntry) -> SlotMap:
-    """The routers of the tier as the nodes of a map: all slots in equal ranges, each with one router."""
+    """A slot map with the routers of the tier as its nodes: equal ranges, each served by one router."""
     nodes = []
     for i, router_address in enumerate(cluster.routers):
         host, port = address(router_address, f"cluster.routers[{i}]")
@@ -29,7 +29,7 @@
 
 
 def front_config_of(installation: Installation) -> ClusterFrontConfig:
-    """What the front is told."""
+    """The front's configuration, from the installation file."""
     traffic_rows = {
         entry.name: (i, float(entry.abandon_time)) for i, entry in enumerate(installation.traffic)
     }
@@ -46,7 +46,10 @@
 
 
 def build_cluster(service: Service, nursery: trio.Nursery, installation: Installation) -> SlotRouting | None:
-    """Add the cluster dialect: a listener where one is named, and the fleet where servers speak it."""
+    """Add the parts of cluster support that are configured: the client front, and slot routing to servers.
+
+    Returns the slot routing; None if the servers are not in cluster mode.
+    """
     slot_routing = None
     if installation.cluster.servers:
         slot_routing = add_slot_routing(service, nursery, installation.cluster.replicas)
@@ -56,7 +59,7 @@
 
 
 def cluster_extensions(slot_routing: SlotRouting | None) -> Extensions:
-    """The extensions of a router that has the cluster dialect and no other subsystem."""
+    """The extensions of a router that has cluster support and no other subsystem."""
     if slot_routing is None:
         return Extensions()
     return Extensions(
@@ -67,18 +70,18 @@
 
 
 def slot_routing_of(service: Service) -> SlotRouting | None:
-    """The fleet of a service that runs; None where its servers do not speak the dialect."""
+    """The slot routing of a running service; None if its servers are not in cluster mode."""
     constraints = service.extensions.routing_constraints
     return next((constraint for constraint in constraints if isinstance(constraint, SlotRouting)), None)
 
 
 def cluster_extension_builder(installation: Installation) -> ExtensionBuilder:
-    """What a service without other subsystems builds its extensions by."""
+    """The function that builds the extensions of a service without other subsystems."""
     return lambda service, nursery: cluster_extensions(build_cluster(service, nursery, installation))
 
 
 def add_slot_routing(service: Service, nursery: trio.Nursery, read_from_replicas: bool) -> SlotRouting:
-    """The map that says where attempts to cluster-mode servers go, kept by a task."""
+    """Add the routing of attempts to cluster-mode servers; starts the task that keeps its slot map."""
     endpoints = service.dispatcher.router.endpoints
 
     def endpoint_state(ident: int) -> EndpointState | None:
@@ -94,7 +97,7 @@
 
 
 def add_front(service: Service, nursery: trio.Nursery, installation: Installation) -> ClusterClientServer:
-    """A listener for clients of the dialect."""
+    """Add a front that listens for clients of the cluster protocol."""
     configuration, config = service.configuration, front_config_of(installation)
     listen_address = address(installation.cluster.listen, "cluster.listen")
     sock = listener(listen_address, BACKLOG)
--- a/gaugehinge/cluster/command_table.py
+++ b/gaugehinge/cluster/command_table.py
@@ -1,4 +1,7 @@
-"""The commands of cluster clients: what each is to the decisions, and where its keys stand. No I/O."""
+"""The commands that cluster clients may use: their traffic types, keys and merging of replies. No I/O.
+
+`words` is always a command as its list of bulk strings, the command name first.
+"""
 
 from __future__ import annotations
 
@@ -10,29 +13,29 @@
 from .slots import slot_of
 
 INTEGER_REPLY = re.compile(rb":\d+\r\n")
-MAX_KEYS = 256  # of one command: each is an operation of its own
+MAX_KEYS = 256  # per command; each key becomes an operation of its own
 
 
 class CommandError(Exception):
-    """A command that cannot be taken; the text is the whole error line."""
+    """A command that is rejected; the message is the complete error line for the client, without its `-`."""
 
 
 @dataclass(slots=True, frozen=True)
 class CommandSpec:
-    """One command."""
+    """How one command is routed and answered."""
 
     name: bytes  # upper case
-    traffic_row: int  # of its traffic type
+    traffic_row: int  # row of its traffic type in the settings
     write: bool
-    abandon_time: float  # seconds until its client gives up
-    key_pattern: str  # `first`, `all`, or `pairs` of key and value
-    merge_rule: str  # how the answers of its keys become one: `one`, `list`, `sum`, `ok`
-    min_arguments: int  # words behind the name
+    abandon_time: float  # seconds after which the client gives up
+    key_pattern: str  # which arguments are keys: `first`, `all`, or `pairs` of key and value
+    merge_rule: str  # how the replies for its keys are merged: `one`, `list`, `sum`, `ok`
+    min_arguments: int  # without the command name
     max_arguments: int
 
     @property
     def arity(self) -> int:
-        """As `COMMAND` tells it: with the name; negative where more may follow."""
+        """The arity as `COMMAND` reports it: with the name, and negative if more arguments may follow."""
         return (
             self.min_arguments + 1 if self.min_arguments == self.max_arguments else -(self.min_arguments + 1)
         )
@@ -40,10 +43,10 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyCommand:
-    """One key's part of a command."""
+    """The part of a command that concerns one key."""
 
     key: bytes
-    encoded: bytes  # the command for it alone
+    encoded: bytes  # the command for this key alone, as RESP
     value: bytes | None = None
 
 
@@ -52,7 +55,11 @@
 
 
 def split_by_key(spec: CommandSpec, words: Sequence[bytes]) -> list[KeyCommand]:
-    """A command by its keys, all of one slot. Raises Refused."""
+    """Split a command into one command for each of its keys.
+
+    Raises:
+        CommandError: the number of arguments is wrong, there are too many keys, or their slots differ.
+    """
     count = len(words) - 1
     if not spec.min_arguments <= count <= spec.max_arguments:
         raise _wrong_argument_count(spec)
@@ -69,7 +76,7 @@
     else:
         command_name = b"GET" if spec.merge_rule == "list" else spec.name
         key_commands = [KeyCommand(key, command(command_name, key)) for key in words[1:]]
-    if spec.write:  # a key named twice is written once, with what stands last
+    if spec.write:  # a key given twice is written once, with its last value
         key_commands = list({key_command.key: key_command for key_command in key_commands}.values())
     if len(key_commands) > MAX_KEYS:
         raise CommandError(f"ERR over {MAX_KEYS} keys in one command")
@@ -81,8 +88,10 @@
 def add_key_prefix(
     spec: CommandSpec, words: Sequence[bytes], key_commands: Sequence[KeyCommand], key_prefix: bytes
 ) -> list[KeyCommand]:
-    """The pieces of a command with `space` before each key: a tenant's own. What the client's keys had in
-    braces still says their slot."""
+    """Prepend `key_prefix`, the tenant's own, to the key of each key command.
+
+    A hash tag in the client's key still determines the slot.
+    """
     if spec.key_pattern == "first":
         prefixed_key = key_prefix + key_commands[0].key
         return [KeyCommand(prefixed_key, command(words[0], prefixed_key, *words[2:]), key_commands[0].value)]
@@ -100,10 +109,11 @@
 
 
 def merge_replies(spec: CommandSpec, replies: Sequence[bytes]) -> bytes:
-    """The one answer of a command, from those of its keys as they came.
+    """Merge the replies for a command's keys, in the order of the keys, into the command's reply.
 
-    Where some ran and some did not, a bounce would say that nothing ran: a write that is half done is
-    forfeited. Reads have no effect: the first that could not be had is the answer.
+    A `BUSY` reply tells the client that nothing was executed. A write of which only some keys were written
+    therefore gets an `ERR` instead, and counts as failed. In any other case with errors, such as reads, which
+    have no effect, the reply is the first error, preferably one that is not `BUSY`.
     """
     if len(replies) == 1 and spec.merge_rule in ("one", "sum", "ok"):
         return replies[0]
@@ -123,7 +133,7 @@
 
 
 def command_info_reply(specs: Sequence[CommandSpec], names: Sequence[bytes] | None = None) -> list:
-    """The answer to `COMMAND`, or `COMMAND INFO` for some names."""
+    """The reply to `COMMAND`, or to `COMMAND INFO` if names are given."""
     by_name = {spec.name: spec for spec in specs}
     selected = [by_name.get(name.upper()) for name in names] if names is not None else list(specs)
     return [None if spec is None else _command_info(spec) for spec in selected]
@@ -136,7 +146,7 @@
 
 
 def keys_of(spec: CommandSpec, words: Sequence[bytes]) -> list[bytes]:
-    """The keys of a command, for `COMMAND GETKEYS`. Raises Refused."""
+    """The keys of a command, for `COMMAND GETKEYS`. Raises CommandError."""
     if not spec.min_arguments <= len(words) - 1 <= spec.max_arguments:
         raise CommandError("ERR Invalid number of arguments specified for command")
     if spec.key_pattern == "first":
--- a/gaugehinge/cluster/front.py
+++ b/gaugehinge/cluster/front.py
@@ -1,8 +1,9 @@
-"""Clients of the cluster dialect: the routers of the tier are the nodes of their map.
+"""The front for clients of the cluster protocol, which see the routers of the tier as the nodes of a cluster.
 
-Connections, limits and the order of answers are `net/client_server.py`'s; commands become operations of the
-same dispatch. A router serves whatever slot it is asked for: all of them lead to the same servers. It names
-another router of the tier (`MOVED`) only while it leaves: served here, its clients would stay until it ends.
+`net/client_server.py` handles connections, limits and the order of replies; commands become operations of
+the same dispatcher. A router serves every slot, since all routers lead to the same servers. It redirects to
+another router of the tier (`MOVED`) only while it is leaving, since its clients would otherwise stay
+connected until it exits.
 """
 
 from __future__ import annotations
@@ -43,70 +44,70 @@
 from .resp3 import CLIENT_LIMITS, Error, Message, Pairs, Reader, Status, encode
 from .slots import SLOTS, SlotMap, slot_of
 
-MAX_CLIENT_NAME_BYTES = 128  # bytes of a connection's name
+MAX_CLIENT_NAME_BYTES = 128  # of the name that a client gives its connection
 RESP2_NULL, RESP3_NULL = b"$-1\r\n", b"_\r\n"
-DEFERRED = object()  # the answer follows
+DEFERRED = object()  # the reply is sent later
 OK = b"+OK\r\n"
 
 
 class Principal(Protocol):
-    """A tenant, as far as its commands need it: `gaugehinge.hosted`, where a keeper is followed."""
+    """What commands need to know of their tenant; from `gaugehinge.hosted`, if `follow.keeper` is set."""
 
     name: str
     tenant_index: int
     key_prefix: bytes
     id_prefix: bytes
-    row: Any  # as the keeper told it
+    row: Any  # the tenant's record as the control plane (`follow.keeper`) sent it
 
     def rejection_reason(self, credential: str, now: float) -> str:
-        """Why its operations are not taken; empty where they are."""
+        """Why its operations are rejected; empty if they are accepted."""
 
 
 class Authenticator(Protocol):
-    """Who comes on a connection."""
+    """Checks the credentials that clients send."""
 
     async def check(self, source: str, name: str, secret: str) -> tuple[Any, str, bytes]:
-        """Whose a secret is, its credential, and the answer."""
+        """The principal that a secret belongs to (None if wrong), its credential, and the reply."""
 
 
 @dataclass(slots=True, frozen=True)
 class ClusterFrontConfig:
-    """What a router is told of its cluster front."""
+    """The configuration of a router's cluster front."""
 
     commands: dict[bytes, CommandSpec]
-    tier: SlotMap  # of the routers as clients reach them; the order is that of their numbers
-    router_index: int  # this router's place among them
-    tenant: int  # of all who come this way; -1: none
+    tier: SlotMap  # the routers at the addresses that clients use, ordered by router number
+    router_index: int  # of this router within the tier
+    tenant: int  # index of the tenant of all clients of this front; -1: none
 
 
 @dataclass(slots=True, eq=False)
 class PendingCommand:
-    """A command of several keys until its last one is answered."""
+    """A command, until the replies for all its keys have arrived."""
 
     spec: CommandSpec
     key_commands: list[KeyCommand]
     replies: list[bytes | None]
-    remaining: int
+    remaining: int  # keys without a reply
     principal: Principal | None = None
 
 
 @dataclass(slots=True, eq=False)
 class ClusterClientConnection(ClientConnection):
-    """A connection with what the dialect remembers of it."""
+    """A connection with the state that the cluster protocol keeps for it."""
 
     resp_version: int = 2
     client_name: bytes = b""
     parser: Any = field(default_factory=lambda: Reader(CLIENT_LIMITS))
-    keys_in_flight: dict[bytes, int] = field(default_factory=dict)  # by key; left with its last answer
-    backlog: deque[tuple[PendingReply, PendingCommand]] = field(
-        default_factory=deque
-    )  # bounded with pending replies
-    principal: Principal | None = None  # who comes there, where that is asked
+    # By key: the number of reads in flight, or -1 for a write. An entry is removed with its last reply.
+    keys_in_flight: dict[bytes, int] = field(default_factory=dict)
+    # Commands that wait for earlier ones; bounded by the limit on pending replies.
+    backlog: deque[tuple[PendingReply, PendingCommand]] = field(default_factory=deque)
+    principal: Principal | None = None  # the authenticated tenant, if authentication is required
     credential: str = ""
 
 
 class ClusterClientServer(ClientServer):
-    """All connections of the cluster dialect."""
+    """Serves all client connections of the cluster protocol."""
 
     def __init__(
         self,
@@ -124,11 +125,11 @@
         nodes = [slot_range.nodes[0] for slot_range in config.tier]
         self.own_node = nodes[config.router_index]
         self.other_nodes = [node for node in nodes if node is not self.own_node]
-        self.redirected_commands = 0  # commands told another router, while it leaves
+        self.redirected_commands = 0  # commands redirected to another router while leaving
         self._label_heads = [b"c=%b,d=" % name.encode() for name in settings.traffic_type_rows]  # by row
         self.authenticator: Authenticator | None = None
         self._wall_clock: Callable[[], float] = time.time
-        self._id_prefix = secrets.token_hex(4)  # ids made here begin with it: new with each start
+        self._id_prefix = secrets.token_hex(4)  # of the request ids generated here; new with each start
         self._operation_count = 0
         self._connection_commands: dict[bytes, Callable[[ClusterClientConnection, list[bytes]], Any]] = {
             b"PING": lambda client, words: words[1] if len(words) > 1 else self._ping_reply(),
@@ -141,16 +142,16 @@
             b"CLIENT": self._client,
             b"CLUSTER": self._cluster,
             b"COMMAND": self._command_table_reply,
-            b"READONLY": lambda client, words: Status(b"OK"),  # reads go where the decisions say
+            b"READONLY": lambda client, words: Status(b"OK"),  # routing decides where reads go
             b"READWRITE": lambda client, words: Status(b"OK"),
-            b"ASKING": lambda client, words: Status(b"OK"),  # all slots are served here as they are
+            b"ASKING": lambda client, words: Status(b"OK"),  # every slot is served here anyway
             b"INFO": self._info,
         }
 
     def new_connection(self, sock: socket.socket, now: float, source: str) -> ClientConnection:
         return ClusterClientConnection(sock, now, idle_since=now, source=source)
 
-    # -- commands in
+    # -- incoming commands
 
     def _handle_command(self, client: ClusterClientConnection, message: Message) -> None:
         words = message.value
@@ -188,7 +189,7 @@
                 raise CommandError(f"ERR value over {max_size} bytes")
             key_commands = add_key_prefix(spec, words, key_commands, principal.key_prefix)
         if self.lifecycle.phase is Phase.LEAVING and self.other_nodes:
-            # Drained by redirections, its clients lose nothing when it ends.
+            # Redirecting all its clients ensures that they lose nothing when the router exits.
             slot = slot_of(key_commands[0].key)
             target = self.other_nodes[slot % len(self.other_nodes)]
             self.redirected_commands += 1
@@ -201,7 +202,7 @@
             or len(self.dispatcher.pending_operations) + len(key_commands) > self.limits.max_in_flight
         )
         if over_limit or self.registry.is_over_limit(client) or self.is_overloaded():
-            self.reply(client, BUSY_REPLY)  # it never ran
+            self.reply(client, BUSY_REPLY)  # not executed
             return
         pending_reply = PendingReply(reserved_bytes=size)
         self.limits.reserved_bytes += size
@@ -218,9 +219,9 @@
 
     @staticmethod
     def _must_wait(client: ClusterClientConnection, pending_command: PendingCommand) -> bool:
-        """Whether a command has to wait for one before it on its connection.
+        """Whether a command has to wait for an earlier one on its connection.
 
-        Sent on side by side, a read behind a write of its key came back with the value from before.
+        When both were sent on concurrently, a read after a write to the same key returned the old value.
         """
         keys_in_flight = client.keys_in_flight
         return any(
@@ -240,7 +241,7 @@
         margin = min(REPLY_MARGIN + self.timers.lag, MAX_MARGIN_FRACTION * spec.abandon_time)
         traffic_type = self.settings.deployment.traffic_types[spec.traffic_row]
         for key_command in pending_command.key_commands:
-            # Reads under way count up; the one write that may be is a negative one.
+            # Several reads of a key may be in flight, or a single write, which is recorded as -1.
             client.keys_in_flight[key_command.key] = (
                 -1 if spec.write else client.keys_in_flight.get(key_command.key, 0) + 1
             )
@@ -268,7 +269,7 @@
                 )
 
     def _start_backlog(self, client: ClusterClientConnection) -> None:
-        """Start what waited for the commands before it. Its time begins with its turn."""
+        """Start waiting commands that need not wait any longer. Their abandon time counts from now."""
         while client.backlog and not self._must_wait(client, client.backlog[0][1]):
             pending_reply, pending_command = client.backlog.popleft()
             self._start_command(client, pending_reply, pending_command, self.clock())
@@ -280,7 +281,7 @@
         key_command: Any,
         principal: Principal | None,
     ) -> RequestPayload:
-        """What goes on to servers: as it came, or in the platform's dialect with an id made here."""
+        """What servers are sent: the command itself, or the platform's dialect with an id generated here."""
         ident = f"{self._id_prefix}{self._operation_count:010x}".encode()
         label_head, label_tail = self._label_heads[spec.traffic_row], b""
         if principal is not None:
@@ -342,14 +343,18 @@
         for handle in list(pending_reply.operation_handle):
             (self.admission_control or self.dispatcher).client_gone(handle, lambda: None)
 
-    # -- who is it
+    # -- authentication
 
     def require_authentication(self, authenticator: Authenticator, wall_clock: Callable[[], float]) -> None:
-        """From now on connections say whose they are. `unix`: the time by which credentials end."""
+        """Require authentication from now on. `wall_clock`: Unix time, by which credentials expire."""
         self.authenticator, self._wall_clock = authenticator, wall_clock
 
     def _require_principal(self, client: ClusterClientConnection) -> Principal | None:
-        """Whose a command is; None where nobody is asked. Raises Refused."""
+        """The connection's tenant; None if authentication is not required.
+
+        Raises:
+            CommandError: the client is not authenticated, or its tenant's operations are rejected.
+        """
         if self.authenticator is None:
             return None
         principal = client.principal
@@ -374,7 +379,7 @@
     def _authenticate(
         self, client: ClusterClientConnection, name: bytes, secret: bytes, make_reply: Callable[[], bytes]
     ) -> Any:
-        """Have a secret checked; `then` makes the answer to one that is right."""
+        """Check a secret in a task of its own; `make_reply` returns the reply if the secret is right."""
         send_reply = self.reply_writer.defer_reply(client)
 
         async def check() -> None:
@@ -385,15 +390,15 @@
                 if principal is not None:
                     client.principal, client.credential = principal, credential
                     reply = make_reply()
-            except Exception:  # a defect fails this check alone
+            except Exception:  # a defect must fail only this check
                 logger.exception("authentication check failed")
             finally:
-                send_reply(reply)  # one that is not answered holds up all behind it
+                send_reply(reply)  # a missing reply would block all later replies of the connection
 
         self.nursery.start_soon(check)
         return DEFERRED
 
-    # -- commands about the connection
+    # -- connection commands
 
     def _ping_reply(self) -> Any:
         phase = self.lifecycle.phase
@@ -479,7 +484,7 @@
             % (__version__.encode())
         )
 
-    # -- the map of the tier
+    # -- slot map and command table
 
     def _cluster(self, client: ClusterClientConnection, words: list[bytes]) -> Any:
         subcommand = words[1].upper()
@@ -588,7 +593,7 @@
 
 
 def log_start(config: ClusterFrontConfig, address: tuple[str, int]) -> None:
-    """The front's first line."""
+    """Log the address of the front, its number of commands and its place in the tier."""
     logger.info(
         "cluster front at {}:{}: {} commands, node {} of {}",
         *address,
--- a/gaugehinge/cluster/resp3.py
+++ b/gaugehinge/cluster/resp3.py
@@ -1,10 +1,10 @@
-"""RESP2 and RESP3, read piece by piece as they come and written for either version. No I/O.
+"""Incremental parser for RESP2 and RESP3, and an encoder for either version. No I/O.
 
-Source: the public RESP specification. Read are all its types but the streamed ones, which are refused with
-an error: their length is not known before their end, and no client or server here needs them.
+Source: the public RESP specification. All its types are parsed except the streamed ones, which are rejected
+with an error: their length is not known before their end, and no client or server here needs them.
 
-A value is plain: `bytes` for a bulk string, `int`, `float`, `bool`, `None` for either null, `list` for an
-array, and the small classes below for what Python has no plain type for.
+Values are plain Python values: `bytes` for a bulk string, `int`, `float`, `bool`, `None` for either null,
+`list` for an array, and the small classes below where Python has no built-in type.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 BIG_INTEGER = re.compile(rb"[+-]?\d+")
 INT64_BOUND = 1 << 63
 SPECIAL_FLOATS = {b"inf": inf, b"+inf": inf, b"-inf": -inf, b"nan": float("nan")}
-MAX_FRAMING_BYTES = 64 * 1024  # bytes that heads and ends of one message may take beside its values
+MAX_FRAMING_BYTES = 64 * 1024  # for the type lines and terminators of one message, in addition to its values
 
 
 class Status(bytes):
@@ -29,46 +29,46 @@
 
 
 class Error(bytes):
-    """A simple or a bulk error; its first word is its code."""
+    """A simple or bulk error; its first word is the error code."""
 
     @property
     def code(self) -> bytes:
-        """`MOVED` of `MOVED 3999 127.0.0.1:6381`."""
+        """The error code: `MOVED` for `MOVED 3999 127.0.0.1:6381`."""
         return self.split(b" ", 1)[0]
 
 
 class BigNumber(int):
-    """A big number."""
+    """A big number, which may exceed 64 bits."""
 
 
 class Verbatim(NamedTuple):
-    """Text with its format, three letters."""
+    """A verbatim string: text with its format, a code of three bytes such as `txt`."""
 
     text_format: bytes
     text: bytes
 
 
 class Pairs(list):
-    """A map as a list of pairs: keys may be of any type, and their order is kept."""
+    """A map as a list of pairs, since keys may be of any type, even unhashable; keeps their order."""
 
 
 class Set(list):
-    """A set, as it came."""
+    """A set as a list of its elements in the order received."""
 
 
 class Push(list):
-    """What a server says unasked. It stands between answers and is none."""
+    """A push message: sent by a server unasked, between replies, and not itself a reply."""
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What one message may take. All of it is bounded before memory is used for it."""
+    """Limits for one message. Each is checked before memory is allocated."""
 
-    string_bytes: int = 64 * 1024  # bytes of one string
-    items: int = 4096  # of all aggregates of a message together
-    depth: int = 7
-    line_bytes: int = 1024  # of a status, an error, a number or a head
-    message_bytes: int = 1 << 20  # bytes of a message
+    string_bytes: int = 64 * 1024  # of one string
+    items: int = 4096  # in all aggregates of a message together
+    depth: int = 7  # of nested aggregates
+    line_bytes: int = 1024  # of a simple string, an error, a number or a length line
+    message_bytes: int = 1 << 20  # of a whole message
 
 
 CLIENT_LIMITS = Limits()
@@ -76,7 +76,7 @@
 
 
 class Message(NamedTuple):
-    """A whole value and the bytes that it came in."""
+    """A complete value and the bytes that it was parsed from."""
 
     value: Any
     raw: bytes
@@ -84,15 +84,15 @@
 
 @dataclass(slots=True)
 class _OpenAggregate:
-    """An aggregate that is not whole yet."""
+    """An aggregate of which not all elements have been parsed."""
 
     kind: int
     remaining: int
     items: list[Any] = field(default_factory=list)
 
 
-INCOMPLETE = object()  # not whole yet
-AGGREGATE_OPENED = object()  # an aggregate began
+INCOMPLETE = object()  # more bytes or elements are needed
+AGGREGATE_OPENED = object()  # the start of an aggregate was parsed
 STATUS, ERROR, NUMBER, BULK, ARRAY = b"+-:$*"
 NULL, FLOAT, BOOL, BLOB_ERROR, VERBATIM, BIG_NUMBER, MAP, SET, ATTRIBUTE, PUSH = b"_,#!=(%~|>"
 STREAMED = b"$*~%!=>|"
@@ -101,17 +101,16 @@
 
 
 class Reader:
-    """Takes bytes as they come and gives whole messages.
+    """Takes bytes as they are received and returns complete messages.
 
-    What was read once is not read again: an aggregate of thousands of items that comes in small pieces costs
-    as much as in one.
+    Nothing is parsed twice: an aggregate of thousands of items costs as much in small pieces as in one.
     """
 
     def __init__(self, limits: Limits = CLIENT_LIMITS) -> None:
         self.limits = limits
         self._buffer = bytearray()
-        self._position = 0  # read up to here; the message begins at 0
-        self._bytes_needed = 0  # with fewer bytes the next step cannot be made
+        self._position = 0  # of the next unparsed byte; the current message begins at 0
+        self._bytes_needed = 0  # buffer length without which the next frame cannot be parsed
         self._stack: list[_OpenAggregate] = []
         self._item_count = 0
 
@@ -119,11 +118,15 @@
         return len(self._buffer)
 
     def feed(self, data: bytes) -> None:
-        """Bytes as they came."""
+        """Append received bytes."""
         self._buffer += data
 
     def next(self) -> Message | None:
-        """The next whole message, or None until more has come. Raises Malformed, for good."""
+        """The next complete message, or None if more bytes are needed.
+
+        Raises:
+            Malformed: the input is invalid or exceeds a limit. The reader cannot be used any further.
+        """
         while True:
             if len(self._buffer) < self._bytes_needed or self._position >= len(self._buffer):
                 self._check_message_size()
@@ -147,7 +150,7 @@
             raise Malformed("message too long")
 
     def _add_to_aggregate(self, value: Any) -> Any:
-        """Put a whole value where it belongs; the message's own value once that is whole."""
+        """Add a complete value to the innermost open aggregate; returns the message's value once complete."""
         while self._stack:
             top = self._stack[-1]
             top.items.append(value)
@@ -156,12 +159,12 @@
                 return INCOMPLETE
             self._stack.pop()
             if top.kind == ATTRIBUTE:
-                return INCOMPLETE  # it stands before a value and is none
+                return INCOMPLETE  # precedes a value and is dropped
             value = _build_aggregate(top.kind, top.items)
         return value
 
     def _read_frame(self) -> Any:
-        """Read one frame: a scalar's value, OPENED, or MORE."""
+        """Parse one frame; returns a value, AGGREGATE_OPENED or INCOMPLETE."""
         buffer, position = self._buffer, self._position
         kind = buffer[position]
         line_end = buffer.find(b"\r\n", position, position + self.limits.line_bytes)
@@ -259,13 +262,16 @@
     return int(line)
 
 
-# -- out
+# -- encoding
 
 
 def encode(value: Any, version: int = 2) -> bytes:
-    """A value's bytes. Raises TypeError on what is no value.
+    """Encode a value for RESP version 2 or 3.
+
+    RESP2 lacks the newer types: as servers do, a map becomes a flat array and a boolean a number.
 
-    RESP2 has no word for the later types: a map is a flat array, a boolean a number, as servers do it.
+    Raises:
+        TypeError: the value, or one within it, has no RESP type.
     """
     out: list[bytes] = []
     _encode(value, version >= 3, out)
@@ -307,7 +313,7 @@
         for item in value:
             _encode(item, is_resp3, out)
     else:
-        raise TypeError(f"no RESP value: {value!r}")
+        raise TypeError(f"value has no RESP type: {value!r}")
 
 
 def _float_text(value: float) -> bytes:
@@ -319,10 +325,10 @@
 
 
 def bulk(text: bytes) -> bytes:
-    """A bulk string."""
+    """Encode a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(text), text)
 
 
 def command(*words: bytes) -> bytes:
-    """A command: an array of bulk strings."""
+    """Encode a command as an array of bulk strings."""
     return b"*%d\r\n" % len(words) + b"".join(map(bulk, words))
--- a/gaugehinge/cluster/server_codec.py
+++ b/gaugehinge/cluster/server_codec.py
@@ -1,8 +1,8 @@
-"""Attempts to cluster-mode servers: the client's own command, and what the answers mean. No I/O.
+"""The codec for cluster-mode servers: sends the client's own command and interprets the replies. No I/O.
 
-A redirection, and every answer by which the server says that it did not take the command, means that it never
-ran there. All else that is whole is the command's answer, errors of its own included: asked again it would
-say the same.
+A redirection, or any error by which the server says that it did not accept the command, means that the
+command was not executed there. Every other complete reply is the command's result, including errors of the
+command itself: a retry would return the same.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 
 ASKING = command(b"ASKING")
 READONLY = command(b"READONLY")
-FENCE_COMMAND = command(b"PING")  # behind a request on a reused connection; +OK would be like a SET's reply
+FENCE_COMMAND = command(b"PING")  # follows a request on a reused connection; `+OK` could be a SET's reply
 FENCE_STATUS = b"PONG"
-# Never run there: being loaded, without a map, amid a move, told to a replica, out of memory or of places.
+# Codes after which the command was not executed: the server is busy, loading, a replica or without a map, the
+# slot is migrating, or memory, disk or replicas are short.
 REJECTION_CODES = frozenset(
     [
         b"BUSY",
@@ -38,15 +39,15 @@
 
 
 class ConnectionState:
-    """What a connection to a server has to know: its reader, and answers that belong to no attempt."""
+    """Per-connection state: the reader, and which replies are not the attempt's own."""
 
     __slots__ = ("reader", "preliminary_replies", "readonly_sent", "fence")
 
     def __init__(self) -> None:
         self.reader = Reader(SERVER_LIMITS)
         self.fence: ReplyFence[Message] = ReplyFence(FENCE_COMMAND, _is_fence_reply, _raw_bytes)
-        self.preliminary_replies = 0  # answers to come before the attempt's own
-        self.readonly_sent = False  # `READONLY` was said
+        self.preliminary_replies = 0  # replies to ASKING and READONLY that are due before the attempt's own
+        self.readonly_sent = False  # whether `READONLY` was sent on this connection
 
 
 def _is_fence_reply(message: Message) -> bool:
@@ -58,17 +59,17 @@
 
 
 class ClusterCodec:
-    """The protocol of cluster-mode servers, RESP2."""
+    """The protocol of cluster-mode servers over RESP2."""
 
     def __init__(self, owners_only: bool = False) -> None:
-        self.owners_only = owners_only  # no connection says READONLY: replicas are not read from
+        self.owners_only = owners_only  # READONLY is never sent, as replicas are not read from
 
     def new_state(self) -> ConnectionState:
         """The state of a new connection."""
         return ConnectionState()
 
     def encode(self, connection: Connection, payload: RequestPayload, remaining_time: float) -> bytes:
-        """The command as the client gave it; one of the platform's dialect as its plain like."""
+        """The command as the client sent it; for the platform's dialect, the equivalent plain command."""
         state: ConnectionState = connection.codec_state
         request = payload.verbatim_command or plain_command(payload)
         operation = connection.pending.attempt.operation
@@ -86,9 +87,14 @@
         return request + fence
 
     def decode(self, connection: Connection, data: bytes) -> ServerReply | None:
-        """What came, or nothing at the end of the connection; the answer once it is whole."""
+        """Take received bytes, or b"" at the end of the stream; returns the reply once it is complete.
+
+        Raises:
+            ConnectionLost: the stream ended.
+            MalformedReply: what was received is not a valid reply.
+        """
         if not data:
-            raise ConnectionLost("ended")
+            raise ConnectionLost("end of stream")
         state: ConnectionState = connection.codec_state
         state.reader.feed(data)
         while True:
@@ -99,11 +105,11 @@
             if message is None:
                 return None
             if isinstance(message.value, Push):
-                continue  # said unasked
+                continue  # sent unasked, not a reply
             if state.preliminary_replies:
                 state.preliminary_replies -= 1
                 if not isinstance(message.value, Status):
-                    raise MalformedReply("an answer to ASKING or READONLY that is no status")
+                    raise MalformedReply("the reply to ASKING or READONLY is not a simple string")
                 continue
             reply = state.fence.accept(message)
             if reply is not None:
@@ -112,14 +118,14 @@
 
 
 def plain_command(payload: RequestPayload) -> bytes:
-    """An operation of the platform's dialect for servers that have only plain commands."""
+    """The `GET` or `SET` for an operation of the platform's dialect, which these servers do not know."""
     if payload.value is None:
         return command(b"GET", payload.key)
     return command(b"SET", payload.key, payload.value)
 
 
 def interpret_reply(value: object, raw: bytes) -> ServerReply:
-    """What a whole answer means."""
+    """The outcome and value of a complete reply."""
     if not isinstance(value, Error):
         return ServerReply(Outcome.SUCCEEDED, raw)
     code = value.code
@@ -130,5 +136,5 @@
             return ServerReply(Outcome.REJECTED, bytes(value))
         return ServerReply(Outcome.REJECTED)
     if code not in (b"ERR", b"WRONGTYPE"):
-        logger.warning("a server answered {!r}", bytes(value[:80]))
+        logger.warning("a server replied with an unexpected error: {!r}", bytes(value[:80]))
     return ServerReply(Outcome.SUCCEEDED, raw)
--- a/gaugehinge/cluster/slot_routing.py
+++ b/gaugehinge/cluster/slot_routing.py
@@ -1,5 +1,8 @@
-"""The servers' slot map at work: fetched over a connection of its own, asked before each operation, corrected
-by redirections. What it decides stands in keeper.py and slots.py."""
+"""Routes operations by the servers' slot map.
+
+The map is fetched over a connection of its own and corrected by redirections. The decisions themselves
+are in slot_map_tracker.py and slots.py.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class SlotRouting:
-    """Which servers may serve a key: a `RoutingConstraint` and a `RedirectObserver`."""
+    """Restricts operations to the servers of their slot: a `RoutingConstraint` and a `RedirectObserver`."""
 
     def __init__(
         self,
@@ -32,7 +35,11 @@
         endpoint_state: Callable[[int], EndpointState | None],
         read_from_replicas: bool,
     ) -> None:
-        """`presence` of a server by its number, None where not listed; `replicas`: reads may go to them."""
+        """Initialise with an empty map.
+
+        `endpoint_state` returns an endpoint's state by its ident, None if discovery does not list it.
+        `read_from_replicas`: whether reads may be sent to replicas.
+        """
         self.map_tracker = map_tracker
         self.pool = pool
         self.timers = timers
@@ -41,33 +48,31 @@
         self.read_from_replicas = read_from_replicas
         self.codec = ClusterCodec(owners_only=not read_from_replicas)
         self.unlisted_redirects = 0  # redirections to servers that discovery does not list
-        self._idents_by_address: dict[
-            tuple[str, int], int
-        ] = {}  # follows the list, made anew when that changes
+        self._idents_by_address: dict[tuple[str, int], int] = {}  # rebuilt when the endpoints change
         self._indexed_endpoints: list[tuple[int, tuple[str, int]]] = []
         self._fetch_requested = trio.Event()
 
     # -- extension points of the dispatcher
 
     def constrain(self, operation: Operation) -> bytes | None:
-        """Say which servers may serve an operation's key: the owner, and for reads its replicas."""
+        """Set which servers may serve an operation's key: the owner and, if enabled, replicas for reads."""
         slot_map = self.map_tracker.map
         if slot_map is None:
-            return None  # any server says where it is
+            return None  # any server redirects to the right one
         nodes = slot_map.nodes(slot_of(operation.key))
         allowed = self._listed_idents(
             nodes if self.read_from_replicas and not operation.is_write else nodes[:1]
         )
         if not allowed or self.endpoint_state(allowed[0]) is not EndpointState.UP:
-            # Its owner went away: with the old map alone all that it owned would be bounced until a fetch by
-            # chance. A draining one is kept to, since any other would only name it.
+            # The owner is not available: without a fetch now, all operations on its slots would be rejected
+            # until the next periodic one. A draining owner is kept, since others would only redirect to it.
             self.map_tracker.mark_stale(self.clock())
             self._fetch_requested.set()
         operation.allowed_endpoints = allowed or None
         return None
 
     def on_redirect(self, attempt: Attempt, outcome: Outcome, message: bytes) -> None:
-        """An attempt was told another server, or that the map is wrong."""
+        """Handle a redirection, or a reply which shows that the map is out of date."""
         now = self.clock()
         operation = attempt.operation
         if outcome is Outcome.REJECTED:
@@ -77,13 +82,13 @@
         endpoint = self.pool.endpoints.get(attempt.endpoint.ident)
         redirection = parse_redirection(message, endpoint.address if endpoint is not None else ("", 0))
         if redirection is None or redirection.slot != slot_of(operation.key):
-            operation.allowed_endpoints = ()  # makes no sense: it goes nowhere, and nothing is learnt of it
+            operation.allowed_endpoints = ()  # malformed or for another slot: not followed, map unchanged
             return
         operation.ask_redirect = redirection.ask
         self.map_tracker.on_redirection(redirection, now)
         operation.allowed_endpoints = self._listed_idents((redirection.node,))
         if not operation.allowed_endpoints:
-            # Discovery says who may be sent anything: an address that it does not know may be anybody's.
+            # Only listed servers are sent requests: an address unknown to discovery could belong to anyone.
             self.unlisted_redirects += 1
         if not redirection.ask:
             self._fetch_requested.set()
@@ -98,10 +103,10 @@
             self._idents_by_address[node.address] for node in nodes if node.address in self._idents_by_address
         )
 
-    # -- the fetch
+    # -- fetching the map
 
     async def run(self) -> None:
-        """Keep the map until cancelled."""
+        """Keep the map up to date until cancelled."""
         while True:
             self._fetch_requested = trio.Event()
             wait = self.map_tracker.next_fetch_at(self.clock()) - self.clock()
@@ -121,7 +126,7 @@
 
     async def _fetch(self, address: tuple[str, int]) -> None:
         slot_map = None
-        reason = "no answer"
+        reason = "no reply"
         with self.timers.timeout_scope(FETCH_TIMEOUT):
             try:
                 slot_map = await fetch_slot_map(address)
@@ -136,7 +141,13 @@
 
 
 async def fetch_slot_map(address: tuple[str, int]) -> SlotMap:
-    """A server's map with its epoch. Raises OSError, Malformed, ValueError."""
+    """Fetch a server's slot map and its epoch.
+
+    Raises:
+        OSError: the connection failed.
+        Malformed: the server sent something that is not RESP.
+        ValueError: the connection ended early, or the replies contain no usable map.
+    """
     sock = tcp(address)
     try:
         await connect(sock, address)
@@ -145,7 +156,7 @@
         while len(replies) < 2:
             data = await receive(sock)
             if not data:
-                raise ValueError("ended")
+                raise ValueError("connection ended")
             reader.feed(data)
             while len(replies) < 2 and (message := reader.next()) is not None:
                 replies.append(message.value)
@@ -153,12 +164,12 @@
         shut(sock)
     info, slots = replies
     if not isinstance(info, bytes) or isinstance(info, Error) or isinstance(slots, Error):
-        raise ValueError("no map")
+        raise ValueError("no slot map in the replies")
     epoch = 0
     for line in info.split(b"\r\n"):
         if line.startswith(EPOCH_FIELD) and line[len(EPOCH_FIELD) :].isdigit():
             epoch = int(line[len(EPOCH_FIELD) :])
     slot_map = parse_slots_reply(slots, address)
     if not slot_map.ranges:
-        raise ValueError("an empty map")
+        raise ValueError("the slot map is empty")
     return SlotMap(slot_map.ranges, epoch)
--- a/gaugehinge/cluster/slots.py
+++ b/gaugehinge/cluster/slots.py
@@ -1,7 +1,7 @@
-"""Slots of keys, and the map of who serves them. No I/O.
+"""Hash slots of keys, and the map from slots to the servers that serve them. No I/O.
 
-Source: the public cluster specification: CRC16 (XMODEM) of the key, or of its hash tag, modulo 16,384. The
-checksum is the standard library's `binascii.crc_hqx`, which is that one.
+Source: the public cluster specification. A slot is the CRC16 (XMODEM) of the key, or of its hash tag, modulo
+16,384. The standard library's `binascii.crc_hqx` computes this checksum.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def slot_of(key: bytes) -> int:
-    """The slot of a key: of what stands in its first braces, if that is not empty, else of all of it."""
+    """The slot of a key: that of its hash tag (within the first braces, if not empty), else of all of it."""
     start = key.find(b"{")
     if start >= 0:
         end = key.find(b"}", start + 1)
@@ -26,11 +26,11 @@
 
 
 class Node(NamedTuple):
-    """A server as a slot map names it."""
+    """A server as a slot map lists it."""
 
     host: str
     port: int
-    node_id: str = ""  # its node id, where told
+    node_id: str = ""  # empty if not known
 
     @property
     def address(self) -> tuple[str, int]:
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SlotRange:
-    """Slots from `first` to `last`, both included, and who serves them: the owner, then its replicas."""
+    """The slots from `first` to `last`, both inclusive, and their servers: the owner, then its replicas."""
 
     first: int
     last: int
@@ -47,9 +47,9 @@
 
 
 class SlotMap:
-    """Ranges in order; a slot that nobody serves is in none.
+    """Slot ranges in ascending order. A slot that no server serves is in no range.
 
-    A map is never changed: a change makes a new one, so that a map read before an await is whole.
+    Immutable: a change creates a new map, so a map that was read before an `await` stays consistent.
     """
 
     __slots__ = ("epoch", "ranges", "_first_slots")
@@ -62,7 +62,8 @@
         for slot_range in self.ranges:
             if not last < slot_range.first <= slot_range.last < SLOTS or not slot_range.nodes:
                 raise ValueError(
-                    f"range {slot_range.first}-{slot_range.last}: outside, overlapping, or served by nobody"
+                    f"range {slot_range.first}-{slot_range.last}: "
+                    "out of bounds, overlapping or without servers"
                 )
             last = slot_range.last
 
@@ -73,20 +74,21 @@
         return iter(self.ranges)
 
     def nodes(self, slot: int) -> tuple[Node, ...]:
-        """The owner, then its replicas; empty where nobody serves it."""
+        """The slot's owner, then its replicas; empty if no server serves the slot."""
         index = bisect_right(self._first_slots, slot) - 1
         if index < 0 or slot > self.ranges[index].last:
             return ()
         return self.ranges[index].nodes
 
     def covered_slot_count(self) -> int:
-        """How many slots are served."""
+        """The number of slots that are served."""
         return sum(slot_range.last - slot_range.first + 1 for slot_range in self.ranges)
 
     def with_slot_moved(self, slot: int, node: Node) -> SlotMap:
-        """The map as a redirection tells it: one slot at another server, of whose replicas nothing is known.
+        """A copy of the map with one slot moved to another owner, as a redirection says.
 
-        Its epoch is the same: the whole map is still to be fetched.
+        The slot's replicas are those of the new owner's other ranges, or unknown if it has none. The epoch
+        stays the same, since the complete map still has to be fetched.
         """
         target_nodes = next(
             (slot_range.nodes for slot_range in self.ranges if slot_range.nodes[0].address == node.address),
@@ -105,7 +107,7 @@
 
 
 def merge_adjacent(ranges: Iterable[SlotRange]) -> list[SlotRange]:
-    """Neighbours that the same servers serve, as one."""
+    """Merge adjacent ranges that the same servers serve."""
     merged: list[SlotRange] = []
     for slot_range in sorted(ranges, key=lambda slot_range: slot_range.first):
         if merged and merged[-1].last + 1 == slot_range.first and merged[-1].nodes == slot_range.nodes:
@@ -116,7 +118,7 @@
 
 
 def even_slot_map(nodes: Iterable[tuple[Node, ...]], epoch: int = 0) -> SlotMap:
-    """All slots in equal ranges, in the order of the servers."""
+    """A map that divides all slots into equal ranges, in the order of the servers."""
     nodes = list(nodes)
     bounds = [SLOTS * i // len(nodes) for i in range(len(nodes) + 1)]
     spans = zip(bounds, bounds[1:], nodes, strict=False)
@@ -124,32 +126,36 @@
 
 
 def parse_slots_reply(reply: object, queried_address: tuple[str, int]) -> SlotMap:
-    """The answer to `CLUSTER SLOTS`. An empty host means the one that was asked. Raises ValueError."""
+    """Parse the reply to `CLUSTER SLOTS`. An empty host stands for the host that was queried.
+
+    Raises:
+        ValueError: the reply is malformed, or its ranges overlap.
+    """
     if not isinstance(reply, list) or len(reply) > SLOTS:
-        raise ValueError("CLUSTER SLOTS: no list of ranges")
+        raise ValueError("CLUSTER SLOTS: reply is not a list of ranges, or is too long")
     ranges = []
     for entry in reply:
         if not isinstance(entry, list) or len(entry) < 3:
-            raise ValueError("CLUSTER SLOTS: no range with its servers")
+            raise ValueError("CLUSTER SLOTS: entry is not a range with its servers")
         first, last, *nodes = entry
         if type(first) is not int or type(last) is not int:
-            raise ValueError("CLUSTER SLOTS: no slot numbers")
+            raise ValueError("CLUSTER SLOTS: range bounds are not integers")
         ranges.append(SlotRange(first, last, tuple(_parse_node(node, queried_address) for node in nodes)))
     return SlotMap(merge_adjacent(ranges))
 
 
 def _parse_node(reply: object, queried_address: tuple[str, int]) -> Node:
     if not isinstance(reply, list) or len(reply) < 2 or not isinstance(reply[0], bytes | None):
-        raise ValueError("CLUSTER SLOTS: no server")
+        raise ValueError("CLUSTER SLOTS: malformed server entry")
     host, port = reply[0], reply[1]
     node_id = reply[2] if len(reply) > 2 and isinstance(reply[2], bytes) else b""
     if type(port) is not int or not 0 < port < 65536:
-        raise ValueError("CLUSTER SLOTS: no port")
+        raise ValueError("CLUSTER SLOTS: invalid port")
     return Node(host.decode("latin-1") if host else queried_address[0], port, node_id.decode("latin-1"))
 
 
 class Redirection(NamedTuple):
-    """`MOVED` or `ASK`."""
+    """A `MOVED` or `ASK` error; `ask` tells which."""
 
     ask: bool
     slot: int
@@ -157,7 +163,7 @@
 
 
 def parse_redirection(message: bytes, queried_address: tuple[str, int]) -> Redirection | None:
-    """`MOVED 3999 127.0.0.1:6381`; None for another error, or one that makes no sense."""
+    """Parse an error such as `MOVED 3999 127.0.0.1:6381`; None for any other error or a malformed one."""
     words = message.split(b" ")
     if len(words) < 3 or words[0] not in (b"MOVED", b"ASK"):
         return None
