--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,4 +1,7 @@
-"""The cluster dialect on sockets: unmodified clients, a tier of routers, a played cluster that moves."""
+"""Cluster support over sockets: unmodified clients, a tier of routers, an emulated cluster.
+
+Its slots move, and its servers drain, fail over and restart.
+"""
 
 import asyncio
 import random
@@ -33,7 +36,7 @@
 
 
 class RespConnection:
-    """A connection that says what it is told, and no more."""
+    """A connection that sends exactly the given commands, with no cluster logic."""
 
     def __init__(self, stream) -> None:
         self.stream = stream
@@ -63,7 +66,7 @@
 
 
 async def execute_until_served(client: RespConnection, *words):
-    """The answer to a command that may be rejected: a stall of this process holds its servers up, too."""
+    """Retry a command until it is not rejected: a stall of this process delays its servers, too."""
     with trio.fail_after(20):
         while isinstance(reply := await client.execute(*words), Error) and reply.startswith(b"BUSY"):
             await trio.sleep(0.05)
@@ -75,7 +78,7 @@
 
 
 def key_owned_by(env: Play, name: str, number: int = 0) -> bytes:
-    """A key that a server owns."""
+    """A key in a slot that the named server owns."""
     keys = (b"key-%d" % i for i in range(100_000))
     owned = [key for key in (next(keys) for _ in range(2000)) if env.shards.owner[slot_of(key)] == name]
     return owned[number]
@@ -132,14 +135,14 @@
             for router, version in ((0, 2), (1, 3)):
                 await trio.to_thread.run_sync(exercise_client, *env.clients[router], version)
             await trio.to_thread.run_sync(lambda: asyncio.run(exercise_async_client(*env.clients[2])))
-            # Each router served: the clients sent to the one that its map names.
+            # Every router served: clients connect to the routers that the slot map lists.
             assert all(service.fronts[1].clients.connections is not None for service in env.services)
 
     run(scenario)
 
 
 def read_and_write_until_stopped(host, port, stop, problems, rounds):
-    """A client that goes on through whatever happens; what it was told of each write."""
+    """Write and read back until stopped. Ignores rejections; `problems` gets all else that is unexpected."""
     client = RedisCluster(host=host, port=port, socket_timeout=4.0)
     count = 0
     try:
@@ -336,7 +339,7 @@
                 None,
             ]
             owner = env.shards.owner[slot_of(b"{a}")]
-            env.doors[owner].silent = 1  # one of the writes runs and is never answered
+            env.doors[owner].silent = 1  # one of the writes is executed but never answered
             reply = await client.execute("MSET", "{a}x", "1", "{a}y", "2")
             assert reply == b"OK" or reply.startswith(b"ERR 1 of 2")
             assert await client.execute("DEL", *(f"{{a}}{i}" for i in range(20))) == 20
@@ -344,7 +347,7 @@
     run(scenario)
 
 
-# -- the file, and the platform's servers behind
+# -- the installation file, and servers of the platform's dialect
 
 
 CONFIG_FILE = (Path(__file__).parent.parent / "deploy" / "cluster.toml").read_text()
@@ -429,10 +432,10 @@
             assert await client.execute("SET", "k1", "new") == b"fetched"  # the origin's receipt
             [written] = [seen for seen in env.origin.seen if seen[0] == "PUT"]
             assert written[1] == "/k1" and written[3] == b"new"
-            # Both dialects, the same operations: the platform's clients are served beside.
+            # Clients of the platform's dialect are served at the same time, with the same operations.
             assert await (await env.client()).get() == b"$5\r\nof k1\r\n"
             env.service.lifecycle.enter(Phase.LEAVING, 0)
-            assert await client.execute("GET", "k1") == b"of k1", "there is no other router to name"
+            assert await client.execute("GET", "k1") == b"of k1", "there is no other router to redirect to"
 
     run(scenario)
 
@@ -444,7 +447,7 @@
             client, other = await connect(env), RespConnection(await trio.open_tcp_stream(*env.plain[0]))
             assert await client.execute("SET", "a", "1") == b"OK" and await client.execute("GET", "a") == b"1"
             door.limiter.limit = door.limiter.most = 1
-            door.in_hand = 1  # as if one were out: what comes now waits
+            door.in_hand = 1  # as if one operation were in flight: later ones wait
             await client.send("MSET", "{a}1", "x", "{a}2", "y")
             await other.send("KV.GET", "a", "id-1", "c=read,d=1500")
             while door.queue.live < 3:
@@ -456,7 +459,7 @@
             await client.send("RPUSH", "l", "token-gone")
             while door.queue.live < 1:
                 await trio.sleep(0.01)
-            await client.stream.aclose()  # its client left: it leaves the queue unsent
+            await client.stream.aclose()  # the client is gone: its operation leaves the queue unsent
             while door.queue.live:
                 await trio.sleep(0.01)
             assert not env.effects()
@@ -491,7 +494,7 @@
             client = await connect(env)
             key = key_owned_by(env, "c-0")
             env.shards.begin_move(slot_of(key), "c-2")
-            assert await client.execute("SET", key, "new") == b"OK"  # ASK: it is not at the old one
+            assert await client.execute("SET", key, "new") == b"OK"  # ASK: the old owner lacks the key
             assert key in env.shards.all["c-2"].data and key not in env.shards.all["c-0"].data
             assert await client.execute("RPUSH", key + b"l", "t") in (1,)
             assert map_tracker(env).map.nodes(slot_of(key))[0].address == env.shards.all["c-0"].address
@@ -551,7 +554,7 @@
             reply = await client.execute("RPUSH", key, "token-1")
             assert reply == b"ERR failed" and env.effects() == {b"token-1"} and not env.doubles()
             env.doors["c-2"].drops = 1
-            # A read might go again, but its slot has one server, and none is asked a second time.
+            # A read may be retried, but its slot has only one server, and no server is asked twice.
             assert (await client.execute("LRANGE", key, "0", "-1")).startswith(b"BUSY")
             assert await execute_until_served(client, "LRANGE", key, "0", "-1") == [b"token-1"]
 
@@ -593,7 +596,7 @@
         run(lambda replicas_enabled=replicas_enabled: scenario(replicas_enabled))
 
 
-# -- both dialects through a morning of moves, drains and restarts
+# -- clients of both dialects during slot moves, drains and restarts
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/test_cluster_model.py
+++ b/tests/test_cluster_model.py
@@ -1,4 +1,8 @@
-"""Redirections against the four rules in virtual time: moves, drains, losses and answers in any order."""
+"""Model test of redirections in virtual time: slot moves, drains, lost connections and replies in any order.
+
+Checked after every step: no effect happens twice, an operation gets one final reply in time, a rejected
+operation was not executed, and nothing is sent to a server that is known to be draining.
+"""
 
 from types import SimpleNamespace
 
@@ -86,7 +90,7 @@
 
 
 class VirtualTimers(VirtualTime):
-    """The heap's other words."""
+    """Virtual time with the interface of a timer queue."""
 
     current_lag = lag = 0.0
 
@@ -100,7 +104,7 @@
 
 
 class ManualConnections:
-    """A pool whose attempts are carried by hand."""
+    """A connection pool whose attempts proceed only when the test says so."""
 
     def __init__(self) -> None:
         self.endpoints: dict = {}
@@ -124,7 +128,7 @@
 
 
 class ClusterMachine(RuleBasedStateMachine):
-    """One router before a played cluster; nothing is sent but by a rule."""
+    """One router in front of an emulated cluster; an attempt proceeds only through a rule."""
 
     steps = 0
 
@@ -282,7 +286,7 @@
     def time_passes(self, span):
         self.time.run(self.time.now + span)
 
-    # -- the rules
+    # -- the guarantees
 
     @invariant()
     def guarantees_hold(self):
@@ -293,25 +297,25 @@
         for each in self.shards.ran:
             if each.words[0] == b"RPUSH":
                 executions[each.words[2]] = executions.get(each.words[2], 0) + 1
-        assert all(count == 1 for count in executions.values()), "an effect came twice"
+        assert all(count == 1 for count in executions.values()), "an effect happened twice"
         for number, replies in self.replies_by_operation.items():
             operation = self.operations[number]
-            assert len(replies) <= 1, "two final answers"
-            assert replies or self.time.now <= operation.deadline + 0.01, "no final answer in time"
+            assert len(replies) <= 1, "two final replies"
+            assert replies or self.time.now <= operation.deadline + 0.01, "no final reply in time"
             if replies:
                 reply, replied_at = replies[0]
                 assert replied_at <= operation.deadline + 0.006
                 assert not (reply.startswith(b"-BUSY") and b"t%d" % number in executions), (
-                    "bounced, and it ran"
+                    "rejected, but executed"
                 )
             assert operation.redirect_count <= MAX_REDIRECTS + 1
         for attempt in self.connections.sent:
             name = SERVER_NAMES[attempt.endpoint.ident - 1]
-            assert self.states[name] is EndpointState.UP, "sent to a server whose drain had been heard"
+            assert self.states[name] is EndpointState.UP, "sent to a server known to be draining"
         self.connections.sent.clear()
 
 
-# hypothesis draws on constants of whatever modules are loaded, so a run of the whole suite takes other steps
+# Hypothesis also draws constants found in the loaded modules, so a run of the whole suite takes other steps
 # than this file alone: 9,574 against 10,079 with 220 examples. A third more examples leaves room for that.
 ClusterMachine.TestCase.settings = settings(
     max_examples=300, stateful_step_count=50, deadline=None, derandomize=True
@@ -322,7 +326,7 @@
 
 
 class TestRedirections(ClusterMachine.TestCase):
-    """At least 10,000 steps a run."""
+    """Runs at least 10,000 steps."""
 
     def runTest(self):
         ClusterMachine.steps = 0
@@ -331,7 +335,7 @@
 
 
 def select_draining_endpoint(selection, operation, key, bound):
-    """A walk that does not look at what the list says."""
+    """A faulty selection that ignores the endpoints' states, so it may pick a draining one."""
     endpoints = map(selection._table.get, operation.allowed_endpoints)
     return next((endpoint for endpoint in endpoints if endpoint is not None), None)
 
@@ -357,8 +361,8 @@
     monkeypatch.setattr(owner, name, fault)
     if owner is retry_safety:
         monkeypatch.setattr(retry_safety, "is_retry_harmless", lambda endpoint, operation: True)
-    # Found is enough: shrinking what was found takes minutes. With other modules loaded a seed's steps are
-    # others, and 6,000 examples of one seed once lacked a fault: three seeds are searched.
+    # Only generation, no shrinking, which would take minutes. A seed's steps depend on the loaded modules,
+    # and 6,000 examples of one seed once missed a fault, so three seeds are searched.
     search = settings(
         ClusterMachine.TestCase.settings,
         max_examples=6000,
@@ -373,7 +377,7 @@
             run_state_machine_as_test(seeded, settings=search)
 
 
-# -- the keeper
+# -- the slot map tracker
 
 
 def node(number: int) -> Node:
@@ -406,7 +410,7 @@
         map_tracker.map.nodes(7) == (node(2),) and map_tracker.next_fetch_at(1.02) <= 1.0 + MIN_FETCH_INTERVAL
     )
     map_tracker.on_redirection(Redirection(True, 8, node(2)), 1.03)
-    assert map_tracker.map.nodes(8) == (node(1),), "for this once: it has not moved"
+    assert map_tracker.map.nodes(8) == (node(1),), "ASK applies to one request: the slot has not moved"
 
 
 def test_a_lower_epoch_is_rejected_until_it_is_repeated():
--- a/tests/test_cluster_parts.py
+++ b/tests/test_cluster_parts.py
@@ -1,4 +1,4 @@
-"""The cluster dialect's parts without sockets: RESP3, slots, maps."""
+"""Unit tests of the cluster package that need no sockets: RESP parsing, hash slots, slot maps."""
 
 import math
 
@@ -69,7 +69,7 @@
 
 
 def comparable(value):
-    """Lists of pairs may hold tuples or lists; types must be the same."""
+    """The value in a form that compares types as well; tuples and lists within pairs count as equal."""
     if isinstance(value, list | tuple) and not isinstance(value, Verbatim):
         return type(value).__name__ if isinstance(value, list) else "list", [
             comparable(item) for item in value
@@ -157,7 +157,7 @@
         b"$?\r\n",
         b";4\r\n",
         b".\r\n",
-        b"%?\r\n",  # streamed
+        b"%?\r\n",  # streamed types
         b"$07\r\n",
         b"$+1\r\n",
         b"*1x\r\n",
@@ -222,7 +222,7 @@
 
 
 def test_key_slots_match_the_specification():
-    assert slot_of(b"123456789") == 0x31C3 % SLOTS  # the specification's own example
+    assert slot_of(b"123456789") == 0x31C3 % SLOTS  # the example in the specification
     assert slot_of(b"{user1000}.following") == slot_of(b"{user1000}.followers") == slot_of(b"user1000")
     assert slot_of(b"foo{}{bar}") not in (slot_of(b"bar"), slot_of(b"foo"), slot_of(b""))
     assert slot_of(b"foo{{bar}}zap") == slot_of(b"{bar")
