--- a/gaugehinge/cluster/resp3.py
+++ b/gaugehinge/cluster/resp3.py
@@ -1,10 +1,10 @@
-"""RESP2 and RESP3, read piece by piece as they come and written for either version. No I/O.
+"""Incremental parser for RESP2 and RESP3, and an encoder for either version. No I/O.
 
-Source: the public RESP specification. Read are all its types but the streamed ones, which are refused with
-an error: their length is not known before their end, and no client or server here needs them.
+Source: the public RESP specification. All its types are parsed except the streamed ones, which are rejected
+with an error: their length is not known before their end, and no client or server here needs them.
 
-A value is plain: `bytes` for a bulk string, `int`, `float`, `bool`, `None` for either null, `list` for an
-array, and the small classes below for what Python has no plain type for.
+Values are plain Python values: `bytes` for a bulk string, `int`, `float`, `bool`, `None` for either null,
+`list` for an array, and the small classes below where Python has no built-in type.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 DOUBLE = re.compile(rb"[+-]?(\d+(\.\d*)?|\.\d+)([eE][+-]?\d+)?")
 INTEGER = re.compile(rb"[+-]?\d{1,19}")
-BIG = re.compile(rb"[+-]?\d+")
-MOST_INT = 1 << 63
-FLOATS = {b"inf": inf, b"+inf": inf, b"-inf": -inf, b"nan": float("nan")}
-MOST_BESIDE = 64 * 1024  # bytes that heads and ends of one message may take beside its values
+BIG_INTEGER = re.compile(rb"[+-]?\d+")
+INT64_BOUND = 1 << 63
+SPECIAL_FLOATS = {b"inf": inf, b"+inf": inf, b"-inf": -inf, b"nan": float("nan")}
+MAX_FRAMING_BYTES = 64 * 1024  # for the type lines and terminators of one message, in addition to its values
 
 
 class Status(bytes):
@@ -29,185 +29,188 @@
 
 
 class Error(bytes):
-    """A simple or a bulk error; its first word is its code."""
+    """A simple or bulk error; its first word is the error code."""
 
     @property
     def code(self) -> bytes:
-        """`MOVED` of `MOVED 3999 127.0.0.1:6381`."""
+        """The error code: `MOVED` for `MOVED 3999 127.0.0.1:6381`."""
         return self.split(b" ", 1)[0]
 
 
-class Big(int):
-    """A big number."""
+class BigNumber(int):
+    """A big number, which may exceed 64 bits."""
 
 
 class Verbatim(NamedTuple):
-    """Text with its format, three letters."""
+    """A verbatim string: text with its format, a code of three bytes such as `txt`."""
 
-    form: bytes
+    text_format: bytes
     text: bytes
 
 
 class Pairs(list):
-    """A map as a list of pairs: keys may be of any type, and their order is kept."""
+    """A map as a list of pairs, since keys may be of any type, even unhashable; keeps their order."""
 
 
 class Set(list):
-    """A set, as it came."""
+    """A set as a list of its elements in the order received."""
 
 
 class Push(list):
-    """What a server says unasked. It stands between answers and is none."""
+    """A push message: sent by a server unasked, between replies, and not itself a reply."""
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What one message may take. All of it is bounded before memory is used for it."""
+    """Limits for one message. Each is checked before memory is allocated."""
 
-    value: int = 64 * 1024  # bytes of one string
-    items: int = 4096  # of all aggregates of a message together
-    depth: int = 7
-    line: int = 1024  # of a status, an error, a number or a head
-    whole: int = 1 << 20  # bytes of a message
+    string_bytes: int = 64 * 1024  # of one string
+    items: int = 4096  # in all aggregates of a message together
+    depth: int = 7  # of nested aggregates
+    line_bytes: int = 1024  # of a simple string, an error, a number or a length line
+    message_bytes: int = 1 << 20  # of a whole message
 
 
-CLIENT = Limits()
-SERVER = Limits(value=1 << 20, items=100_000, depth=8, whole=4 << 20)
+CLIENT_LIMITS = Limits()
+SERVER_LIMITS = Limits(string_bytes=1 << 20, items=100_000, depth=8, message_bytes=4 << 20)
 
 
 class Message(NamedTuple):
-    """A whole value and the bytes that it came in."""
+    """A complete value and the bytes that it was parsed from."""
 
     value: Any
     raw: bytes
 
 
 @dataclass(slots=True)
-class _Open:
-    """An aggregate that is not whole yet."""
+class _OpenAggregate:
+    """An aggregate of which not all elements have been parsed."""
 
     kind: int
-    left: int
+    remaining: int
     items: list[Any] = field(default_factory=list)
 
 
-MORE = object()  # not whole yet
-OPENED = object()  # an aggregate began
+INCOMPLETE = object()  # more bytes or elements are needed
+AGGREGATE_OPENED = object()  # the start of an aggregate was parsed
 STATUS, ERROR, NUMBER, BULK, ARRAY = b"+-:$*"
 NULL, FLOAT, BOOL, BLOB_ERROR, VERBATIM, BIG_NUMBER, MAP, SET, ATTRIBUTE, PUSH = b"_,#!=(%~|>"
 STREAMED = b"$*~%!=>|"
-NAMES = {NUMBER: "number", NULL: "null", BOOL: "boolean", FLOAT: "double", BIG_NUMBER: "big number"}
-AGGREGATES = {ARRAY: 1, SET: 1, PUSH: 1, MAP: 2, ATTRIBUTE: 2}
+TYPE_NAMES = {NUMBER: "number", NULL: "null", BOOL: "boolean", FLOAT: "double", BIG_NUMBER: "big number"}
+VALUES_PER_ITEM = {ARRAY: 1, SET: 1, PUSH: 1, MAP: 2, ATTRIBUTE: 2}
 
 
 class Reader:
-    """Takes bytes as they come and gives whole messages.
+    """Takes bytes as they are received and returns complete messages.
 
-    What was read once is not read again: an aggregate of thousands of items that comes in small pieces costs
-    as much as in one.
+    Nothing is parsed twice: an aggregate of thousands of items costs as much in small pieces as in one.
     """
 
-    def __init__(self, limits: Limits = CLIENT) -> None:
+    def __init__(self, limits: Limits = CLIENT_LIMITS) -> None:
         self.limits = limits
         self._buffer = bytearray()
-        self._at = 0  # read up to here; the message begins at 0
-        self._wanted = 0  # with fewer bytes the next step cannot be made
-        self._stack: list[_Open] = []
-        self._items = 0
+        self._position = 0  # of the next unparsed byte; the current message begins at 0
+        self._bytes_needed = 0  # buffer length without which the next frame cannot be parsed
+        self._stack: list[_OpenAggregate] = []
+        self._item_count = 0
 
     def __len__(self) -> int:
         return len(self._buffer)
 
     def feed(self, data: bytes) -> None:
-        """Bytes as they came."""
+        """Append received bytes."""
         self._buffer += data
 
     def next(self) -> Message | None:
-        """The next whole message, or None until more has come. Raises Malformed, for good."""
+        """The next complete message, or None if more bytes are needed.
+
+        Raises:
+            Malformed: the input is invalid or exceeds a limit. The reader cannot be used any further.
+        """
         while True:
-            if len(self._buffer) < self._wanted or self._at >= len(self._buffer):
-                self._check_whole()
+            if len(self._buffer) < self._bytes_needed or self._position >= len(self._buffer):
+                self._check_message_size()
                 return None
-            value = self._step()
-            if value is MORE:
-                self._check_whole()
+            value = self._read_frame()
+            if value is INCOMPLETE:
+                self._check_message_size()
                 return None
-            if value is OPENED:
+            if value is AGGREGATE_OPENED:
                 continue
-            value = self._close(value)
-            if value is not MORE:
+            value = self._add_to_aggregate(value)
+            if value is not INCOMPLETE:
                 break
-        raw = bytes(self._buffer[: self._at])
-        del self._buffer[: self._at]
-        self._at = self._wanted = self._items = 0
+        raw = bytes(self._buffer[: self._position])
+        del self._buffer[: self._position]
+        self._position = self._bytes_needed = self._item_count = 0
         return Message(value, raw)
 
-    def _check_whole(self) -> None:
-        if len(self._buffer) > self.limits.whole + MOST_BESIDE:
+    def _check_message_size(self) -> None:
+        if len(self._buffer) > self.limits.message_bytes + MAX_FRAMING_BYTES:
             raise Malformed("message too long")
 
-    def _close(self, value: Any) -> Any:
-        """Put a whole value where it belongs; the message's own value once that is whole."""
+    def _add_to_aggregate(self, value: Any) -> Any:
+        """Add a complete value to the innermost open aggregate; returns the message's value once complete."""
         while self._stack:
             top = self._stack[-1]
             top.items.append(value)
-            top.left -= 1
-            if top.left:
-                return MORE
+            top.remaining -= 1
+            if top.remaining:
+                return INCOMPLETE
             self._stack.pop()
             if top.kind == ATTRIBUTE:
-                return MORE  # it stands before a value and is none
-            value = _aggregate(top.kind, top.items)
+                return INCOMPLETE  # precedes a value and is dropped
+            value = _build_aggregate(top.kind, top.items)
         return value
 
-    def _step(self) -> Any:
-        """Read one frame: a scalar's value, OPENED, or MORE."""
-        buffer, at = self._buffer, self._at
-        kind = buffer[at]
-        stop = buffer.find(b"\r\n", at, at + self.limits.line)
-        if stop < 0:
-            if len(buffer) - at >= self.limits.line:
+    def _read_frame(self) -> Any:
+        """Parse one frame; returns a value, AGGREGATE_OPENED or INCOMPLETE."""
+        buffer, position = self._buffer, self._position
+        kind = buffer[position]
+        line_end = buffer.find(b"\r\n", position, position + self.limits.line_bytes)
+        if line_end < 0:
+            if len(buffer) - position >= self.limits.line_bytes:
                 raise Malformed("line too long")
-            return MORE
-        line = bytes(buffer[at + 1 : stop])
-        if kind in AGGREGATES:
-            return self._open(kind, line, stop + 2)
+            return INCOMPLETE
+        line = bytes(buffer[position + 1 : line_end])
+        if kind in VALUES_PER_ITEM:
+            return self._open_aggregate(kind, line, line_end + 2)
         if kind in (BULK, VERBATIM, BLOB_ERROR):
-            return self._string(kind, line, stop + 2)
-        value = _scalar(kind, line)
-        self._at = stop + 2
+            return self._read_string(kind, line, line_end + 2)
+        value = _parse_scalar(kind, line)
+        self._position = line_end + 2
         return value
 
-    def _open(self, kind: int, line: bytes, place: int) -> Any:
+    def _open_aggregate(self, kind: int, line: bytes, start: int) -> Any:
         if kind == ARRAY and line == b"-1":
-            self._at = place
+            self._position = start
             return None
         if len(self._stack) + 1 > self.limits.depth:
             raise Malformed("nested too deep")
-        count = _length(kind, line, self.limits.items, "too many items") * AGGREGATES[kind]
-        self._items += count
-        if self._items > self.limits.items:
+        count = _parse_length(kind, line, self.limits.items, "too many items") * VALUES_PER_ITEM[kind]
+        self._item_count += count
+        if self._item_count > self.limits.items:
             raise Malformed("too many items")
-        self._at = place
+        self._position = start
         if count:
-            self._stack.append(_Open(kind, count))
-            return OPENED
-        return OPENED if kind == ATTRIBUTE else _aggregate(kind, [])
+            self._stack.append(_OpenAggregate(kind, count))
+            return AGGREGATE_OPENED
+        return AGGREGATE_OPENED if kind == ATTRIBUTE else _build_aggregate(kind, [])
 
-    def _string(self, kind: int, line: bytes, place: int) -> Any:
+    def _read_string(self, kind: int, line: bytes, start: int) -> Any:
         if kind == BULK and line == b"-1":
-            self._at = place
+            self._position = start
             return None
-        end = place + _length(kind, line, self.limits.value, "value too long")
-        if end + 2 > self.limits.whole + MOST_BESIDE:
+        end = start + _parse_length(kind, line, self.limits.string_bytes, "value too long")
+        if end + 2 > self.limits.message_bytes + MAX_FRAMING_BYTES:
             raise Malformed("message too long")
         if len(self._buffer) < end + 2:
-            self._wanted = end + 2
-            return MORE
+            self._bytes_needed = end + 2
+            return INCOMPLETE
         if self._buffer[end : end + 2] != b"\r\n":
             raise Malformed("value longer than told")
-        self._at, self._wanted = end + 2, 0
-        text = bytes(self._buffer[place:end])
+        self._position, self._bytes_needed = end + 2, 0
+        text = bytes(self._buffer[start:end])
         if kind == BULK:
             return text
         if kind == BLOB_ERROR:
@@ -217,7 +220,7 @@
         return Verbatim(text[:3], text[4:])
 
 
-def _aggregate(kind: int, items: list[Any]) -> Any:
+def _build_aggregate(kind: int, items: list[Any]) -> Any:
     if kind == ARRAY:
         return items
     if kind == SET:
@@ -227,63 +230,66 @@
     return Pairs(zip(items[::2], items[1::2], strict=True))
 
 
-def _scalar(kind: int, line: bytes) -> Any:
+def _parse_scalar(kind: int, line: bytes) -> Any:
     if kind == STATUS:
         return Status(line)
     if kind == ERROR:
         return Error(line)
-    if kind == NUMBER and INTEGER.fullmatch(line) and -MOST_INT <= int(line) < MOST_INT:
+    if kind == NUMBER and INTEGER.fullmatch(line) and -INT64_BOUND <= int(line) < INT64_BOUND:
         return int(line)
     if kind == NULL and not line:
         return None
     if kind == BOOL and line in (b"t", b"f"):
         return line == b"t"
-    if kind == FLOAT and (line.lower() in FLOATS or DOUBLE.fullmatch(line)):
-        return FLOATS[line.lower()] if line.lower() in FLOATS else float(line)
-    if kind == BIG_NUMBER and BIG.fullmatch(line):
-        return Big(line)
-    if kind in NAMES:
-        raise Malformed(f"not a {NAMES[kind]}")
+    if kind == FLOAT and (line.lower() in SPECIAL_FLOATS or DOUBLE.fullmatch(line)):
+        return SPECIAL_FLOATS[line.lower()] if line.lower() in SPECIAL_FLOATS else float(line)
+    if kind == BIG_NUMBER and BIG_INTEGER.fullmatch(line):
+        return BigNumber(line)
+    if kind in TYPE_NAMES:
+        raise Malformed(f"not a {TYPE_NAMES[kind]}")
     if kind in b";.":
         raise Malformed("streamed types are not taken")
     raise Malformed(f"no RESP type {chr(kind)!r}")
 
 
-def _length(kind: int, line: bytes, most: int, complaint: str) -> int:
+def _parse_length(kind: int, line: bytes, maximum: int, error_text: str) -> int:
     if line == b"?" and kind in STREAMED:
         raise Malformed("streamed types are not taken")
     if not line.isdigit() or (line.startswith(b"0") and line != b"0"):
         raise Malformed("not a length")
-    if len(line) > 9 or int(line) > most:
-        raise Malformed(complaint)
+    if len(line) > 9 or int(line) > maximum:
+        raise Malformed(error_text)
     return int(line)
 
 
-# -- out
+# -- encoding
 
 
 def encode(value: Any, version: int = 2) -> bytes:
-    """A value's bytes. Raises TypeError on what is no value.
+    """Encode a value for RESP version 2 or 3.
+
+    RESP2 lacks the newer types: as servers do, a map becomes a flat array and a boolean a number.
 
-    RESP2 has no word for the later types: a map is a flat array, a boolean a number, as servers do it.
+    Raises:
+        TypeError: the value, or one within it, has no RESP type.
     """
     out: list[bytes] = []
     _encode(value, version >= 3, out)
     return b"".join(out)
 
 
-def _encode(value: Any, three: bool, out: list[bytes]) -> None:
+def _encode(value: Any, is_resp3: bool, out: list[bytes]) -> None:
     if value is None:
-        out.append(b"_\r\n" if three else b"$-1\r\n")
+        out.append(b"_\r\n" if is_resp3 else b"$-1\r\n")
     elif isinstance(value, bool):
-        out.append((b"#t\r\n" if value else b"#f\r\n") if three else b":%d\r\n" % value)
-    elif isinstance(value, Big):
-        out.append(b"(%d\r\n" % value if three else bulk(b"%d" % value))
+        out.append((b"#t\r\n" if value else b"#f\r\n") if is_resp3 else b":%d\r\n" % value)
+    elif isinstance(value, BigNumber):
+        out.append(b"(%d\r\n" % value if is_resp3 else bulk(b"%d" % value))
     elif isinstance(value, int):
         out.append(b":%d\r\n" % value)
     elif isinstance(value, float):
         text = _float_text(value)
-        out.append(b",%b\r\n" % text if three else bulk(text))
+        out.append(b",%b\r\n" % text if is_resp3 else bulk(text))
     elif isinstance(value, Status):
         out.append(b"+%b\r\n" % bytes(value))
     elif isinstance(value, Error):
@@ -294,20 +300,20 @@
         out.append(bulk(value.encode()))
     elif isinstance(value, Verbatim):
         text = b"%b:%b" % value
-        out.append(b"=%d\r\n%b\r\n" % (len(text), text) if three else bulk(value.text))
+        out.append(b"=%d\r\n%b\r\n" % (len(text), text) if is_resp3 else bulk(value.text))
     elif isinstance(value, Pairs | dict):
         pairs = value.items() if isinstance(value, dict) else value
-        out.append(b"%%%d\r\n" % len(value) if three else b"*%d\r\n" % (2 * len(value)))
+        out.append(b"%%%d\r\n" % len(value) if is_resp3 else b"*%d\r\n" % (2 * len(value)))
         for key, item in pairs:
-            _encode(key, three, out)
-            _encode(item, three, out)
+            _encode(key, is_resp3, out)
+            _encode(item, is_resp3, out)
     elif isinstance(value, list | tuple):
-        mark = b"~" if isinstance(value, Set) else b">" if isinstance(value, Push) else b"*"
-        out.append(b"%b%d\r\n" % (mark if three else b"*", len(value)))
+        type_mark = b"~" if isinstance(value, Set) else b">" if isinstance(value, Push) else b"*"
+        out.append(b"%b%d\r\n" % (type_mark if is_resp3 else b"*", len(value)))
         for item in value:
-            _encode(item, three, out)
+            _encode(item, is_resp3, out)
     else:
-        raise TypeError(f"no RESP value: {value!r}")
+        raise TypeError(f"value has no RESP type: {value!r}")
 
 
 def _float_text(value: float) -> bytes:
@@ -319,10 +325,10 @@
 
 
 def bulk(text: bytes) -> bytes:
-    """A bulk string."""
+    """Encode a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(text), text)
 
 
 def command(*words: bytes) -> bytes:
-    """A command: an array of bulk strings."""
+    """Encode a command as an array of bulk strings."""
     return b"*%d\r\n" % len(words) + b"".join(map(bulk, words))
