--- a/gaugehinge/drains/controller.py
+++ b/gaugehinge/drains/controller.py
@@ -31,7 +31,7 @@
     leases: LeaseService
     restarts: RestartService
     ready: bool = False  # it has started: leases may be issued
-    wake: trio.Event = field(default_factory=trio.Event)  # plan before the interval is over
+    plan_requested: trio.Event = field(default_factory=trio.Event)  # plan before the interval is over
 
     # -- reports
 
@@ -40,19 +40,19 @@
         raw = report.parts.get(NAME)
         if raw is None:
             return
-        router_report = _decode(raw, report.router)
+        router_report = _decode_report(raw, report.router)
         leases = self.leases
         with leases.lock:
-            known = leases.manager.reports.get(router_report.node)
+            known_report = leases.manager.reports.get(router_report.node)
             if not leases.manager.on_report(router_report.node_report(report.run), now):
                 return
             leases.fleet.record(router_report, report, now)
-            if _is_urgent(known, router_report, report.run):
+            if _is_urgent(known_report, router_report, report.run):
                 self.request_plan()
 
     def request_plan(self) -> None:
         """Plan without waiting for the interval. On the event loop."""
-        self.wake.set()
+        self.plan_requested.set()
 
     # -- answers
 
@@ -74,16 +74,18 @@
         incarnation, manager = self.leases.control_plane.store_id, self.leases.manager
         with self.leases.lock:
             now = self.leases.clock()
-            known = manager.reports.get(router_report.node)
+            known_report = manager.reports.get(router_report.node)
             if record is not None and _is_outdated(record, router_report, report.run):
                 return ControlPlaneReply(incarnation, run_number_above=record.run_number)
-            if known is None or known.run != report.run:
+            if known_report is None or known_report.run != report.run:
                 return ControlPlaneReply(incarnation)
-            lease = manager.issue(record, known, now) if record is not None else None
-            reply = self._with_orders(router_report, report, now)
+            lease = manager.issue(record, known_report, now) if record is not None else None
+            reply = self._reply_without_lease(router_report, report, now)
         return reply if lease is None else _with_lease(reply, lease)
 
-    def _with_orders(self, router_report: RouterReport, report: Report, now: float) -> ControlPlaneReply:
+    def _reply_without_lease(
+        self, router_report: RouterReport, report: Report, now: float
+    ) -> ControlPlaneReply:
         """An answer without a lease: what the router is told to do."""
         fleet, manager = self.leases.fleet, self.leases.manager
         order = fleet.shutdown_orders.get(report.router)
@@ -107,8 +109,8 @@
         await self._start()
         while True:
             with trio.move_on_after(PLAN_INTERVAL):
-                await self.wake.wait()
-            self.wake = trio.Event()
+                await self.plan_requested.wait()
+            self.plan_requested = trio.Event()
             try:
                 await self.leases.plan()
                 await self.restarts.plan()
@@ -128,7 +130,7 @@
                 await trio.sleep(START_RETRY_INTERVAL)
 
 
-def _decode(raw: msgspec.Raw | bytes, router: str) -> RouterReport:
+def _decode_report(raw: msgspec.Raw | bytes, router: str) -> RouterReport:
     try:
         report = msgspec.json.decode(raw, type=RouterReport)
     except msgspec.MsgspecError as error:
@@ -138,13 +140,18 @@
     return report
 
 
-def _is_urgent(known: NodeReport | None, report: RouterReport, run: str) -> bool:
+def _is_urgent(known_report: NodeReport | None, report: RouterReport, run: str) -> bool:
     """Whether a report changes so much that the next plan is not to wait for its interval."""
-    if known is None or known.run != run or known.number != report.number or report.closed:
+    if (
+        known_report is None
+        or known_report.run != run
+        or known_report.number != report.number
+        or report.closed
+    ):
         return True
-    if report.open_connections.get(ORIGIN, 0) < known.open_connections.get(ORIGIN, 0):
+    if report.open_connections.get(ORIGIN, 0) < known_report.open_connections.get(ORIGIN, 0):
         return True
-    return count_for(report.demand, ORIGIN) > count_for(known.granted, ORIGIN)
+    return count_for(report.demand, ORIGIN) > count_for(known_report.granted, ORIGIN)
 
 
 def _is_outdated(record: NodeRecord, report: RouterReport, run: str) -> bool:
--- a/gaugehinge/drains/fleet_view.py
+++ b/gaugehinge/drains/fleet_view.py
@@ -91,8 +91,8 @@
             else:
                 known.report, known.listed_at = server, now
         self.servers_listed_at = now
-        gone = [uid for uid, known in self.servers.items() if now - known.listed_at > SERVER_FORGET_TIME]
-        for uid in gone:
+        expired = [uid for uid, known in self.servers.items() if now - known.listed_at > SERVER_FORGET_TIME]
+        for uid in expired:
             del self.servers[uid]
 
     def forget_node(self, node: str) -> None:
@@ -110,8 +110,8 @@
         """Whether the next report of this node is to list the servers."""
         if now - self.servers_listed_at < SERVER_LIST_MAX_AGE:
             return False
-        heard = sorted(name for name, latest in self.reports.items() if self._is_recent(latest, now))
-        return node in heard[:SERVER_LIST_SOURCES]
+        recent_nodes = sorted(name for name, latest in self.reports.items() if self._is_recent(latest, now))
+        return node in recent_nodes[:SERVER_LIST_SOURCES]
 
     def _is_recent(self, latest: LatestReport, now: float) -> bool:
         return now - latest.received_at < self.leases.lease_duration
@@ -121,10 +121,10 @@
         return frozenset(
             node
             for node, latest in self.reports.items()
-            if latest.report.draining or self._is_ordered_down(latest)
+            if latest.report.draining or self._is_ordered_to_shut_down(latest)
         )
 
-    def _is_ordered_down(self, latest: LatestReport) -> bool:
+    def _is_ordered_to_shut_down(self, latest: LatestReport) -> bool:
         order = self.shutdown_orders.get(latest.router)
         return order is not None and order.run == latest.run
 
@@ -140,24 +140,30 @@
     def statuses(self, store: Store, now: float) -> dict[NodeKind, dict[str, NodeStatus]]:
         """What is known of each node now. On the store's thread."""
         nodes = load_nodes(store)
-        return {"routers": self._routers(nodes, now), "servers": self._servers(store, nodes, now)}
+        return {
+            "routers": self._router_statuses(nodes, now),
+            "servers": self._server_statuses(store, nodes, now),
+        }
 
-    def _routers(self, nodes: dict[str, Stored[NodeRecord]], now: float) -> dict[str, NodeStatus]:
+    def _router_statuses(self, nodes: dict[str, Stored[NodeRecord]], now: float) -> dict[str, NodeStatus]:
         """By router; of several nodes of one name the one that was heard last."""
-        found: dict[str, NodeStatus] = {}
-        heard: dict[str, float] = {}
+        statuses: dict[str, NodeStatus] = {}
+        received_at: dict[str, float] = {}
         for node, stored in nodes.items():
             router = node.rpartition("@")[0]
             latest = self.reports.get(node)
             if latest is None or latest.run != stored.record.run:
-                status, at = self._silent_router(router, stored.record), float("-inf")
+                status, at = self._unreported_router_status(router, stored.record), float("-inf")
             else:
-                status, at = self._heard_router(router, stored.record, latest, now), latest.received_at
-            if router not in found or heard[router] < at:
-                found[router], heard[router] = status, at
-        return found
-
-    def _silent_router(self, router: str, record: NodeRecord) -> NodeStatus:
+                status, at = (
+                    self._reported_router_status(router, stored.record, latest, now),
+                    latest.received_at,
+                )
+            if router not in statuses or received_at[router] < at:
+                statuses[router], received_at[router] = status, at
+        return statuses
+
+    def _unreported_router_status(self, router: str, record: NodeRecord) -> NodeStatus:
         return NodeStatus(
             router,
             record.run,
@@ -167,7 +173,9 @@
             connections=record.worst_case(ORIGIN),
         )
 
-    def _heard_router(self, router: str, record: NodeRecord, latest: LatestReport, now: float) -> NodeStatus:
+    def _reported_router_status(
+        self, router: str, record: NodeRecord, latest: LatestReport, now: float
+    ) -> NodeStatus:
         report = latest.report
         up = self._is_recent(latest, now) and report.ready_for > 0.0 and bool(record.granted)
         # Once told it shuts down, though its restart is cancelled or goes on without it meanwhile; whether it
@@ -190,18 +198,18 @@
             restart_token=report.restart_token,
         )
 
-    def _servers(
+    def _server_statuses(
         self, store: Store, nodes: dict[str, Stored[NodeRecord]], now: float
     ) -> dict[str, NodeStatus]:
         limits = load_limits(store)
         drain_orders = {item.item_id: item.revision for item in store.items(SERVER_ORDER_KIND)}
         drained_by_restarts = _drained_by_restarts(store)
         load = self._load_of_each_server(now)
-        found = {}
+        statuses = {}
         for uid, known in self.servers.items():
             ordered = uid in drain_orders
             listed = self._is_listed(known)
-            found[uid] = NodeStatus(
+            statuses[uid] = NodeStatus(
                 uid,
                 f"{known.report.started_at:.3f}",
                 known.report.zone,
@@ -214,7 +222,7 @@
                 load=load if listed else 0.0,
                 capacity=_server_capacity(limits, uid) if listed else 0.0,
             )
-        return found
+        return statuses
 
     def _load_of_each_server(self, now: float) -> float:
         listed = sum(self._is_listed(known) for known in self.servers.values())
@@ -231,10 +239,13 @@
     ) -> bool:
         """Whether no router uses a server and none will: all that may act follow the drain order."""
         return all(
-            self._has_left(uid, order_revision, node, stored.record, now) for node, stored in nodes.items()
+            self._has_stopped_using(uid, order_revision, node, stored.record, now)
+            for node, stored in nodes.items()
         )
 
-    def _has_left(self, uid: str, order_revision: int, node: str, record: NodeRecord, now: float) -> bool:
+    def _has_stopped_using(
+        self, uid: str, order_revision: int, node: str, record: NodeRecord, now: float
+    ) -> bool:
         latest = self.reports.get(node)
         if latest is None or latest.run != record.run or not self.leases.is_live(node, now):
             return self.leases.has_expired(node, now)
--- a/gaugehinge/drains/restart_actions.py
+++ b/gaugehinge/drains/restart_actions.py
@@ -43,7 +43,7 @@
         raise InvalidOrderError("the roll is done", "status")
     unfinished = [step for step in steps if step.stage not in FINAL_STAGES]
     cancelled = msgspec.structs.replace(restart, status=RestartStatus.CANCELLED)
-    return _skipping(cancelled, unfinished, "cancelled")
+    return _with_steps_skipped(cancelled, unfinished, "cancelled")
 
 
 def roll_back(restart: RollingRestart, steps: list[RestartStep]) -> RestartChange:
@@ -56,15 +56,17 @@
     if restart.status == RestartStatus.CANCELLED:
         raise InvalidOrderError("the roll is cancelled", "status")
     reverting = msgspec.structs.replace(restart, status=RestartStatus.QUEUED, reverting=True, reason="")
-    changed, restore = [], []
+    changed_steps, servers_to_restore = [], []
     for step in steps:
         if step.stage == StepStage.DONE:
-            changed.append(msgspec.structs.replace(step, stage=StepStage.WAITING, run="", immediate=False))
+            changed_steps.append(
+                msgspec.structs.replace(step, stage=StepStage.WAITING, run="", immediate=False)
+            )
         elif step.stage == StepStage.WAITING or (step.drain_ordered and step.stage == StepStage.NOTIFIED):
             if step.drain_ordered:
-                restore.append(step.node)
-            changed.append(_skipped(step, "not begun"))
-    return RestartChange(reverting, changed, restore)
+                servers_to_restore.append(step.node)
+            changed_steps.append(_skipped(step, "not begun"))
+    return RestartChange(reverting, changed_steps, servers_to_restore)
 
 
 def _require_unfinished(restart: RollingRestart) -> None:
@@ -72,9 +74,9 @@
         raise InvalidOrderError(f"the roll is {restart.status}", "status")
 
 
-def _skipping(restart: RollingRestart, steps: list[RestartStep], reason: str) -> RestartChange:
-    restore = [step.node for step in steps if step.drain_ordered]
-    return RestartChange(restart, [_skipped(step, reason) for step in steps], restore)
+def _with_steps_skipped(restart: RollingRestart, steps: list[RestartStep], reason: str) -> RestartChange:
+    servers_to_restore = [step.node for step in steps if step.drain_ordered]
+    return RestartChange(restart, [_skipped(step, reason) for step in steps], servers_to_restore)
 
 
 def _skipped(step: RestartStep, reason: str) -> RestartStep:
--- a/gaugehinge/drains/restart_batch.py
+++ b/gaugehinge/drains/restart_batch.py
@@ -23,7 +23,7 @@
     nodes: Mapping[str, NodeStatus]
     unavailable: dict[str, NodeStatus]  # grows
 
-    def take_out(self, step: RestartStep, node: NodeStatus) -> None:
+    def mark_notified(self, step: RestartStep, node: NodeStatus) -> None:
         """Count a node as unavailable, its step as notified."""
         is_server = self.restart.order.kind == "servers"
         self.steps[step.node] = msgspec.structs.replace(
@@ -32,7 +32,7 @@
         self.unavailable[step.node] = node
 
 
-def unavailable_by_others(
+def unavailable_steps_of_other_restarts(
     restart: RollingRestart, restarts: Iterable[RollingRestart], steps: Mapping[str, list[RestartStep]]
 ) -> list[RestartStep]:
     """Steps of other restarts of the same kind whose nodes are out."""
@@ -81,9 +81,9 @@
         return False  # never two zones
     if not _within_limits(order, node, unavailable):
         return False
-    left = [other for other in nodes.values() if other.name not in unavailable and other is not node]
+    remaining = [other for other in nodes.values() if other.name not in unavailable and other is not node]
     load = sum(other.load for other in nodes.values()) * (1.0 + order.headroom)
-    if not left or load > sum(other.capacity for other in left):
+    if not remaining or load > sum(other.capacity for other in remaining):
         return False
     return not is_last_of_shard(node.name, frozenset(unavailable) | {node.name})
 
@@ -95,5 +95,5 @@
     in_region = sum(other.region == node.region for other in unavailable.values()) + 1
     if order.max_unavailable_in_region and in_region > order.max_unavailable_in_region:
         return False
-    held = sum(other.connections for other in unavailable.values()) + node.connections
-    return not order.max_unavailable_connections or held <= order.max_unavailable_connections
+    connections = sum(other.connections for other in unavailable.values()) + node.connections
+    return not order.max_unavailable_connections or connections <= order.max_unavailable_connections
--- a/gaugehinge/drains/restart_order.py
+++ b/gaugehinge/drains/restart_order.py
@@ -103,9 +103,9 @@
     ] = 10.0
     build: Annotated[str, Meta(max_length=200, description="that nodes come back with; empty: any")] = ""
 
-    def is_open(self, wall: float) -> bool:
+    def is_open(self, wall_time: float) -> bool:
         """Whether nodes may be notified at a Unix time."""
-        return wall >= self.not_before and not (self.not_after and wall >= self.not_after)
+        return wall_time >= self.not_before and not (self.not_after and wall_time >= self.not_after)
 
 
 def select_nodes(order: RestartOrder, nodes: Iterable[NodeStatus]) -> list[str]:
--- a/gaugehinge/drains/restart_planner.py
+++ b/gaugehinge/drains/restart_planner.py
@@ -19,7 +19,13 @@
 import msgspec
 
 from .error_budget import LONG_WINDOW, ErrorBudget
-from .restart_batch import Batch, LastOfShard, may_be_unavailable, unavailable_by_others, unavailable_nodes
+from .restart_batch import (
+    Batch,
+    LastOfShard,
+    may_be_unavailable,
+    unavailable_nodes,
+    unavailable_steps_of_other_restarts,
+)
 from .restart_order import NodeKind
 from .restart_progress import with_observed_stage
 from .restart_records import RestartPlan, RestartStep, RollingRestart
@@ -63,7 +69,7 @@
         steps: Mapping[str, list[RestartStep]],
         nodes_by_kind: Mapping[NodeKind, Mapping[str, NodeStatus]],
         now: float,
-        wall: float,
+        wall_time: float,
         has_room_for: Callable[[int], bool] = lambda count: True,
     ) -> RestartPlan:
         """What is due at `now` (monotonic) and `wall` (Unix time).
@@ -72,27 +78,29 @@
         they still have open.
         """
         plan = RestartPlan()
-        unfinished = _queue(restarts)
+        unfinished = _by_queue_position(restarts)
         head = next((restart for restart in unfinished if restart.status in ACTIVE_STATUSES), None)
         for restart in unfinished:
             nodes = nodes_by_kind[restart.order.kind]
             own_steps = steps.get(restart.ident, [])
-            after = {
+            updated_steps = {
                 step.node: self._advance(restart, step, nodes.get(step.node), now, plan) for step in own_steps
             }
             if restart is head:
-                restart = self._run_head(restart, after, nodes, now, wall, plan)
-                if restart.status == RestartStatus.RUNNING and restart.order.is_open(wall):
-                    others = unavailable_by_others(restart, unfinished, steps)
-                    unavailable = unavailable_nodes(restart.order, nodes, after, others)
-                    batch = Batch(restart, after, nodes, unavailable)
+                restart = self._run_head(restart, updated_steps, nodes, now, wall_time, plan)
+                if restart.status == RestartStatus.RUNNING and restart.order.is_open(wall_time):
+                    other_steps = unavailable_steps_of_other_restarts(restart, unfinished, steps)
+                    unavailable = unavailable_nodes(restart.order, nodes, updated_steps, other_steps)
+                    batch = Batch(restart, updated_steps, nodes, unavailable)
                     self._notify(batch, now, plan, _notified_routers(unfinished, steps), has_room_for)
-            self._record(restart, own_steps, after, plan)
-        self._forget({restart.ident for restart in unfinished})
+            self._record(restart, own_steps, updated_steps, plan)
+        self._forget_finished({restart.ident for restart in unfinished})
         return plan
 
-    def _forget(self, unfinished: set[str]) -> None:
-        self.observed = {key: seen for key, seen in self.observed.items() if key[0] in unfinished}
+    def _forget_finished(self, unfinished: set[str]) -> None:
+        self.observed = {
+            key: observation for key, observation in self.observed.items() if key[0] in unfinished
+        }
         self.missing_since = {key: at for key, at in self.missing_since.items() if key[0] in unfinished}
         self.baselines = {ident: ratio for ident, ratio in self.baselines.items() if ident in unfinished}
 
@@ -107,26 +115,26 @@
         plan: RestartPlan,
     ) -> RestartStep:
         key = restart.ident, step.node
-        seen = self.observed.get(key)
+        observation = self.observed.get(key)
         waiting = step.stage == StepStage.WAITING
-        if seen is None or (seen.stage == StepStage.WAITING) is not waiting:
-            seen = self.observed[key] = Observation(step.stage, now)
+        if observation is None or (observation.stage == StepStage.WAITING) is not waiting:
+            observation = self.observed[key] = Observation(step.stage, now)
         if step.stage not in UNAVAILABLE_STAGES:
             return step
-        after = with_observed_stage(restart, step, node)
-        if after.stage == StepStage.WARMING_UP and after.drain_ordered:
+        updated_step = with_observed_stage(restart, step, node)
+        if updated_step.stage == StepStage.WARMING_UP and updated_step.drain_ordered:
             plan.servers_to_restore.append(step.node)
-            after = msgspec.structs.replace(after, drain_ordered=False)
-        moved = after.stage != step.stage or after.stage == StepStage.DONE
-        span = now - seen.since
-        if moved or span < restart.order.deadline:
-            return after
-        return self._on_deadline(restart, after, span, now, plan)
+            updated_step = msgspec.structs.replace(updated_step, drain_ordered=False)
+        moved = updated_step.stage != step.stage or updated_step.stage == StepStage.DONE
+        elapsed = now - observation.since
+        if moved or elapsed < restart.order.deadline:
+            return updated_step
+        return self._on_deadline(restart, updated_step, elapsed, now, plan)
 
     def _on_deadline(
-        self, restart: RollingRestart, step: RestartStep, span: float, now: float, plan: RestartPlan
+        self, restart: RollingRestart, step: RestartStep, elapsed: float, now: float, plan: RestartPlan
     ) -> RestartStep:
-        reason = f"{step.node} is {step.stage} for {span:.0f} s"
+        reason = f"{step.node} is {step.stage} for {elapsed:.0f} s"
         on_timeout = restart.order.on_timeout
         if on_timeout == "end" and not step.immediate and step.stage == StepStage.NOTIFIED:
             plan.log.append(f"roll {restart.ident}: {reason}: told to end at once")
@@ -144,20 +152,20 @@
     def _run_head(
         self,
         restart: RollingRestart,
-        after: dict[str, RestartStep],
+        updated_steps: dict[str, RestartStep],
         nodes: Mapping[str, NodeStatus],
         now: float,
-        wall: float,
+        wall_time: float,
         plan: RestartPlan,
     ) -> RollingRestart:
         """Begin it, or stop it where too much service is lost."""
         if restart.ident in plan.restarts:
             return plan.restarts[restart.ident]
         if restart.status == RestartStatus.QUEUED:
-            if wall < restart.order.not_before:
+            if wall_time < restart.order.not_before:
                 return restart
             self.baselines[restart.ident] = self.error_budget.error_ratio(now, 2 * LONG_WINDOW)
-            plan.log.append(f"roll {restart.ident} begins: {len(after)} {restart.order.kind}")
+            plan.log.append(f"roll {restart.ident} begins: {len(updated_steps)} {restart.order.kind}")
             restart = msgspec.structs.replace(restart, status=RestartStatus.RUNNING)
             plan.restarts[restart.ident] = restart
         baseline = self.baselines.setdefault(restart.ident, 0.0)
@@ -165,25 +173,25 @@
         if burn_rate > restart.order.max_burn_rate:
             reason = f"service lost at {burn_rate:.1f} times what the objective leaves"
             return _stop(restart, reason, plan)
-        self._skip_missing(restart, after, nodes, now, plan)
+        self._skip_missing(restart, updated_steps, nodes, now, plan)
         return restart
 
     def _skip_missing(
         self,
         restart: RollingRestart,
-        after: dict[str, RestartStep],
+        updated_steps: dict[str, RestartStep],
         nodes: Mapping[str, NodeStatus],
         now: float,
         plan: RestartPlan,
     ) -> None:
         """Nobody knows when a node that is not there comes back; it is not waited for without end."""
-        longest = max(restart.order.deadline, MIN_MISSING_TIME)
-        for name, step in after.items():
+        max_missing_time = max(restart.order.deadline, MIN_MISSING_TIME)
+        for name, step in updated_steps.items():
             node, key = nodes.get(name), (restart.ident, name)
             if step.stage != StepStage.WAITING or (node is not None and node.up):
                 self.missing_since.pop(key, None)
-            elif now - self.missing_since.setdefault(key, now) >= longest:
-                after[name] = _skip(step, "not there", plan)
+            elif now - self.missing_since.setdefault(key, now) >= max_missing_time:
+                updated_steps[name] = _skip(step, "not there", plan)
 
     def _notify(
         self,
@@ -212,29 +220,34 @@
                     break
             else:
                 plan.servers_to_drain.append(name)
-            batch.take_out(step, node)
+            batch.mark_notified(step, node)
             self.observed[restart.ident, name] = Observation(StepStage.NOTIFIED, now)
 
     # -- what is written
 
     @staticmethod
     def _record(
-        restart: RollingRestart, steps: list[RestartStep], after: dict[str, RestartStep], plan: RestartPlan
+        restart: RollingRestart,
+        steps: list[RestartStep],
+        updated_steps: dict[str, RestartStep],
+        plan: RestartPlan,
     ) -> None:
-        changed = [after[step.node] for step in steps if after[step.node] != step]
+        changed = [updated_steps[step.node] for step in steps if updated_steps[step.node] != step]
         for step in changed:
             if step.stage in (StepStage.NOTIFIED, StepStage.DONE):
                 plan.log.append(f"roll {restart.ident}: {step.node} {step.stage}")
         if changed:
             plan.steps[restart.ident] = changed
-        ended = all(step.stage in FINAL_STAGES for step in after.values())
-        if ended and restart.status == RestartStatus.RUNNING:
-            skipped = sum(step.stage == StepStage.SKIPPED for step in after.values())
-            plan.log.append(f"roll {restart.ident} done: {len(after) - skipped} nodes, {skipped} skipped")
+        is_complete = all(step.stage in FINAL_STAGES for step in updated_steps.values())
+        if is_complete and restart.status == RestartStatus.RUNNING:
+            skipped = sum(step.stage == StepStage.SKIPPED for step in updated_steps.values())
+            plan.log.append(
+                f"roll {restart.ident} done: {len(updated_steps) - skipped} nodes, {skipped} skipped"
+            )
             plan.restarts[restart.ident] = msgspec.structs.replace(restart, status=RestartStatus.DONE)
 
 
-def _queue(restarts: Iterable[RollingRestart]) -> list[RollingRestart]:
+def _by_queue_position(restarts: Iterable[RollingRestart]) -> list[RollingRestart]:
     unfinished = [restart for restart in restarts if restart.status not in FINAL_STATUSES]
     return sorted(unfinished, key=lambda restart: restart.number)
 
--- a/gaugehinge/drains/restart_service.py
+++ b/gaugehinge/drains/restart_service.py
@@ -35,48 +35,52 @@
         """
         now = self.leases.clock()
         self.planner.error_budget.record(now, *self.leases.fleet.operations.take())
-        log: list[str] = []
+        log_lines: list[str] = []
         orders: dict[str, ShutdownOrder] = {}
         fleet = self.leases.fleet
 
-        def plan(store: Store, wall: float) -> list[Mutation]:
+        def plan_mutations(store: Store, wall_time: float) -> list[Mutation]:
             table = load_restarts(store, include_ended=False)
             if not table.restarts:
                 return []
-            due = self._planned(store, table, now, wall)
-            changes = table.changes(store, due)
-            table.apply(due)
-            log.extend(due.log)
+            restart_plan = self._plan_due_steps(store, table, now, wall_time)
+            changes = table.changes(store, restart_plan)
+            table.apply(restart_plan)
+            log_lines.extend(restart_plan.log)
             orders.update(_shutdown_orders(table))
             # On this thread: an order that was taken back is told to nobody from here on.
-            standing = fleet.shutdown_orders.items()
-            fleet.shutdown_orders = {name: order for name, order in standing if orders.get(name) == order}
+            current_orders = fleet.shutdown_orders.items()
+            fleet.shutdown_orders = {
+                name: order for name, order in current_orders if orders.get(name) == order
+            }
             return changes
 
-        await self.leases.control_plane.store_writer.apply_planned(plan, AUTHOR)
+        await self.leases.control_plane.store_writer.apply_planned(plan_mutations, AUTHOR)
         fleet.shutdown_orders = orders  # only now that it is in the store
-        for line in log:
+        for line in log_lines:
             logger.info(line)
 
-    def _planned(self, store: Store, table: RestartTable, now: float, wall: float) -> RestartPlan:
+    def _plan_due_steps(self, store: Store, table: RestartTable, now: float, wall_time: float) -> RestartPlan:
         with self.leases.lock:
             statuses = self.leases.fleet.statuses(store, now)
-            has_room_for = self._room_for_successors(store)
+            has_room_for = self._successor_room_check(store)
         self.planner.is_last_of_shard = last_of_shard(
             pinned_zones(self.leases.control_plane), statuses["servers"]
         )
         restarts = [stored.record for stored in table.restarts.values()]
-        return self.planner.plan(restarts, table.steps, statuses, now, wall, has_room_for)
+        return self.planner.plan(restarts, table.steps, statuses, now, wall_time, has_room_for)
 
-    def _room_for_successors(self, store: Store) -> HasRoomFor:
+    def _successor_room_check(self, store: Store) -> HasRoomFor:
         """Whether the floors of so many routers fit beside all that may be open."""
         manager = self.leases.manager
         records = [stored.record for stored in load_nodes(store).values()]
         limits = load_limits(store)
-        free = {name: limit - manager.total_worst_case(records, name) for name, limit in limits.items()}
+        free_connections = {
+            name: limit - manager.total_worst_case(records, name) for name, limit in limits.items()
+        }
 
         def has_room_for(count: int) -> bool:
-            return all(free[name] >= count * count_for(manager.floors, name) for name in limits)
+            return all(free_connections[name] >= count * count_for(manager.floors, name) for name in limits)
 
         return has_room_for
 
--- a/gaugehinge/drains/restarts_api.py
+++ b/gaugehinge/drains/restarts_api.py
@@ -24,11 +24,11 @@
 from .restart_types import FINAL_STATUSES, MAX_RESTARTS, UNAVAILABLE_STAGES, StepStage
 
 Action = Callable[[RollingRestart, list[RestartStep]], RestartChange]
-RUN_MARK_LENGTH = 4  # of the control plane run's mark in a restart's identity
+RUN_ID_PREFIX_LENGTH = 4  # of the control plane run's mark in a restart's identity
 
 
 @dataclass(slots=True)
-class _Created:
+class _CreatedRestart:
     """The restart that a call creates, once its change is planned."""
 
     ident: str = ""
@@ -55,16 +55,16 @@
     async def get_restart(self, request: Request, caller: Caller) -> Response:
         """GET /v1/rolls/{id}."""
         caller.require_role("reader")
-        return await self._one(request.path_params["id"])
+        return await self._restart_response(request.path_params["id"])
 
-    async def _one(self, ident: str) -> Response:
-        view = await self._read_one(ident)
+    async def _restart_response(self, ident: str) -> Response:
+        view = await self._read_view(ident)
         return json_response(view, etag=view.revision)
 
-    async def _read_one(self, ident: str) -> RestartView:
+    async def _read_view(self, ident: str) -> RestartView:
         store_writer = self.control_plane.store_writer
         return _view(
-            _known(await store_writer.run_sync(load_restarts, store_writer.store), ident),
+            _require_restart(await store_writer.run_sync(load_restarts, store_writer.store), ident),
             ident,
             with_steps=True,
         )
@@ -75,26 +75,26 @@
         """POST /v1/rolls."""
         caller.require_role("operator")
         order, body = await read_json(request, RestartOrder)
-        created = _Created()
+        created = _CreatedRestart()
 
         def plan(store: Store, now: float) -> list[Mutation]:
             return self._plan_creation(store, order, caller, now, created)
 
-        async def make(idempotency: IdempotencyKey | None) -> Response:
+        async def create_restart(idempotency: IdempotencyKey | None) -> Response:
             await self.control_plane.commit(
                 plan, caller.name, idempotency, lambda rows: created.ident.encode()
             )
             self.controller.request_plan()
-            view = await self._read_one(created.ident)
+            view = await self._read_view(created.ident)
             return json_response(view, 201, view.revision, {"Location": f"/v1/rolls/{view.id}"})
 
         async def replay(stored: bytes) -> Response:
-            return await self._one(stored.decode())
+            return await self._restart_response(stored.decode())
 
-        return await run_once(self.control_plane.store_writer, request, caller, body, make, replay)
+        return await run_once(self.control_plane.store_writer, request, caller, body, create_restart, replay)
 
     def _plan_creation(
-        self, store: Store, order: RestartOrder, caller: Caller, now: float, created: _Created
+        self, store: Store, order: RestartOrder, caller: Caller, now: float, created: _CreatedRestart
     ) -> list[Mutation]:
         leases = self.controller.leases
         with leases.lock:
@@ -106,7 +106,7 @@
         table = load_restarts(store)
         number = max((stored.record.number for stored in table.restarts.values()), default=0) + 1
         # With the run's mark no identity of a lost store is used again.
-        created.ident = f"roll-{number:06d}-{self.control_plane.run_id[:RUN_MARK_LENGTH]}"
+        created.ident = f"roll-{number:06d}-{self.control_plane.run_id[:RUN_ID_PREFIX_LENGTH]}"
         restart = RollingRestart(created.ident, number, order, created_by=caller.name, created_at=now)
         steps = [
             Mutation(STEP, step_ident(created.ident, name), encode(RestartStep(name, position)), 0)
@@ -118,26 +118,26 @@
 
     async def pause(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls/{id}/pause."""
-        return await self._act(request, caller, pause)
+        return await self._apply_action(request, caller, pause)
 
     async def resume(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls/{id}/resume."""
-        return await self._act(request, caller, resume)
+        return await self._apply_action(request, caller, resume)
 
     async def cancel(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls/{id}/cancel."""
-        return await self._act(request, caller, cancel)
+        return await self._apply_action(request, caller, cancel)
 
     async def roll_back(self, request: Request, caller: Caller) -> Response:
         """POST /v1/rolls/{id}/back."""
-        return await self._act(request, caller, roll_back)
+        return await self._apply_action(request, caller, roll_back)
 
-    async def _act(self, request: Request, caller: Caller, action: Action) -> Response:
+    async def _apply_action(self, request: Request, caller: Caller, action: Action) -> Response:
         caller.require_role("operator")
         ident = request.path_params["id"]
 
         def plan(store: Store, now: float) -> list[Mutation]:
-            table = _known(load_restarts(store), ident)
+            table = _require_restart(load_restarts(store), ident)
             before = table.restarts[ident].record
             try:
                 change = action(before, table.steps[ident])
@@ -149,10 +149,10 @@
 
         await self.control_plane.commit(plan, caller.name)
         self.controller.request_plan()
-        return await self._one(ident)
+        return await self._restart_response(ident)
 
 
-def _known(table: RestartTable, ident: str) -> RestartTable:
+def _require_restart(table: RestartTable, ident: str) -> RestartTable:
     """The table, which has this restart. Raises ApiError where it has not."""
     if ident not in table.restarts:
         raise NotFoundError(f"no roll {ident}")
@@ -172,7 +172,7 @@
     excess = max(len(table.restarts) + 1 - MAX_RESTARTS, 0)
     if excess > len(ended):
         raise ResourceConflictError(f"{MAX_RESTARTS} rolls stand")
-    return [row for _, ident in ended[:excess] for row in table.removal(ident)]
+    return [mutation for _, ident in ended[:excess] for mutation in table.removal(ident)]
 
 
 def _view(table: RestartTable, ident: str, with_steps: bool = False) -> RestartView:
--- a/tests/test_drains_control_plane.py
+++ b/tests/test_drains_control_plane.py
@@ -32,22 +32,22 @@
 
 
 @pytest.fixture(autouse=True)
-def no_high_water_mark(tmp_path):
+def remove_high_water_mark(tmp_path):
     """Leave no file in the machine's memory."""
     yield
     HighWaterMarkFile.beside(tmp_path / "store.db").delete()
 
 
 @asynccontextmanager
-async def running_control_plane(path, **figures):
+async def running_control_plane(path, **overrides):
     """A control plane with its part, and the API as `root` calls it."""
-    keeper = AsyncStore(path / "store.db")
+    store_writer = AsyncStore(path / "store.db")
     try:
-        admin = ControlPlane(keeper, CHEAP, AttemptLimiter(1, keeper.clock()))
-        await admin.prepare()
-        root = await admin.operators.create_first() or (path / "root").read_text()
+        control_plane = ControlPlane(store_writer, CHEAP, AttemptLimiter(1, store_writer.clock()))
+        await control_plane.prepare()
+        root = await control_plane.operators.create_first() or (path / "root").read_text()
         (path / "root").write_text(root)
-        admin.leases.enable(5.0)
+        control_plane.leases.enable(5.0)
         settings = DrainsConfig(
             True,
             **{
@@ -56,28 +56,28 @@
                 "most_nodes": 4,
                 "closing": Seconds(2.0),
                 "new_installation": True,
-                **figures,
+                **overrides,
             },
         )
-        part = create_part(admin, settings)
-        admin.extensions.append(part)
-        transport = httpx.ASGITransport(app=Api(admin).app())
+        part = create_part(control_plane, settings)
+        control_plane.extensions.append(part)
+        transport = httpx.ASGITransport(app=Api(control_plane).app())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(part.run)
             await until(lambda: part.controller.ready)
             async with httpx.AsyncClient(
                 transport=transport, base_url="http://k", headers={"Authorization": f"Bearer {root}"}
             ) as client:
-                yield SimpleNamespace(admin=admin, controller=part.controller, client=client)
+                yield SimpleNamespace(control_plane=control_plane, controller=part.controller, client=client)
             nursery.cancel_scope.cancel()
     finally:
-        keeper.close()
+        store_writer.close()
 
 
 async def report(setup, name, sequence, zone="a", **report_fields):
     """A router's call and the control plane's part of the answer."""
     body = RouterReport(f"{name}@0123456789abcdef", 1, sequence, zone=zone, ready_for=60.0, **report_fields)
-    feed = await setup.admin.feed.poll(
+    feed = await setup.control_plane.feed.poll(
         Report(name, f"{name}.1", parts={NAME: msgspec.Raw(msgspec.json.encode(body))})
     )
     return msgspec.json.decode(feed.parts[NAME], type=ControlPlaneReply)
@@ -105,26 +105,26 @@
 
 
 def test_a_control_plane_on_a_full_disk_starts_once_there_is_room(tmp_path, monkeypatch):
-    planned, failed = AsyncStore.apply_planned, []
+    apply_planned, failed = AsyncStore.apply_planned, []
 
-    async def full(self, plan, who, **more):
+    async def raise_disk_full(self, plan, who, **more):
         if who == "drains" and len(failed) < 2:
             failed.append(who)
             raise DiskFullError("disk I/O error")
-        return await planned(self, plan, who, **more)
+        return await apply_planned(self, plan, who, **more)
 
-    async def scene():
-        monkeypatch.setattr(AsyncStore, "apply_planned", full)
+    async def scenario():
+        monkeypatch.setattr(AsyncStore, "apply_planned", raise_disk_full)
         monkeypatch.setattr("gaugehinge.drains.controller.START_RETRY_INTERVAL", 0.01)
         async with running_control_plane(tmp_path) as setup:
             assert len(failed) == 2
             assert (await setup.client.get("/v1/limits/origin")).json()["most"] == 20
 
-    trio.run(scene)
+    trio.run(scenario)
 
 
 def test_limits_leases_and_restarts_by_the_api(tmp_path):
-    async def scene():
+    async def scenario():
         async with running_control_plane(tmp_path) as setup:
             client = setup.client
             got = await client.get("/v1/limits/origin")
@@ -169,36 +169,37 @@
             assert (await client.post(f"/v1/rolls/{ident}/cancel")).json()["status"] == "cancelled"
             assert (await client.post(f"/v1/rolls/{ident}/resume")).status_code == 409
 
-            def leaving():
-                facts = setup.controller.leases.fleet.statuses(
-                    setup.admin.store_writer.store, setup.controller.leases.clock()
+            def draining_routers():
+                statuses = setup.controller.leases.fleet.statuses(
+                    setup.control_plane.store_writer.store, setup.controller.leases.clock()
                 )["routers"]
-                return [name for name, fact in facts.items() if fact.draining]
+                return [name for name, status in statuses.items() if status.draining]
 
-            assert leaving() == ["r-1"], "it was told, whatever became of the roll"
+            assert draining_routers() == ["r-1"], "it was told, whatever became of the roll"
             await until(lambda: not setup.controller.leases.fleet.shutdown_orders)
-            assert not (await report(setup, "r-1", 91)).restart_token and not leaving(), (
+            assert not (await report(setup, "r-1", 91)).restart_token and not draining_routers(), (
                 "it has not heard of it"
             )
             assert (await client.post("/v1/nodes/r-1@0123456789abcdef/gone")).status_code == 409
 
-    run(scene)
+    run(scenario)
 
 
 def test_a_restarted_control_plane_resumes_and_a_restored_store_suspends_admissions(
     tmp_path,
 ):
-    async def scene():
+    async def scenario():
         async with running_control_plane(tmp_path) as setup:
             before = await follow_lease(setup, "r-1")
             made = await setup.client.post("/v1/rolls", json={"who": {"all": True}, "headroom": 0.0})
             await trio.sleep(0.3)
             older = (tmp_path / "store.db").parent / "older.db"
-            setup.admin.store_writer.store.backup(older)
+            setup.control_plane.store_writer.store.backup(older)
             await follow_lease(setup, "r-2")
         async with running_control_plane(tmp_path) as setup:
             records = {
-                node: stored.record for node, stored in load_nodes(setup.admin.store_writer.store).items()
+                node: stored.record
+                for node, stored in load_nodes(setup.control_plane.store_writer.store).items()
             }
             assert records["r-1@0123456789abcdef"].number >= before.number and len(records) == 2
             assert (await setup.client.get(f"/v1/rolls/{made.json()['id']}")).status_code == 200
@@ -219,17 +220,17 @@
                 "not before it is settled"
             )
 
-    run(scene)
+    run(scenario)
 
 
 def test_a_killed_control_plane_resumes_at_once_on_its_current_store_only(tmp_path):
     store = tmp_path / "store.db"
 
-    async def scene():
+    async def scenario():
         async with running_control_plane(tmp_path) as setup:
             await follow_lease(setup, "r-1")
             older = tmp_path / "older.db"
-            setup.admin.store_writer.store.backup(older)
+            setup.control_plane.store_writer.store.backup(older)
             await follow_lease(setup, "r-2")
         async with running_control_plane(tmp_path) as setup:
             assert (await follow_lease(setup, "r-3")).number
@@ -242,14 +243,16 @@
         for name in ("store.db-wal", "store.db-shm"):
             (tmp_path / name).unlink(missing_ok=True)
         older.rename(store)  # put back with all that lies beside it
-        (tmp_path / "store.db.drains").write_text(json.dumps({"life": setup.admin.store_id, "admissions": 1}))
+        (tmp_path / "store.db.drains").write_text(
+            json.dumps({"life": setup.control_plane.store_id, "admissions": 1})
+        )
         async with running_control_plane(tmp_path) as setup:
             assert (
                 not setup.controller.leases.manager.state.suspension_reason
                 and not setup.controller.leases.manager.store_is_current
             )
 
-    run(scene)
+    run(scenario)
 
 
 async def rejection(setup, name):
@@ -262,15 +265,15 @@
 
 
 def test_an_empty_store_suspends_admissions_unless_it_is_a_new_installation(tmp_path):
-    async def scene():
+    async def scenario():
         async with running_control_plane(tmp_path, new_installation=False) as setup:
             assert "empty store" in setup.controller.leases.manager.state.suspension_reason
 
-    run(scene)
+    run(scenario)
 
 
 def test_malformed_reports_are_rejected_with_the_field(tmp_path):
-    async def scene():
+    async def scenario():
         async with running_control_plane(tmp_path) as setup:
             for body in (
                 b"{}",
@@ -278,7 +281,7 @@
                 b'{"node":"r@1","number":-1}',
             ):
                 with pytest.raises(Exception, match="missing|not this|regex") as bad:
-                    await setup.admin.feed.poll(Report("r", "1", parts={NAME: msgspec.Raw(body)}))
+                    await setup.control_plane.feed.poll(Report("r", "1", parts={NAME: msgspec.Raw(body)}))
                 assert bad.value.status == 422 and bad.value.field.startswith("parts.drains")
             servers = [ServerReport("s-1", "a", "std", True, 1.0), ServerReport("s-2", "a", "std", True, 1.0)]
             await report(setup, "r", 1, servers=servers)
@@ -286,19 +289,21 @@
             assert made.json()["nodes"] == 2
             # One of the two is the last of a shard's zones once the other is out, whoever took it out.
             rows = {"x": (SimpleNamespace(current=RegionAffinity(True, ("r",), (("a",),)), target=None), 1)}
-            setup.admin.extensions.append(
+            setup.control_plane.extensions.append(
                 SimpleNamespace(name="placement", index=SimpleNamespace(shards=rows))
             )
-            facts = setup.controller.leases.fleet.statuses(setup.admin.store_writer.store, 1e9)["servers"]
-            last = last_of_shard(pinned_zones(setup.admin), facts)
+            statuses = setup.controller.leases.fleet.statuses(setup.control_plane.store_writer.store, 1e9)[
+                "servers"
+            ]
+            last = last_of_shard(pinned_zones(setup.control_plane), statuses)
             assert last("s-1", frozenset({"s-1", "s-2"})) and not last("s-1", frozenset({"s-1"}))
-            setup.admin.extensions.pop()
+            setup.control_plane.extensions.pop()
 
-    run(scene)
+    run(scenario)
 
 
 def test_invalid_settings_name_the_field(tmp_path):
-    keep = tmp_path / "keep.toml"
+    config_path = tmp_path / "keep.toml"
     base = f'store = "{tmp_path}/s.db"\nlisten = "127.0.0.1:1"\n'
     for more, field in (
         ("[drains]\non = true\norigin = 99\nservers = 99\n", "leases.on"),
@@ -308,12 +313,16 @@
             "limits.s-1",
         ),
     ):
-        keep.write_text(base + more)
-        told = subprocess.run(
-            [sys.executable, "-m", "gaugehinge.cli", "control-plane", str(keep)],
+        config_path.write_text(base + more)
+        completed = subprocess.run(
+            [sys.executable, "-m", "gaugehinge.cli", "control-plane", str(config_path)],
             capture_output=True,
             text=True,
             timeout=60,
         )
-        assert told.returncode == 2 and field in told.stderr and len(told.stderr.strip().splitlines()) == 1
+        assert (
+            completed.returncode == 2
+            and field in completed.stderr
+            and len(completed.stderr.strip().splitlines()) == 1
+        )
     assert command_line is not None
--- a/tests/test_drains_restarts.py
+++ b/tests/test_drains_restarts.py
@@ -11,10 +11,10 @@
 from gaugehinge.drains.restart_types import NodeStatus, StepStage
 
 
-def fleet(count=6, zones="ab", **more):
+def make_fleet(count=6, zones="ab", **status_fields):
     return {
         f"r{i}": NodeStatus(
-            f"r{i}", "1", zones[i % len(zones)], True, ready_for=99.0, load=0.2, capacity=0.8, **more
+            f"r{i}", "1", zones[i % len(zones)], True, ready_for=99.0, load=0.2, capacity=0.8, **status_fields
         )
         for i in range(count)
     }
@@ -39,10 +39,10 @@
 
 
 def test_a_batch_is_of_one_zone_and_counts_all_unavailable_nodes():
-    assert notified(plan_once(fleet())[1]) == ["r0", "r2"]
-    assert notified(plan_once(fleet(), max_unavailable_in_zone=1)[1]) == ["r0"]
-    assert notified(plan_once(fleet(connections=5), max_unavailable_connections=9)[1]) == ["r0"]
-    nodes = fleet()
+    assert notified(plan_once(make_fleet())[1]) == ["r0", "r2"]
+    assert notified(plan_once(make_fleet(), max_unavailable_in_zone=1)[1]) == ["r0"]
+    assert notified(plan_once(make_fleet(connections=5), max_unavailable_connections=9)[1]) == ["r0"]
+    nodes = make_fleet()
     nodes["r1"] = NodeStatus("r1", "1", "b", False)
     assert notified(plan_once(nodes)[1]) == ["r3"], "one of zone b is lost: only that zone goes on"
     nodes["r2"] = NodeStatus("r2", "1", "a", True, ready_for=99.0, draining=True)
@@ -59,15 +59,15 @@
         and notified(plan_once(nodes, headroom=0.2)[1]) == []
     )
     assert (
-        notified(plan_once(fleet(), not_before=200.0)[1]) == []
-        and notified(plan_once(fleet(), not_after=50.0, not_before=0.0)[1]) == []
+        notified(plan_once(make_fleet(), not_before=200.0)[1]) == []
+        and notified(plan_once(make_fleet(), not_after=50.0, not_before=0.0)[1]) == []
     )
-    last = RestartPlanner(is_last_of_shard=lambda name, out: name == "r0")
-    assert notified(plan_once(fleet(), last)[1]) == ["r2", "r4"]
+    last = RestartPlanner(is_last_of_shard=lambda name, unavailable: name == "r0")
+    assert notified(plan_once(make_fleet(), last)[1]) == ["r2", "r4"]
     plan = RestartPlanner().plan(
         [RollingRestart("roll-1", 1, RestartOrder(NodeSelector(all=True), max_unavailable=3))],
-        {"roll-1": [RestartStep(n) for n in fleet()]},
-        {"routers": fleet(), "servers": {}},
+        {"roll-1": [RestartStep(n) for n in make_fleet()]},
+        {"routers": make_fleet(), "servers": {}},
         1.0,
         1.0,
         lambda count: count <= 1,
@@ -80,7 +80,7 @@
     [("skip", "skipped", "running"), ("stop", "told", "stopped"), ("end", "told", "running")],
 )
 def test_a_node_over_its_deadline(on_timeout, stage, status):
-    planner, nodes = RestartPlanner(), fleet()
+    planner, nodes = RestartPlanner(), make_fleet()
     restart, steps, _ = plan_once(nodes, planner, on_timeout=on_timeout, max_unavailable=1, deadline=10.0)
     restart, steps, _ = plan_once(nodes, planner, 109.0, steps, restart)
     assert notified(steps) == ["r0"] and restart.status == "running"
@@ -92,7 +92,7 @@
 
 
 def test_a_restart_stops_on_its_burn_rate_and_rolls_back_on_request():
-    planner, nodes = RestartPlanner(), fleet()
+    planner, nodes = RestartPlanner(), make_fleet()
     for second in range(60):
         planner.error_budget.record(40.0 + second, 99, 1)
     restart, steps, _ = plan_once(nodes, planner, max_unavailable=1, max_burn_rate=5.0)
@@ -114,7 +114,7 @@
 
 
 def test_a_server_is_drained_restarted_and_restored_before_the_next():
-    planner, nodes = RestartPlanner(), fleet(4)
+    planner, nodes = RestartPlanner(), make_fleet(4)
     restart, steps, plan = plan_once(nodes, planner, kind="servers", max_unavailable=1, warm_up=5.0)
     assert plan.servers_to_drain == ["r0"] and steps[0].drain_ordered
     nodes["r0"] = NodeStatus("r0", "1", "a", True, ready_for=99.0, drained=True, capacity=0.8)
@@ -133,10 +133,12 @@
 def test_restarts_are_queued_and_nodes_of_a_paused_one_count_for_the_next():
     order = RestartOrder(NodeSelector(all=True), max_unavailable=2, warm_up=1.0)
     restarts = [RollingRestart(f"roll-{i}", i, order) for i in (1, 2, 3)]
-    steps = {restart.ident: [RestartStep(name, i) for i, name in enumerate(fleet())] for restart in restarts}
+    steps = {
+        restart.ident: [RestartStep(name, i) for i, name in enumerate(make_fleet())] for restart in restarts
+    }
     steps["roll-1"][0] = RestartStep("r0", 0, StepStage.NOTIFIED, "1")
     restarts[0] = msgspec.structs.replace(restarts[0], status="paused")
-    nodes = fleet()
+    nodes = make_fleet()
     nodes["r0"] = NodeStatus("r0", "1", "a", True, ready_for=99.0, load=0.2, capacity=0.8, draining=True)
     plan = RestartPlanner().plan(restarts, steps, {"routers": nodes, "servers": {}}, 1.0, 1.0)
     assert {ident: notified(each) for ident, each in plan.steps.items()} == {"roll-2": ["r2"]}
@@ -146,19 +148,21 @@
 def test_a_node_notified_by_a_paused_restart_counts_before_it_has_received_that():
     order = RestartOrder(NodeSelector(all=True), max_unavailable=1, warm_up=1.0)
     restarts = [RollingRestart("roll-1", 1, order, status="paused"), RollingRestart("roll-2", 2, order)]
-    steps = {restart.ident: [RestartStep(name, i) for i, name in enumerate(fleet())] for restart in restarts}
+    steps = {
+        restart.ident: [RestartStep(name, i) for i, name in enumerate(make_fleet())] for restart in restarts
+    }
     steps["roll-1"][0] = RestartStep("r0", 0, StepStage.NOTIFIED, "1")
-    plan = RestartPlanner().plan(restarts, steps, {"routers": fleet(), "servers": {}}, 1.0, 1.0)
+    plan = RestartPlanner().plan(restarts, steps, {"routers": make_fleet(), "servers": {}}, 1.0, 1.0)
     assert not plan.steps, "r0 is on its way out"
     steps["roll-1"][0] = RestartStep(
         "r0", 0, "told", "0"
     )  # the run after it is up, of another build than was meant
-    plan = RestartPlanner().plan(restarts, steps, {"routers": fleet(), "servers": {}}, 1.0, 1.0)
+    plan = RestartPlanner().plan(restarts, steps, {"routers": make_fleet(), "servers": {}}, 1.0, 1.0)
     assert notified(plan.steps["roll-2"]) == ["r0"]
 
 
 def test_a_node_with_this_restarts_token_is_not_notified_again():
-    nodes = fleet(restart_token="roll-1")
+    nodes = make_fleet(restart_token="roll-1")
     restart, steps, _ = plan_once(nodes)
     assert {step.stage for step in steps} == {"done"} and restart.status == "done"
     again = msgspec.structs.replace(restart, reverting=True, status="queued")
