--- a/gaugehinge/drains/restart_actions.py
+++ b/gaugehinge/drains/restart_actions.py
@@ -1,4 +1,4 @@
-"""What operators may do with a rolling restart: pause, resume, cancel and roll back."""
+"""Operator actions on a rolling restart: pause, resume, cancel and roll back."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RestartChange(NamedTuple):
-    """A restart as it becomes, its steps that change, and the servers whose drain orders are taken back."""
+    """The updated restart, the steps that change, and the servers whose drain orders are withdrawn."""
 
     restart: RollingRestart
     steps: list[RestartStep]
@@ -20,14 +20,14 @@
 
 
 def pause(restart: RollingRestart, steps: list[RestartStep]) -> RestartChange:
-    """Notify no further node. Raises InvalidOrderError where the restart has ended."""
+    """Notify no further nodes. Raises InvalidOrderError if the restart has ended."""
     _require_unfinished(restart)
     paused = msgspec.structs.replace(restart, status=RestartStatus.PAUSED, reason="")
     return RestartChange(paused, [], [])
 
 
 def resume(restart: RollingRestart, steps: list[RestartStep]) -> RestartChange:
-    """Go on, from the queue. Raises InvalidOrderError where the restart has ended."""
+    """Put a paused or stopped restart back in the queue. Raises InvalidOrderError if it has ended."""
     _require_unfinished(restart)
     if restart.status not in (RestartStatus.QUEUED, RestartStatus.RUNNING):
         restart = msgspec.structs.replace(restart, status=RestartStatus.QUEUED, reason="")
@@ -35,9 +35,9 @@
 
 
 def cancel(restart: RollingRestart, steps: list[RestartStep]) -> RestartChange:
-    """End it: nodes that are out come back by themselves, drain orders of this restart are taken back.
+    """Cancel the restart: skip its unfinished nodes and withdraw its drain orders.
 
-    Raises InvalidOrderError where it is done.
+    Nodes that are out of service come back by themselves. Raises InvalidOrderError if the restart is done.
     """
     if restart.status == RestartStatus.DONE:
         raise InvalidOrderError("the roll is done", "status")
@@ -47,9 +47,11 @@
 
 
 def roll_back(restart: RollingRestart, steps: list[RestartStep]) -> RestartChange:
-    """Restart the nodes that are done once more, and leave those that wait as they are.
+    """Restart the nodes that are done once more, and leave those that have not been restarted as they are.
 
-    Raises InvalidOrderError where the restart is cancelled.
+    Waiting nodes are skipped, and so are servers that were ordered to drain but are not drained yet. A
+    restart that is being rolled back already does not change. Raises InvalidOrderError if the restart is
+    cancelled.
     """
     if restart.reverting:
         return RestartChange(restart, [], [])
--- a/gaugehinge/drains/restart_batch.py
+++ b/gaugehinge/drains/restart_batch.py
@@ -1,4 +1,4 @@
-"""Which nodes may be unavailable together."""
+"""Decides which nodes of a rolling restart may be unavailable at the same time."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from .restart_records import RestartStep, RollingRestart
 from .restart_types import UNAVAILABLE_STAGES, NodeStatus, StepStage
 
-LastOfShard = Callable[[str, frozenset[str]], bool]  # a server's name, and the servers that are unavailable
+LastOfShard = Callable[[str, frozenset[str]], bool]  # arguments: server, unavailable servers
 
 
 @dataclass(slots=True, frozen=True)
 class Batch:
-    """The nodes of one restart among which the next ones are taken out."""
+    """The nodes and steps of one restart, from which the next nodes to notify are chosen."""
 
     restart: RollingRestart
-    steps: dict[str, RestartStep]  # changed in place
+    steps: dict[str, RestartStep]  # by node; updated in place
     nodes: Mapping[str, NodeStatus]
-    unavailable: dict[str, NodeStatus]  # grows
+    unavailable: dict[str, NodeStatus]  # by name; nodes are added as they are notified
 
     def mark_notified(self, step: RestartStep, node: NodeStatus) -> None:
-        """Count a node as unavailable, its step as notified."""
+        """Move the step of a node to NOTIFIED and count the node as unavailable."""
         is_server = self.restart.order.kind == "servers"
         self.steps[step.node] = msgspec.structs.replace(
             step, stage=StepStage.NOTIFIED, run=node.run, drain_ordered=is_server, reason=""
@@ -35,7 +35,7 @@
 def unavailable_steps_of_other_restarts(
     restart: RollingRestart, restarts: Iterable[RollingRestart], steps: Mapping[str, list[RestartStep]]
 ) -> list[RestartStep]:
-    """Steps of other restarts of the same kind whose nodes are out."""
+    """Return the steps of other restarts of the same kind of node whose nodes are unavailable."""
     return [
         step
         for other in restarts
@@ -51,7 +51,7 @@
     own_steps: Mapping[str, RestartStep],
     other_steps: Iterable[RestartStep],
 ) -> dict[str, NodeStatus]:
-    """All nodes that count as unavailable, for whatever reason."""
+    """Return all nodes that count as unavailable for any reason, by name."""
     unavailable = {
         node.name: node
         for node in nodes.values()
@@ -61,8 +61,9 @@
         if step.stage in UNAVAILABLE_STAGES and name in nodes:
             unavailable[name] = nodes[name]
     for step in other_steps:
-        # Notified by a restart that was paused or stopped since, it may not have heard that yet and seem up.
-        # Another run of it shows by itself whether it is up, whatever that restart waits for.
+        # A node notified by a restart that has since been paused or stopped may not have received the
+        # notification yet, and so look up. If a later run of the node reports, its own status says whether
+        # it is up, whatever the other restart is waiting for.
         node = nodes.get(step.node)
         if node is not None and node.run == step.run:
             unavailable[step.node] = node
@@ -76,9 +77,9 @@
     nodes: Mapping[str, NodeStatus],
     is_last_of_shard: LastOfShard,
 ) -> bool:
-    """Whether a node may be taken out beside those that are unavailable already."""
+    """Whether a node may be taken out of service in addition to the nodes that are unavailable already."""
     if any(other.zone != node.zone for other in unavailable.values()):
-        return False  # never two zones
+        return False  # never take nodes out in two zones at once
     if not _within_limits(order, node, unavailable):
         return False
     remaining = [other for other in nodes.values() if other.name not in unavailable and other is not node]
--- a/gaugehinge/drains/restart_order.py
+++ b/gaugehinge/drains/restart_order.py
@@ -10,7 +10,7 @@
 
 from .restart_types import NodeStatus
 
-MAX_NODES = 4096  # of one order
+MAX_NODES = 4096  # that one order may select
 
 NodeKind = Literal["routers", "servers"]
 Names = Annotated[list[Annotated[str, Meta(min_length=1, max_length=200)]], Meta(max_length=MAX_NODES)]
@@ -19,10 +19,10 @@
 
 
 class InvalidOrderError(Exception):
-    """An order that cannot be carried out; `field` is the name of what is wrong in the API's form."""
+    """An order, or an action on a restart, that cannot be carried out."""
 
     def __init__(self, reason: str, field: str) -> None:
-        """`field`: as the API names it; nested fields with dots."""
+        """`field` is the invalid field as the API names it; nested fields are joined by dots."""
         super().__init__(reason)
         self.field = field
 
@@ -30,18 +30,18 @@
 class NodeSelector(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Which nodes an order is for: all that match every list that is not empty."""
 
-    all: bool = False  # needed where every list is empty
+    all: bool = False  # required to select every node, if all lists are empty
     names: Names = []
     zones: Names = []
     builds: Names = []
     labels: Names = []
 
     def is_empty(self) -> bool:
-        """Whether nothing is selected."""
+        """Whether the selector has neither `all` nor an entry in any list."""
         return not (self.all or self.names or self.zones or self.builds or self.labels)
 
     def matches(self, node: NodeStatus) -> bool:
-        """Whether a node matches every list that is not empty."""
+        """Whether a node matches every non-empty list."""
         return (
             (not self.names or node.name in self.names)
             and (not self.zones or node.zone in self.zones)
@@ -104,14 +104,15 @@
     build: Annotated[str, Meta(max_length=200, description="that nodes come back with; empty: any")] = ""
 
     def is_open(self, wall_time: float) -> bool:
-        """Whether nodes may be notified at a Unix time."""
+        """Whether nodes may be notified at `wall_time` (Unix time)."""
         return wall_time >= self.not_before and not (self.not_after and wall_time >= self.not_after)
 
 
 def select_nodes(order: RestartOrder, nodes: Iterable[NodeStatus]) -> list[str]:
-    """The nodes that an order selects, in the order in which they are restarted.
+    """Return the names of the selected nodes, in the order in which they are restarted.
 
-    Raises InvalidOrderError where it selects none, too many, or names an unknown one.
+    Raises InvalidOrderError if the order selects no node or more than MAX_NODES, names an unknown node, has
+    an empty selector, or ends before it starts.
     """
     selector = order.selector
     if selector.is_empty():
--- a/gaugehinge/drains/restart_planner.py
+++ b/gaugehinge/drains/restart_planner.py
@@ -1,13 +1,15 @@
-"""Planner of rolling restarts: takes nodes out and back in turn. No I/O, no clock, no chance.
+"""Planner of rolling restarts: takes nodes out of service and back, batch by batch.
 
-`plan` looks at all restarts, at what is known of each node now and at what is unavailable for whatever
-reason, and says which steps are due. Each is one conditional change in the store before a node is notified,
-so that a control plane that starts anew goes on from there. A step is meant for one run of a node: the run
-after it is no longer meant, however often the notification is repeated.
+It is deterministic: it does no I/O and reads neither a clock nor a random source.
 
-A router is told to shut down; its supervisor starts the next one. A server is ordered to drain; once no
-router uses it, it shows as drained and waits for its supervisor. The restart goes on when the successor is
-warm.
+`RestartPlanner.plan` takes all restarts, the current status of every node and the nodes that are unavailable
+for any reason, and returns the steps that are due. Each step is written to the store as a conditional change
+before the node is notified, so a control plane that is restarted resumes from there. A step applies to one
+run (process) of a node only: repeating its notification does not affect the following run.
+
+A router is told to shut down, and its supervisor starts the next run. A server is ordered to drain; once no
+router uses it, its step becomes DRAINED and waits for the server's supervisor to restart it. The restart
+continues when the next run is warm.
 """
 
 from __future__ import annotations
@@ -39,11 +41,11 @@
 )
 
 ACTIVE_STATUSES = (RestartStatus.QUEUED, RestartStatus.RUNNING)
-MIN_MISSING_TIME = 1.0  # seconds for which a node is waited for that is not there
+MIN_MISSING_TIME = 1.0  # minimum seconds to wait for a missing node, however short the deadline
 
 
 class Observation(NamedTuple):
-    """The stage that a step was seen in, and since when."""
+    """The stage in which a step was observed, and the monotonic time since when."""
 
     stage: StepStage
     since: float
@@ -51,16 +53,17 @@
 
 @dataclass(slots=True)
 class RestartPlanner:
-    """One run of the control plane.
+    """Plans the steps of all rolling restarts for one run of the control plane.
 
-    Beside the store it remembers since when it has seen each step in its stage: deadlines begin anew with a
-    run, and end no earlier for a clock that was set.
+    In addition to what the store has, it remembers in memory how long it has observed each step. Deadlines
+    are therefore measured on the monotonic clock: setting the wall clock does not shorten them, and they
+    start again when the control plane is restarted.
     """
 
     is_last_of_shard: LastOfShard = lambda name, unavailable: False
-    observed: dict[tuple[str, str], Observation] = field(default_factory=dict)  # by restart and node
-    missing_since: dict[tuple[str, str], float] = field(default_factory=dict)  # the same
-    baselines: dict[str, float] = field(default_factory=dict)  # error ratio before each restart began
+    observed: dict[tuple[str, str], Observation] = field(default_factory=dict)  # by restart ID and node name
+    missing_since: dict[tuple[str, str], float] = field(default_factory=dict)  # likewise
+    baselines: dict[str, float] = field(default_factory=dict)  # by restart ID: error ratio before it began
     error_budget: ErrorBudget = field(default_factory=ErrorBudget)
 
     def plan(
@@ -72,10 +75,10 @@
         wall_time: float,
         has_room_for: Callable[[int], bool] = lambda count: True,
     ) -> RestartPlan:
-        """What is due at `now` (monotonic) and `wall` (Unix time).
+        """Return the changes that are due at `now` (monotonic time) and `wall_time` (Unix time).
 
-        `has_room_for`: whether so many routers may be notified now, with their successors' floors beside what
-        they still have open.
+        `has_room_for(count)` says whether `count` routers may be in a restart at once, that is, whether the
+        connection floors of their successors fit in addition to the connections that they still have open.
         """
         plan = RestartPlan()
         unfinished = _by_queue_position(restarts)
@@ -104,7 +107,7 @@
         self.missing_since = {key: at for key, at in self.missing_since.items() if key[0] in unfinished}
         self.baselines = {ident: ratio for ident, ratio in self.baselines.items() if ident in unfinished}
 
-    # -- a node that is unavailable
+    # -- steps whose node is unavailable
 
     def _advance(
         self,
@@ -137,17 +140,17 @@
         reason = f"{step.node} is {step.stage} for {elapsed:.0f} s"
         on_timeout = restart.order.on_timeout
         if on_timeout == "end" and not step.immediate and step.stage == StepStage.NOTIFIED:
-            plan.log.append(f"roll {restart.ident}: {reason}: told to end at once")
+            plan.log.append(f"rolling restart {restart.ident}: {reason}; ordering an immediate shutdown")
             self.observed[restart.ident, step.node] = Observation(step.stage, now)
             return msgspec.structs.replace(step, immediate=True, reason=reason)
         if on_timeout == "skip":
-            plan.log.append(f"roll {restart.ident}: {reason}: skipped")
+            plan.log.append(f"rolling restart {restart.ident}: {reason}; node skipped")
             return _skip(step, reason, plan)
         if restart.status in ACTIVE_STATUSES:
             _stop(restart, reason, plan)
         return step
 
-    # -- the first of the queue
+    # -- the restart at the head of the queue
 
     def _run_head(
         self,
@@ -158,14 +161,16 @@
         wall_time: float,
         plan: RestartPlan,
     ) -> RollingRestart:
-        """Begin it, or stop it where too much service is lost."""
+        """Start the restart if it is due, or stop it if its burn rate is too high."""
         if restart.ident in plan.restarts:
             return plan.restarts[restart.ident]
         if restart.status == RestartStatus.QUEUED:
             if wall_time < restart.order.not_before:
                 return restart
             self.baselines[restart.ident] = self.error_budget.error_ratio(now, 2 * LONG_WINDOW)
-            plan.log.append(f"roll {restart.ident} begins: {len(updated_steps)} {restart.order.kind}")
+            plan.log.append(
+                f"rolling restart {restart.ident} started: {len(updated_steps)} {restart.order.kind}"
+            )
             restart = msgspec.structs.replace(restart, status=RestartStatus.RUNNING)
             plan.restarts[restart.ident] = restart
         baseline = self.baselines.setdefault(restart.ident, 0.0)
@@ -184,7 +189,7 @@
         now: float,
         plan: RestartPlan,
     ) -> None:
-        """Nobody knows when a node that is not there comes back; it is not waited for without end."""
+        """Skip waiting nodes that have been missing for too long: they may never come back."""
         max_missing_time = max(restart.order.deadline, MIN_MISSING_TIME)
         for name, step in updated_steps.items():
             node, key = nodes.get(name), (restart.ident, name)
@@ -201,13 +206,14 @@
         notified_routers: int,
         has_room_for: Callable[[int], bool],
     ) -> None:
-        """Take out as many waiting nodes as may be unavailable together."""
+        """Notify as many waiting nodes as may be unavailable at the same time."""
         restart, order = batch.restart, batch.restart.order
         for name, step in batch.steps.items():
             node = batch.nodes.get(name)
             if step.stage != StepStage.WAITING or node is None or name in batch.unavailable:
                 continue
-            if node.restart_token == restart.token:  # the store is older than that notification
+            if node.restart_token == restart.token:
+                # This restart has notified the node already, but the store is older than that notification.
                 batch.steps[name] = msgspec.structs.replace(step, stage=StepStage.DONE, reason="told before")
                 continue
             if len(batch.unavailable) >= order.max_unavailable:
@@ -223,7 +229,7 @@
             batch.mark_notified(step, node)
             self.observed[restart.ident, name] = Observation(StepStage.NOTIFIED, now)
 
-    # -- what is written
+    # -- records to write
 
     @staticmethod
     def _record(
@@ -235,14 +241,15 @@
         changed = [updated_steps[step.node] for step in steps if updated_steps[step.node] != step]
         for step in changed:
             if step.stage in (StepStage.NOTIFIED, StepStage.DONE):
-                plan.log.append(f"roll {restart.ident}: {step.node} {step.stage}")
+                plan.log.append(f"rolling restart {restart.ident}: {step.node} is {step.stage}")
         if changed:
             plan.steps[restart.ident] = changed
         is_complete = all(step.stage in FINAL_STAGES for step in updated_steps.values())
         if is_complete and restart.status == RestartStatus.RUNNING:
             skipped = sum(step.stage == StepStage.SKIPPED for step in updated_steps.values())
             plan.log.append(
-                f"roll {restart.ident} done: {len(updated_steps) - skipped} nodes, {skipped} skipped"
+                f"rolling restart {restart.ident} finished: "
+                f"{len(updated_steps) - skipped} nodes done, {skipped} skipped"
             )
             plan.restarts[restart.ident] = msgspec.structs.replace(restart, status=RestartStatus.DONE)
 
@@ -268,7 +275,7 @@
 
 
 def _stop(restart: RollingRestart, reason: str, plan: RestartPlan) -> RollingRestart:
-    plan.log.append(f"roll {restart.ident} stops: {reason}")
+    plan.log.append(f"rolling restart {restart.ident} stopped: {reason}")
     stopped = msgspec.structs.replace(restart, status=RestartStatus.STOPPED, reason=reason)
     plan.restarts[restart.ident] = stopped
     return stopped
--- a/gaugehinge/drains/restart_progress.py
+++ b/gaugehinge/drains/restart_progress.py
@@ -1,4 +1,4 @@
-"""How far a node that is out of service has come, by its status."""
+"""Derives the stage of a node that is out of service from its status."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def with_observed_stage(restart: RollingRestart, step: RestartStep, node: NodeStatus | None) -> RestartStep:
-    """A step of a node that is out, at the stage that the node's status shows."""
+    """Return the step of a node that is out of service, with the stage that the node's status shows."""
     stage = step.stage
     if node is not None and node.up and node.run != step.run and _is_intended_build(restart, node):
         warm = step.stage == StepStage.WARMING_UP and node.ready_for >= restart.order.warm_up
--- a/gaugehinge/drains/restart_records.py
+++ b/gaugehinge/drains/restart_records.py
@@ -1,4 +1,4 @@
-"""Rolling restarts as the store has them, and the changes that are due."""
+"""Records of rolling restarts as the store keeps them, and the changes to write."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     """One node of a rolling restart."""
 
     node: str
-    position: int = 0  # in the order of the restart
+    position: int = 0  # in the order in which nodes are restarted
     stage: StepStage = StepStage.WAITING
-    run: str = ""  # that was notified
-    immediate: bool = False  # and told to end without waiting for what is in flight
-    drain_ordered: bool = False  # the standing drain order is of this restart
+    run: str = ""  # the run that was notified
+    immediate: bool = False  # it was told to shut down without waiting for operations in flight
+    drain_ordered: bool = False  # the server's current drain order was made by this restart
     reason: str = ""
 
 
@@ -31,32 +31,32 @@
     frozen=True,
     rename={"reverting": "back", "reason": "why", "created_by": "who", "created_at": "at"},
 ):
-    """A rolling restart. Its steps are records of their own."""
+    """A rolling restart. Its steps are stored as separate records."""
 
     ident: str
     number: int  # position in the queue
     order: RestartOrder
     status: RestartStatus = RestartStatus.QUEUED
-    reverting: bool = False  # it takes back what it did
+    reverting: bool = False  # it is being rolled back
     reason: str = ""
     created_by: str = ""
     created_at: float = 0.0  # Unix time
 
     @property
     def token(self) -> str:
-        """By what notified nodes know this restart; while reverting it is another one."""
+        """The identifier that notified nodes report back; a rollback has one of its own."""
         return f"{self.ident}.back" if self.reverting else self.ident
 
 
 @dataclass(slots=True)
 class RestartPlan:
-    """What is to be written, all in one transaction."""
+    """The changes to write, all in one transaction."""
 
-    steps: dict[str, list[RestartStep]] = field(default_factory=dict)  # by restart
+    steps: dict[str, list[RestartStep]] = field(default_factory=dict)  # by restart ID
     restarts: dict[str, RollingRestart] = field(default_factory=dict)
     servers_to_drain: list[str] = field(default_factory=list)
     servers_to_restore: list[str] = field(default_factory=list)
-    log: list[str] = field(default_factory=list)  # lines for the log once this is written
+    log: list[str] = field(default_factory=list)  # lines to log once the changes are written
 
     def __bool__(self) -> bool:
         """Whether any record changes."""
