--- a/gaugehinge/drains/controller.py
+++ b/gaugehinge/drains/controller.py
@@ -1,4 +1,4 @@
-"""Connection leases and rolling restarts at the control plane: reports in, answers out, and the plan loop."""
+"""Connection leases and rolling restarts at the control plane: router reports, replies and the plan loop."""
 
 from __future__ import annotations
 
@@ -19,24 +19,27 @@
 from .repository import NODE
 from .restart_service import RestartService
 
-PLAN_INTERVAL = 1.0  # seconds between two plans where nothing is reported
-MIN_PLAN_INTERVAL = 0.1  # and at least between two
+PLAN_INTERVAL = 1.0  # seconds between two plans if nothing requests one earlier
+MIN_PLAN_INTERVAL = 0.1  # minimum seconds between two plans
 START_RETRY_INTERVAL = 1.0  # seconds
 
 
 @dataclass(slots=True, eq=False)
 class DrainsController:
-    """One run of the control plane's part."""
+    """The control plane's side of connection leases and rolling restarts, for one run of it."""
 
     leases: LeaseService
     restarts: RestartService
-    ready: bool = False  # it has started: leases may be issued
-    plan_requested: trio.Event = field(default_factory=trio.Event)  # plan before the interval is over
+    ready: bool = False  # started, so leases may be issued
+    plan_requested: trio.Event = field(default_factory=trio.Event)  # set to plan before PLAN_INTERVAL is over
 
     # -- reports
 
     def on_report(self, report: Report, now: float) -> None:
-        """Take a router's report. Raises ApiError where its part is malformed or of another router."""
+        """Record a router's report.
+
+        Raises InvalidRequestError if its part is malformed or is that of another router.
+        """
         raw = report.parts.get(NAME)
         if raw is None:
             return
@@ -51,13 +54,16 @@
                 self.request_plan()
 
     def request_plan(self) -> None:
-        """Plan without waiting for the interval. On the event loop."""
+        """Plan without waiting for the interval. Must run on the event loop."""
         self.plan_requested.set()
 
-    # -- answers
+    # -- replies
 
     def reply(self, store: Store, report: Report) -> bytes | None:
-        """On the store's thread: the part of the answer to a report, in JSON; None: nothing may be issued."""
+        """Return this part's reply to a report as JSON, or None if nothing may be issued.
+
+        Must run on the store's thread.
+        """
         raw = report.parts.get(NAME)
         if raw is None or not self.ready:
             return None
@@ -86,7 +92,7 @@
     def _reply_without_lease(
         self, router_report: RouterReport, report: Report, now: float
     ) -> ControlPlaneReply:
-        """An answer without a lease: what the router is told to do."""
+        """Return a reply without a lease: the orders and requests for the router."""
         fleet, manager = self.leases.fleet, self.leases.manager
         order = fleet.shutdown_orders.get(report.router)
         if order is not None and order.run != report.run:
@@ -115,7 +121,7 @@
                 await self.leases.plan()
                 await self.restarts.plan()
             except (RevisionConflictError, DiskFullError, StoreOverloadedError) as error:
-                logger.warning("drains not planned: {}", error)
+                logger.warning("could not plan connection leases and rolling restarts: {}", error)
             await trio.sleep(MIN_PLAN_INTERVAL)
 
     async def _start(self) -> None:
@@ -124,9 +130,11 @@
                 await self.leases.start()
                 self.ready = True
             except (RevisionConflictError, DiskFullError, StoreOverloadedError, OSError) as error:
-                # Started on a full disk: ending here would take the leases of all routers with it, and with
-                # them service.
-                logger.warning("drains not begun: {}", error)
+                # This happens if the control plane starts on a full disk. If it ended here, the leases of all
+                # routers would be lost, and service with them.
+                logger.warning(
+                    "could not start connection leases and rolling restarts; will retry: {}", error
+                )
                 await trio.sleep(START_RETRY_INTERVAL)
 
 
@@ -141,7 +149,7 @@
 
 
 def _is_urgent(known_report: NodeReport | None, report: RouterReport, run: str) -> bool:
-    """Whether a report changes so much that the next plan is not to wait for its interval."""
+    """Whether a report changes so much that the next plan should not wait for its interval."""
     if (
         known_report is None
         or known_report.run != run
@@ -155,7 +163,7 @@
 
 
 def _is_outdated(record: NodeRecord, report: RouterReport, run: str) -> bool:
-    """Whether a report comes of a state file that is older than the node's last known run."""
+    """Whether a report is based on a state file that is older than the node's last known run."""
     return record.run != run and report.run_number <= record.run_number
 
 
--- a/gaugehinge/drains/fleet_view.py
+++ b/gaugehinge/drains/fleet_view.py
@@ -1,4 +1,4 @@
-"""What the control plane knows of routers and servers by the routers' reports."""
+"""The control plane's view of routers and cache servers, built from the routers' reports."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
 from .restart_order import NodeKind
 from .restart_types import NodeStatus
 
-SERVER_LIST_MAX_AGE = 2.0  # seconds after which routers are asked for the list of servers again
-SERVER_LIST_SOURCES = 2  # routers that are asked for it
-SERVER_FORGET_TIME = 60.0  # seconds after which a server is forgotten that no list has
+SERVER_LIST_MAX_AGE = 2.0  # seconds after which routers are asked for the server list again
+SERVER_LIST_SOURCES = 2  # number of routers that are asked for it
+SERVER_FORGET_TIME = 60.0  # seconds after which a server that is in no list is forgotten
 
 
 @dataclass(slots=True, frozen=True)
 class LatestReport:
-    """The last report of a node."""
+    """The last report of a node (a router's state file)."""
 
     report: RouterReport
     router: str
     run: str
-    followed_revision: int  # of the store
-    received_at: float
+    followed_revision: int  # revision of the store up to which the router follows it
+    received_at: float  # monotonic time
 
 
 @dataclass(slots=True)
 class KnownServer:
-    """A server as routers listed it last."""
+    """A server as routers last listed it. Times are monotonic."""
 
     report: ServerReport
-    start_seen_at: float  # when this control plane saw this start of it
+    start_seen_at: float  # when this control plane first saw the server's current start
     listed_at: float
 
 
 class ShutdownOrder(NamedTuple):
-    """A run of a router is to shut down."""
+    """An order to one run of a router to shut down."""
 
     restart_token: str
     run: str
@@ -51,7 +51,7 @@
 
 
 class OriginUsage(NamedTuple):
-    """Connections to the origin in use, and operations a second, of all routers."""
+    """Connections to the origin in use and operations per second, summed over all routers."""
 
     connections: float
     operation_rate: float
@@ -59,22 +59,26 @@
 
 @dataclass(slots=True, eq=False)
 class FleetView:
-    """Reports of routers, and the servers that they list. Nodes leave it as they leave the lease table."""
+    """The latest reports of routers, and the servers that they list.
+
+    A node is dropped once the lease table has dropped it.
+    """
 
     leases: LeaseTable
-    regions: dict[str, str]  # by zone, where regions are named
-    router_capacity: float  # part of a core
+    regions: dict[str, str]  # region by zone, for zones that belong to a named region
+    router_capacity: float  # fraction of a CPU core that a router may use
     reports: dict[str, LatestReport] = field(default_factory=dict)  # by node
-    servers: dict[str, KnownServer] = field(default_factory=dict)
+    servers: dict[str, KnownServer] = field(default_factory=dict)  # by uid
     servers_listed_at: float = float("-inf")
     shutdown_orders: dict[str, ShutdownOrder] = field(default_factory=dict)  # by router, as in the store
     operations: OperationCounter = field(default_factory=OperationCounter)
-    notified_runs: dict[str, str] = field(default_factory=dict)  # by node, until it reports again
+    # By node: the run that was told to shut down, until the node reports again.
+    notified_runs: dict[str, str] = field(default_factory=dict)
 
     # -- reports
 
     def record(self, report: RouterReport, envelope: Report, now: float) -> None:
-        """Take the report of a node."""
+        """Record the report of a node."""
         self.notified_runs.pop(report.node, None)
         self.reports[report.node] = LatestReport(
             report, envelope.router, envelope.run, envelope.known_revision, now
@@ -100,14 +104,14 @@
         self.reports.pop(node, None)
 
     def forget_unknown(self) -> None:
-        """Drop the nodes that the lease table has dropped."""
+        """Drop all nodes that the lease table does not have any more."""
         for table in (self.reports, self.notified_runs):
             for node in [node for node in table if node not in self.leases.reports]:
                 del table[node]
         self.operations.retain(self.leases.reports)
 
     def needs_servers_from(self, node: str, now: float) -> bool:
-        """Whether the next report of this node is to list the servers."""
+        """Whether the next report of this node should list the servers."""
         if now - self.servers_listed_at < SERVER_LIST_MAX_AGE:
             return False
         recent_nodes = sorted(name for name, latest in self.reports.items() if self._is_recent(latest, now))
@@ -117,7 +121,7 @@
         return now - latest.received_at < self.leases.lease_duration
 
     def draining_nodes(self) -> frozenset[str]:
-        """Nodes that shut down, or are told to."""
+        """Return the nodes that are shutting down or are ordered to."""
         return frozenset(
             node
             for node, latest in self.reports.items()
@@ -129,7 +133,7 @@
         return order is not None and order.run == latest.run
 
     def origin_usage(self) -> OriginUsage:
-        """What all routers reported of the origin."""
+        """Return the origin usage that all routers reported, in total."""
         return OriginUsage(
             sum(latest.report.origin_connections for latest in self.reports.values()),
             sum(latest.report.operation_rate for latest in self.reports.values()),
@@ -138,7 +142,7 @@
     # -- status of each node
 
     def statuses(self, store: Store, now: float) -> dict[NodeKind, dict[str, NodeStatus]]:
-        """What is known of each node now. On the store's thread."""
+        """Return the current status of each node, by kind and name. Must run on the store's thread."""
         nodes = load_nodes(store)
         return {
             "routers": self._router_statuses(nodes, now),
@@ -146,7 +150,7 @@
         }
 
     def _router_statuses(self, nodes: dict[str, Stored[NodeRecord]], now: float) -> dict[str, NodeStatus]:
-        """By router; of several nodes of one name the one that was heard last."""
+        """Return statuses by router name. If nodes share a router name, the one that reported last counts."""
         statuses: dict[str, NodeStatus] = {}
         received_at: dict[str, float] = {}
         for node, stored in nodes.items():
@@ -178,8 +182,8 @@
     ) -> NodeStatus:
         report = latest.report
         up = self._is_recent(latest, now) and report.ready_for > 0.0 and bool(record.granted)
-        # Once told it shuts down, though its restart is cancelled or goes on without it meanwhile; whether it
-        # received that is known by its next report alone.
+        # A router that was told to shut down does so, even if its restart is cancelled or continues without
+        # it meanwhile. Only its next report shows whether it received the order.
         draining = report.draining or self.notified_runs.get(record.node) == latest.run
         return NodeStatus(
             router,
@@ -237,7 +241,10 @@
     def _is_drained(
         self, uid: str, order_revision: int, nodes: dict[str, Stored[NodeRecord]], now: float
     ) -> bool:
-        """Whether no router uses a server and none will: all that may act follow the drain order."""
+        """Whether no router uses a server and none will.
+
+        Every router that may still act has to follow the drain order.
+        """
         return all(
             self._has_stopped_using(uid, order_revision, node, stored.record, now)
             for node, stored in nodes.items()
@@ -259,7 +266,7 @@
 
 
 def _drained_by_restarts(store: Store) -> set[str]:
-    """Servers whose drain orders are those of rolling restarts."""
+    """Return the servers whose drain orders were made by rolling restarts."""
     table = load_restarts(store, include_ended=False)
     return {step.node for steps in table.steps.values() for step in steps if step.drain_ordered}
 
--- a/gaugehinge/drains/restart_service.py
+++ b/gaugehinge/drains/restart_service.py
@@ -1,4 +1,4 @@
-"""Rolling restarts on the control plane's store: planned, written, and carried out by shutdown orders."""
+"""Plans rolling restarts, writes the plan to the control plane's store and issues shutdown orders."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 @dataclass(slots=True, eq=False)
 class RestartService:
-    """The restart planner of one control plane run with its store."""
+    """Connects the restart planner of one control plane run to its store and leases."""
 
     leases: LeaseService
     planner: RestartPlanner = field(default_factory=RestartPlanner)
 
     async def plan(self) -> None:
-        """Plan and write the steps that are due.
+        """Plan the steps that are due and write them to the store.
 
-        Raises RevisionConflictError, DiskFullError or StoreOverloadedError.
+        Raises RevisionConflictError, DiskFullError or StoreOverloadedError if the write fails.
         """
         now = self.leases.clock()
         self.planner.error_budget.record(now, *self.leases.fleet.operations.take())
@@ -48,7 +48,8 @@
             table.apply(restart_plan)
             log_lines.extend(restart_plan.log)
             orders.update(_shutdown_orders(table))
-            # On this thread: an order that was taken back is told to nobody from here on.
+            # Withdrawn orders are removed here, on the store's thread and before the write, so that no router
+            # is told of them from here on. New orders are added after the write, below.
             current_orders = fleet.shutdown_orders.items()
             fleet.shutdown_orders = {
                 name: order for name, order in current_orders if orders.get(name) == order
@@ -56,7 +57,7 @@
             return changes
 
         await self.leases.control_plane.store_writer.apply_planned(plan_mutations, AUTHOR)
-        fleet.shutdown_orders = orders  # only now that it is in the store
+        fleet.shutdown_orders = orders  # new orders only count once they are in the store
         for line in log_lines:
             logger.info(line)
 
@@ -71,7 +72,10 @@
         return self.planner.plan(restarts, table.steps, statuses, now, wall_time, has_room_for)
 
     def _successor_room_check(self, store: Store) -> HasRoomFor:
-        """Whether the floors of so many routers fit beside all that may be open."""
+        """Return a check whether the connection floors of `count` successors fit within the limits.
+
+        They have to fit in addition to the connections that all nodes may have open in the worst case.
+        """
         manager = self.leases.manager
         records = [stored.record for stored in load_nodes(store).values()]
         limits = load_limits(store)
@@ -86,7 +90,7 @@
 
 
 def _shutdown_orders(table: RestartTable) -> dict[str, ShutdownOrder]:
-    """Which run of which router is told to shut down."""
+    """Return the shutdown orders of notified routers, by router name."""
     return {
         step.node: ShutdownOrder(stored.record.token, step.run, step.immediate)
         for ident, stored in table.restarts.items()
--- a/gaugehinge/drains/restart_types.py
+++ b/gaugehinge/drains/restart_types.py
@@ -1,21 +1,21 @@
-"""States of a rolling restart and of its nodes."""
+"""Status of a rolling restart and of its nodes."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-MAX_RESTARTS = 256  # kept, those that ended included
+MAX_RESTARTS = 256  # restarts kept in the store, including those that have ended
 
 
 class StepStage(StrEnum):
-    """Where a node stands in a rolling restart."""
+    """Stage of one node in a rolling restart."""
 
     WAITING = "waiting"
-    NOTIFIED = "told"  # to shut down, or ordered to drain
-    DRAINED = "empty"  # no router uses the server any more: it may be restarted
-    DOWN = "gone"  # its run is not heard any more
-    WARMING_UP = "warming"  # the next run is up
+    NOTIFIED = "told"  # a router told to shut down, or a server ordered to drain
+    DRAINED = "empty"  # no router uses the server any more, so it may be restarted
+    DOWN = "gone"  # the run that was notified is no longer reporting or listed
+    WARMING_UP = "warming"  # the next run is up, but not for long enough yet
     DONE = "done"
     SKIPPED = "skipped"
 
@@ -25,12 +25,12 @@
 
 
 class RestartStatus(StrEnum):
-    """How a rolling restart stands."""
+    """Status of a rolling restart."""
 
     QUEUED = "queued"
     RUNNING = "running"
-    PAUSED = "paused"  # by an operator: nodes that are out come back, no further one is notified
-    STOPPED = "stopped"  # the same, by the planner
+    PAUSED = "paused"  # by an operator; notified nodes come back, but no further node is notified
+    STOPPED = "stopped"  # likewise, but by the planner
     CANCELLED = "cancelled"
     DONE = "done"
 
@@ -40,19 +40,22 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeStatus:
-    """A node as it is known now. Load and capacity are in one unit for all nodes of a kind."""
+    """What is currently known of a node.
+
+    Load and capacity have the same unit for all nodes of a kind.
+    """
 
     name: str
     run: str
     zone: str
-    up: bool  # heard, and serving
+    up: bool  # it is reporting or listed, and serving
     region: str = ""
     build: str = ""
     labels: frozenset[str] = frozenset()
-    ready_for: float = 0.0  # seconds
-    draining: bool = False  # by discovery, an operator or the node itself
-    drained: bool = False  # a server: no router has a connection or an attempt there
+    ready_for: float = 0.0  # seconds for which it has been ready
+    draining: bool = False  # requested by discovery, an operator or the node itself
+    drained: bool = False  # a server: no router has a connection or attempt there; a router: all is closed
     load: float = 0.0
     capacity: float = 0.0
-    connections: int = 0  # to the origin
-    restart_token: str = ""  # of the restart that notified it last
+    connections: int = 0  # to the origin, at most
+    restart_token: str = ""  # token of the restart that last notified it
--- a/gaugehinge/drains/restarts_api.py
+++ b/gaugehinge/drains/restarts_api.py
@@ -1,4 +1,4 @@
-"""API calls on rolling restarts."""
+"""API handlers for rolling restarts."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from .restart_types import FINAL_STATUSES, MAX_RESTARTS, UNAVAILABLE_STAGES, StepStage
 
 Action = Callable[[RollingRestart, list[RestartStep]], RestartChange]
-RUN_ID_PREFIX_LENGTH = 4  # of the control plane run's mark in a restart's identity
+RUN_ID_PREFIX_LENGTH = 4  # characters of the control plane's run ID in a restart's ID
 
 
 @dataclass(slots=True)
 class _CreatedRestart:
-    """The restart that a call creates, once its change is planned."""
+    """The ID of the restart that a call creates, set once its change is planned."""
 
     ident: str = ""
 
@@ -38,7 +38,7 @@
     """Handlers of `/v1/rolls`."""
 
     def __init__(self, controller: DrainsController) -> None:
-        """The controller whose restarts are shown and changed."""
+        """Serve the restarts of `controller`."""
         self.controller = controller
         self.control_plane = controller.leases.control_plane
 
@@ -105,7 +105,7 @@
             raise InvalidRequestError(str(error), error.field) from None
         table = load_restarts(store)
         number = max((stored.record.number for stored in table.restarts.values()), default=0) + 1
-        # With the run's mark no identity of a lost store is used again.
+        # With the prefix of the run ID, no restart ID of a lost store is used again.
         created.ident = f"roll-{number:06d}-{self.control_plane.run_id[:RUN_ID_PREFIX_LENGTH]}"
         restart = RollingRestart(created.ident, number, order, created_by=caller.name, created_at=now)
         steps = [
@@ -153,16 +153,16 @@
 
 
 def _require_restart(table: RestartTable, ident: str) -> RestartTable:
-    """The table, which has this restart. Raises ApiError where it has not."""
+    """Return the table if it has the restart. Raises NotFoundError otherwise."""
     if ident not in table.restarts:
         raise NotFoundError(f"no roll {ident}")
     return table
 
 
 def _evictions(table: RestartTable) -> list[Mutation]:
-    """Rows that make room for one more restart: the oldest that ended are removed.
+    """Return mutations that remove the oldest ended restarts to make room for one more.
 
-    Raises ApiError where too few have ended.
+    Raises ResourceConflictError if too few restarts have ended.
     """
     ended = sorted(
         (stored.record.number, ident)
