--- a/tests/test_drains_control_plane.py
+++ b/tests/test_drains_control_plane.py
@@ -1,4 +1,4 @@
-"""The control plane's part and its API, on a store."""
+"""Connection leases and rolling restarts at the control plane, and their API, on a real store."""
 
 import json
 import subprocess
@@ -33,14 +33,14 @@
 
 @pytest.fixture(autouse=True)
 def remove_high_water_mark(tmp_path):
-    """Leave no file in the machine's memory."""
+    """Delete the high-water mark file, which is in /dev/shm and not below tmp_path."""
     yield
     HighWaterMarkFile.beside(tmp_path / "store.db").delete()
 
 
 @asynccontextmanager
 async def running_control_plane(path, **overrides):
-    """A control plane with its part, and the API as `root` calls it."""
+    """Run a control plane with leases and restarts enabled, and an API client of the operator `root`."""
     store_writer = AsyncStore(path / "store.db")
     try:
         control_plane = ControlPlane(store_writer, CHEAP, AttemptLimiter(1, store_writer.clock()))
@@ -75,7 +75,7 @@
 
 
 async def report(setup, name, sequence, zone="a", **report_fields):
-    """A router's call and the control plane's part of the answer."""
+    """Send a router's report and return the reply of the drains part."""
     body = RouterReport(f"{name}@0123456789abcdef", 1, sequence, zone=zone, ready_for=60.0, **report_fields)
     feed = await setup.control_plane.feed.poll(
         Report(name, f"{name}.1", parts={NAME: msgspec.Raw(msgspec.json.encode(body))})
@@ -84,7 +84,7 @@
 
 
 async def follow_lease(setup, name, zone="a", **report_fields):
-    """Report until a grant is told, and follow it."""
+    """Report until a lease is issued, then report that it is followed."""
     for sequence in range(1, 50):
         got = await report(setup, name, sequence, zone, **report_fields)
         if got.number:
@@ -101,7 +101,7 @@
                 **report_fields,
             )
         await trio.sleep(0.05)
-    raise AssertionError("nothing was granted")
+    raise AssertionError("no lease was issued")
 
 
 def test_a_control_plane_on_a_full_disk_starts_once_there_is_room(tmp_path, monkeypatch):
@@ -175,10 +175,12 @@
                 )["routers"]
                 return [name for name, status in statuses.items() if status.draining]
 
-            assert draining_routers() == ["r-1"], "it was told, whatever became of the roll"
+            assert draining_routers() == ["r-1"], (
+                "r-1 was told to shut down, so it counts as draining although the restart was cancelled"
+            )
             await until(lambda: not setup.controller.leases.fleet.shutdown_orders)
             assert not (await report(setup, "r-1", 91)).restart_token and not draining_routers(), (
-                "it has not heard of it"
+                "the report of r-1 shows that it did not receive the order"
             )
             assert (await client.post("/v1/nodes/r-1@0123456789abcdef/gone")).status_code == 409
 
@@ -217,7 +219,7 @@
             )
             assert (await report(setup, "r-3", 1)).rejection or (await report(setup, "r-3", 2)).rejection
             assert (await setup.client.post("/v1/nodes/confirm")).status_code == 409, (
-                "not before it is settled"
+                "admissions cannot be confirmed before former_leases_end"
             )
 
     run(scenario)
@@ -235,14 +237,14 @@
         async with running_control_plane(tmp_path) as setup:
             assert (await follow_lease(setup, "r-3")).number
             assert (await setup.client.get("/v1/grants")).json()["settled_in"] == 0
-        HighWaterMarkFile.beside(store).delete()  # the machine was started anew
+        HighWaterMarkFile.beside(store).delete()  # as after a reboot of the machine
         async with running_control_plane(tmp_path) as setup:
             assert not setup.controller.leases.manager.store_is_current and "just started" in (
                 await rejection(setup, "r-4")
             )
         for name in ("store.db-wal", "store.db-shm"):
             (tmp_path / name).unlink(missing_ok=True)
-        older.rename(store)  # put back with all that lies beside it
+        older.rename(store)  # restore the backup together with the files beside the store
         (tmp_path / "store.db.drains").write_text(
             json.dumps({"life": setup.control_plane.store_id, "admissions": 1})
         )
@@ -261,7 +263,7 @@
         if got.rejection:
             return got.rejection
         await trio.sleep(0.05)
-    raise AssertionError("it was not rejected")
+    raise AssertionError("the node was not rejected")
 
 
 def test_an_empty_store_suspends_admissions_unless_it_is_a_new_installation(tmp_path):
@@ -287,7 +289,7 @@
             await report(setup, "r", 1, servers=servers)
             made = await setup.client.post("/v1/rolls", json={"who": {"all": True}, "kind": "servers"})
             assert made.json()["nodes"] == 2
-            # One of the two is the last of a shard's zones once the other is out, whoever took it out.
+            # Each server is the last one in the shard's zones if the other is unavailable for any reason.
             rows = {"x": (SimpleNamespace(current=RegionAffinity(True, ("r",), (("a",),)), target=None), 1)}
             setup.control_plane.extensions.append(
                 SimpleNamespace(name="placement", index=SimpleNamespace(shards=rows))
--- a/tests/test_drains_restarts.py
+++ b/tests/test_drains_restarts.py
@@ -1,4 +1,4 @@
-"""Rolling restarts as the planner decides them, hard cases one by one."""
+"""Decisions of the rolling restart planner, one difficult case at a time."""
 
 import msgspec
 import pytest
@@ -21,7 +21,7 @@
 
 
 def plan_once(nodes, planner=None, now=100.0, steps=None, restart=None, **order):
-    """One plan: the restart and its steps as they become, and the plan."""
+    """Plan once. Return the updated restart, its updated steps, and the plan."""
     restart_order = RestartOrder(NodeSelector(all=True), **{"max_unavailable": 2, **order})
     restart = restart or RollingRestart("roll-1", 1, restart_order)
     steps = steps or [
@@ -44,9 +44,11 @@
     assert notified(plan_once(make_fleet(connections=5), max_unavailable_connections=9)[1]) == ["r0"]
     nodes = make_fleet()
     nodes["r1"] = NodeStatus("r1", "1", "b", False)
-    assert notified(plan_once(nodes)[1]) == ["r3"], "one of zone b is lost: only that zone goes on"
+    assert notified(plan_once(nodes)[1]) == ["r3"], "a node of zone b is down, so only zone b continues"
     nodes["r2"] = NodeStatus("r2", "1", "a", True, ready_for=99.0, draining=True)
-    assert notified(plan_once(nodes, max_unavailable=9)[1]) == [], "two zones have nodes out: nobody is told"
+    assert notified(plan_once(nodes, max_unavailable=9)[1]) == [], (
+        "two zones have unavailable nodes, so no node is notified"
+    )
 
 
 def test_capacity_time_window_shards_and_successors_floors_limit_a_batch():
@@ -72,7 +74,7 @@
         1.0,
         lambda count: count <= 1,
     )
-    assert len(plan.steps["roll-1"]) == 1, "there is room for one successor beside its predecessor"
+    assert len(plan.steps["roll-1"]) == 1, "the floors of one successor fit beside its predecessor"
 
 
 @pytest.mark.parametrize(
@@ -88,7 +90,7 @@
     assert (steps[0].stage, restart.status) == (stage, status) and steps[0].immediate is (on_timeout == "end")
     if on_timeout == "end":
         restart, steps, _ = plan_once(nodes, planner, 122.0, steps, restart)
-        assert restart.status == "stopped", "told at once, and it stands still"
+        assert restart.status == "stopped", "the immediate shutdown timed out too, so the restart stops"
 
 
 def test_a_restart_stops_on_its_burn_rate_and_rolls_back_on_request():
@@ -96,7 +98,7 @@
     for second in range(60):
         planner.error_budget.record(40.0 + second, 99, 1)
     restart, steps, _ = plan_once(nodes, planner, max_unavailable=1, max_burn_rate=5.0)
-    assert restart.status == "running", "what was lost before it began is not its doing"
+    assert restart.status == "running", "operations lost before the restart began do not count against it"
     for second in range(40):
         planner.error_budget.record(101.0 + second, 80, 20)
     restart, steps, plan = plan_once(nodes, planner, 141.0, steps, restart)
@@ -126,7 +128,7 @@
     nodes["r0"] = NodeStatus("r0", "2", "a", True, ready_for=6.0, capacity=0.8)
     restart, steps, _ = plan_once(nodes, planner, 107.0, steps, restart)
     assert steps[0].stage == "done" and notified(steps) == ["r2"]
-    # A keeper that starts anew tells nobody twice.
+    # A restarted control plane does not notify a node twice.
     assert notified(plan_once(nodes, RestartPlanner(), 108.0, steps, restart)[1]) == ["r2"]
 
 
@@ -153,10 +155,9 @@
     }
     steps["roll-1"][0] = RestartStep("r0", 0, StepStage.NOTIFIED, "1")
     plan = RestartPlanner().plan(restarts, steps, {"routers": make_fleet(), "servers": {}}, 1.0, 1.0)
-    assert not plan.steps, "r0 is on its way out"
-    steps["roll-1"][0] = RestartStep(
-        "r0", 0, "told", "0"
-    )  # the run after it is up, of another build than was meant
+    assert not plan.steps, "r0 is about to shut down"
+    # The next run of r0 is up, but on another build than intended.
+    steps["roll-1"][0] = RestartStep("r0", 0, "told", "0")
     plan = RestartPlanner().plan(restarts, steps, {"routers": make_fleet(), "servers": {}}, 1.0, 1.0)
     assert notified(plan.steps["roll-2"]) == ["r0"]
 
@@ -168,5 +169,5 @@
     again = msgspec.structs.replace(restart, reverting=True, status="queued")
     waiting = [msgspec.structs.replace(step, stage=StepStage.WAITING) for step in steps]
     assert notified(plan_once(nodes, steps=waiting, restart=again)[1]) == ["r0", "r2"], (
-        "taken back it is another one"
+        "a rollback has a token of its own"
     )
