--- a/gaugehinge/drains/controller.py
+++ b/gaugehinge/drains/controller.py
@@ -1,4 +1,4 @@
-"""Connection leases and rolling restarts at the control plane: reports in, answers out, and the plan loop."""
+"""Connection leases and rolling restarts at the control plane: router reports, replies and the plan loop."""
 
 from __future__ import annotations
 
@@ -19,45 +19,51 @@
 from .repository import NODE
 from .restart_service import RestartService
 
-PLAN_INTERVAL = 1.0  # seconds between two plans where nothing is reported
-MIN_PLAN_INTERVAL = 0.1  # and at least between two
+PLAN_INTERVAL = 1.0  # seconds between two plans if nothing requests one earlier
+MIN_PLAN_INTERVAL = 0.1  # minimum seconds between two plans
 START_RETRY_INTERVAL = 1.0  # seconds
 
 
 @dataclass(slots=True, eq=False)
 class DrainsController:
-    """One run of the control plane's part."""
+    """The control plane's side of connection leases and rolling restarts, for one run of it."""
 
     leases: LeaseService
     restarts: RestartService
-    ready: bool = False  # it has started: leases may be issued
-    wake: trio.Event = field(default_factory=trio.Event)  # plan before the interval is over
+    ready: bool = False  # started, so leases may be issued
+    plan_requested: trio.Event = field(default_factory=trio.Event)  # set to plan before PLAN_INTERVAL is over
 
     # -- reports
 
     def on_report(self, report: Report, now: float) -> None:
-        """Take a router's report. Raises ApiError where its part is malformed or of another router."""
+        """Record a router's report.
+
+        Raises InvalidRequestError if its part is malformed or is that of another router.
+        """
         raw = report.parts.get(NAME)
         if raw is None:
             return
-        router_report = _decode(raw, report.router)
+        router_report = _decode_report(raw, report.router)
         leases = self.leases
         with leases.lock:
-            known = leases.manager.reports.get(router_report.node)
+            known_report = leases.manager.reports.get(router_report.node)
             if not leases.manager.on_report(router_report.node_report(report.run), now):
                 return
             leases.fleet.record(router_report, report, now)
-            if _is_urgent(known, router_report, report.run):
+            if _is_urgent(known_report, router_report, report.run):
                 self.request_plan()
 
     def request_plan(self) -> None:
-        """Plan without waiting for the interval. On the event loop."""
-        self.wake.set()
+        """Plan without waiting for the interval. Must run on the event loop."""
+        self.plan_requested.set()
 
-    # -- answers
+    # -- replies
 
     def reply(self, store: Store, report: Report) -> bytes | None:
-        """On the store's thread: the part of the answer to a report, in JSON; None: nothing may be issued."""
+        """Return this part's reply to a report as JSON, or None if nothing may be issued.
+
+        Must run on the store's thread.
+        """
         raw = report.parts.get(NAME)
         if raw is None or not self.ready:
             return None
@@ -74,17 +80,19 @@
         incarnation, manager = self.leases.control_plane.store_id, self.leases.manager
         with self.leases.lock:
             now = self.leases.clock()
-            known = manager.reports.get(router_report.node)
+            known_report = manager.reports.get(router_report.node)
             if record is not None and _is_outdated(record, router_report, report.run):
                 return ControlPlaneReply(incarnation, run_number_above=record.run_number)
-            if known is None or known.run != report.run:
+            if known_report is None or known_report.run != report.run:
                 return ControlPlaneReply(incarnation)
-            lease = manager.issue(record, known, now) if record is not None else None
-            reply = self._with_orders(router_report, report, now)
+            lease = manager.issue(record, known_report, now) if record is not None else None
+            reply = self._reply_without_lease(router_report, report, now)
         return reply if lease is None else _with_lease(reply, lease)
 
-    def _with_orders(self, router_report: RouterReport, report: Report, now: float) -> ControlPlaneReply:
-        """An answer without a lease: what the router is told to do."""
+    def _reply_without_lease(
+        self, router_report: RouterReport, report: Report, now: float
+    ) -> ControlPlaneReply:
+        """Return a reply without a lease: the orders and requests for the router."""
         fleet, manager = self.leases.fleet, self.leases.manager
         order = fleet.shutdown_orders.get(report.router)
         if order is not None and order.run != report.run:
@@ -107,13 +115,13 @@
         await self._start()
         while True:
             with trio.move_on_after(PLAN_INTERVAL):
-                await self.wake.wait()
-            self.wake = trio.Event()
+                await self.plan_requested.wait()
+            self.plan_requested = trio.Event()
             try:
                 await self.leases.plan()
                 await self.restarts.plan()
             except (RevisionConflictError, DiskFullError, StoreOverloadedError) as error:
-                logger.warning("drains not planned: {}", error)
+                logger.warning("could not plan connection leases and rolling restarts: {}", error)
             await trio.sleep(MIN_PLAN_INTERVAL)
 
     async def _start(self) -> None:
@@ -122,13 +130,15 @@
                 await self.leases.start()
                 self.ready = True
             except (RevisionConflictError, DiskFullError, StoreOverloadedError, OSError) as error:
-                # Started on a full disk: ending here would take the leases of all routers with it, and with
-                # them service.
-                logger.warning("drains not begun: {}", error)
+                # This happens if the control plane starts on a full disk. If it ended here, the leases of all
+                # routers would be lost, and service with them.
+                logger.warning(
+                    "could not start connection leases and rolling restarts; will retry: {}", error
+                )
                 await trio.sleep(START_RETRY_INTERVAL)
 
 
-def _decode(raw: msgspec.Raw | bytes, router: str) -> RouterReport:
+def _decode_report(raw: msgspec.Raw | bytes, router: str) -> RouterReport:
     try:
         report = msgspec.json.decode(raw, type=RouterReport)
     except msgspec.MsgspecError as error:
@@ -138,17 +148,22 @@
     return report
 
 
-def _is_urgent(known: NodeReport | None, report: RouterReport, run: str) -> bool:
-    """Whether a report changes so much that the next plan is not to wait for its interval."""
-    if known is None or known.run != run or known.number != report.number or report.closed:
+def _is_urgent(known_report: NodeReport | None, report: RouterReport, run: str) -> bool:
+    """Whether a report changes so much that the next plan should not wait for its interval."""
+    if (
+        known_report is None
+        or known_report.run != run
+        or known_report.number != report.number
+        or report.closed
+    ):
         return True
-    if report.open_connections.get(ORIGIN, 0) < known.open_connections.get(ORIGIN, 0):
+    if report.open_connections.get(ORIGIN, 0) < known_report.open_connections.get(ORIGIN, 0):
         return True
-    return count_for(report.demand, ORIGIN) > count_for(known.granted, ORIGIN)
+    return count_for(report.demand, ORIGIN) > count_for(known_report.granted, ORIGIN)
 
 
 def _is_outdated(record: NodeRecord, report: RouterReport, run: str) -> bool:
-    """Whether a report comes of a state file that is older than the node's last known run."""
+    """Whether a report is based on a state file that is older than the node's last known run."""
     return record.run != run and report.run_number <= record.run_number
 
 
