--- a/gaugehinge/drains/admission_record.py
+++ b/gaugehinge/drains/admission_record.py
@@ -28,7 +28,7 @@
         """`store`: the path of the store's file."""
         self.path = Path(f"{store}.drains")
 
-    def suspicion(
+    def suspension_reason(
         self, incarnation: str, state: DurableState, *, store_is_empty: bool, new_installation: bool
     ) -> str:
         """Why the store may know fewer nodes than were admitted; empty: it knows all of them."""
--- a/gaugehinge/drains/high_water_mark.py
+++ b/gaugehinge/drains/high_water_mark.py
@@ -70,7 +70,7 @@
         self._last: HighWaterMark | None = None  # as written last
 
     @classmethod
-    def beside(cls, store: Path, folder: Path = MEMORY) -> HighWaterMarkFile:
+    def for_store(cls, store: Path, folder: Path = MEMORY) -> HighWaterMarkFile:
         """The file that belongs to a store's path; without a place where the folder is not in memory."""
         if not in_memory(folder):
             return cls(None)
--- a/gaugehinge/drains/lease_manager.py
+++ b/gaugehinge/drains/lease_manager.py
@@ -100,7 +100,7 @@
         elif record.run != report.run:
             if report.run_number <= record.run_number:
                 return  # it is told which number it has to exceed
-            record = self._succeed(record, report, now)
+            record = self._apply_new_run(record, report, now)
         record = self._reconcile_number(record, report)
         floors = self._floors_of(record, report)
         if floors != record.floors:
@@ -189,7 +189,7 @@
             return f"{known_nodes} nodes may exist already"
         return ""
 
-    def _succeed(self, record: NodeRecord, report: NodeReport, now: float) -> NodeRecord:
+    def _apply_new_run(self, record: NodeRecord, report: NodeReport, now: float) -> NodeRecord:
         """A later run on the same state file: the one before it has ended, its connections may have not.
 
         A run uses its floors without a lease only once the connections of the run before are closed, so what
--- a/gaugehinge/drains/lease_service.py
+++ b/gaugehinge/drains/lease_service.py
@@ -94,7 +94,7 @@
 
     def _initial_state(self, held: Stored[DurableState] | None) -> DurableState:
         before = held.record if held is not None else DurableState()
-        suspicion = before.suspension_reason or self.admission_record.suspicion(
+        suspension_reason = before.suspension_reason or self.admission_record.suspension_reason(
             self.control_plane.store_id,
             before,
             store_is_empty=held is None,
@@ -104,7 +104,7 @@
             max(before.longest_lease, self.manager.lease_duration),
             max(before.longest_close_timeout, float(self.settings.closing)),
             before.admissions,
-            suspicion,
+            suspension_reason,
         )
 
     def _missing_limits(self, store: Store) -> list[Mutation]:
--- a/gaugehinge/drains/lease_table.py
+++ b/gaugehinge/drains/lease_table.py
@@ -101,7 +101,7 @@
         if known is None and not self._has_room(now):
             return False
         if known is None or known.run != report.run:
-            self.issued.pop(report.node, None)  # of its last run, whose end `_succeed` accounts for
+            self.issued.pop(report.node, None)  # of its last run, whose end `_apply_new_run` accounts for
         self.reports[report.node], self.last_heard[report.node] = report, now
         self.unprocessed.add(report.node)
         return True
--- a/gaugehinge/drains/part.py
+++ b/gaugehinge/drains/part.py
@@ -78,6 +78,6 @@
         manager,
         FleetView(manager, regions or {}, settings.most_busy),
         AdmissionRecord(store_path),
-        HighWaterMarkFile.beside(store_path),
+        HighWaterMarkFile.for_store(store_path),
     )
     return DrainsPart(DrainsController(leases, RestartService(leases)))
--- a/gaugehinge/rehearsal/company.py
+++ b/gaugehinge/rehearsal/company.py
@@ -678,7 +678,7 @@
     def _forget(self, name: str) -> None:
         """What the keeper's machine has in memory goes with its power."""
         if name == "keeper" and name in self.children:  # where a platform starts routers none is there
-            HighWaterMarkFile.beside(self.children[name].files / "store.db").delete()
+            HighWaterMarkFile.for_store(self.children[name].files / "store.db").delete()
 
     async def power_back(self, gaps: float = 0.5, order: tuple[str, ...] = ()) -> None:
         """Everything that is down started in an order and with gaps of up to `gaps` s drawn by the seed."""
--- a/gaugehinge/rehearsal/drainsmodel.py
+++ b/gaugehinge/rehearsal/drainsmodel.py
@@ -459,8 +459,8 @@
 class KillIsProof(LeaseManager):
     """A fault: a successor's start counts as the end of all that its predecessor had open."""
 
-    def _succeed(self, slot: NodeRecord, word: NodeReport, now: float) -> NodeRecord:
-        after = super()._succeed(slot, word, now)
+    def _apply_new_run(self, slot: NodeRecord, word: NodeReport, now: float) -> NodeRecord:
+        after = super()._apply_new_run(slot, word, now)
         return type(after)(**{f: getattr(after, f) for f in after.__struct_fields__} | {"lingering": {}})
 
 
--- a/tests/test_drains_control_plane.py
+++ b/tests/test_drains_control_plane.py
@@ -35,7 +35,7 @@
 def no_high_water_mark(tmp_path):
     """Leave no file in the machine's memory."""
     yield
-    HighWaterMarkFile.beside(tmp_path / "store.db").delete()
+    HighWaterMarkFile.for_store(tmp_path / "store.db").delete()
 
 
 @asynccontextmanager
@@ -234,7 +234,7 @@
         async with running_control_plane(tmp_path) as setup:
             assert (await follow_lease(setup, "r-3")).number
             assert (await setup.client.get("/v1/grants")).json()["settled_in"] == 0
-        HighWaterMarkFile.beside(store).delete()  # the machine was started anew
+        HighWaterMarkFile.for_store(store).delete()  # the machine was started anew
         async with running_control_plane(tmp_path) as setup:
             assert not setup.controller.leases.manager.store_is_current and "just started" in (
                 await rejection(setup, "r-4")
--- a/tests/test_drains_files.py
+++ b/tests/test_drains_files.py
@@ -52,7 +52,7 @@
     mounts = tmp_path / "mounts"
     mounts.write_text(f"tmpfs {tmp_path} tmpfs rw 0 0\n/dev/sda / ext4 rw 0 0\n")
     assert in_memory(tmp_path, mounts) and not in_memory(tmp_path / "x", mounts)
-    assert HighWaterMarkFile.beside(tmp_path / "s.db", tmp_path / "x").path is None
+    assert HighWaterMarkFile.for_store(tmp_path / "s.db", tmp_path / "x").path is None
     mark, digests = HighWaterMarkFile(tmp_path / "mark"), {7: "aa", 8: "bb"}.get
     assert not mark.covers("life", digests, 10.0, 3.0), "there is none"
     assert mark.advance("life", 7, digests, True, 10.0)
@@ -108,13 +108,13 @@
     record = AdmissionRecord(tmp_path / "store.db")
     record.path.write_bytes(written)
 
-    def suspicion(incarnation, admissions):
+    def suspension_reason(incarnation, admissions):
         state = DurableState(admissions=admissions)
-        return record.suspicion(incarnation, state, store_is_empty=False, new_installation=False)
+        return record.suspension_reason(incarnation, state, store_is_empty=False, new_installation=False)
 
-    assert not suspicion("life-1", 3)
-    assert "3 nodes were admitted, this store knows of 2" in suspicion("life-1", 2)
-    assert suspicion("life-2", 3) == "another store stood here"
+    assert not suspension_reason("life-1", 3)
+    assert "3 nodes were admitted, this store knows of 2" in suspension_reason("life-1", 2)
+    assert suspension_reason("life-2", 3) == "another store stood here"
     record.path.unlink()
     record.write("life-1", 3)
     assert record.path.read_bytes() == written
