--- a/gaugehinge/drains/high_water_mark.py
+++ b/gaugehinge/drains/high_water_mark.py
@@ -22,8 +22,8 @@
 
 from .checksum import seal, unseal
 
-MEMORY = Path("/dev/shm")  # of the machine, or of the container
-MOUNTS = Path("/proc/self/mounts")
+SHARED_MEMORY = Path("/dev/shm")  # of the machine, or of the container
+MOUNTS_FILE = Path("/proc/self/mounts")
 MEMORY_FILESYSTEMS = ("tmpfs", "ramfs")
 FILE_SIZE = 512  # bytes, always: a write in place needs no room
 REFRESH_INTERVAL = 0.5  # seconds after which an unchanged mark is written again
@@ -51,7 +51,7 @@
         return bool(self.digest) and digest_of(self.revision) == self.digest
 
 
-def in_memory(folder: Path, mounts: Path = MOUNTS) -> bool:
+def in_memory(folder: Path, mounts: Path = MOUNTS_FILE) -> bool:
     """Whether a folder is the mount point of a filesystem in memory."""
     try:
         lines = mounts.read_text().splitlines()
@@ -70,7 +70,7 @@
         self._last: HighWaterMark | None = None  # as written last
 
     @classmethod
-    def for_store(cls, store: Path, folder: Path = MEMORY) -> HighWaterMarkFile:
+    def for_store(cls, store: Path, folder: Path = SHARED_MEMORY) -> HighWaterMarkFile:
         """The file that belongs to a store's path; without a place where the folder is not in memory."""
         if not in_memory(folder):
             return cls(None)
@@ -106,7 +106,7 @@
         try:
             _write_in_place(self.path, seal(msgspec.json.encode(mark)).ljust(FILE_SIZE))
         except OSError as error:
-            return self._give_up(self.path, error)
+            return self._stop_recording(self.path, error)
         self._last = mark
         return True
 
@@ -121,7 +121,7 @@
         if self.path is not None:
             self.path.unlink(missing_ok=True)
 
-    def _give_up(self, path: Path, error: OSError) -> bool:
+    def _stop_recording(self, path: Path, error: OSError) -> bool:
         """An old mark must not outlive what is issued now: a store restored to it would be trusted."""
         self.path = None
         try:
--- a/gaugehinge/drains/lease_allocation.py
+++ b/gaugehinge/drains/lease_allocation.py
@@ -40,7 +40,7 @@
     floors: ConnectionCounts
     unadmitted: int  # nodes that may still be admitted
     issuer: str
-    calm: bool  # the last rebalancing was recent: only what is urgent is changed
+    recently_rebalanced: bool  # the last rebalancing was recent: only what is urgent is changed
     targets: dict[str, ConnectionCounts] = field(default_factory=dict)
 
     def rebalance(self) -> bool:
@@ -86,24 +86,24 @@
         for node in self.live:
             want = demand[node]
             if node not in self.draining:
-                part = demand[node] / total if total else 1.0 / len(self.live)
-                want = max(ceil(want * DEMAND_HEADROOM), ceil(tenant_demand * part))
+                share = demand[node] / total if total else 1.0 / len(self.live)
+                want = max(ceil(want * DEMAND_HEADROOM), ceil(tenant_demand * share))
             wanted[node] = max(want, floors[node])
         return wanted
 
     def _share_spare(self, upstream: str, wanted: dict[str, int], spare: int) -> None:
-        takers = sum(node not in self.draining for node in self.live)
+        recipients = sum(node not in self.draining for node in self.live)
         for node in self.live:
-            extra = 0 if node in self.draining else spare // takers
+            extra = 0 if node in self.draining else spare // recipients
             self.targets[node][upstream] = wanted[node] + extra
 
     def _scale_down(self, upstream: str, wanted: dict[str, int], floors: dict[str, int], room: int) -> None:
-        above_floors = max(room - sum(floors.values()), 0)
-        asked = sum(wanted.values()) - sum(floors.values())
+        room_above_floors = max(room - sum(floors.values()), 0)
+        wanted_above_floors = sum(wanted.values()) - sum(floors.values())
         for node in self.live:
-            over = wanted[node] - floors[node]
-            part = above_floors * over // asked if asked else 0
-            self.targets[node][upstream] = floors[node] + part
+            above_floor = wanted[node] - floors[node]
+            share = room_above_floors * above_floor // wanted_above_floors if wanted_above_floors else 0
+            self.targets[node][upstream] = floors[node] + share
 
     def _pressure(self, upstream: str, demand: dict[str, int], floors: dict[str, int], room: int) -> Pressure:
         granted = self._live_counts(lambda record: record.granted, upstream)
@@ -146,7 +146,7 @@
             return False
         if pressure is Pressure.OVERCOMMITTED:
             return True
-        if pressure is Pressure.NONE and self.calm:
+        if pressure is Pressure.NONE and self.recently_rebalanced:
             return False
         least = max(2 if pressure is Pressure.NONE else 1, ceil(MIN_CHANGE * granted))
         return granted - target >= least
@@ -165,10 +165,10 @@
             unchanged = granted == {upstream: count_for(record.granted, upstream) for upstream in granted}
             if unchanged and record.granted:
                 continue
-            after = record.reissued(self.issuer, granted, maximum(record.ceilings, granted))
+            raised = record.reissued(self.issuer, granted, maximum(record.ceilings, granted))
             for upstream in self.limits:
-                free[upstream] -= after.worst_case(upstream) - record.worst_case(upstream)
-            self.records[node] = after
+                free[upstream] -= raised.worst_case(upstream) - record.worst_case(upstream)
+            self.records[node] = raised
             changed = True
         return changed
 
@@ -185,16 +185,18 @@
         granted, floor = count_for(record.granted, upstream), count_for(record.floors, upstream)
         starved = count_for(self.reports[record.node].demand, upstream) > granted or granted < floor
         if starved:
-            worth = target > granted
+            worthwhile = target > granted
         else:
-            worth = not self.calm and target - granted >= max(1, ceil(MIN_CHANGE * granted))
-        if not worth:
+            worthwhile = not self.recently_rebalanced and target - granted >= max(
+                1, ceil(MIN_CHANGE * granted)
+            )
+        if not worthwhile:
             return granted
         # The reserve is for nodes that return: up to their floor they may have it.
         reserved = ceil(self.reserve * self.limits[upstream])
-        top = _highest_grant(record, upstream, free - reserved)
-        top = max(top, min(floor, _highest_grant(record, upstream, free)))
-        return max(granted, min(target, top))
+        highest = _highest_grant(record, upstream, free - reserved)
+        highest = max(highest, min(floor, _highest_grant(record, upstream, free)))
+        return max(granted, min(target, highest))
 
 
 def _highest_grant(record: NodeRecord, upstream: str, free: int) -> int:
--- a/gaugehinge/drains/lease_manager.py
+++ b/gaugehinge/drains/lease_manager.py
@@ -239,7 +239,7 @@
         live = [node for node, record in records.items() if self._may_be_granted(record, now)]
         if not live:
             return
-        calm = now - self.last_rebalance < REBALANCE_INTERVAL
+        recently_rebalanced = now - self.last_rebalance < REBALANCE_INTERVAL
         allocator = LeaseAllocator(
             records,
             live,
@@ -251,9 +251,9 @@
             self.floors,
             max(self.max_nodes - len(records), 0),
             self.issuer,
-            calm,
+            recently_rebalanced,
         )
-        if allocator.rebalance() and not calm:
+        if allocator.rebalance() and not recently_rebalanced:
             self.last_rebalance = now
 
     def _may_be_granted(self, record: NodeRecord, now: float) -> bool:
--- a/gaugehinge/drains/lease_service.py
+++ b/gaugehinge/drains/lease_service.py
@@ -79,8 +79,8 @@
                 logger.info("drains: the store is current: leases may be raised at once")
 
     def _plan_start(self, store: Store, wall: float) -> list[Mutation]:
-        held = load_state(store)
-        state = self._initial_state(held)
+        stored_state = load_state(store)
+        state = self._initial_state(stored_state)
         records = [stored.record for stored in load_nodes(store).values()]
         with self.lock:
             self.manager.state = state
@@ -89,15 +89,15 @@
             self.manager.store_is_current = not state.suspension_reason and self.mark_file.covers(
                 self.control_plane.store_id, store.revision_digest, boot_clock(), self.manager.startup_hold
             )
-        revision = held.revision if held is not None else 0
+        revision = stored_state.revision if stored_state is not None else 0
         return [Mutation(STATE, STATE_IDENT, encode(state), revision), *self._missing_limits(store)]
 
-    def _initial_state(self, held: Stored[DurableState] | None) -> DurableState:
-        before = held.record if held is not None else DurableState()
+    def _initial_state(self, stored_state: Stored[DurableState] | None) -> DurableState:
+        before = stored_state.record if stored_state is not None else DurableState()
         suspension_reason = before.suspension_reason or self.admission_record.suspension_reason(
             self.control_plane.store_id,
             before,
-            store_is_empty=held is None,
+            store_is_empty=stored_state is None,
             new_installation=self.settings.new_installation,
         )
         return DurableState(
@@ -148,9 +148,9 @@
         changed: dict[str, NodeRecord] = {}
 
         def plan(store: Store, wall: float) -> list[Mutation]:
-            held, limits, now = load_nodes(store), load_limits(store), self.clock()
-            changed.update(self._planned(store, held, limits, now))
-            return [*node_changes(held, changed), *state_changes(store, self.manager.state)]
+            stored_nodes, limits, now = load_nodes(store), load_limits(store), self.clock()
+            changed.update(self._changed_records(store, stored_nodes, limits, now))
+            return [*node_changes(stored_nodes, changed), *state_changes(store, self.manager.state)]
 
         store_writer = self.control_plane.store_writer
         await store_writer.apply_planned(plan, AUTHOR)
@@ -161,12 +161,12 @@
                 logger.error("drains: admission record not written, new nodes wait: {}", error)
         self.log.log_changes(changed, self.manager)
 
-    def _planned(
-        self, store: Store, held: dict[str, Stored[NodeRecord]], limits: ConnectionCounts, now: float
+    def _changed_records(
+        self, store: Store, stored_nodes: dict[str, Stored[NodeRecord]], limits: ConnectionCounts, now: float
     ) -> dict[str, NodeRecord]:
         if now - self.tenant_demand_at > TENANTS_MAX_AGE:
             self.tenant_demand, self.tenant_demand_at = self._tenant_demand(store), now
-        records = {node: stored.record for node, stored in held.items()}
+        records = {node: stored.record for node, stored in stored_nodes.items()}
         with self.lock:
             draining = self.fleet.draining_nodes()
             changed = self.manager.plan(records, limits, now, draining, {ORIGIN: self.tenant_demand})
--- a/gaugehinge/drains/lease_table.py
+++ b/gaugehinge/drains/lease_table.py
@@ -83,20 +83,20 @@
 
     def _raise_floors(self, records: Mapping[str, NodeRecord], limits: Mapping[str, int]) -> None:
         """Make the configured floors effective if all worst cases stay within the limits with them."""
-        before, self.floors = self.floors, self.configured_floors
+        previous_floors, self.floors = self.floors, self.configured_floors
         raised = [
             msgspec.structs.replace(record, floors=maximum(record.floors, self.floors))
             for record in records.values()
         ]
         if any(self.total_worst_case(raised, upstream) > limit for upstream, limit in limits.items()):
-            self.floors = before
+            self.floors = previous_floors
 
     # -- reports
 
     def on_report(self, report: NodeReport, now: float) -> bool:
         """Take a report; False for one that is out of date or for which there is no room."""
         known = self.reports.get(report.node)
-        if known is not None and not _follows(known, report):
+        if known is not None and not _is_older(known, report):
             return False
         if known is None and not self._has_room(now):
             return False
@@ -141,10 +141,10 @@
         """Whether the node certainly has no more open than its floors."""
         if self.is_live(node, now):
             return False
-        given = self.issued.get(node)
-        if given is None:
+        lease = self.issued.get(node)
+        if lease is None:
             return now >= self.former_leases_end
-        return given.has_expired(now - self.close_timeout_bound)
+        return lease.has_expired(now - self.close_timeout_bound)
 
     # -- worst case
 
@@ -161,7 +161,7 @@
         return self.may_raise(now) and self.total_worst_case(records, upstream) <= limit
 
 
-def _follows(known: NodeReport, report: NodeReport) -> bool:
+def _is_older(known: NodeReport, report: NodeReport) -> bool:
     """Whether a report was sent after the known one: by a later run, or later by the same run."""
     if known.run != report.run:
         return report.run_number > known.run_number
--- a/gaugehinge/drains/leases_api.py
+++ b/gaugehinge/drains/leases_api.py
@@ -31,7 +31,7 @@
         """GET /v1/grants."""
         caller.require_role("reader")
         store_writer = self.control_plane.store_writer
-        return json_response(await store_writer.run_sync(self._page, store_writer.store))
+        return json_response(await store_writer.run_sync(self._lease_page, store_writer.store))
 
     async def remove_node(self, request: Request, caller: Caller) -> Response:
         """POST /v1/nodes/{node}/gone: its machine and its files are gone. It has to be lost already."""
@@ -74,13 +74,13 @@
         self.controller.request_plan()
         return json_response(ChangeResult("new nodes are admitted"))
 
-    def _page(self, store: Store) -> LeasePage:
+    def _lease_page(self, store: Store) -> LeasePage:
         leases = self.leases
         with leases.lock:
             manager, now = leases.manager, leases.clock()
             limits = load_limits(store)
             nodes = [
-                self._node(node, stored.record, limits, now)
+                self._node_view(node, stored.record, limits, now)
                 for node, stored in sorted(load_nodes(store).items())
             ]
             raises_in = max(manager.former_leases_end - now, 0.0)
@@ -94,7 +94,7 @@
                 round(raises_in, 3),
             )
 
-    def _node(self, node: str, record: NodeRecord, limits: ConnectionCounts, now: float) -> NodeView:
+    def _node_view(self, node: str, record: NodeRecord, limits: ConnectionCounts, now: float) -> NodeView:
         manager = self.leases.manager
         report, heard_at = manager.reports.get(node), manager.last_heard.get(node)
         return NodeView(
--- a/gaugehinge/drains/limits_api.py
+++ b/gaugehinge/drains/limits_api.py
@@ -35,7 +35,7 @@
     async def get_limit(self, request: Request, caller: Caller) -> Response:
         """GET /v1/limits/{store}."""
         caller.require_role("reader")
-        return await self._one(request.path_params["store"])
+        return await self._limit_response(request.path_params["store"])
 
     async def put_limit(self, request: Request, caller: Caller) -> Response:
         """PUT /v1/limits/{store}: at the revision that was read; 0 names a server for the first time."""
@@ -43,22 +43,22 @@
         upstream = request.path_params["store"]
         update, _ = await read_json(request, LimitUpdate)
         expected = if_match_revision(request)
-        self._check(upstream, update)
+        self._validate(upstream, update)
 
         def plan(store: Store, now: float) -> list[Mutation]:
-            held = store.get(LIMIT, upstream)
-            revision = held.revision if held else 0
+            item = store.get(LIMIT, upstream)
+            revision = item.revision if item else 0
             if revision != expected:
                 raise PreconditionFailedError(f"it is at revision {revision}", etag=revision)
-            if held is None and len(store.items(LIMIT)) >= MAX_LIMITS:
+            if item is None and len(store.items(LIMIT)) >= MAX_LIMITS:
                 raise ResourceConflictError(f"{MAX_LIMITS} limits are named", "store")
             return [Mutation(LIMIT, upstream, encode(update), revision)]
 
         await self.control_plane.commit(plan, caller.name)
         self.controller.request_plan()
-        return await self._one(upstream)
+        return await self._limit_response(upstream)
 
-    def _check(self, upstream: str, update: LimitUpdate) -> None:
+    def _validate(self, upstream: str, update: LimitUpdate) -> None:
         """Raises ApiError where the name is too long or the floors of all nodes do not fit."""
         if not 0 < len(upstream) <= MAX_UPSTREAM_NAME:
             raise InvalidRequestError(f"1 to {MAX_UPSTREAM_NAME} characters", "store")
@@ -68,7 +68,7 @@
             detail = f"{update.limit} is under {undersized.least}, the floors of {manager.max_nodes} nodes"
             raise InvalidRequestError(detail, "most")
 
-    async def _one(self, upstream: str) -> Response:
+    async def _limit_response(self, upstream: str) -> Response:
         view = next((each for each in await self._views() if each.upstream == upstream), None)
         if view is None:
             raise NotFoundError(f"no limit for {upstream}")
--- a/gaugehinge/drains/repository.py
+++ b/gaugehinge/drains/repository.py
@@ -100,10 +100,12 @@
     }
 
 
-def node_changes(held: dict[str, Stored[NodeRecord]], changed: dict[str, NodeRecord]) -> list[Mutation]:
+def node_changes(
+    stored_nodes: dict[str, Stored[NodeRecord]], changed: dict[str, NodeRecord]
+) -> list[Mutation]:
     """Rows for records that a plan changed."""
     return [
-        Mutation(NODE, node, encode(record), held[node].revision if node in held else 0)
+        Mutation(NODE, node, encode(record), stored_nodes[node].revision if node in stored_nodes else 0)
         for node, record in changed.items()
     ]
 
--- a/tests/drains_support.py
+++ b/tests/drains_support.py
@@ -6,7 +6,7 @@
 
 DEFAULT_LIMITS = {ORIGIN: 12, DEFAULT_SERVER: 8}
 FLOORS = {ORIGIN: 1, DEFAULT_SERVER: 1}
-CONDITION_TIMEOUT, SCENE_TIMEOUT = 10, 40  # seconds
+CONDITION_TIMEOUT, TEST_TIMEOUT = 10, 40  # seconds
 
 
 async def until(condition):
@@ -16,11 +16,11 @@
             await trio.sleep(0.005)
 
 
-def run(scene, *arguments):
+def run(test, *arguments):
     """Run an async test."""
 
     async def main():
-        with trio.fail_after(SCENE_TIMEOUT):
-            await scene(*arguments)
+        with trio.fail_after(TEST_TIMEOUT):
+            await test(*arguments)
 
     trio.run(main)
--- a/tests/test_drains_leases.py
+++ b/tests/test_drains_leases.py
@@ -27,22 +27,22 @@
         )
         self.limits = dict(DEFAULT_LIMITS)
 
-    def plan(self, **more):
-        self.records |= self.manager.plan(self.records, self.limits, self.now, **more)
+    def plan(self, **options):
+        self.records |= self.manager.plan(self.records, self.limits, self.now, **options)
         self.manager.recorded_admissions = self.manager.state.admissions
         return self
 
-    def report(self, name, demand=1, open_connections=0, run=1, **more):
+    def report(self, name, demand=1, open_connections=0, run=1, **overrides):
         """A report that follows the last lease, and the lease that answers it."""
         self.sequence += 1
         record = self.records.get(name, NodeRecord(name))
-        mine = record.run == f"{name}.{run}" and bool(record.granted)
+        follows_lease = record.run == f"{name}.{run}" and bool(record.granted)
         values = {
-            "number": record.number if mine else 0,
-            "issuer": record.issuer if mine else "",
-            "granted": record.granted if mine else {},
+            "number": record.number if follows_lease else 0,
+            "issuer": record.issuer if follows_lease else "",
+            "granted": record.granted if follows_lease else {},
             "admitted_by": "life" if name in self.records else "",
-        } | more
+        } | overrides
         report = NodeReport(
             name,
             f"{name}.{run}",
@@ -82,8 +82,8 @@
     )
     harness.report("a", demand=8, open_connections=7)
     assert harness.worst_cases()["a"] >= 7, "it said that it still has seven"
-    shrunk = harness.records["a"].granted[ORIGIN]
-    harness.report("a", demand=8, open_connections=shrunk)
+    lowered = harness.records["a"].granted[ORIGIN]
+    harness.report("a", demand=8, open_connections=lowered)
     assert (
         harness.report("b", demand=9, open_connections=1).granted[ORIGIN] > before and harness.total() <= 12
     )
@@ -91,9 +91,9 @@
 
 def test_a_silent_nodes_grant_is_free_after_lease_drift_and_close_timeout():
     harness = LeaseHarness()
-    grant = harness.report("a", demand=8)
+    lease = harness.report("a", demand=8)
     harness.report("a", demand=8, open_connections=8)
-    held = grant.granted[ORIGIN]
+    held = lease.granted[ORIGIN]
     for harness.now in (5.0, 10.2, 15.0):
         harness.report("b", demand=9, open_connections=1)
         assert harness.worst_cases()["a"] == held
@@ -109,19 +109,19 @@
 def test_connections_of_a_killed_run_count_until_the_close_timeout_after_its_successor():
     harness = LeaseHarness()
     harness.report("a", demand=9)
-    old = harness.report("a", demand=9, open_connections=9)
+    old_lease = harness.report("a", demand=9, open_connections=9)
     harness.now = 1.0
     assert harness.report("a", run=2).granted[ORIGIN] < 3, "what its predecessor had may be open still"
-    assert harness.worst_cases()["a"] >= old.granted[ORIGIN]
+    assert harness.worst_cases()["a"] >= old_lease.granted[ORIGIN]
     assert harness.report("a", run=1, open_connections=9) is None, (
         "a late report of the former run is not taken"
     )
     harness.now = 6.5
     harness.report("a", run=2, demand=5)
-    assert harness.records["a"].lingering == {} and harness.records["a"].number > old.number
+    assert harness.records["a"].lingering == {} and harness.records["a"].number > old_lease.number
 
 
-def test_a_closed_node_frees_its_grant_and_one_that_misreports_is_found():
+def test_a_closed_node_frees_its_grant_and_one_that_misreports_is_detected():
     harness = LeaseHarness()
     harness.report("a", demand=9)
     harness.report("a", demand=9, open_connections=9)
@@ -146,26 +146,26 @@
 def test_a_restored_store_adopts_reported_leases_and_suspends_admissions():
     harness = LeaseHarness()
     harness.report("a", demand=1)
-    older = dict(harness.records)
+    backup = dict(harness.records)
     harness.report("b", demand=9)
     for _ in range(3):
         harness.report("a", demand=1, open_connections=1)
         harness.report("b", demand=9)
     held = harness.records["a"]
-    assert held.number > older["a"].number and held.granted[ORIGIN] < older["a"].granted[ORIGIN]
-    again = LeaseHarness(started_at=0.0, issuer="k2")
-    again.records = dict(older)
-    word = {"number": held.number, "issuer": held.issuer, "granted": held.granted, "admitted_by": "life"}
-    again.report("a", demand=11, open_connections=1, **word)
-    assert again.worst_cases()["a"] == older["a"].granted[ORIGIN], "the most that either has"
-    assert again.records["a"].number > held.number and again.records["a"].granted == held.granted
-    assert "which this store does not know" in again.manager.state.suspension_reason
-    again.report("b", demand=5, admitted_by="life")
-    assert "b" in again.records, "it uses its floors whatever is decided"
-    assert again.report("c", demand=5) is None
-    again.now = 40.0
-    again.report("a", demand=11, open_connections=1)
-    assert again.report("c", demand=5) is None and again.total() <= 12
+    assert held.number > backup["a"].number and held.granted[ORIGIN] < backup["a"].granted[ORIGIN]
+    restored = LeaseHarness(started_at=0.0, issuer="k2")
+    restored.records = dict(backup)
+    reported = {"number": held.number, "issuer": held.issuer, "granted": held.granted, "admitted_by": "life"}
+    restored.report("a", demand=11, open_connections=1, **reported)
+    assert restored.worst_cases()["a"] == backup["a"].granted[ORIGIN], "the most that either has"
+    assert restored.records["a"].number > held.number and restored.records["a"].granted == held.granted
+    assert "which this store does not know" in restored.manager.state.suspension_reason
+    restored.report("b", demand=5, admitted_by="life")
+    assert "b" in restored.records, "it uses its floors whatever is decided"
+    assert restored.report("c", demand=5) is None
+    restored.now = 40.0
+    restored.report("a", demand=11, open_connections=1)
+    assert restored.report("c", demand=5) is None and restored.total() <= 12
 
 
 def test_a_lowered_limit_is_enforced_by_lowering_grants_and_keeps_the_reserve():
@@ -192,7 +192,7 @@
     assert harness.records["a"].granted[ORIGIN] == 11
 
     def restart_control_plane():
-        made = LeaseManager(
+        manager = LeaseManager(
             -1e9,
             LEASE_DURATION,
             CLOSE_TIMEOUT,
@@ -203,9 +203,9 @@
             "life",
             harness.manager.state,
         )
-        made.recorded_admissions = 2
-        made.adopt_floors(harness.records.values())
-        harness.manager = made
+        manager.recorded_admissions = 2
+        manager.adopt_floors(harness.records.values())
+        harness.manager = manager
 
     restart_control_plane()
     harness.report("b")
--- a/tests/test_drains_model.py
+++ b/tests/test_drains_model.py
@@ -23,64 +23,71 @@
     walk,
 )
 
-STATES = 101_000
+MIN_STATES = 101_000
 
 
 def test_every_order_of_events_of_three_nodes_stays_within_the_limit():
-    states, transitions, broken = search(begun(World), STATES)
-    assert broken is None, broken
-    assert states >= STATES and transitions > 2 * STATES
+    states, transitions, violation = search(begun(World), MIN_STATES)
+    assert violation is None, violation
+    assert states >= MIN_STATES and transitions > 2 * MIN_STATES
 
 
-def ask(*nodes):
+def ask_moves(*nodes):
     return tuple(("ask", i) for i in nodes)
 
 
-OPEN, LATE = (("open", 0),), (("answer_late", 0), *[("tick",)] * 4)
+OPEN_MOVES, LATE_ANSWER = (("open", 0),), (("answer_late", 0), *[("tick",)] * 4)
 # A grant moved to another node since a backup was made, and a control plane is back: on the backup; on the
 # backup after one that waited on it was killed; on its own store, while one elsewhere went on with a copy.
-WENT_BACK = (("copy",), *ask(1, 0, 0, 1, 1), ("open", 1), ("older",), *ask(0))
-AGAIN = (*WENT_BACK, ("keeper",), *ask(0))
-ELSEWHERE = (("elsewhere",), *[("tick",)] * 6, *ask(1, 1, 1), ("open", 1), ("back_home",), *ask(0))
+RESTORED_BACKUP = (("copy",), *ask_moves(1, 0, 0, 1, 1), ("open", 1), ("older",), *ask_moves(0))
+RESTORED_THEN_KILLED = (*RESTORED_BACKUP, ("keeper",), *ask_moves(0))
+MOVED_AND_BACK = (
+    ("elsewhere",),
+    *[("tick",)] * 6,
+    *ask_moves(1, 1, 1),
+    ("open", 1),
+    ("back_home",),
+    *ask_moves(0),
+)
 
 
 @pytest.mark.parametrize(
-    "made, moves, most",
+    "world_type, moves, max_states",
     [
-        (kind(KillIsProof), OPEN, 6_000),
-        (kind(LeaseWithoutClosing), OPEN, 6_000),
-        (kind(RaisesAtOnce), OPEN, 6_000),
+        (kind(KillIsProof), OPEN_MOVES, 6_000),
+        (kind(LeaseWithoutClosing), OPEN_MOVES, 6_000),
+        (kind(RaisesAtOnce), OPEN_MOVES, 6_000),
         (kind(ConfirmsByRun), (("open", 2),), 40_000),
-        (FromArrival, LATE, 25_000),
-        (BelievesAnyStore, WENT_BACK, 6_000),
-        (BelievesWhoeverTold, AGAIN, 6_000),
-        (BelievesForEver, ELSEWHERE, 6_000),
+        (FromArrival, LATE_ANSWER, 25_000),
+        (BelievesAnyStore, RESTORED_BACKUP, 6_000),
+        (BelievesWhoeverTold, RESTORED_THEN_KILLED, 6_000),
+        (BelievesForEver, MOVED_AND_BACK, 6_000),
     ],
     ids=lambda each: getattr(each, "__name__", None),
 )
-def test_the_search_finds_each_injected_fault(made, moves, most):
-    _, _, path = search(begun(made, moves), most)
+def test_the_search_finds_each_injected_fault(world_type, moves, max_states):
+    _, _, path = search(begun(world_type, moves), max_states)
     assert path is not None
-    world = begun(made, moves)
+    world = begun(world_type, moves)
     for move in path:
         world.do(move)
     assert world.counted() > world.limit
 
 
-@pytest.mark.parametrize("moves", [WENT_BACK, AGAIN, ELSEWHERE])
+@pytest.mark.parametrize("moves", [RESTORED_BACKUP, RESTORED_THEN_KILLED, MOVED_AND_BACK])
 def test_a_returning_control_plane_trusts_only_a_current_store(moves):
-    states, _, broken = search(begun(World, moves), 10_000)
-    assert broken is None and states >= 10_000
+    states, _, violation = search(begun(World, moves), 10_000)
+    assert violation is None and states >= 10_000
 
 
 def test_a_killed_control_plane_resumes_at_once():
-    world = begun(World, (("keeper",), *ask(1, 0, 0, 1, 1)))
+    world = begun(World, (("keeper",), *ask_moves(1, 0, 0, 1, 1)))
     assert not world.now and world.nodes[1].holding.granted[ORIGIN] > 1
 
 
 def test_random_walks_stay_within_the_limit():
-    broken = [found for seed in range(400) if (found := walk(World, seed, 300))]
-    assert not broken, broken[0]
+    violations = [violation for seed in range(400) if (violation := walk(World, seed, 300))]
+    assert not violations, violations[0]
     assert any(walk(kind(KillIsProof), seed, 300) for seed in range(100)), "these ways find faults"
 
 
@@ -136,11 +143,13 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_restarts_under_faults_keep_within_the_unavailability_limits(seed):
-    took, broken, done = virtual_roll(24, 3, 3, seed, faults=True)
-    assert not broken, broken
-    assert done, f"not done after {took} s"
+    duration, violation, done = virtual_roll(24, 3, 3, seed, faults=True)
+    assert not violation, violation
+    assert done, f"not done after {duration} s"
 
 
 def test_the_duration_of_a_restart_is_independent_of_the_fleets_size():
-    times = [virtual_roll(12 * size, 3, 2 * size, 1)[0] for size in (1, 4, 16)]
-    assert all(time < 1.5 * times[0] for time in times), "the same part of a fleet is out at a time"
+    durations = [virtual_roll(12 * size, 3, 2 * size, 1)[0] for size in (1, 4, 16)]
+    assert all(duration < 1.5 * durations[0] for duration in durations), (
+        "the same part of a fleet is out at a time"
+    )
