--- a/gaugehinge/drains/lease_allocation.py
+++ b/gaugehinge/drains/lease_allocation.py
@@ -1,7 +1,7 @@
-"""Distribution of each limit over the live nodes by their demand. No I/O, no clock.
+"""Distribution of each limit over the live nodes by their demand. Performs no I/O and reads no clock.
 
-What is lowered is lowered first; only what is then free is given to others. A node is asked for one change at
-a time: the next one is made once it is known to follow the last.
+Grants are lowered first, and others are raised only by what is then free. Each node has at most one change
+pending: the next is made once the node has reported that it follows the previous one.
 """
 
 from __future__ import annotations
@@ -14,37 +14,37 @@
 from .connection_counts import ConnectionCounts, count_for, maximum
 from .lease_types import NodeRecord, NodeReport
 
-DEMAND_HEADROOM = 1.25  # of the measured demand that a grant is to cover
-MIN_CHANGE = 0.25  # of a grant: a smaller change is not worth a new lease number
+DEMAND_HEADROOM = 1.25  # multiple of the measured demand that a grant should cover
+MIN_CHANGE = 0.25  # fraction of a grant; a smaller change is not worth a new lease number
 
 
 class Pressure(IntEnum):
     """How urgent a rebalancing is."""
 
     NONE = 0
-    DEMAND = 1  # a node waits for connections that others have
-    OVERCOMMITTED = 2  # the grants are more than the limit leaves
+    DEMAND = 1  # a node needs connections that are granted to others
+    OVERCOMMITTED = 2  # grants exceed what the limit leaves for them
 
 
 @dataclass(slots=True, eq=False)
 class LeaseAllocator:
-    """One rebalancing. `records` of all nodes are updated in place."""
+    """A single rebalancing. Updates `records`, which holds all nodes, in place."""
 
     records: dict[str, NodeRecord]
-    live: list[str]  # nodes that report and may be granted something
+    live: list[str]  # nodes that currently report and may be granted connections
     reports: Mapping[str, NodeReport]
     limits: Mapping[str, int]
-    draining: frozenset[str]  # nodes that get nothing more
-    tenant_demand: Mapping[str, float]  # connections that tenants would use by their rate limits
+    draining: frozenset[str]  # nodes whose grants are not raised
+    tenant_demand: Mapping[str, float]  # connections that tenants would use at their rate limits
     reserve: float
     floors: ConnectionCounts
-    unadmitted: int  # nodes that may still be admitted
+    unadmitted: int  # number of nodes that may still be admitted
     issuer: str
-    recently_rebalanced: bool  # the last rebalancing was recent: only what is urgent is changed
+    recently_rebalanced: bool  # if so, only urgent changes are made
     targets: dict[str, ConnectionCounts] = field(default_factory=dict)
 
     def rebalance(self) -> bool:
-        """Bring grants nearer to the demand; whether any changed."""
+        """Move grants towards the demand. Return whether any grant changed."""
         self.targets = {node: {} for node in self.live}
         pressure = Pressure.NONE
         for upstream in self.limits:
@@ -72,7 +72,7 @@
         return {node: count_for(counts_of(self.records[node]), upstream) for node in self.live}
 
     def _room_for_live(self, upstream: str) -> int:
-        """What the limit leaves to live nodes beside the reserve and all that others may hold."""
+        """What the limit leaves for live nodes after the reserve and all other possible connections."""
         limit = self.limits[upstream]
         others = sum(r.worst_case(upstream) for node, r in self.records.items() if node not in self.targets)
         lingering = sum(self._live_counts(lambda record: record.lingering, upstream).values())
@@ -118,7 +118,7 @@
     # -- changes
 
     def _is_settled(self, record: NodeRecord) -> bool:
-        """Whether the node is known to follow its last lease."""
+        """Whether the node has reported that it follows its latest lease."""
         report = self.reports[record.node]
         return not record.granted or (report.number, report.issuer) == (record.number, record.issuer)
 
@@ -181,7 +181,7 @@
         return max(count_for(demand, upstream) - count_for(granted, upstream) for upstream in self.limits)
 
     def _raised(self, record: NodeRecord, upstream: str, target: int, free: int) -> int:
-        """What one node is granted of one upstream; at least what it has."""
+        """The new grant of a node for one upstream, at least its present grant."""
         granted, floor = count_for(record.granted, upstream), count_for(record.floors, upstream)
         starved = count_for(self.reports[record.node].demand, upstream) > granted or granted < floor
         if starved:
@@ -192,7 +192,7 @@
             )
         if not worthwhile:
             return granted
-        # The reserve is for nodes that return: up to their floor they may have it.
+        # The reserve is kept for returning nodes: a grant may draw on it only up to the node's floor.
         reserved = ceil(self.reserve * self.limits[upstream])
         highest = _highest_grant(record, upstream, free - reserved)
         highest = max(highest, min(floor, _highest_grant(record, upstream, free)))
@@ -200,5 +200,5 @@
 
 
 def _highest_grant(record: NodeRecord, upstream: str, free: int) -> int:
-    """The highest grant for which `free` connections beside the node's own worst case suffice."""
+    """The highest grant that adds at most `free` connections to the node's worst case."""
     return record.worst_case(upstream) - count_for(record.lingering, upstream) + max(free, 0)
--- a/gaugehinge/drains/lease_holder.py
+++ b/gaugehinge/drains/lease_holder.py
@@ -1,4 +1,4 @@
-"""The node's side of a connection lease: how many connections may be open and used now. No I/O."""
+"""The node's side of a connection lease: how many connections may be open and in use. No I/O."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 @dataclass(slots=True, eq=False)
 class LeaseHolder:
-    """The lease of one run of a router. All times are seconds of its own monotonic clock."""
+    """The connection lease of one router run. All times are seconds of the router's monotonic clock."""
 
     floors: ConnectionCounts
-    floors_usable_at: float  # connections of an earlier run may be open until then
-    admitted_by: str = ""  # incarnation of the store that admitted this node; empty: none did
+    floors_usable_at: float  # until then connections of an earlier run may be open
+    admitted_by: str = ""  # incarnation of the store that admitted this node; empty if none did
     number: int = 0
     issuer: str = ""
     granted: ConnectionCounts = field(default_factory=dict)
     validity: HeldLease = field(default_factory=HeldLease)
-    closed: bool = False  # nothing more is opened
-    ignored_before: float = float("-inf")  # answers to reports sent earlier than this are too late
+    closed: bool = False  # no more connections are opened
+    ignored_before: float = float("-inf")  # replies to reports sent before this time are ignored
 
     def granted_for_report(self, now: float) -> ConnectionCounts:
-        """The grant that a report sent at `now` states; empty once the lease has expired.
+        """Return the grant to state in a report sent at `now`; empty once the lease has expired.
 
-        An expired lease that was reported as such is not revived by the answer to an earlier report.
+        Once a report has stated an expired lease, late replies to earlier reports can no longer renew it.
         """
         if self.validity.is_valid(now):
             return dict(self.granted)
@@ -34,15 +34,15 @@
         return {}
 
     def accept(self, lease: ConnectionLease, requested_at: float) -> bool:
-        """Follow a lease that answers the report sent at `requested_at`; False where it is out of date.
+        """Adopt the lease in the reply to the report sent at `requested_at`; False if it is out of date.
 
-        A lower number is a late answer, or one of a restored store.
+        A lower lease number comes from a late reply or from a restored store.
         """
         if lease.number < self.number or self.closed or requested_at < self.ignored_before:
             return False
         if (lease.number, lease.issuer) != (self.number, self.issuer):
             self.number, self.issuer, self.granted = lease.number, lease.issuer, dict(lease.granted)
-            # The validity of one number says nothing of the next: only this answer's does.
+            # Validity does not carry over to another lease number: only this reply gives it.
             self.validity = HeldLease()
         if lease.predecessors_closed:
             self.floors_usable_at = float("-inf")
@@ -50,7 +50,7 @@
         return True
 
     def allowed(self, upstream: str, now: float) -> int:
-        """Connections to an upstream that may be open and used now."""
+        """Return how many connections to an upstream may be open and in use at `now`."""
         if self.closed:
             return 0
         if self.validity.is_valid(now):
--- a/gaugehinge/drains/lease_manager.py
+++ b/gaugehinge/drains/lease_manager.py
@@ -1,20 +1,21 @@
-"""Numbered leases of connections, decided by one run of the control plane. No I/O, clock or chance.
+"""Numbered connection leases, decided by one control plane run. No I/O, no clock, no randomness.
 
-An upstream takes a limited number of connections in all. The sum of what every node may have open, by the
-worst case that cannot be ruled out, is within that limit at every instant; docs/drains.md has the proof. In
-short:
+An upstream accepts a limited number of connections in total. A node's worst case is the highest number
+of open connections that cannot be ruled out for it. The sum of all nodes' worst cases stays within the limit
+at every instant; docs/drains.md has the proof. In short:
 
-- Each node that was ever admitted keeps its floors, also while it is cut off; the floors of `max_nodes` nodes
-  fit into each limit.
-- What is above the floors is held under a lease number and a duration. It counts as held until the node
-  reported, under a later number, that it is below; or until the lease, clock drift and the longest close
-  timeout are over.
-- A killed process proves nothing. A successor on the same state file proves that the process ended, not that
-  the upstream closed its connections: those count for the longest close timeout from its first report.
-- All decisions are in the store before a node is told of them. A run that starts anew raises nothing until
-  the longest lease and close timeout are over, whatever its store has; what nodes report to hold counts. It
-  need not wait where its store is proved to be the one that leases were last issued from
-  (`high_water_mark.py`).
+- Every node that was ever admitted keeps its floors, even while it is cut off; the floors of `max_nodes`
+  nodes fit into each limit.
+- Connections above the floors are granted by a lease with a number and a duration. They count as held until
+  the node reports, under a later lease number, that it has fewer; or until the lease, with an allowance for
+  clock drift, and then the longest close timeout are over.
+- A kill does not prove that connections are closed. A new run on the same state file proves that the earlier
+  process ended, not that the upstream closed its connections: those count for the longest close timeout from
+  the new run's first report.
+- Every decision is written to the store before a node is told of it. A control plane that starts raises no
+  grant until the longest lease and close timeout have passed, whatever its store contains; connections that
+  nodes report to hold are counted. It need not wait if its store is proved to be the one from which leases
+  were last issued (`high_water_mark.py`).
 """
 
 from __future__ import annotations
@@ -30,12 +31,12 @@
 from .lease_table import LeaseTable
 from .lease_types import ConnectionLease, NodeRecord, NodeReport
 
-REBALANCE_INTERVAL = 10.0  # seconds between two rebalancings that no node is in need of
+REBALANCE_INTERVAL = 10.0  # seconds between rebalancings that are not urgent
 
 
 @dataclass(slots=True, eq=False)
 class LeaseManager(LeaseTable):
-    """Plans changes of the nodes' records, and issues the leases that those state."""
+    """Plans changes to the node records and issues the leases they contain."""
 
     def plan(
         self,
@@ -45,10 +46,10 @@
         draining: frozenset[str] = frozenset(),
         tenant_demand: Mapping[str, float] | None = None,
     ) -> dict[str, NodeRecord]:
-        """Records to be changed, all in one transaction.
+        """Return the records to be changed, all in one transaction.
 
-        `draining` nodes get nothing more; `tenant_demand` is the number of connections that tenants would use
-        in all by their rate limits.
+        Grants of `draining` nodes are not raised. `tenant_demand` is, by upstream, the total number of
+        connections that tenants would use at their rate limits.
         """
         planned = dict(records)
         if self.configured_floors and self.floors != self.configured_floors and self.may_raise(now):
@@ -63,16 +64,16 @@
         return {node: record for node, record in planned.items() if records.get(node) != record}
 
     def issue(self, record: NodeRecord, report: NodeReport, now: float) -> ConnectionLease | None:
-        """The lease for an answer that is sent now, and note that it runs; None: the node gets none.
+        """Return the lease for a reply that is sent now and record it as issued; None if the node gets none.
 
-        To be called where no plan can come between the read of the record and this call.
+        The caller has to ensure that no plan runs between the read of the record and this call.
         """
         if record.run != report.run or record.admission > self.recorded_admissions:
             return None
         if record.closed or not record.granted:
             return None
         if record.number < report.number or _same_number_of_other_issuer(record, report):
-            return None  # the next plan takes the reported number over
+            return None  # the next plan continues from the reported number
         self.issued[record.node] = GrantedLease(now, self.lease_duration, record.number)
         floors = {
             upstream: min(floor, count_for(record.floors, upstream))
@@ -87,7 +88,7 @@
             predecessors_closed=not record.lingering,
         )
 
-    # -- what reports change
+    # -- changes by reports
 
     def _apply_report(
         self, records: dict[str, NodeRecord], node: str, report: NodeReport, now: float
@@ -99,7 +100,7 @@
                 return
         elif record.run != report.run:
             if report.run_number <= record.run_number:
-                return  # it is told which number it has to exceed
+                return  # the reply tells it which run number to exceed
             record = self._apply_new_run(record, report, now)
         record = self._reconcile_number(record, report)
         floors = self._floors_of(record, report)
@@ -109,7 +110,7 @@
 
     def _reconcile_number(self, record: NodeRecord, report: NodeReport) -> NodeRecord:
         if report.number > record.number or _same_number_of_other_issuer(record, report):
-            # The store was restored: go on from the later number, with all that either may allow.
+            # The store was restored: continue from the later number, with all that either lease may allow.
             self._suspend_admissions(
                 f"{record.node} follows number {report.number}, which this store does not know"
             )
@@ -117,7 +118,7 @@
             record = msgspec.structs.replace(record, number=report.number)
             return record.reissued(self.issuer, dict(report.granted), ceilings)
         if record.node in self.unprocessed and not report.granted and record.granted:
-            # Its lease expired: in a store that was lost, this grant may long have been given to others.
+            # The lease expired: a store that has since been lost may already have granted it to others.
             return record.reissued(self.issuer, {}, {})
         return record
 
@@ -126,7 +127,7 @@
             self.state = msgspec.structs.replace(self.state, suspension_reason=reason)
 
     def _apply_open_connections(self, record: NodeRecord, report: NodeReport) -> NodeRecord:
-        """Take over whether the run has closed everything, and lower the ceilings to what it confirmed."""
+        """Record whether the run has closed everything, and lower the ceilings to what it has confirmed."""
         was_closed = record.closed
         if report.closed and not was_closed:
             record = msgspec.structs.replace(record.reissued(self.issuer, {}, {}), closed=True)
@@ -143,14 +144,14 @@
         return record if ceilings == record.ceilings else msgspec.structs.replace(record, ceilings=ceilings)
 
     def _floors_of(self, record: NodeRecord, report: NodeReport) -> ConnectionCounts:
-        """What a node may fall back to: by the store, until it reports that its state file has less."""
+        """Floors that a node may use: the stored ones, until it reports lower ones from its state file."""
         if record.run == report.run and report.admitted_by == self.incarnation:
-            return maximum(report.floors, self.floors)  # these are told with every lease
+            return maximum(report.floors, self.floors)  # `self.floors` is sent with every lease
         return maximum(record.floors, report.floors)
 
     def _admit(self, records: dict[str, NodeRecord], report: NodeReport, now: float) -> NodeRecord | None:
         if report.admitted_by:
-            # It uses its floors whatever is decided here: the store lost it, or it was declared gone.
+            # It uses its floors whatever is decided here: the store lost its record, or it was declared gone.
             self._suspend_admissions(f"{report.node} was admitted, which this store does not know")
         else:
             reason = self._rejection_reason(len(records), now)
@@ -163,7 +164,7 @@
         floors = maximum(self.floors, report.floors)
         lingering: ConnectionCounts = {}
         if report.admitted_by:
-            lingering = floors  # of earlier runs that this store does not know of either
+            lingering = floors  # of earlier runs, which this store does not know either
             self.lingering_until[report.node] = now + self.close_timeout_bound
         return NodeRecord(
             report.node,
@@ -180,7 +181,7 @@
         )
 
     def _rejection_reason(self, known_nodes: int, now: float) -> str:
-        """Why a new node is not admitted now; empty where it is."""
+        """Why a new node is not admitted now; empty if it is admitted."""
         if self.state.suspension_reason:
             return self.state.suspension_reason
         if not self.may_raise(now):
@@ -190,14 +191,14 @@
         return ""
 
     def _apply_new_run(self, record: NodeRecord, report: NodeReport, now: float) -> NodeRecord:
-        """A later run on the same state file: the one before it has ended, its connections may have not.
+        """Apply a later run on the same state file: the previous run ended, but its connections may be open.
 
-        A run uses its floors without a lease only once the connections of the run before are closed, so what
-        they may have open together is what they were counted for, however many runs follow each other.
+        A run uses its floors without a lease only once the connections of the previous run are closed. So
+        successive runs together never have more open than was counted, however many of them there are.
         """
         lingering = total(record.lingering, record.ceilings)
         if not record.closed or report.run_number != record.run_number + 1:
-            lingering = maximum(lingering, record.floors)  # of a run between them that was never heard, too
+            lingering = maximum(lingering, record.floors)  # also covers a run in between that never reported
         if any(lingering.values()):
             self.lingering_until[record.node] = now + self.close_timeout_bound
         else:
@@ -211,11 +212,11 @@
             closed=False,
             zone=report.zone,
         )
-        # With nothing left of earlier runs the floors are this run's at once, whatever else is unknown.
+        # If no connections of earlier runs remain, this run has its floors at once, whatever else is unknown.
         granted = {} if lingering or self.may_raise(now) else dict(record.floors)
         return successor.reissued(self.issuer, granted, granted)
 
-    # -- what time and demand change
+    # -- changes by time and demand
 
     def _expire(self, record: NodeRecord, now: float) -> NodeRecord:
         node = record.node
@@ -225,7 +226,7 @@
                 record = msgspec.structs.replace(record, lingering={})
         if self.has_expired(node, now) and (record.granted or record.ceilings):
             record = record.reissued(self.issuer, {}, {})
-            self._discard_report(node)  # the open connections that it reported are outdated
+            self._discard_report(node)  # its reported open connections are outdated
         return record
 
     def _rebalance(
--- a/gaugehinge/drains/lease_service.py
+++ b/gaugehinge/drains/lease_service.py
@@ -1,7 +1,7 @@
-"""Connection leases on the control plane's store: planned, written, and issued with each answer.
+"""Plans connection leases in the control plane's store and advances the mark before they are issued.
 
-Leases are planned, written and issued on the store's thread alone: no plan comes between the read of a record
-and the note that its lease runs.
+Leases are planned, written and issued only on the store's thread, so that no plan runs between the read of a
+record and the recording of its lease as issued.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
     state_changes,
 )
 
-AUTHOR = "drains"  # of changes in the store that no operator asked for
+AUTHOR = "drains"  # author of store changes that no operator requested
 TENANTS_MAX_AGE = 10.0  # seconds after which the tenants' rate limits are read again
 
 
 @dataclass(slots=True, eq=False)
 class LeaseService:
-    """The lease manager of one control plane run with its store and files."""
+    """The lease manager of one control plane run, with its store and files."""
 
     control_plane: ControlPlane
     settings: DrainsConfig
@@ -56,16 +56,16 @@
     mark_file: HighWaterMarkFile
     lock: Lock = field(default_factory=Lock)  # reports come on the event loop, plans on the store's thread
     log: LeaseLog = field(default_factory=LeaseLog)
-    tenant_demand: float = 0.0  # connections to the origin that tenants would use by their rate limits
+    tenant_demand: float = 0.0  # connections to the origin that tenants would use at their rate limits
     tenant_demand_at: float = float("-inf")
 
-    # -- the start
+    # -- start
 
     async def start(self) -> None:
-        """Take over what earlier runs left in the store, and the limits of the settings where it has none.
+        """Load the state of earlier runs from the store, and write configured limits that the store lacks.
 
-        Raises RevisionConflictError, DiskFullError, StoreOverloadedError or OSError where the store or its
-        disk does not take it now.
+        Raises RevisionConflictError, DiskFullError, StoreOverloadedError or OSError if the store or its disk
+        does not accept the change now.
         """
         store_writer = self.control_plane.store_writer
         await store_writer.apply_planned(self._plan_start, AUTHOR)
@@ -76,7 +76,7 @@
             if manager.state.admissions == 0 and not manager.state.suspension_reason:
                 manager.started_at = float("-inf")  # no lease was ever issued
             elif manager.store_is_current:
-                logger.info("drains: the store is current: leases may be raised at once")
+                logger.info("drains: store is current; leases may be raised without waiting")
 
     def _plan_start(self, store: Store, wall: float) -> list[Mutation]:
         stored_state = load_state(store)
@@ -85,7 +85,7 @@
         with self.lock:
             self.manager.state = state
             self.manager.adopt_floors(records)
-            # Killed on this machine and back on the store that it issued by: all that is held is in there.
+            # After a kill, on this machine and the store leases were issued from: it has all that is held.
             self.manager.store_is_current = not state.suspension_reason and self.mark_file.covers(
                 self.control_plane.store_id, store.revision_digest, boot_clock(), self.manager.startup_hold
             )
@@ -123,15 +123,15 @@
         manager = self.manager
         if manager.floors != manager.configured_floors:
             logger.warning(
-                "drains: floors stay at {} until {} fit: lower the limits for a while",
+                "drains: floors stay at {} until the configured floors {} fit: lower the limits for a while",
                 manager.floors,
                 manager.configured_floors,
             )
         if manager.state.suspension_reason:
-            logger.warning("drains: no new node is admitted: {}", manager.state.suspension_reason)
+            logger.warning("drains: admission of new nodes is suspended: {}", manager.state.suspension_reason)
 
     def _record_admissions(self) -> None:
-        """On the store's thread: record how many nodes were admitted, before they are told."""
+        """Record the number of admitted nodes before they are told. Runs on the store's thread."""
         admissions = self.manager.state.admissions
         if admissions == self.manager.recorded_admissions and admissions:
             return
@@ -141,7 +141,7 @@
     # -- plans
 
     async def plan(self) -> None:
-        """Plan and write what reports, time and demand change.
+        """Plan the changes due to reports, time and demand, and write them.
 
         Raises RevisionConflictError, DiskFullError or StoreOverloadedError.
         """
@@ -158,7 +158,9 @@
             try:
                 await store_writer.run_sync(self._record_admissions)
             except OSError as error:
-                logger.error("drains: admission record not written, new nodes wait: {}", error)
+                logger.error(
+                    "drains: admission record not written; new nodes get no lease until it is: {}", error
+                )
         self.log.log_changes(changed, self.manager)
 
     def _changed_records(
@@ -174,7 +176,7 @@
         return changed
 
     def _tenant_demand(self, store: Store) -> float:
-        """Connections to the origin that tenants would use if each used its rate limit."""
+        """Estimate the connections to the origin that tenants would use if each used its full rate limit."""
         with self.lock:
             usage = self.fleet.origin_usage()
         if usage.operation_rate <= 0.0:
@@ -184,10 +186,13 @@
             allowed += float(msgspec.json.decode(item.body).get("allowance", 0.0))
         return allowed * usage.connections / usage.operation_rate
 
-    # -- answers
+    # -- replies
 
     def advance_mark(self, store: Store) -> bool:
-        """On the store's thread, before anything is issued by it. False: nothing may be issued."""
+        """Advance the high-water mark before anything is issued from the store. Runs on the store's thread.
+
+        Returns False if nothing may be issued.
+        """
         with self.lock:
             may_raise = self.manager.may_raise(self.clock())
         return self.mark_file.advance(
--- a/gaugehinge/drains/lease_table.py
+++ b/gaugehinge/drains/lease_table.py
@@ -1,6 +1,6 @@
-"""What one run of the control plane knows of all nodes: their reports, their leases and their worst case.
+"""State of all nodes as known to one control plane run: reports, issued leases and worst cases.
 
-No I/O and no clock of its own: `now` is always the caller's monotonic clock, in seconds.
+Performs no I/O and reads no clock: `now` is always the caller's monotonic clock, in seconds.
 """
 
 from __future__ import annotations
@@ -14,39 +14,41 @@
 from .connection_counts import ConnectionCounts, count_for, maximum
 from .lease_types import DurableState, NodeRecord, NodeReport
 
-REPORTS_PER_NODE = 4  # reports are kept of at most this many times the nodes that may be admitted
+REPORTS_PER_NODE = 4  # reports are kept for at most this many times `max_nodes` nodes
 
 
 @dataclass(slots=True, eq=False)
 class LeaseTable:
-    """Reports and issued leases by node, beside the records in the store."""
+    """Reports and issued leases by node. The node records themselves are kept in the store."""
 
     started_at: float
     lease_duration: float  # seconds
-    close_timeout: float  # seconds within which an upstream closes what a silent node left open
+    close_timeout: float  # seconds within which an upstream closes connections that a silent node left open
     max_nodes: int
     floors: ConnectionCounts
-    reserve: float  # part of each limit that demand alone does not get
+    reserve: float  # fraction of each limit that is not granted for demand alone
     issuer: str  # identity of this control plane run
     incarnation: str  # of the store
     state: DurableState
-    reports: dict[str, NodeReport] = field(default_factory=dict)  # the last one of each node
+    reports: dict[str, NodeReport] = field(default_factory=dict)  # latest report of each node
     last_heard: dict[str, float] = field(default_factory=dict)
     issued: dict[str, GrantedLease] = field(default_factory=dict)
-    lingering_until: dict[str, float] = field(default_factory=dict)  # connections of earlier runs are closed
-    misreporting: set[str] = field(default_factory=set)  # nodes with connections after reporting none
-    rejected: dict[str, str] = field(default_factory=dict)  # nodes not admitted, and why
+    lingering_until: dict[str, float] = field(
+        default_factory=dict
+    )  # when earlier runs' connections are closed
+    misreporting: set[str] = field(default_factory=set)  # reported connections after reporting all closed
+    rejected: dict[str, str] = field(default_factory=dict)  # reason by node that was not admitted
     unprocessed: set[str] = field(default_factory=set)  # nodes that reported since the last plan
     last_rebalance: float = float("-inf")
-    recorded_admissions: int = 0  # admissions that are recorded beside the store, too
-    configured_floors: ConnectionCounts = field(default_factory=dict)  # effective once they fit
-    store_is_current: bool = False  # proved: the store has all that the run before this one issued
+    recorded_admissions: int = 0  # admissions that the file beside the store records too
+    configured_floors: ConnectionCounts = field(default_factory=dict)  # take effect once they fit the limits
+    store_is_current: bool = False  # proved to hold all leases that the previous run issued
 
-    # -- bounds in time
+    # -- time bounds
 
     @property
     def close_timeout_bound(self) -> float:
-        """Seconds of this clock that cover the longest close timeout by any clock."""
+        """Seconds by this clock that cover the longest close timeout as measured by any clock."""
         return (
             max(self.close_timeout, self.state.longest_close_timeout) * (1.0 + MAX_CLOCK_DRIFT)
             + EXPIRY_MARGIN
@@ -54,17 +56,17 @@
 
     @property
     def former_leases_end(self) -> float:
-        """From then on no node that this run has not heard holds anything by a lease of an earlier run."""
+        """When no node unheard by this run can still hold connections under an earlier run's lease."""
         longest = max(self.lease_duration, self.state.longest_lease)
         return self.started_at + longest * (1.0 + MAX_CLOCK_DRIFT) + EXPIRY_MARGIN + self.close_timeout_bound
 
     @property
     def startup_hold(self) -> float:
-        """Seconds, by any clock, in which a control plane on a copy of this store raises nothing."""
+        """Seconds, by any clock, during which a control plane on a copy of this store raises no grant."""
         return (self.lease_duration + self.close_timeout) * (1.0 - MAX_CLOCK_DRIFT)
 
     def may_raise(self, now: float) -> bool:
-        """Whether the worst case by the store is all that nodes may hold, so that the rest can be given."""
+        """Whether the stored worst cases cover all that nodes may hold, so that the rest can be granted."""
         return self.store_is_current or now >= self.former_leases_end
 
     # -- floors
@@ -72,8 +74,8 @@
     def adopt_floors(self, records: Iterable[NodeRecord]) -> None:
         """Start with the floors that known nodes already have.
 
-        Higher ones of the settings wait until they fit: a node that is cut off would else fall back to more
-        than it was counted for.
+        Higher floors in the settings wait until they fit the limits: otherwise a node that is cut off could
+        fall back to more connections than it is counted with.
         """
         self.configured_floors = dict(self.floors)
         self.floors = {
@@ -82,7 +84,7 @@
         }
 
     def _raise_floors(self, records: Mapping[str, NodeRecord], limits: Mapping[str, int]) -> None:
-        """Make the configured floors effective if all worst cases stay within the limits with them."""
+        """Put the configured floors into effect if all worst cases then stay within the limits."""
         previous_floors, self.floors = self.floors, self.configured_floors
         raised = [
             msgspec.structs.replace(record, floors=maximum(record.floors, self.floors))
@@ -94,14 +96,14 @@
     # -- reports
 
     def on_report(self, report: NodeReport, now: float) -> bool:
-        """Take a report; False for one that is out of date or for which there is no room."""
+        """Record a report. Return False if it is out of date or the table is full."""
         known = self.reports.get(report.node)
         if known is not None and not _is_older(known, report):
             return False
         if known is None and not self._has_room(now):
             return False
         if known is None or known.run != report.run:
-            self.issued.pop(report.node, None)  # of its last run, whose end `_apply_new_run` accounts for
+            self.issued.pop(report.node, None)  # of the previous run, which `_apply_new_run` accounts for
         self.reports[report.node], self.last_heard[report.node] = report, now
         self.unprocessed.add(report.node)
         return True
@@ -125,7 +127,7 @@
         self.unprocessed.discard(node)
 
     def forget_node(self, node: str) -> None:
-        """Drop all that is known of a node that an operator declared gone."""
+        """Drop everything known about a node that an operator declared gone."""
         self._discard_report(node)
         self.lingering_until.pop(node, None)
         self.rejected.pop(node, None)
@@ -138,7 +140,7 @@
         return now - self.last_heard.get(node, float("-inf")) < self.lease_duration
 
     def has_expired(self, node: str, now: float) -> bool:
-        """Whether the node certainly has no more open than its floors."""
+        """Whether the node certainly has no more connections open than its floors."""
         if self.is_live(node, now):
             return False
         lease = self.issued.get(node)
@@ -149,7 +151,7 @@
     # -- worst case
 
     def total_worst_case(self, records: Iterable[NodeRecord], upstream: str) -> int:
-        """Connections of all nodes that may exist, those that are not admitted yet at their floors."""
+        """Sum the worst cases of all nodes that may exist; each node not yet admitted counts its floor."""
         held, count = 0, 0
         for record in records:
             held += record.worst_case(upstream)
@@ -157,12 +159,12 @@
         return held + max(self.max_nodes - count, 0) * count_for(self.floors, upstream)
 
     def limit_enforced(self, records: Iterable[NodeRecord], upstream: str, limit: int, now: float) -> bool:
-        """Whether a limit is certainly kept; one that was lowered is not at once."""
+        """Whether the limit is certainly kept. A lowered limit takes effect only after grants are lowered."""
         return self.may_raise(now) and self.total_worst_case(records, upstream) <= limit
 
 
 def _is_older(known: NodeReport, report: NodeReport) -> bool:
-    """Whether a report was sent after the known one: by a later run, or later by the same run."""
+    """Whether the known report was sent before `report`, in an earlier run or earlier in the same run."""
     if known.run != report.run:
         return report.run_number > known.run_number
     return report.sequence > known.sequence
--- a/gaugehinge/drains/leases_api.py
+++ b/gaugehinge/drains/leases_api.py
@@ -1,4 +1,4 @@
-"""API calls on connection leases and the nodes that hold them."""
+"""API calls for connection leases and the nodes that hold them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     """Handlers of `/v1/grants` and `/v1/nodes`."""
 
     def __init__(self, controller: DrainsController) -> None:
-        """The controller whose leases are shown."""
+        """Serve the leases of `controller`."""
         self.controller = controller
         self.leases = controller.leases
         self.control_plane = controller.leases.control_plane
@@ -34,7 +34,10 @@
         return json_response(await store_writer.run_sync(self._lease_page, store_writer.store))
 
     async def remove_node(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/nodes/{node}/gone: its machine and its files are gone. It has to be lost already."""
+        """POST /v1/nodes/{node}/gone: remove a node whose machine and files are gone.
+
+        Its lease has to be over, so that it certainly has no more connections open than its floors.
+        """
         caller.require_role("operator")
         node = request.path_params["node"]
         leases = self.leases
@@ -57,7 +60,7 @@
         return json_response(ChangeResult(f"{node} is no more: its floor is free"))
 
     async def confirm(self, request: Request, caller: Caller) -> Response:
-        """POST /v1/nodes/confirm: every node that exists is known, so new ones may be admitted again."""
+        """POST /v1/nodes/confirm: confirm that every existing node is known, and resume admissions."""
         caller.require_role("operator")
         leases = self.leases
 
--- a/gaugehinge/drains/limits_api.py
+++ b/gaugehinge/drains/limits_api.py
@@ -1,4 +1,4 @@
-"""API calls on the limits of upstreams."""
+"""API calls for the connection limits of upstreams."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     """Handlers of `/v1/limits`."""
 
     def __init__(self, controller: DrainsController) -> None:
-        """The controller whose limits are shown and changed."""
+        """Serve and change the limits of `controller`."""
         self.controller = controller
         self.control_plane = controller.leases.control_plane
 
@@ -38,7 +38,7 @@
         return await self._limit_response(request.path_params["store"])
 
     async def put_limit(self, request: Request, caller: Caller) -> Response:
-        """PUT /v1/limits/{store}: at the revision that was read; 0 names a server for the first time."""
+        """PUT /v1/limits/{store}: set a limit, conditional on its revision; 0 creates it."""
         caller.require_role("operator")
         upstream = request.path_params["store"]
         update, _ = await read_json(request, LimitUpdate)
@@ -59,7 +59,7 @@
         return await self._limit_response(upstream)
 
     def _validate(self, upstream: str, update: LimitUpdate) -> None:
-        """Raises ApiError where the name is too long or the floors of all nodes do not fit."""
+        """Raise an ApiError if the name is empty or too long, or if the floors of all nodes do not fit."""
         if not 0 < len(upstream) <= MAX_UPSTREAM_NAME:
             raise InvalidRequestError(f"1 to {MAX_UPSTREAM_NAME} characters", "store")
         manager = self.controller.leases.manager
