--- a/gaugehinge/drains/__init__.py
+++ b/gaugehinge/drains/__init__.py
@@ -1,1 +1,1 @@
-"""Rolling drains of nodes within the limits on connections; off unless switched on."""
+"""Rolling drains of nodes within connection limits; disabled unless switched on in section `[drains]`."""
--- a/gaugehinge/drains/admission_record.py
+++ b/gaugehinge/drains/admission_record.py
@@ -1,7 +1,8 @@
 """The number of admitted nodes, recorded in a file beside the store.
 
-A store that was restored from a backup may not know of nodes that were admitted since. The file tells whether
-the store at hand is older than that, another one, or empty though it is not a first start.
+A store that was restored from a backup may not know nodes that were admitted since. The file shows whether
+the present store is older than the last admission, is a different store, or is empty although this is not the
+first start.
 """
 
 from __future__ import annotations
@@ -15,23 +16,23 @@
 
 
 class Admissions(NamedTuple):
-    """What the file has."""
+    """Contents of the file."""
 
     incarnation: str  # of the store
     admissions: int
 
 
 class AdmissionRecord:
-    """The file beside one store."""
+    """The admission record file of one store."""
 
     def __init__(self, store: Path) -> None:
-        """`store`: the path of the store's file."""
+        """Use the file beside the store file at path `store`."""
         self.path = Path(f"{store}.drains")
 
     def suspension_reason(
         self, incarnation: str, state: DurableState, *, store_is_empty: bool, new_installation: bool
     ) -> str:
-        """Why the store may know fewer nodes than were admitted; empty: it knows all of them."""
+        """Why the store may know fewer nodes than were admitted; empty if it knows all of them."""
         try:
             recorded = self._read()
         except FileNotFoundError:
@@ -51,7 +52,7 @@
         return Admissions(str(content["life"]), int(content["admissions"]))
 
     def write(self, incarnation: str, admissions: int) -> None:
-        """Replace the file. Blocks on the disk. Raises OSError."""
+        """Replace the file atomically and sync its contents to disk. Blocks on disk I/O; raises OSError."""
         part = Path(f"{self.path}.part")
         with part.open("w", encoding="utf-8") as file:
             json.dump({"life": incarnation, "admissions": admissions}, file)
--- a/gaugehinge/drains/checksum.py
+++ b/gaugehinge/drains/checksum.py
@@ -1,4 +1,4 @@
-"""Bodies of small files with a checksum before them, so that a torn write is noticed."""
+"""Contents of small files with a checksum in front, so that a torn write is detected."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def seal(body: bytes) -> bytes:
-    """The checksum in hexadecimal, a newline and the body."""
+    """Return the hexadecimal checksum, a newline and the body."""
     return xxh3_128_hexdigest(body).encode() + b"\n" + body
 
 
 def unseal(data: bytes) -> bytes:
-    """The body of what `seal` made. Raises ChecksumError."""
+    """Return the body of data made by `seal`. Raises ChecksumError."""
     checksum, _, body = data.partition(b"\n")
     if checksum.decode("ascii", "replace") != xxh3_128_hexdigest(body):
-        raise ChecksumError("not whole")
+        raise ChecksumError("checksum mismatch")
     return body
--- a/gaugehinge/drains/clock.py
+++ b/gaugehinge/drains/clock.py
@@ -1,4 +1,4 @@
-"""The clock by which leases run out."""
+"""The clock by which leases expire."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def boot_clock() -> float:
-    """Seconds of a clock that is never set and that goes on while the machine is suspended."""
+    """Return seconds of a clock that is never set and keeps running while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/gaugehinge/drains/high_water_mark.py
+++ b/gaugehinge/drains/high_water_mark.py
@@ -1,12 +1,13 @@
-"""The revision up to which leases were issued, kept in the machine's memory where no restore reaches it.
-
-A control plane that was killed and is back on its own store knows all that nodes may hold: each ceiling was
-in the store before the node was told. It cannot know by the store alone, which may have been restored to an
-older one together with everything that lies beside it. So before anything is issued, the store's revision and
-its digest are written to a file in memory (`tmpfs`): that outlives the process, not the machine, and is never
-copied. A store that has this revision with this digest has all that was issued on this machine. A control
-plane on another machine may have issued leases by a copy since; it raises nothing before lease and close
-timeout are over, so the mark counts for less than that. Where there is no such file, a start waits for these
+"""The store revision up to which leases were issued, kept in memory so that restoring files cannot revert it.
+
+A control plane that restarts on its own store after a kill knows all connections that nodes may hold: each
+ceiling was written to the store before the node was told. The store alone does not prove that it is current,
+because it may have been restored from a backup together with all files beside it. So before anything is
+issued, the store's revision and its digest are written to a file in memory (`tmpfs`). That file survives the
+process but not a reboot of the machine, and it is never copied. A store that contains this revision with this
+digest has everything that was issued on this machine. A control plane on another machine may have issued
+leases from a copy of the store since; it raises no grant before the lease duration and the close timeout have
+passed, so a mark is trusted only while it is younger than that. Without a mark, a start waits for these
 times.
 """
 
@@ -22,13 +23,13 @@
 
 from .checksum import seal, unseal
 
-SHARED_MEMORY = Path("/dev/shm")  # of the machine, or of the container
+SHARED_MEMORY = Path("/dev/shm")  # of the machine or the container
 MOUNTS_FILE = Path("/proc/self/mounts")
 MEMORY_FILESYSTEMS = ("tmpfs", "ramfs")
-FILE_SIZE = 512  # bytes, always: a write in place needs no room
-REFRESH_INTERVAL = 0.5  # seconds after which an unchanged mark is written again
+FILE_SIZE = 512  # bytes; the size is fixed so that a write in place needs no additional space
+REFRESH_INTERVAL = 0.5  # seconds after which an unchanged mark is rewritten
 
-DigestOf = Callable[[int], str]  # of a revision in the store's chain; empty where it has no such revision
+DigestOf = Callable[[int], str]  # digest of a revision in the store's chain; empty if not in it
 
 
 class HighWaterMark(
@@ -36,23 +37,23 @@
     frozen=True,
     rename={"incarnation": "life", "digest": "mark", "may_raise": "good", "written_at": "at"},
 ):
-    """Up to where leases were issued."""
+    """The store revision up to which leases were issued."""
 
     incarnation: str  # of the store
     revision: int
     digest: str  # of that revision
-    may_raise: bool  # the issuer might raise leases, as it had waited or had a current store itself
+    may_raise: bool  # the issuer could raise grants: it had waited, or its store was current
     written_at: float  # seconds, `boot_clock`
 
     def covers(self, incarnation: str, digest_of: DigestOf) -> bool:
-        """Whether a store has this revision, issued by a run that might raise leases."""
+        """Whether a store contains the marked revision, and the run that issued by it could raise grants."""
         if not self.may_raise or self.incarnation != incarnation:
             return False
         return bool(self.digest) and digest_of(self.revision) == self.digest
 
 
 def in_memory(folder: Path, mounts: Path = MOUNTS_FILE) -> bool:
-    """Whether a folder is the mount point of a filesystem in memory."""
+    """Whether a folder is the mount point of an in-memory file system."""
     try:
         lines = mounts.read_text().splitlines()
     except OSError:
@@ -62,23 +63,23 @@
 
 
 class HighWaterMarkFile:
-    """The file of one store's control plane."""
+    """The file that holds the high-water mark of one store."""
 
     def __init__(self, path: Path | None) -> None:
-        """None: there is no place for it."""
+        """Keep the mark in the file at `path`; None if no in-memory folder is available."""
         self.path = path
-        self._last: HighWaterMark | None = None  # as written last
+        self._last: HighWaterMark | None = None  # as last written
 
     @classmethod
     def for_store(cls, store: Path, folder: Path = SHARED_MEMORY) -> HighWaterMarkFile:
-        """The file that belongs to a store's path; without a place where the folder is not in memory."""
+        """Return the mark file of a store's path. It has no path itself if `folder` is not in memory."""
         if not in_memory(folder):
             return cls(None)
         name = xxh3_128_hexdigest(str(store.resolve()).encode())
         return cls(folder / f"gaugehinge-drains-{os.geteuid()}-{name}")
 
     def covers(self, incarnation: str, digest_of: DigestOf, now: float, max_age: float) -> bool:
-        """Whether a store has all that was issued, by a mark that is less than `max_age` seconds old."""
+        """Whether a mark less than `max_age` seconds old shows that a store has everything issued."""
         mark = self._read()
         if mark is None or not 0.0 <= now - mark.written_at < max_age:
             return False
@@ -96,9 +97,9 @@
     def advance(
         self, incarnation: str, revision: int, digest_of: DigestOf, may_raise: bool, now: float
     ) -> bool:
-        """Note that leases are issued by this revision from now on.
+        """Record that leases are issued from this store revision from now on.
 
-        False: that could not be written and an older mark stands; nothing may be issued.
+        Return False if the mark could not be written and an older one remains; then nothing may be issued.
         """
         if self.path is None or self._is_recent(incarnation, revision, may_raise, now):
             return True
@@ -122,19 +123,26 @@
             self.path.unlink(missing_ok=True)
 
     def _stop_recording(self, path: Path, error: OSError) -> bool:
-        """An old mark must not outlive what is issued now: a store restored to it would be trusted."""
+        """Remove a mark that can no longer be updated; return False if it cannot be removed.
+
+        It must not outlast leases issued from now on: a store restored to its revision would be trusted.
+        """
         self.path = None
         try:
             path.unlink(missing_ok=True)
         except OSError as unlink_error:
             self.path = path
             logger.error(
-                "drains: no lease is issued: the old high-water mark {} cannot be removed: {}",
+                "drains: no leases are issued because the old high-water mark {} cannot be removed: {}",
                 path,
                 unlink_error,
             )
             return False
-        logger.warning("drains: the next start will wait, {} cannot be written: {}", path, error)
+        logger.warning(
+            "drains: cannot write high-water mark {}, so the next start will wait before raising leases: {}",
+            path,
+            error,
+        )
         return True
 
 
@@ -142,6 +150,6 @@
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_NOFOLLOW, 0o600)
     try:
         if os.pwrite(descriptor, data, 0) != len(data):
-            raise OSError("not all was written")
+            raise OSError("short write of the high-water mark")
     finally:
         os.close(descriptor)
--- a/gaugehinge/drains/repository.py
+++ b/gaugehinge/drains/repository.py
@@ -1,4 +1,4 @@
-"""Rows of connection leases and rolling restarts in the control plane's store."""
+"""Reads and writes items of connection leases and rolling restarts in the control plane's store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .restart_records import RestartPlan, RestartStep, RollingRestart
 from .restart_types import FINAL_STATUSES
 
-# Kinds of items, and the one identity of the single item of its kind.
+# Item kinds, and the identifier of the only item of kind STATE.
 LIMIT = "drains-limit"
 NODE = "drains-node"
 STATE = "drains-ground"
@@ -29,14 +29,14 @@
 
 
 class LimitRecord(msgspec.Struct, frozen=True, rename={"limit": "most"}):
-    """How many connections an upstream takes, as the store has it."""
+    """Stored limit on the connections of an upstream."""
 
     limit: int
 
 
 @dataclass(slots=True, frozen=True)
 class Stored(Generic[RecordT]):
-    """A record, and the revision that it was read at."""
+    """A record and the store revision of its item when it was read."""
 
     record: RecordT
     revision: int
@@ -44,14 +44,14 @@
 
 @dataclass(slots=True)
 class RestartTable:
-    """Rolling restarts with their steps, each list in the order in which nodes are restarted."""
+    """Rolling restarts and their steps; each list of steps is in restart order."""
 
     restarts: dict[str, Stored[RollingRestart]] = field(default_factory=dict)
     steps: dict[str, list[RestartStep]] = field(default_factory=dict)
     step_revisions: dict[str, int] = field(default_factory=dict)  # by `step_ident`
 
     def changes(self, store: Store, plan: RestartPlan) -> list[Mutation]:
-        """Rows for a plan, each conditional on the revision that it was decided by."""
+        """Return mutations for a plan, each conditional on the revision that the decision was based on."""
         rows = [
             Mutation(RESTART, ident, encode(restart), self._revision(ident))
             for ident, restart in plan.restarts.items()
@@ -73,13 +73,13 @@
         return self.restarts[ident].revision if ident in self.restarts else 0
 
     def removal(self, ident: str) -> list[Mutation]:
-        """Rows that remove a restart and its steps."""
+        """Return mutations that remove a restart and its steps."""
         names = [step_ident(ident, step.node) for step in self.steps[ident]]
         steps = [Mutation(STEP, name, None, self.step_revisions[name]) for name in names]
         return [Mutation(RESTART, ident, None, self._revision(ident)), *steps]
 
     def apply(self, plan: RestartPlan) -> None:
-        """Bring the records to what they are once a plan is written; their revisions stay."""
+        """Update the records to their state after a plan is written. Revisions are not updated."""
         for ident, restart in plan.restarts.items():
             self.restarts[ident] = Stored(restart, self._revision(ident))
         for ident, changed in plan.steps.items():
@@ -88,12 +88,12 @@
 
 
 def step_ident(restart: str, node: str) -> str:
-    """The identity of a step in the store."""
+    """Return the identifier of a step's item in the store."""
     return f"{restart}/{node}"
 
 
 def load_nodes(store: Store) -> dict[str, Stored[NodeRecord]]:
-    """All nodes that may exist."""
+    """Return the records of all nodes that may exist, by node."""
     return {
         item.item_id: Stored(msgspec.json.decode(item.body, type=NodeRecord), item.revision)
         for item in store.items(NODE)
@@ -103,7 +103,7 @@
 def node_changes(
     stored_nodes: dict[str, Stored[NodeRecord]], changed: dict[str, NodeRecord]
 ) -> list[Mutation]:
-    """Rows for records that a plan changed."""
+    """Return mutations for records that a plan changed."""
     return [
         Mutation(NODE, node, encode(record), stored_nodes[node].revision if node in stored_nodes else 0)
         for node, record in changed.items()
@@ -111,12 +111,12 @@
 
 
 def load_limits(store: Store) -> ConnectionCounts:
-    """The limit of each upstream that has one of its own."""
+    """Return the limit of each upstream that has its own."""
     return {ident: stored.record.limit for ident, stored in load_limit_records(store).items()}
 
 
 def load_limit_records(store: Store) -> dict[str, Stored[LimitRecord]]:
-    """The same with revisions."""
+    """Return the limit record and its revision for each upstream that has its own limit."""
     return {
         item.item_id: Stored(msgspec.json.decode(item.body, type=LimitRecord), item.revision)
         for item in store.items(LIMIT)
@@ -124,7 +124,7 @@
 
 
 def load_state(store: Store) -> Stored[DurableState] | None:
-    """What earlier runs left; None at the very first start."""
+    """Return the state that earlier runs stored; None at the very first start."""
     item = store.get(STATE, STATE_IDENT)
     if item is None:
         return None
@@ -132,7 +132,7 @@
 
 
 def state_changes(store: Store, state: DurableState) -> list[Mutation]:
-    """The row for a state; none where the store has it."""
+    """Return the mutation for a state; empty if the store already has that state."""
     item = store.get(STATE, STATE_IDENT)
     body = encode(state)
     if item is not None and item.body == body:
@@ -141,7 +141,7 @@
 
 
 def load_restarts(store: Store, include_ended: bool = True) -> RestartTable:
-    """Rolling restarts that are kept; without `include_ended` only those that are not over."""
+    """Return the stored rolling restarts; without `include_ended` only those that have not ended."""
     table = RestartTable()
     for item in store.items(RESTART):
         restart = msgspec.json.decode(item.body, type=RollingRestart)
