--- a/tests/drains_support.py
+++ b/tests/drains_support.py
@@ -1,4 +1,4 @@
-"""Shared by the tests of connection leases and rolling restarts."""
+"""Helpers shared by the tests of connection leases and rolling restarts."""
 
 import trio
 
@@ -10,14 +10,14 @@
 
 
 async def until(condition):
-    """Wait until a condition holds."""
+    """Wait until `condition()` holds; fail after CONDITION_TIMEOUT."""
     with trio.fail_after(CONDITION_TIMEOUT):
         while not condition():
             await trio.sleep(0.005)
 
 
 def run(test, *arguments):
-    """Run an async test."""
+    """Run an async test; fail after TEST_TIMEOUT."""
 
     async def main():
         with trio.fail_after(TEST_TIMEOUT):
--- a/tests/test_drains_leases.py
+++ b/tests/test_drains_leases.py
@@ -1,4 +1,4 @@
-"""Connection leases as the control plane decides them, hard cases one by one."""
+"""Difficult cases of the control plane's decisions on connection leases."""
 
 from drains_support import DEFAULT_LIMITS, FLOORS
 
@@ -10,7 +10,7 @@
 
 
 class LeaseHarness:
-    """A lease manager with its store, and nodes that report what they are told to."""
+    """A lease manager with its stored records, and nodes whose reports the test chooses."""
 
     def __init__(self, max_nodes=4, reserve=0.0, started_at=-100.0, issuer="k1"):
         self.records, self.now, self.sequence = {}, 0.0, 0
@@ -33,7 +33,7 @@
         return self
 
     def report(self, name, demand=1, open_connections=0, run=1, **overrides):
-        """A report that follows the last lease, and the lease that answers it."""
+        """Send a report that follows the latest lease; return the lease in the reply, or None."""
         self.sequence += 1
         record = self.records.get(name, NodeRecord(name))
         follows_lease = record.run == f"{name}.{run}" and bool(record.granted)
@@ -76,12 +76,12 @@
     assert harness.report("a", demand=8, open_connections=8).granted[ORIGIN] >= 8 and harness.total() <= 12
     before = harness.records["b"].granted[ORIGIN]
     harness.report("b", demand=9, open_connections=1)
-    assert harness.records["a"].granted[ORIGIN] < 8, "asked to shrink"
+    assert harness.records["a"].granted[ORIGIN] < 8, "the grant was lowered"
     assert harness.records["b"].granted[ORIGIN] == before and harness.worst_cases()["a"] >= 8, (
-        "which nobody has confirmed"
+        "the lowered grant is not confirmed yet"
     )
     harness.report("a", demand=8, open_connections=7)
-    assert harness.worst_cases()["a"] >= 7, "it said that it still has seven"
+    assert harness.worst_cases()["a"] >= 7, "the node reported seven open connections"
     lowered = harness.records["a"].granted[ORIGIN]
     harness.report("a", demand=8, open_connections=lowered)
     assert (
@@ -111,10 +111,10 @@
     harness.report("a", demand=9)
     old_lease = harness.report("a", demand=9, open_connections=9)
     harness.now = 1.0
-    assert harness.report("a", run=2).granted[ORIGIN] < 3, "what its predecessor had may be open still"
+    assert harness.report("a", run=2).granted[ORIGIN] < 3, "connections of the earlier run may still be open"
     assert harness.worst_cases()["a"] >= old_lease.granted[ORIGIN]
     assert harness.report("a", run=1, open_connections=9) is None, (
-        "a late report of the former run is not taken"
+        "a late report of the earlier run is rejected"
     )
     harness.now = 6.5
     harness.report("a", run=2, demand=5)
@@ -128,7 +128,9 @@
     harness.report("a", closed=True)
     assert harness.worst_cases()["a"] == 1 and not harness.manager.misreporting
     harness.report("a", closed=True, open_connections=4, admitted_by="life")
-    assert harness.manager.misreporting == {"a"} and harness.worst_cases()["a"] == 4, "counted as held again"
+    assert harness.manager.misreporting == {"a"} and harness.worst_cases()["a"] == 4, (
+        "its connections count again"
+    )
 
 
 def test_no_more_than_max_nodes_are_admitted_until_one_is_forgotten():
@@ -157,11 +159,11 @@
     restored.records = dict(backup)
     reported = {"number": held.number, "issuer": held.issuer, "granted": held.granted, "admitted_by": "life"}
     restored.report("a", demand=11, open_connections=1, **reported)
-    assert restored.worst_cases()["a"] == backup["a"].granted[ORIGIN], "the most that either has"
+    assert restored.worst_cases()["a"] == backup["a"].granted[ORIGIN], "the higher grant of the two"
     assert restored.records["a"].number > held.number and restored.records["a"].granted == held.granted
     assert "which this store does not know" in restored.manager.state.suspension_reason
     restored.report("b", demand=5, admitted_by="life")
-    assert "b" in restored.records, "it uses its floors whatever is decided"
+    assert "b" in restored.records, "an admitted node uses its floors whatever is decided"
     assert restored.report("c", demand=5) is None
     restored.now = 40.0
     restored.report("a", demand=11, open_connections=1)
@@ -174,7 +176,7 @@
         harness.report(name, demand=9)
     for name in "ab":
         harness.report(name, demand=9, open_connections=1)
-    assert harness.total() <= 9, "a quarter in reserve"
+    assert harness.total() <= 9, "a quarter of the limit is kept in reserve"
     harness.limits[ORIGIN] = 6
     harness.plan()
     assert not harness.manager.limit_enforced(harness.records.values(), ORIGIN, 6, harness.now)
--- a/tests/test_drains_model.py
+++ b/tests/test_drains_model.py
@@ -1,4 +1,7 @@
-"""Connection leases and rolling restarts in virtual time: search, random walks, injected faults."""
+"""Model checks of connection leases and rolling restarts in virtual time.
+
+Breadth-first search over states, random walks and injected faults.
+"""
 
 import pytest
 from hypothesis import Phase, settings
@@ -37,8 +40,9 @@
 
 
 OPEN_MOVES, LATE_ANSWER = (("open", 0),), (("answer_late", 0), *[("tick",)] * 4)
-# A grant moved to another node since a backup was made, and a control plane is back: on the backup; on the
-# backup after one that waited on it was killed; on its own store, while one elsewhere went on with a copy.
+# A grant moves to another node after a backup was made, and then a control plane starts: on that backup; on
+# that backup, after a control plane that was waiting on it was killed; on its own store, after a control plane
+# on another machine went on with a copy of it.
 RESTORED_BACKUP = (("copy",), *ask_moves(1, 0, 0, 1, 1), ("open", 1), ("older",), *ask_moves(0))
 RESTORED_THEN_KILLED = (*RESTORED_BACKUP, ("keeper",), *ask_moves(0))
 MOVED_AND_BACK = (
@@ -88,7 +92,9 @@
 def test_random_walks_stay_within_the_limit():
     violations = [violation for seed in range(400) if (violation := walk(World, seed, 300))]
     assert not violations, violations[0]
-    assert any(walk(kind(KillIsProof), seed, 300) for seed in range(100)), "these ways find faults"
+    assert any(walk(kind(KillIsProof), seed, 300) for seed in range(100)), (
+        "the same walks find an injected fault"
+    )
 
 
 class GeneratedWalk(RuleBasedStateMachine):
@@ -145,11 +151,11 @@
 def test_restarts_under_faults_keep_within_the_unavailability_limits(seed):
     duration, violation, done = virtual_roll(24, 3, 3, seed, faults=True)
     assert not violation, violation
-    assert done, f"not done after {duration} s"
+    assert done, f"restart not finished after {duration} s"
 
 
 def test_the_duration_of_a_restart_is_independent_of_the_fleets_size():
     durations = [virtual_roll(12 * size, 3, 2 * size, 1)[0] for size in (1, 4, 16)]
     assert all(duration < 1.5 * durations[0] for duration in durations), (
-        "the same part of a fleet is out at a time"
+        "the same fraction of the fleet restarts at a time, so the duration must not grow"
     )
