--- a/gaugehinge/drains/lease_service.py
+++ b/gaugehinge/drains/lease_service.py
@@ -1,4 +1,4 @@
-"""Plans connection leases in the control plane's store and advances the mark before they are issued.
+"""Plans connection leases in the control plane's store; advances the high-water mark before issuing them.
 
 Leases are planned, written and issued only on the store's thread, so that no plan runs between the read of a
 record and the recording of its lease as issued.
@@ -85,7 +85,7 @@
         with self.lock:
             self.manager.state = state
             self.manager.adopt_floors(records)
-            # After a kill, on this machine and the store leases were issued from: it has all that is held.
+            # After a kill on this machine, the store that it last issued from has all that nodes may hold.
             self.manager.store_is_current = not state.suspension_reason and self.mark_file.covers(
                 self.control_plane.store_id, store.revision_digest, boot_clock(), self.manager.startup_hold
             )
--- a/gaugehinge/drains/lease_table.py
+++ b/gaugehinge/drains/lease_table.py
@@ -33,9 +33,7 @@
     reports: dict[str, NodeReport] = field(default_factory=dict)  # latest report of each node
     last_heard: dict[str, float] = field(default_factory=dict)
     issued: dict[str, GrantedLease] = field(default_factory=dict)
-    lingering_until: dict[str, float] = field(
-        default_factory=dict
-    )  # when earlier runs' connections are closed
+    lingering_until: dict[str, float] = field(default_factory=dict)  # when connections of earlier runs end
     misreporting: set[str] = field(default_factory=set)  # reported connections after reporting all closed
     rejected: dict[str, str] = field(default_factory=dict)  # reason by node that was not admitted
     unprocessed: set[str] = field(default_factory=set)  # nodes that reported since the last plan
--- a/gaugehinge/drains/limits_api.py
+++ b/gaugehinge/drains/limits_api.py
@@ -38,7 +38,7 @@
         return await self._limit_response(request.path_params["store"])
 
     async def put_limit(self, request: Request, caller: Caller) -> Response:
-        """PUT /v1/limits/{store}: set a limit, conditional on its revision; 0 creates it."""
+        """PUT /v1/limits/{store}: set a limit, conditional on its revision; 0 creates a server's limit."""
         caller.require_role("operator")
         upstream = request.path_params["store"]
         update, _ = await read_json(request, LimitUpdate)
--- a/tests/test_drains_model.py
+++ b/tests/test_drains_model.py
@@ -41,8 +41,8 @@
 
 OPEN_MOVES, LATE_ANSWER = (("open", 0),), (("answer_late", 0), *[("tick",)] * 4)
 # A grant moves to another node after a backup was made, and then a control plane starts: on that backup; on
-# that backup, after a control plane that was waiting on it was killed; on its own store, after a control plane
-# on another machine went on with a copy of it.
+# that backup, after a control plane that was waiting on it was killed; on its own store, after a control
+# plane on another machine went on with a copy of it.
 RESTORED_BACKUP = (("copy",), *ask_moves(1, 0, 0, 1, 1), ("open", 1), ("older",), *ask_moves(0))
 RESTORED_THEN_KILLED = (*RESTORED_BACKUP, ("keeper",), *ask_moves(0))
 MOVED_AND_BACK = (
