--- a/gaugehinge/drains/lease_allocation.py
+++ b/gaugehinge/drains/lease_allocation.py
@@ -1,7 +1,7 @@
-"""Distribution of each limit over the live nodes by their demand. No I/O, no clock.
+"""Distribution of each limit over the live nodes by their demand. Performs no I/O and reads no clock.
 
-What is lowered is lowered first; only what is then free is given to others. A node is asked for one change at
-a time: the next one is made once it is known to follow the last.
+Grants are lowered first, and others are raised only by what is then free. Each node has at most one change
+pending: the next is made once the node has reported that it follows the previous one.
 """
 
 from __future__ import annotations
@@ -14,37 +14,37 @@
 from .connection_counts import ConnectionCounts, count_for, maximum
 from .lease_types import NodeRecord, NodeReport
 
-DEMAND_HEADROOM = 1.25  # of the measured demand that a grant is to cover
-MIN_CHANGE = 0.25  # of a grant: a smaller change is not worth a new lease number
+DEMAND_HEADROOM = 1.25  # multiple of the measured demand that a grant should cover
+MIN_CHANGE = 0.25  # fraction of a grant; a smaller change is not worth a new lease number
 
 
 class Pressure(IntEnum):
     """How urgent a rebalancing is."""
 
     NONE = 0
-    DEMAND = 1  # a node waits for connections that others have
-    OVERCOMMITTED = 2  # the grants are more than the limit leaves
+    DEMAND = 1  # a node needs connections that are granted to others
+    OVERCOMMITTED = 2  # grants exceed what the limit leaves for them
 
 
 @dataclass(slots=True, eq=False)
 class LeaseAllocator:
-    """One rebalancing. `records` of all nodes are updated in place."""
+    """A single rebalancing. Updates `records`, which holds all nodes, in place."""
 
     records: dict[str, NodeRecord]
-    live: list[str]  # nodes that report and may be granted something
+    live: list[str]  # nodes that currently report and may be granted connections
     reports: Mapping[str, NodeReport]
     limits: Mapping[str, int]
-    draining: frozenset[str]  # nodes that get nothing more
-    tenant_demand: Mapping[str, float]  # connections that tenants would use by their rate limits
+    draining: frozenset[str]  # nodes whose grants are not raised
+    tenant_demand: Mapping[str, float]  # connections that tenants would use at their rate limits
     reserve: float
     floors: ConnectionCounts
-    unadmitted: int  # nodes that may still be admitted
+    unadmitted: int  # number of nodes that may still be admitted
     issuer: str
-    calm: bool  # the last rebalancing was recent: only what is urgent is changed
+    recently_rebalanced: bool  # if so, only urgent changes are made
     targets: dict[str, ConnectionCounts] = field(default_factory=dict)
 
     def rebalance(self) -> bool:
-        """Bring grants nearer to the demand; whether any changed."""
+        """Move grants towards the demand. Return whether any grant changed."""
         self.targets = {node: {} for node in self.live}
         pressure = Pressure.NONE
         for upstream in self.limits:
@@ -72,7 +72,7 @@
         return {node: count_for(counts_of(self.records[node]), upstream) for node in self.live}
 
     def _room_for_live(self, upstream: str) -> int:
-        """What the limit leaves to live nodes beside the reserve and all that others may hold."""
+        """What the limit leaves for live nodes after the reserve and all other possible connections."""
         limit = self.limits[upstream]
         others = sum(r.worst_case(upstream) for node, r in self.records.items() if node not in self.targets)
         lingering = sum(self._live_counts(lambda record: record.lingering, upstream).values())
@@ -86,24 +86,24 @@
         for node in self.live:
             want = demand[node]
             if node not in self.draining:
-                part = demand[node] / total if total else 1.0 / len(self.live)
-                want = max(ceil(want * DEMAND_HEADROOM), ceil(tenant_demand * part))
+                share = demand[node] / total if total else 1.0 / len(self.live)
+                want = max(ceil(want * DEMAND_HEADROOM), ceil(tenant_demand * share))
             wanted[node] = max(want, floors[node])
         return wanted
 
     def _share_spare(self, upstream: str, wanted: dict[str, int], spare: int) -> None:
-        takers = sum(node not in self.draining for node in self.live)
+        recipients = sum(node not in self.draining for node in self.live)
         for node in self.live:
-            extra = 0 if node in self.draining else spare // takers
+            extra = 0 if node in self.draining else spare // recipients
             self.targets[node][upstream] = wanted[node] + extra
 
     def _scale_down(self, upstream: str, wanted: dict[str, int], floors: dict[str, int], room: int) -> None:
-        above_floors = max(room - sum(floors.values()), 0)
-        asked = sum(wanted.values()) - sum(floors.values())
+        room_above_floors = max(room - sum(floors.values()), 0)
+        wanted_above_floors = sum(wanted.values()) - sum(floors.values())
         for node in self.live:
-            over = wanted[node] - floors[node]
-            part = above_floors * over // asked if asked else 0
-            self.targets[node][upstream] = floors[node] + part
+            above_floor = wanted[node] - floors[node]
+            share = room_above_floors * above_floor // wanted_above_floors if wanted_above_floors else 0
+            self.targets[node][upstream] = floors[node] + share
 
     def _pressure(self, upstream: str, demand: dict[str, int], floors: dict[str, int], room: int) -> Pressure:
         granted = self._live_counts(lambda record: record.granted, upstream)
@@ -118,7 +118,7 @@
     # -- changes
 
     def _is_settled(self, record: NodeRecord) -> bool:
-        """Whether the node is known to follow its last lease."""
+        """Whether the node has reported that it follows its latest lease."""
         report = self.reports[record.node]
         return not record.granted or (report.number, report.issuer) == (record.number, record.issuer)
 
@@ -146,7 +146,7 @@
             return False
         if pressure is Pressure.OVERCOMMITTED:
             return True
-        if pressure is Pressure.NONE and self.calm:
+        if pressure is Pressure.NONE and self.recently_rebalanced:
             return False
         least = max(2 if pressure is Pressure.NONE else 1, ceil(MIN_CHANGE * granted))
         return granted - target >= least
@@ -165,10 +165,10 @@
             unchanged = granted == {upstream: count_for(record.granted, upstream) for upstream in granted}
             if unchanged and record.granted:
                 continue
-            after = record.reissued(self.issuer, granted, maximum(record.ceilings, granted))
+            raised = record.reissued(self.issuer, granted, maximum(record.ceilings, granted))
             for upstream in self.limits:
-                free[upstream] -= after.worst_case(upstream) - record.worst_case(upstream)
-            self.records[node] = after
+                free[upstream] -= raised.worst_case(upstream) - record.worst_case(upstream)
+            self.records[node] = raised
             changed = True
         return changed
 
@@ -181,22 +181,24 @@
         return max(count_for(demand, upstream) - count_for(granted, upstream) for upstream in self.limits)
 
     def _raised(self, record: NodeRecord, upstream: str, target: int, free: int) -> int:
-        """What one node is granted of one upstream; at least what it has."""
+        """The new grant of a node for one upstream, at least its present grant."""
         granted, floor = count_for(record.granted, upstream), count_for(record.floors, upstream)
         starved = count_for(self.reports[record.node].demand, upstream) > granted or granted < floor
         if starved:
-            worth = target > granted
+            worthwhile = target > granted
         else:
-            worth = not self.calm and target - granted >= max(1, ceil(MIN_CHANGE * granted))
-        if not worth:
+            worthwhile = not self.recently_rebalanced and target - granted >= max(
+                1, ceil(MIN_CHANGE * granted)
+            )
+        if not worthwhile:
             return granted
-        # The reserve is for nodes that return: up to their floor they may have it.
+        # The reserve is kept for returning nodes: a grant may draw on it only up to the node's floor.
         reserved = ceil(self.reserve * self.limits[upstream])
-        top = _highest_grant(record, upstream, free - reserved)
-        top = max(top, min(floor, _highest_grant(record, upstream, free)))
-        return max(granted, min(target, top))
+        highest = _highest_grant(record, upstream, free - reserved)
+        highest = max(highest, min(floor, _highest_grant(record, upstream, free)))
+        return max(granted, min(target, highest))
 
 
 def _highest_grant(record: NodeRecord, upstream: str, free: int) -> int:
-    """The highest grant for which `free` connections beside the node's own worst case suffice."""
+    """The highest grant that adds at most `free` connections to the node's worst case."""
     return record.worst_case(upstream) - count_for(record.lingering, upstream) + max(free, 0)
--- a/tests/drains_support.py
+++ b/tests/drains_support.py
@@ -1,4 +1,4 @@
-"""Shared by the tests of connection leases and rolling restarts."""
+"""Helpers shared by the tests of connection leases and rolling restarts."""
 
 import trio
 
@@ -6,21 +6,21 @@
 
 DEFAULT_LIMITS = {ORIGIN: 12, DEFAULT_SERVER: 8}
 FLOORS = {ORIGIN: 1, DEFAULT_SERVER: 1}
-CONDITION_TIMEOUT, SCENE_TIMEOUT = 10, 40  # seconds
+CONDITION_TIMEOUT, TEST_TIMEOUT = 10, 40  # seconds
 
 
 async def until(condition):
-    """Wait until a condition holds."""
+    """Wait until `condition()` holds; fail after CONDITION_TIMEOUT."""
     with trio.fail_after(CONDITION_TIMEOUT):
         while not condition():
             await trio.sleep(0.005)
 
 
-def run(scene, *arguments):
-    """Run an async test."""
+def run(test, *arguments):
+    """Run an async test; fail after TEST_TIMEOUT."""
 
     async def main():
-        with trio.fail_after(SCENE_TIMEOUT):
-            await scene(*arguments)
+        with trio.fail_after(TEST_TIMEOUT):
+            await test(*arguments)
 
     trio.run(main)
