--- a/gaugehinge/recovery/build.py
+++ b/gaugehinge/recovery/build.py
@@ -12,7 +12,7 @@
 from ..net.service import Service
 from .driver import Recovery
 
-LEAST_KEY = 16  # bytes
+MIN_KEY_BYTES = 16  # bytes
 
 
 class RecoveryKeyError(ValueError):
@@ -25,8 +25,8 @@
         key = Path(path).read_bytes().strip()
     except OSError as error:
         raise RecoveryKeyError(f"cannot read {path}: {type(error).__name__}") from error
-    if len(key) < LEAST_KEY:
-        raise RecoveryKeyError(f"{path}: under {LEAST_KEY} bytes")
+    if len(key) < MIN_KEY_BYTES:
+        raise RecoveryKeyError(f"{path}: under {MIN_KEY_BYTES} bytes")
     return key
 
 
@@ -36,9 +36,9 @@
     """What makes a service recover; built behind all else that follows a keeper. Raises RecoveryKeyError."""
     key = read_key(installation.recovery.key_file)
 
-    def build(service: Service, nursery: trio.Nursery, follower: ControlPlaneWatch | None) -> Recovery:
-        recovery = Recovery(service, installation.recovery, key, follower)
-        recovery.begin(nursery)
+    def build(service: Service, nursery: trio.Nursery, watch: ControlPlaneWatch | None) -> Recovery:
+        recovery = Recovery(service, installation.recovery, key, watch)
+        recovery.start(nursery)
         return recovery
 
     return build
--- a/gaugehinge/recovery/datagram.py
+++ b/gaugehinge/recovery/datagram.py
@@ -17,13 +17,13 @@
 
 MAGIC = 0xE7
 VERSION = 1
-MARK_BYTES = 16  # of the digest that go along
-FORM = struct.Struct("<BBIIIQQdQdQ?fIB?dQQIIQfBx")
+MAC_BYTES = 16  # of the digest that go along
+LAYOUT = struct.Struct("<BBIIIQQdQdQ?fIB?dQQIIQfBx")
 # By bit. Routers that know none of them send 0: nothing said
 FLAGS = ("clean_shutdown", "receiver_clean_shutdown", "confirmed_clean_shutdown", "zone_servers_survived")
-LENGTH = FORM.size + MARK_BYTES
-MOST_BYTES = 256
-if LENGTH > MOST_BYTES or LENGTH % 4 == 0:
+MESSAGE_BYTES = LAYOUT.size + MAC_BYTES
+MAX_MESSAGE_BYTES = 256
+if MESSAGE_BYTES > MAX_MESSAGE_BYTES or MESSAGE_BYTES % 4 == 0:
     raise AssertionError("the form of messages does not fit")
 
 
@@ -33,66 +33,72 @@
 
 
 @dataclass(slots=True)
-class Wire:
+class MessageCodec:
     """Makes and reads messages with one key, and counts what was dropped."""
 
     key: bytes
     dropped: dict[str, int] = field(default_factory=lambda: dict.fromkeys(("form", "version", "mark"), 0))
 
-    def write(self, told: PeerMessage) -> bytes:
+    def encode(self, message: PeerMessage) -> bytes:
         """A message as it goes out."""
-        body = FORM.pack(
+        body = LAYOUT.pack(
             MAGIC,
             VERSION,
-            told.sender,
-            told.receiver,
-            told.zone,
-            told.run,
-            told.nonce,
-            told.uptime,
-            told.echo_nonce,
-            told.echo_uptime,
-            told.receiver_run,
-            told.survived,
-            told.last_heard_ago,
-            told.epoch,
-            told.verdict,
-            told.ready,
-            told.wall_clock,
-            told.list_rev,
-            told.list_checksum,
-            told.control_plane_run,
-            told.store_digest,
-            told.store_revision,
-            told.keys_lost_ago,
-            sum(getattr(told, name) << bit for bit, name in enumerate(FLAGS)),
+            message.sender,
+            message.receiver,
+            message.zone,
+            message.run,
+            message.nonce,
+            message.uptime,
+            message.echo_nonce,
+            message.echo_uptime,
+            message.receiver_run,
+            message.survived,
+            message.last_heard_ago,
+            message.epoch,
+            message.verdict,
+            message.ready,
+            message.wall_clock,
+            message.list_rev,
+            message.list_checksum,
+            message.control_plane_run,
+            message.store_digest,
+            message.store_revision,
+            message.keys_lost_ago,
+            sum(getattr(message, name) << bit for bit, name in enumerate(FLAGS)),
         )
-        return body + self._mark(body)
+        return body + self._mac(body)
 
-    def mine(self, payload: bytes) -> bool:
+    def matches(self, payload: bytes) -> bool:
         """Whether a datagram is of this kind at all: others are the module's."""
-        return len(payload) == LENGTH and payload[0] == MAGIC
+        return len(payload) == MESSAGE_BYTES and payload[0] == MAGIC
 
-    def read(self, payload: bytes) -> PeerMessage | None:
+    def decode(self, payload: bytes) -> PeerMessage | None:
         """A message that came; None where it cannot be read, which is counted by cause."""
-        if not self.mine(payload):
+        if not self.matches(payload):
             return self._drop("form")
-        body, mark = payload[: FORM.size], payload[FORM.size :]
+        body, mac = payload[: LAYOUT.size], payload[LAYOUT.size :]
         if body[1] != VERSION:
             return self._drop("version")
-        if not hmac.compare_digest(mark, self._mark(body)):
+        if not hmac.compare_digest(mac, self._mac(body)):
             return self._drop("mark")
-        _, _, *figures, flags = FORM.unpack(body)
-        said = {name: bool(flags >> bit & 1) for bit, name in enumerate(FLAGS)} if flags else {}
-        told = PeerMessage(*figures, **said)
-        times = (told.uptime, told.echo_uptime, told.last_heard_ago, told.wall_clock, told.keys_lost_ago)
-        known = told.verdict in Verdict._value2member_map_
-        if not all(map(isfinite, times)) or min(times[:3]) < 0.0 or not known:
+        _, _, *fields, flags = LAYOUT.unpack(body)
+        flag_values = {name: bool(flags >> bit & 1) for bit, name in enumerate(FLAGS)} if flags else {}
+        message = PeerMessage(*fields, **flag_values)
+        times = (
+            message.uptime,
+            message.echo_uptime,
+            message.last_heard_ago,
+            message.wall_clock,
+            message.keys_lost_ago,
+        )
+        known_verdict = message.verdict in Verdict._value2member_map_
+        if not all(map(isfinite, times)) or min(times[:3]) < 0.0 or not known_verdict:
             return self._drop("form")
-        return told
+        return message
 
-    def _mark(self, body: bytes) -> bytes:
-        return hmac.digest(self.key, body, "sha256")[:MARK_BYTES]
+    def _mac(self, body: bytes) -> bytes:
+        return hmac.digest(self.key, body, "sha256")[:MAC_BYTES]
 
     def _drop(self, cause: str) -> None:
         self.dropped[cause] += 1
--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -32,21 +32,24 @@
 from ..routing.types import Effect, EndpointEntry, EndpointState, Operation
 from ..tenancy.feed import Feed
 from . import restart_scope, staleness_rules, startup_spreading
-from .datagram import Wire, digest
+from .datagram import MessageCodec, digest
 from .incarnations import IncarnationTracker
 from .list_transformers import EstimatedStarts, ListGate
 from .recovery_ramp import LoadLimits, RecoveryRamp, Stage, StageTimeouts, StartupProgress, StartupSequence
 from .restart_scope import Verdict
 from .retry_fencing import RetryFence
-from .snapshot import Entry, Kept, Learnt, SnapshotFile, boot_of, identity_of
+from .snapshot import LearntRates, ServerEntry, Snapshot, SnapshotFile, read_boot_id, snapshot_identity
 
-LOOK = 0.05  # seconds between two looks at what has come
-CONNECTIONS_LOOK = 0.5  # and at the connections to servers
-WORDS = 3  # times that each peer is told of an ordered end: datagrams may be lost
-WORDS_APART = 0.03  # seconds
-RISE_TIME, FALL_TIME = 2.0, 60.0  # seconds over which steady service is smoothed: a pause is no less of it
-MOST_FIGURE = (1 << 63) - 1  # of versions, as messages carry them
-STATES = {presence: state for state, presence in ENDPOINT_STATES.items()}
+CHECK_INTERVAL = 0.05  # seconds between two looks at what has come
+CONNECTION_CHECK_INTERVAL = 0.5  # and at the connections to servers
+SHUTDOWN_NOTICES = 3  # times that each peer is told of an ordered end: datagrams may be lost
+SHUTDOWN_NOTICE_INTERVAL = 0.03  # seconds
+RISE_TIME_CONSTANT, FALL_TIME_CONSTANT = (
+    2.0,
+    60.0,
+)  # seconds over which steady service is smoothed: a pause is no less of it
+MAX_REVISION = (1 << 63) - 1  # of versions, as messages carry them
+PRESENCE_BY_STATE = {presence: state for state, presence in ENDPOINT_STATES.items()}
 
 
 class Recovery(FeedPart):
@@ -63,132 +66,138 @@
         service: Service,
         entry: RecoveryEntry,
         key: bytes,
-        follower: ControlPlaneWatch | None = None,
-        wall: Callable[[], float] = time.time,
-        steady: Callable[[], float] = time.monotonic,
-        boot: Callable[[], str] = boot_of,
+        watch: ControlPlaneWatch | None = None,
+        wall_clock: Callable[[], float] = time.time,
+        monotonic: Callable[[], float] = time.monotonic,
+        boot_id: Callable[[], str] = read_boot_id,
     ) -> None:
         """`key`: of the tier's messages; the clocks and the machine's boot may be played by a test."""
         deployment = service.configuration.settings.deployment
-        self.service, self.entry, self.follower = service, entry, follower
+        self.service, self.entry, self.watch = service, entry, watch
         self.dispatcher, self.clock = service.dispatcher, service.clock
-        self.wall, self.steady, self.boot = wall, steady, boot
-        self.me, self.routers = deployment.router_number, deployment.router_count
+        self.wall_clock, self.monotonic, self.boot_id = wall_clock, monotonic, boot_id
+        self.own_number, self.router_count = deployment.router_number, deployment.router_count
         self.deployment = deployment
-        self.wire = Wire(key)
-        self.file = SnapshotFile(entry.snapshot, identity_of(key, service.configuration.name, self.me))
-        self.began = self.clock()
-        self.former: Kept | None = None
-        self.age = staleness_rules.SnapshotAge(inf, False)
-        self.mind: restart_scope.TierView
+        self.codec = MessageCodec(key)
+        self.snapshot_file = SnapshotFile(
+            entry.snapshot, snapshot_identity(key, service.configuration.name, self.own_number)
+        )
+        self.started_at = self.clock()
+        self.previous: Snapshot | None = None
+        self.snapshot_age = staleness_rules.SnapshotAge(inf, False)
+        self.view: restart_scope.TierView
         self.slack = restart_scope.restart_slack(
-            self.routers, startup_spreading.steady_messages_per_second(self.routers)
+            self.router_count, startup_spreading.steady_messages_per_second(self.router_count)
         )
-        self.said: dict[int, staleness_rules.PeerReport] = {}  # by peer, the last of each
-        self.walls: dict[int, float] = {}  # by peer, how far its wall clock is from ours
-        self.heard: dict[int, float] = {}  # by peer, when
-        self.lived_lost: dict[int, float] = {}  # by peer that lived on, when it saw marks lost last
-        self.effects = RetryFence(deployment, float(entry.repeats), self.began)
-        self.opening = RecoveryRamp(deployment, secrets.randbits(32))
-        self.order = StartupSequence(
+        self.peer_reports: dict[int, staleness_rules.PeerReport] = {}  # by peer, the last of each
+        self.peer_clock_offsets: dict[int, float] = {}  # by peer, how far its wall clock is from ours
+        self.last_heard: dict[int, float] = {}  # by peer, when
+        self.keys_lost_at: dict[int, float] = {}  # by peer that lived on, when it saw marks lost last
+        self.retry_fence = RetryFence(deployment, float(entry.repeats), self.started_at)
+        self.ramp = RecoveryRamp(deployment, secrets.randbits(32))
+        self.sequence = StartupSequence(
             StageTimeouts(
-                float(entry.keeper_wait) if follower is not None else 0.0,
+                float(entry.keeper_wait) if watch is not None else 0.0,
                 float(entry.list_wait),
-                float(entry.keeper_wait) if follower is not None else 0.0,
+                float(entry.keeper_wait) if watch is not None else 0.0,
                 float(entry.decide),
             )
         )
-        self.facts = StartupProgress(control_plane=follower is None, subsystems=follower is None)
-        self.store = staleness_rules.KnownStore("", 0, {})
-        self.older_until = 0.0  # a keeper from before what was heard is not followed until then; 0: none is
-        self.keeper_run = ""
+        self.progress = StartupProgress(control_plane=watch is None, subsystems=watch is None)
+        self.known_store = staleness_rules.KnownStore("", 0, {})
+        self.outdated_feed_until = (
+            0.0  # a keeper from before what was heard is not followed until then; 0: none is
+        )
+        self.control_plane_run = ""
         self.servers: dict[str, EndpointTarget] = {}  # as discovery told them, follows the list
         self.list_rev = -1
-        self.list_sum = 0
+        self.list_checksum = 0
         self.known_rev, self.known_starts = -1, {}  # of the list that was followed last, kept ones too
-        self.held_back: list[EndpointListUpdate] = []  # until it is decided; emptied then
-        self.old_list_until = 0.0  # by an old list only what harms nobody is sent; 0: it is none
-        self.starts: dict[str, tuple[float, float]] = {}  # as told and as believed, follows the list
-        self.learnt = Learnt()
-        self.saved_at = self.learnt_at = self.began
-        self.turn = 0
-        self.elsewhere = 0
-        self.failed = False
-        self.lives = IncarnationTracker()
-        self.connections_at = self.began
+        self.held_updates: list[EndpointListUpdate] = []  # until it is decided; emptied then
+        self.outdated_list_until = 0.0  # by an old list only what harms nobody is sent; 0: it is none
+        self.start_times: dict[str, tuple[float, float]] = {}  # as told and as believed, follows the list
+        self.learnt = LearntRates()
+        self.saved_at = self.learnt_at = self.started_at
+        self.round_number = 0
+        self.peer_restarts = 0
+        self.check_failed = False
+        self.incarnations = IncarnationTracker()
+        self.connections_checked_at = self.started_at
         self.dirty = trio.Event()
-        self.saving = trio.Lock()  # two at a time would write into one file
+        self.save_lock = trio.Lock()  # two at a time would write into one file
         self.intercepting = False  # whether `intercept` has anything to do
         self.list_gate = ListGate(self._gate_list)
-        self.believed_starts = EstimatedStarts(self._with_believed_starts)
+        self.estimated_starts = EstimatedStarts(self._estimate_starts)
 
     # -- the start
 
-    def begin(self, nursery: trio.Nursery) -> None:
+    def start(self, nursery: trio.Nursery) -> None:
         """Read what was kept, count the run before anybody is told of it, and intercept from now on."""
-        self.former, why = self.file.load()
-        kept = self.former
-        if kept is None:
-            logger.warning("recovery: no snapshot: {}", why)
+        self.previous, reason = self.snapshot_file.load()
+        stored = self.previous
+        if stored is None:
+            logger.warning("recovery: no snapshot: {}", reason)
         else:
-            self.age = staleness_rules.snapshot_age(kept, self.wall(), self.steady(), self.boot())
-            self._take(kept)
-        run = min((kept.run if kept else 0) + 1, restart_scope.MAX_COUNTER)
-        known = tuple(kept.runs[: self.routers]) if kept else ()
-        lately = (
-            tuple(kept.lately[: self.routers])
-            if kept and staleness_rules.confidence("lately", self.age)
+            self.snapshot_age = staleness_rules.snapshot_age(
+                stored, self.wall_clock(), self.monotonic(), self.boot_id()
+            )
+            self._apply_snapshot(stored)
+        run = min((stored.run if stored else 0) + 1, restart_scope.MAX_COUNTER)
+        known_runs = tuple(stored.runs[: self.router_count]) if stored else ()
+        recent_runs = (
+            tuple(stored.recent_runs[: self.router_count])
+            if stored and staleness_rules.confidence("lately", self.snapshot_age)
             else ()
         )
-        self.mind = restart_scope.initial_view(
-            self.me,
+        self.view = restart_scope.initial_view(
+            self.own_number,
             digest(self.deployment.zone),
             run,
             secrets.randbits(63) | 1,
-            (*known, *[0] * (self.routers - len(known))),
-            (*lately, *[-1] * (self.routers - len(lately))),
+            (*known_runs, *[0] * (self.router_count - len(known_runs))),
+            (*recent_runs, *[-1] * (self.router_count - len(recent_runs))),
             float(self.entry.decide),
-            kept.epoch if kept else 0,
+            stored.epoch if stored else 0,
         )
         try:
-            self.file.save(self._snapshot())
-        except (OSError, ValueError) as bad:
-            logger.warning("recovery: run {} could not be counted on the disk: {}", run, bad)
-        sure = "" if self.age.from_monotonic_clock else "by wall clocks "
-        old = "none" if kept is None else f"{sure}{self.age.seconds:.1f} s old"
-        logger.info("recovery: run {}, epoch {}, snapshot {}", run, self.mind.epoch, old)
-        self._join_feed()
+            self.snapshot_file.save(self._build_snapshot())
+        except (OSError, ValueError) as error:
+            logger.warning("recovery: run {} could not be counted on the disk: {}", run, error)
+        clock_note = "" if self.snapshot_age.from_monotonic_clock else "by wall clocks "
+        age_text = "none" if stored is None else f"{clock_note}{self.snapshot_age.seconds:.1f} s old"
+        logger.info("recovery: run {}, epoch {}, snapshot {}", run, self.view.epoch, age_text)
+        self._schedule_first_calls()
         self.intercepting = True
         self.service.lifecycle.enter(Phase.RECOVERING, 0)
-        for task in (self._look_on, self._tell_on, self._save_on):
+        for task in (self._check_loop, self._message_loop, self._save_loop):
             nursery.start_soon(task)
 
-    def _take(self, kept: Kept) -> None:
+    def _apply_snapshot(self, stored: Snapshot) -> None:
         """What of the snapshot is believed at once."""
-        self.store = staleness_rules.KnownStore(
-            kept.store, kept.revision, dict(kept.incarnations), kept.floor
+        self.known_store = staleness_rules.KnownStore(
+            stored.store_name, stored.revision, dict(stored.incarnations), stored.incarnation_floor
         )
-        part = staleness_rules.confidence("learnt", self.age)
-        self.known_rev = kept.list_rev
-        self.known_starts = {each.uid: each.started for each in kept.servers}
-        self.learnt = Learnt(kept.learnt.reads * part, kept.learnt.writes * part)
-
-    def _join_feed(self) -> None:
-        places = startup_spreading.startup_delays(self.me, self.routers)
-        self.asks_at = self.began + places.discovery
-        self.tells_from = places.messages
-        if self.follower is not None:
-            self.follower.delay_first_call(places.control_plane)
-            self.follower.run_number = self.mind.run
-            self.follower.add_part(self)
+        confidence = staleness_rules.confidence("learnt", self.snapshot_age)
+        self.known_rev = stored.list_rev
+        self.known_starts = {entry.uid: entry.started for entry in stored.servers}
+        self.learnt = LearntRates(stored.learnt.reads * confidence, stored.learnt.writes * confidence)
+
+    def _schedule_first_calls(self) -> None:
+        delays = startup_spreading.startup_delays(self.own_number, self.router_count)
+        self.first_poll_at = self.started_at + delays.discovery
+        self.first_message_delay = delays.messages
+        if self.watch is not None:
+            self.watch.delay_first_call(delays.control_plane)
+            self.watch.run_number = self.view.run
+            self.watch.add_part(self)
 
     def earliest_poll(self) -> float:
         """This router's place among all that have just started."""
-        return self.asks_at
+        return self.first_poll_at
 
     def uptime(self) -> float:
         """Seconds since the start."""
-        return self.clock() - self.began
+        return self.clock() - self.started_at
 
     # -- requests
 
@@ -201,58 +210,58 @@
         now = self.clock()
         traffic = operation.traffic_type
         row, write = traffic.row, operation.is_write
-        if now < self.effects.fenced_until[row]:
-            final = self.effects.must_fail(
-                row, write, operation.is_client_retry, mark_of(payload.labels), now
+        if now < self.retry_fence.fenced_until[row]:
+            must_fail = self.retry_fence.must_fail(
+                row, write, operation.is_client_retry, idempotency_key_of(payload.labels), now
             )
-            if final and self.mind.verdict is not Verdict.DECIDING:
-                self._answer(operation, reply_callback, FAILED_REPLY)
+            if must_fail and self.view.verdict is not Verdict.DECIDING:
+                self._reply(operation, reply_callback, FAILED_REPLY)
                 return None
-        if self.opening.fully_open and not self.old_list_until:
+        if self.ramp.fully_open and not self.outdated_list_until:
             return reply_callback
-        away = self._away(row, operation.tenant, write, now)
-        if away:
-            retry_after = away if self.deployment.max_retry_after else 0.0
-            self._answer(operation, reply_callback, busy_reply(retry_after))
+        wait = self._retry_after(row, operation.tenant, write, now)
+        if wait:
+            retry_after = wait if self.deployment.max_retry_after else 0.0
+            self._reply(operation, reply_callback, busy_reply(retry_after))
             return None
 
         def on_reply(reply: bytes) -> None:
-            settled = not reply.startswith(b"-")
-            if settled or self._tells(operation, reply):
+            succeeded = not reply.startswith(b"-")
+            if succeeded or self._indicates_overload(operation, reply):
                 at_origin = any(attempt.endpoint.origin for attempt in operation.attempts)
-                self.opening.record_result(row, write, settled, at_origin)
+                self.ramp.record_result(row, write, succeeded, at_origin)
             reply_callback(reply)
 
         return on_reply
 
-    def _away(self, row: int, tenant: int, write: bool, now: float) -> float:
+    def _retry_after(self, row: int, tenant: int, write: bool, now: float) -> float:
         """Seconds to stay away; 0: let in."""
-        harmless = not write and self.deployment.traffic_types[row].effect is Effect.IDEMPOTENT
-        if self.old_list_until and not harmless:
-            return self.opening.retry_after(1.0)
-        if self.order.stage not in (Stage.RAMPING, Stage.OPEN):
-            return self.opening.retry_after(min(self.order.remaining(now - self.began), 1.0))
-        return self.opening.admit(row, tenant, write, now)
-
-    def _tells(self, operation: Operation, reply: bytes) -> bool:
+        idempotent_read = not write and self.deployment.traffic_types[row].effect is Effect.IDEMPOTENT
+        if self.outdated_list_until and not idempotent_read:
+            return self.ramp.retry_after(1.0)
+        if self.sequence.stage not in (Stage.RAMPING, Stage.OPEN):
+            return self.ramp.retry_after(min(self.sequence.remaining(now - self.started_at), 1.0))
+        return self.ramp.admit(row, tenant, write, now)
+
+    def _indicates_overload(self, operation: Operation, reply: bytes) -> bool:
         """Whether what was not settled says that too much was let in: not while leases or grants are awaited,
         and not where a read finds no room in its shard's own region."""
-        if not self._parts_ready():
+        if not self._feed_parts_ready():
             return False
         pinned = bool(operation.regions) and operation.regions[-1] is not None
         return not (
             pinned and reply.startswith(b"-BUSY") and not (operation.is_write or operation.wants_origin)
         )
 
-    def _parts_ready(self) -> bool:
+    def _feed_parts_ready(self) -> bool:
         """Whether all parts that go by the keeper's word have what they need of it."""
-        return all(part.ready() for part in self._parts())
+        return all(part.ready() for part in self._feed_parts())
 
-    def _parts(self) -> tuple[FeedPart, ...]:
-        return self.follower.parts if self.follower is not None else ()
+    def _feed_parts(self) -> tuple[FeedPart, ...]:
+        return self.watch.parts if self.watch is not None else ()
 
     @staticmethod
-    def _answer(operation: Operation, reply_callback: ReplyCallback, reply: bytes) -> None:
+    def _reply(operation: Operation, reply_callback: ReplyCallback, reply: bytes) -> None:
         operation.finished = True
         reply_callback(reply)
 
@@ -261,7 +270,7 @@
     def _gate_list(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate | None:
         """Take note of discovery's list, or changes of it; held back until it is decided what to believe."""
         if update.complete:
-            self._weigh_list(update)
+            self._classify_list(update)
             self.servers.clear()
         for target in update.targets:
             if target.entry.state is EndpointState.GONE:
@@ -269,27 +278,27 @@
             else:
                 self.servers[target.uid] = target
         self.list_rev = update.rev
-        told = sorted((uid, target.entry.started) for uid, target in self.servers.items())
-        self.list_sum = zlib.crc32(repr(told).encode())
+        start_times = sorted((uid, target.entry.started) for uid, target in self.servers.items())
+        self.list_checksum = zlib.crc32(repr(start_times).encode())
         entries = [target.entry for target in update.targets]
-        self.effects.on_endpoints_changed(entries, update.complete, self.clock())
-        if self.effects.is_active(self.clock()):
+        self.retry_fence.on_endpoints_changed(entries, update.complete, self.clock())
+        if self.retry_fence.is_active(self.clock()):
             self.intercepting = True
-        self.facts.endpoint_list = self.facts.endpoint_list or not cached
+        self.progress.endpoint_list = self.progress.endpoint_list or not cached
         self.dirty.set()
-        if self.mind.verdict is not Verdict.DECIDING:
+        if self.view.verdict is not Verdict.DECIDING:
             return update
         # When servers started is believed by what is still to be decided; no client is let in before.
-        self.held_back = [update] if update.complete else [*self.held_back, update]
+        self.held_updates = [update] if update.complete else [*self.held_updates, update]
         return None
 
-    def _weigh_list(self, update: EndpointListUpdate) -> None:
+    def _classify_list(self, update: EndpointListUpdate) -> None:
         """Whether a whole list is one from before."""
-        told = {target.uid: target.entry.started for target in update.targets}
-        standing = staleness_rules.classify_list(self.known_rev, self.known_starts, update.rev, told)
-        if standing is staleness_rules.AnswerStatus.OLDER:
-            if self.old_list_until in (0.0, inf):
-                self.old_list_until = self.clock() + float(self.entry.doubt)
+        start_times = {target.uid: target.entry.started for target in update.targets}
+        status = staleness_rules.classify_list(self.known_rev, self.known_starts, update.rev, start_times)
+        if status is staleness_rules.AnswerStatus.OLDER:
+            if self.outdated_list_until in (0.0, inf):
+                self.outdated_list_until = self.clock() + float(self.entry.doubt)
                 logger.warning(
                     "recovery: list {} is older than {} that was known: reads only, for {:.0f} s at most",
                     update.rev,
@@ -298,88 +307,99 @@
                 )
                 self.intercepting = True
             return
-        if self.old_list_until:
+        if self.outdated_list_until:
             logger.info("recovery: list {} is followed", update.rev)
-        self.old_list_until = 0.0
-        self.known_rev, self.known_starts = update.rev, told
+        self.outdated_list_until = 0.0
+        self.known_rev, self.known_starts = update.rev, start_times
 
-    def _pass_on(self, update: EndpointListUpdate, cached: bool) -> None:
+    def _forward_list(self, update: EndpointListUpdate, cached: bool) -> None:
         """To all that comes behind the gate."""
         self.dispatcher.on_endpoints_changed(update, cached, after=self.list_gate)
 
-    def _with_believed_starts(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
+    def _estimate_starts(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
         """The list with the times at which servers are believed to have started."""
-        known = {each.uid: each.started for each in self.former.servers} if self.former else {}
-        spread = startup_spreading.spread_window(self.routers, startup_spreading.DISCOVERY_CALLS_PER_SECOND)
-        in_service = self.uptime() > self.order.timeouts.endpoint_list + spread
-        off = staleness_rules.clock_correction(0.0, list(self.walls.values()))
+        stored_starts = {entry.uid: entry.started for entry in self.previous.servers} if self.previous else {}
+        poll_window = startup_spreading.spread_window(
+            self.router_count, startup_spreading.DISCOVERY_CALLS_PER_SECOND
+        )
+        startup_over = self.uptime() > self.sequence.timeouts.endpoint_list + poll_window
+        correction = staleness_rules.clock_correction(0.0, list(self.peer_clock_offsets.values()))
         targets = []
         for target in update.targets:
-            told = target.entry.started
-            seen = self.starts.get(target.uid)
-            if cached and self.old_list_until == inf:
-                target = target._replace(entry=target.entry._replace(started=self.began))
+            reported = target.entry.started
+            start_time = self.start_times.get(target.uid)
+            if cached and self.outdated_list_until == inf:
+                target = target._replace(entry=target.entry._replace(started=self.started_at))
                 targets.append(target)
                 continue
             if target.entry.state is EndpointState.GONE:
-                self.starts.pop(target.uid, None)
-            elif seen is None or seen[0] != told:
-                lived = self.mind.verdict.fleet_survived or in_service
-                before, now = known.get(target.uid), self.clock()
-                believed = staleness_rules.estimated_start_time(told, before, self.began, lived, off, now)
-                seen = self.starts[target.uid] = (told, believed)
-            if seen is not None:
-                target = target._replace(entry=target.entry._replace(started=seen[1]))
+                self.start_times.pop(target.uid, None)
+            elif start_time is None or start_time[0] != reported:
+                fleet_survived = self.view.verdict.fleet_survived or startup_over
+                stored_start, now = stored_starts.get(target.uid), self.clock()
+                estimated = staleness_rules.estimated_start_time(
+                    reported, stored_start, self.started_at, fleet_survived, correction, now
+                )
+                start_time = self.start_times[target.uid] = (reported, estimated)
+            if start_time is not None:
+                target = target._replace(entry=target.entry._replace(started=start_time[1]))
             targets.append(target)
         return EndpointListUpdate(update.rev, update.complete, tuple(targets))
 
-    def _use_kept_list(self) -> None:
+    def _use_stored_list(self) -> None:
         """Discovery is not waited for any longer: what was kept serves reads, and every server is cold."""
-        if self.former is None or not self.former.servers:
+        if self.previous is None or not self.previous.servers:
             return
         targets = []
-        for each in self.former.servers:
-            where = address(each.endpoint, "snapshot")
-            ident = xxh64_intdigest(each.uid.encode())  # as net.list_update makes it
-            listing = EndpointEntry(
+        for stored in self.previous.servers:
+            endpoint_address = address(stored.endpoint, "snapshot")
+            ident = xxh64_intdigest(stored.uid.encode())  # as net.list_update makes it
+            entry = EndpointEntry(
                 ident,
-                each.zone,
-                each.kind,
-                each.cell,
-                ENDPOINT_STATES.get(each.state, EndpointState.DRAINING),
-                each.started,
-                each.weight,
+                stored.zone,
+                stored.kind,
+                stored.cell,
+                ENDPOINT_STATES.get(stored.state, EndpointState.DRAINING),
+                stored.started,
+                stored.weight,
             )
-            targets.append(EndpointTarget(listing, each.uid, where))
+            targets.append(EndpointTarget(entry, stored.uid, endpoint_address))
         logger.warning("recovery: no list: {} servers as kept, for reads only", len(targets))
-        self.old_list_until = inf
-        self._pass_on(EndpointListUpdate(self.former.list_rev, True, tuple(targets)), True)
+        self.outdated_list_until = inf
+        self._forward_list(EndpointListUpdate(self.previous.list_rev, True, tuple(targets)), True)
 
     # -- connections to servers
 
     def on_connection_lost(self, connection: Connection, pending: PendingAttempt | None) -> None:
         """A connection was ended by its server, or did not come up: has that lost what it knew?"""
         endpoint = connection.endpoint
-        failed = pending is not None and not (connection.request_sent or connection.idle_since)
+        connect_failed = pending is not None and not (connection.request_sent or connection.idle_since)
         pool, now = self.service.pool, self.clock()
-        leaving = self.service.lifecycle.phase in (Phase.CLOSING, Phase.ENDED)  # they end with this router
-        if leaving or pool.endpoints.get(endpoint.ident) is not endpoint:
+        shutting_down = self.service.lifecycle.phase in (
+            Phase.CLOSING,
+            Phase.ENDED,
+        )  # they end with this router
+        if shutting_down or pool.endpoints.get(endpoint.ident) is not endpoint:
             return
-        standing = bool(endpoint.idle) or any(
-            each is not None and each.endpoint is endpoint and (each.request_sent or each.idle_since)
-            for each in [other.connection for other in pool.pending.values()]
+        other_connection_up = bool(endpoint.idle) or any(
+            candidate is not None
+            and candidate.endpoint is endpoint
+            and (candidate.request_sent or candidate.idle_since)
+            for candidate in [attempt.connection for attempt in pool.pending.values()]
         )
-        if failed:
-            doubted = self.lives.connect_failed(
-                endpoint.ident, standing, self.mind.verdict.fleet_survived, now
+        if connect_failed:
+            restart_suspected = self.incarnations.connect_failed(
+                endpoint.ident, other_connection_up, self.view.verdict.fleet_survived, now
             )
         else:
-            doubted = self.lives.connection_broke(endpoint.ident, pending is not None, standing, now)
-        if doubted:
-            self._doubt(endpoint.ident, endpoint.uid, now)
+            restart_suspected = self.incarnations.connection_broke(
+                endpoint.ident, pending is not None, other_connection_up, now
+            )
+        if restart_suspected:
+            self._suspect_restart(endpoint.ident, endpoint.uid, now)
 
-    def _doubt(self, ident: int, uid: str, now: float) -> None:
-        rows = self.effects.suspect_server(ident, now)
+    def _suspect_restart(self, ident: int, uid: str, now: float) -> None:
+        rows = self.retry_fence.suspect_server(ident, now)
         if not rows:
             return
         logger.info("recovery: {} may have begun anew: no line to it stands, and none comes up", uid)
@@ -387,43 +407,43 @@
         for pending in list(self.dispatcher.pending_operations):
             # It would be sent once more when the server is back, which remembers nothing of it.
             operation = pending.operation
-            marked = operation.is_write and operation.traffic_type.row in rows
-            if marked and operation.may_have_run_on is not None and not operation.finished:
+            is_affected = operation.is_write and operation.traffic_type.row in rows
+            if is_affected and operation.may_have_run_on is not None and not operation.finished:
                 self.dispatcher.reject(operation, FAILED_REPLY)
 
-    def _look_at_connections(self, now: float) -> None:
+    def _check_connections(self, now: float) -> None:
         """What connections that stand idle say of their servers' lives."""
-        if now - self.connections_at < CONNECTIONS_LOOK:
+        if now - self.connections_checked_at < CONNECTION_CHECK_INTERVAL:
             return
-        self.connections_at = now
+        self.connections_checked_at = now
         pool = self.service.pool
-        self.lives.retain(pool.endpoints)
+        self.incarnations.retain(pool.endpoints)
         in_use: dict[int, set[Connection]] = {}
         for pending in pool.pending.values():
             if pending.connection is not None:
                 in_use.setdefault(pending.connection.endpoint.ident, set()).add(pending.connection)
         for ident, endpoint in pool.endpoints.items():
             connections = [(connection, connection.idle_since) for connection in endpoint.idle]
-            self.lives.record_connections(
+            self.incarnations.record_connections(
                 ident, connections, in_use.get(ident, set()).union(endpoint.idle), now
             )
 
-    def _kept(self, number: int) -> bool:
+    def _zone_servers_survived(self, number: int) -> bool:
         """Whether in that peer's zone a server of each cell is known to have lived while it was away."""
-        away = restart_scope.downtime(self.mind, number)
+        downtime = restart_scope.downtime(self.view, number)
         if (
-            away is None
-            or self.uptime() > away[1] + restart_scope.LATE_RESTART_FACTOR * self.mind.decision_deadline
+            downtime is None
+            or self.uptime() > downtime[1] + restart_scope.LATE_RESTART_FACTOR * self.view.decision_deadline
         ):
             return False
-        since, until = (self.began + at for at in away)
-        zone, origin = self.mind.peers[number].zone, self.deployment.origin_kind
+        since, until = (self.started_at + at for at in downtime)
+        zone, origin = self.view.peers[number].zone, self.deployment.origin_kind
         cells: dict[int, bool] = {}
         for target in self.servers.values():
-            each = target.entry
-            if digest(each.zone) == zone and each.kind != origin:
-                cells[each.cell] = cells.get(each.cell, False) or self.lives.was_alive(
-                    each.ident, since, until
+            entry = target.entry
+            if digest(entry.zone) == zone and entry.kind != origin:
+                cells[entry.cell] = cells.get(entry.cell, False) or self.incarnations.was_alive(
+                    entry.ident, since, until
                 )
         return bool(cells) and all(cells.values())
 
@@ -432,262 +452,279 @@
     async def before_exit(self) -> None:
         """Notify peers where nothing is in flight, and write the snapshot."""
         service = self.service
-        in_hand = len(self.dispatcher.pending_operations) + len(service.pool.pending)
-        in_hand += sum(front.clients.has_pending_replies() for front in service.fronts)
-        self.mind = restart_scope.begin_shutdown(self.mind, in_hand)
-        how = f"with {in_hand} in hand" if in_hand else "in order"
-        logger.info("recovery: run {} ends {}", self.mind.run, how)
-        if self.mind.shutting_down_cleanly and self.service.gossip is not None:
-            for _ in range(WORDS):
-                for number in range(self.routers):
-                    if number != self.me:
-                        self._tell(number)
-                await trio.sleep(WORDS_APART)
+        in_flight = len(self.dispatcher.pending_operations) + len(service.pool.pending)
+        in_flight += sum(front.clients.has_pending_replies() for front in service.fronts)
+        self.view = restart_scope.begin_shutdown(self.view, in_flight)
+        manner = f"with {in_flight} in hand" if in_flight else "in order"
+        logger.info("recovery: run {} ends {}", self.view.run, manner)
+        if self.view.shutting_down_cleanly and self.service.gossip is not None:
+            for _ in range(SHUTDOWN_NOTICES):
+                for number in range(self.router_count):
+                    if number != self.own_number:
+                        self._send_message(number)
+                await trio.sleep(SHUTDOWN_NOTICE_INTERVAL)
         try:
             await self._save()
-        except (OSError, ValueError) as bad:
-            logger.warning("recovery: snapshot not written: {}", bad)
+        except (OSError, ValueError) as error:
+            logger.warning("recovery: snapshot not written: {}", error)
 
     # -- peers
 
     def on_gossip(self, peer: int, payload: bytes) -> bool:
         """Take the messages of recovery; all others are the routing decisions'."""
-        if not self.wire.mine(payload):
+        if not self.codec.matches(payload):
             return False
-        told = self.wire.read(payload)
-        if told is not None and 0 <= told.sender < self.routers:
-            self._hear_peer(told)
+        message = self.codec.decode(payload)
+        if message is not None and 0 <= message.sender < self.router_count:
+            self._receive_message(message)
         return True
 
-    def _hear_peer(self, told: restart_scope.PeerMessage) -> None:
-        uptime, before = self.uptime(), self.mind
-        self.mind, echo = restart_scope.receive_message(before, told, uptime)
+    def _receive_message(self, message: restart_scope.PeerMessage) -> None:
+        uptime, previous_view = self.uptime(), self.view
+        self.view, echo = restart_scope.receive_message(previous_view, message, uptime)
         if echo is not None:
-            self._tell(told.sender, echo)
-        if told.echo_nonce != self.mind.nonce or told.nonce != self.mind.peers[told.sender].nonce:
+            self._send_message(message.sender, echo)
+        if message.echo_nonce != self.view.nonce or message.nonce != self.view.peers[message.sender].nonce:
             return
-        self.heard[told.sender] = uptime
-        self.walls[told.sender] = told.wall_clock - self.wall()
-        self.said[told.sender] = staleness_rules.PeerReport(
-            told.epoch,
-            told.run,
-            told.ready,
-            Verdict(told.verdict),
-            told.list_rev,
-            told.list_checksum,
-            told.store_digest,
-            told.store_revision,
-            told.keys_lost_ago,
+        self.last_heard[message.sender] = uptime
+        self.peer_clock_offsets[message.sender] = message.wall_clock - self.wall_clock()
+        self.peer_reports[message.sender] = staleness_rules.PeerReport(
+            message.epoch,
+            message.run,
+            message.ready,
+            Verdict(message.verdict),
+            message.list_rev,
+            message.list_checksum,
+            message.store_digest,
+            message.store_revision,
+            message.keys_lost_ago,
         )
-        if told.survived and told.keys_lost_ago >= 0.0:
-            self.lived_lost[told.sender] = uptime - told.keys_lost_ago
-        self._changed(before)
+        if message.survived and message.keys_lost_ago >= 0.0:
+            self.keys_lost_at[message.sender] = uptime - message.keys_lost_ago
+        self._on_view_changed(previous_view)
 
-    def _changed(self, before: restart_scope.TierView) -> None:
+    def _on_view_changed(self, previous_view: restart_scope.TierView) -> None:
         """What a change of mind brings."""
-        mind = self.mind
-        if mind.run != before.run:
-            logger.warning("recovery: peers know run {} of this router: now {}", mind.run - 1, mind.run)
+        view = self.view
+        if view.run != previous_view.run:
+            logger.warning("recovery: peers know run {} of this router: now {}", view.run - 1, view.run)
             self.dirty.set()
-            if self.follower is not None:
-                self.follower.run_number = mind.run
-        if mind.verdict is not before.verdict:
-            self._decided()
-        if mind.epoch != before.epoch:
+            if self.watch is not None:
+                self.watch.run_number = view.run
+        if view.verdict is not previous_view.verdict:
+            self._on_verdict()
+        if view.epoch != previous_view.epoch:
             self.dirty.set()
 
-    def _decided(self) -> None:
-        mind, now = self.mind, self.clock()
-        anew = sum(restart_scope.proved_restarted(mind, number) for number in range(self.routers))
-        lived = sum(peer.survived for peer in mind.peers)
+    def _on_verdict(self) -> None:
+        view, now = self.view, self.clock()
+        restarted = sum(restart_scope.proved_restarted(view, number) for number in range(self.router_count))
+        survived = sum(peer.survived for peer in view.peers)
         logger.info(
             "recovery: {} after {:.1f} s: of {} peers {} lived on, {} began anew; epoch {}",
-            mind.verdict.name.lower(),
+            view.verdict.name.lower(),
             self.uptime(),
-            self.routers - 1,
-            lived,
-            anew,
-            mind.epoch,
+            self.router_count - 1,
+            survived,
+            restarted,
+            view.epoch,
         )
         uptime = self.uptime()
-        self.effects.apply_verdict(mind.verdict, [uptime - at for at in self.lived_lost.values()], now)
-        waiting, self.held_back = self.held_back, []
-        for update in waiting:
-            self._pass_on(update, False)
-        if mind.verdict is Verdict.LONE and self.order.stage is Stage.RAMPING:
-            self.opening.fully_open = True
+        self.retry_fence.apply_verdict(view.verdict, [uptime - at for at in self.keys_lost_at.values()], now)
+        held, self.held_updates = self.held_updates, []
+        for update in held:
+            self._forward_list(update, False)
+        if view.verdict is Verdict.LONE and self.sequence.stage is Stage.RAMPING:
+            self.ramp.fully_open = True
         self.dirty.set()
 
-    async def _tell_on(self) -> None:
+    async def _message_loop(self) -> None:
         """Messages to peers, round by round."""
-        if self.routers == 1 or self.service.gossip is None:
+        if self.router_count == 1 or self.service.gossip is None:
             return
-        await trio.sleep(self.tells_from)
+        await trio.sleep(self.first_message_delay)
         while True:
-            enough = staleness_rules.heard_enough([said for said in self.said.values()], self.routers)
-            settled = self.mind.verdict not in (Verdict.DECIDING, Verdict.APART)
-            late = self.uptime() > restart_scope.LATE_RESTART_FACTOR * self.mind.decision_deadline
+            heard_enough = staleness_rules.heard_enough(
+                [report for report in self.peer_reports.values()], self.router_count
+            )
+            decided = self.view.verdict not in (Verdict.DECIDING, Verdict.APART)
+            startup_over = self.uptime() > restart_scope.LATE_RESTART_FACTOR * self.view.decision_deadline
             for number in startup_spreading.peers_in_round(
-                self.me, self.routers, self.turn, (enough and settled) or late
+                self.own_number,
+                self.router_count,
+                self.round_number,
+                (heard_enough and decided) or startup_over,
             ):
-                self._tell(number)
-            self.turn += 1
+                self._send_message(number)
+            self.round_number += 1
             await trio.sleep(startup_spreading.ROUND_INTERVAL)
 
-    def _tell(self, number: int, echo: tuple[int, float] | None = None) -> None:
-        now, effects = self.clock(), self.effects
-        settled = self.mind.verdict is not Verdict.DECIDING
-        told = restart_scope.build_message(
-            self.mind,
+    def _send_message(self, number: int, echo: tuple[int, float] | None = None) -> None:
+        now, effects = self.clock(), self.retry_fence
+        decided = self.view.verdict is not Verdict.DECIDING
+        message = restart_scope.build_message(
+            self.view,
             number,
-            now - self.began,
+            now - self.started_at,
             echo,
             ready=self.service.lifecycle.phase is Phase.READY,
-            wall_clock=self.wall(),
-            list_rev=min(max(self.list_rev, 0), MOST_FIGURE),
-            list_checksum=self.list_sum,
-            control_plane_run=digest(self.keeper_run) if self.keeper_run else 0,
-            store_digest=digest(self.store.name) if self.store.name else 0,
-            store_revision=min(self.store.revision, MOST_FIGURE),
-            keys_lost_ago=now - effects.keys_lost_at if settled and effects.is_active(now) else -1.0,
-            zone_servers_survived=self._kept(number),
+            wall_clock=self.wall_clock(),
+            list_rev=min(max(self.list_rev, 0), MAX_REVISION),
+            list_checksum=self.list_checksum,
+            control_plane_run=digest(self.control_plane_run) if self.control_plane_run else 0,
+            store_digest=digest(self.known_store.name) if self.known_store.name else 0,
+            store_revision=min(self.known_store.revision, MAX_REVISION),
+            keys_lost_ago=now - effects.keys_lost_at if decided and effects.is_active(now) else -1.0,
+            zone_servers_survived=self._zone_servers_survived(number),
         )
-        self.service.gossip.send((number,), self.wire.write(told))
+        self.service.gossip.send((number,), self.codec.encode(message))
 
     # -- the keeper: a part of the follower's feed
 
     def hear(self, feed: Feed, asked_at: float) -> None:
         """A feed was followed."""
-        before, same = (
-            self.mind,
-            bool(self.former and self.former.keeper_run)
-            and (feed.control_plane_run == self.former.keeper_run),
+        previous_view, same_run = (
+            self.view,
+            bool(self.previous and self.previous.control_plane_run)
+            and (feed.control_plane_run == self.previous.control_plane_run),
         )
-        self.mind = restart_scope.receive_control_plane(before, same, self.uptime())
-        self.keeper_run = feed.control_plane_run
-        self.facts.control_plane = True
-        self._changed(before)
+        self.view = restart_scope.receive_control_plane(previous_view, same_run, self.uptime())
+        self.control_plane_run = feed.control_plane_run
+        self.progress.control_plane = True
+        self._on_view_changed(previous_view)
 
     def filter_feed(self, feed: Feed) -> Feed:
         """What of a feed is followed. Raises FeedError while it is from before what was heard."""
-        now, known = self.clock(), self._known_store()
-        standing = staleness_rules.classify_feed(known, feed.store_id, feed.revision, feed.complete)
-        if standing is not staleness_rules.AnswerStatus.CURRENT:
-            what = f"store {feed.store_id} revision {feed.revision}, heard was {known.name} {known.revision}"
-            if not self.older_until:
-                self.older_until = now + float(self.entry.doubt)
-                logger.error("recovery: keeper is {}: {}", standing.value, what)
-            if now < self.older_until:
-                raise FeedError(f"keeper is {standing.value}: {what}")
-            logger.error("recovery: keeper is followed though it is {}: {}", standing.value, what)
-        elif self.older_until:
+        now, known = self.clock(), self._best_known_store()
+        status = staleness_rules.classify_feed(known, feed.store_id, feed.revision, feed.complete)
+        if status is not staleness_rules.AnswerStatus.CURRENT:
+            comparison = (
+                f"store {feed.store_id} revision {feed.revision}, heard was {known.name} {known.revision}"
+            )
+            if not self.outdated_feed_until:
+                self.outdated_feed_until = now + float(self.entry.doubt)
+                logger.error("recovery: keeper is {}: {}", status.value, comparison)
+            if now < self.outdated_feed_until:
+                raise FeedError(f"keeper is {status.value}: {comparison}")
+            logger.error("recovery: keeper is followed though it is {}: {}", status.value, comparison)
+        elif self.outdated_feed_until:
             logger.info("recovery: keeper is at revision {} again", feed.revision)
         rows = [(row.incarnation, row.name) for row in feed.tenants]
-        refused = set(staleness_rules.reassigned_incarnations(known, rows))
-        if refused:
-            logger.error("recovery: numbers {} were other tenants': not served", sorted(refused))
+        reassigned = set(staleness_rules.reassigned_incarnations(known, rows))
+        if reassigned:
+            logger.error("recovery: numbers {} were other tenants': not served", sorted(reassigned))
             feed = msgspec.structs.replace(
-                feed, tenants=[row for row in feed.tenants if row.incarnation not in refused]
+                feed, tenants=[row for row in feed.tenants if row.incarnation not in reassigned]
             )
-        self.older_until = 0.0
-        named = [row for row in rows if row[0] not in refused]
-        self.store = staleness_rules.remember_incarnations(
-            known._replace(name=feed.store_id, revision=feed.revision), named
+        self.outdated_feed_until = 0.0
+        accepted = [row for row in rows if row[0] not in reassigned]
+        self.known_store = staleness_rules.remember_incarnations(
+            known._replace(name=feed.store_id, revision=feed.revision), accepted
         )
         return feed
 
-    def _known_store(self) -> staleness_rules.KnownStore:
+    def _best_known_store(self) -> staleness_rules.KnownStore:
         """What this router knows, and what the best of its peers does."""
-        best = staleness_rules.most_authoritative(list(self.said.values()))
-        if best is None or not self.store.name or best.store_digest != digest(self.store.name):
-            return self.store
-        if self.facts.control_plane:
-            return self.store  # in service each is told by the keeper itself: peers may be ahead of us
-        return self.store._replace(revision=max(self.store.revision, best.store_revision))
+        report = staleness_rules.most_authoritative(list(self.peer_reports.values()))
+        if (
+            report is None
+            or not self.known_store.name
+            or report.store_digest != digest(self.known_store.name)
+        ):
+            return self.known_store
+        if self.progress.control_plane:
+            return self.known_store  # in service each is told by the keeper itself: peers may be ahead of us
+        return self.known_store._replace(revision=max(self.known_store.revision, report.store_revision))
 
     # -- looks
 
-    async def _look_on(self) -> None:
+    async def _check_loop(self) -> None:
         """Everything that time alone brings."""
-        for part in self._parts():
-            if self.former is not None and part.name in self.former.parts:
-                part.restore(self.former.parts[part.name])
+        for part in self._feed_parts():
+            if self.previous is not None and part.name in self.previous.parts:
+                part.restore(self.previous.parts[part.name])
         while True:
             try:
-                self._look()
+                self._check()
             except Exception:
-                if not self.failed:  # once: it may fail at each look
+                if not self.check_failed:  # once: it may fail at each look
                     logger.exception("recovery failed: all is let in")
-                self.failed = True
-                self._give_way()
-            await trio.sleep(LOOK)
+                self.check_failed = True
+                self._open_after_failure()
+            await trio.sleep(CHECK_INTERVAL)
 
-    def _give_way(self) -> None:
+    def _open_after_failure(self) -> None:
         """A mistake here must not keep the router shut: as a start without recovery, but for repeats."""
-        self.opening.fully_open, self.order.stage, self.old_list_until = True, Stage.OPEN, 0.0
-        waiting, self.held_back = self.held_back, []
+        self.ramp.fully_open, self.sequence.stage, self.outdated_list_until = True, Stage.OPEN, 0.0
+        held, self.held_updates = self.held_updates, []
         # Starts are believed as told where that is this package's matter alone, and no keeper's.
-        gate = self.list_gate if self.follower is not None else self.believed_starts
-        for update in waiting:
+        gate = self.list_gate if self.watch is not None else self.estimated_starts
+        for update in held:
             self.dispatcher.on_endpoints_changed(update, after=gate)
         if self.service.lifecycle.phase is Phase.RECOVERING:
             self.service.lifecycle.enter(Phase.READY, len(self.dispatcher.pending_operations))
 
-    def _look(self) -> None:
-        before, now = self.mind, self.clock()
-        uptime = now - self.began
-        self.mind = restart_scope.check_deadline(before, uptime)
-        self._changed(before)
-        self.facts.verdict = self.mind.verdict
-        self.facts.subsystems = self.facts.subsystems or (self.facts.control_plane and self._parts_ready())
-        stage = self.order.stage
+    def _check(self) -> None:
+        previous_view, now = self.view, self.clock()
+        uptime = now - self.started_at
+        self.view = restart_scope.check_deadline(previous_view, uptime)
+        self._on_view_changed(previous_view)
+        self.progress.verdict = self.view.verdict
+        self.progress.subsystems = self.progress.subsystems or (
+            self.progress.control_plane and self._feed_parts_ready()
+        )
+        stage = self.sequence.stage
         if stage not in (Stage.RAMPING, Stage.OPEN):
-            after = self.order.advance(self.facts, uptime)
-            if after is Stage.RAMPING:
-                self._let_in(now)
-        if self.old_list_until and now >= self.old_list_until:
-            self.old_list_until = 0.0
+            new_stage = self.sequence.advance(self.progress, uptime)
+            if new_stage is Stage.RAMPING:
+                self._admit_clients(now)
+        if self.outdated_list_until and now >= self.outdated_list_until:
+            self.outdated_list_until = 0.0
             logger.warning("recovery: the list is followed though it may be old")
-        self.opening.set_shares([tenant.quota for tenant in self.dispatcher.router.tenants])
-        self.opening.step(self._warmth(now), now)
-        if self.opening.fully_open and self.order.stage is Stage.RAMPING:
-            self.order.stage = Stage.OPEN
-        if self.order.stage is Stage.OPEN and not self.old_list_until and not self.effects.is_active(now):
+        self.ramp.set_shares([tenant.quota for tenant in self.dispatcher.router.tenants])
+        self.ramp.step(self._warmth(now), now)
+        if self.ramp.fully_open and self.sequence.stage is Stage.RAMPING:
+            self.sequence.stage = Stage.OPEN
+        if (
+            self.sequence.stage is Stage.OPEN
+            and not self.outdated_list_until
+            and not self.retry_fence.is_active(now)
+        ):
             self.intercepting = False
-        self._learn(now)
-        self._look_at_connections(now)
-        anew = restart_scope.recent_peer_restarts(self.mind, uptime, self.slack)
-        if anew > self.elsewhere:
-            told = f"{anew} of {self.routers - 1} peers began anew within {self.slack:.0f} s"
-            logger.info("recovery: a loss elsewhere: {}", told)
-        self.elsewhere = anew
+        self._update_learnt_rates(now)
+        self._check_connections(now)
+        restarted = restart_scope.recent_peer_restarts(self.view, uptime, self.slack)
+        if restarted > self.peer_restarts:
+            summary = f"{restarted} of {self.router_count - 1} peers began anew within {self.slack:.0f} s"
+            logger.info("recovery: a loss elsewhere: {}", summary)
+        self.peer_restarts = restarted
         self._flush_log()
 
-    def _let_in(self, now: float) -> None:
+    def _admit_clients(self, now: float) -> None:
         """Clients are let in from now on."""
-        if not self.facts.endpoint_list:
-            self._use_kept_list()
-        for waiting in self.held_back:
-            self._pass_on(waiting, False)
-        self.held_back = []
+        if not self.progress.endpoint_list:
+            self._use_stored_list()
+        for update in self.held_updates:
+            self._forward_list(update, False)
+        self.held_updates = []
         router = self.dispatcher.router
         learnt, entry = self.learnt, self.entry
-        bearing = LoadLimits(
-            self.routers,
+        limits = LoadLimits(
+            self.router_count,
             len(router.endpoints),
             float(entry.origin),
             float(entry.cold_reads),
             learnt.reads,
             learnt.writes,
         )
-        if self.mind.verdict is Verdict.LONE:
-            self.opening.fully_open = True
+        if self.view.verdict is Verdict.LONE:
+            self.ramp.fully_open = True
         else:
-            self.opening.start(bearing, [tenant.quota for tenant in router.tenants], now)
+            self.ramp.start(limits, [tenant.quota for tenant in router.tenants], now)
         logger.info(
             "recovery: ready after {:.1f} s, {}: {} servers, {:.1f} reads and {:.1f} writes a second before",
-            now - self.began,
-            "open" if self.opening.fully_open else "in steps",
+            now - self.started_at,
+            "open" if self.ramp.fully_open else "in steps",
             len(router.endpoints),
             learnt.reads,
             learnt.writes,
@@ -696,69 +733,72 @@
             self.service.lifecycle.enter(Phase.READY, len(self.dispatcher.pending_operations))
 
     def _warmth(self, now: float) -> float:
-        caches, cold_time = self.dispatcher.router.endpoints, self.deployment.warm_up_time
-        if not caches or not cold_time:
+        caches, warm_up_time = self.dispatcher.router.endpoints, self.deployment.warm_up_time
+        if not caches or not warm_up_time:
             return 1.0
         ages = [max(now - cache.started, 0.0) if cache.started else inf for cache in caches.values()]
-        return sum(min(age / cold_time, 1.0) for age in ages) / len(ages)
+        return sum(min(age / warm_up_time, 1.0) for age in ages) / len(ages)
 
-    def _learn(self, now: float) -> None:
+    def _update_learnt_rates(self, now: float) -> None:
         """Steady service, by what the decisions measure anyhow."""
-        span = now - self.learnt_at
-        if span < 1.0 or self.order.stage is not Stage.OPEN:
+        elapsed = now - self.learnt_at
+        if elapsed < 1.0 or self.sequence.stage is not Stage.OPEN:
             return
         self.learnt_at = now
-        router, old = self.dispatcher.router, self.learnt
+        router, learnt = self.dispatcher.router, self.learnt
         reads = router.responses_per_second(now)
         writes = max(router.operations_per_second() - reads, 0.0)
-        self.learnt = Learnt(_towards(old.reads, reads, span), _towards(old.writes, writes, span))
+        self.learnt = LearntRates(
+            _smooth(learnt.reads, reads, elapsed), _smooth(learnt.writes, writes, elapsed)
+        )
 
     def _flush_log(self) -> None:
-        for log in (self.order.log_lines, self.opening.log_lines, self.effects.log_lines):
+        for log in (self.sequence.log_lines, self.ramp.log_lines, self.retry_fence.log_lines):
             for text in log:
                 logger.info("recovery: {}", text)
             log.clear()
 
     # -- the snapshot
 
-    def _snapshot(self) -> Kept:
-        mind, store = self.mind, self.store
+    def _build_snapshot(self) -> Snapshot:
+        view, store = self.view, self.known_store
         parts = {}
-        for part in self._parts():
+        for part in self._feed_parts():
             state = part.state_to_keep()
             if state is not None:
                 parts[part.name] = state
-        return Kept(
-            self.file.identity,
-            mind.run,
-            self.wall(),
-            self.steady(),
-            self.boot(),
-            epoch=mind.epoch,
-            runs=[max(peer.run, peer.known_run) for peer in mind.peers],
-            lately=list(restart_scope.recently_heard_runs(mind, self.uptime(), self.slack)),
-            list_rev=self.list_rev if self.servers else self.former.list_rev if self.former else -1,
-            servers=self._entries(),
+        return Snapshot(
+            self.snapshot_file.identity,
+            view.run,
+            self.wall_clock(),
+            self.monotonic(),
+            self.boot_id(),
+            epoch=view.epoch,
+            runs=[max(peer.run, peer.known_run) for peer in view.peers],
+            recent_runs=list(restart_scope.recently_heard_runs(view, self.uptime(), self.slack)),
+            list_rev=self.list_rev if self.servers else self.previous.list_rev if self.previous else -1,
+            servers=self._server_entries(),
             learnt=self.learnt,
-            keeper_run=self.keeper_run or (self.former.keeper_run if self.former else ""),
-            store=store.name,
+            control_plane_run=self.control_plane_run
+            or (self.previous.control_plane_run if self.previous else ""),
+            store_name=store.name,
             revision=store.revision,
             incarnations=dict(store.incarnations),
-            floor=store.incarnation_floor,
+            incarnation_floor=store.incarnation_floor,
             parts=parts,
         )
 
-    def _entries(self) -> list[Entry]:
+    def _server_entries(self) -> list[ServerEntry]:
         if not self.servers:
-            return self.former.servers if self.former else []
+            return self.previous.servers if self.previous else []
         return [
-            Entry(
+            ServerEntry(
                 target.uid,
                 f"{target.address[0]}:{target.address[1]}",
                 target.entry.zone,
                 target.entry.kind,
                 target.entry.cell,
-                STATES[target.entry.state],
+                PRESENCE_BY_STATE[target.entry.state],
                 target.entry.started,
                 target.entry.weight,
             )
@@ -768,10 +808,10 @@
 
     async def _save(self) -> None:
         """Raises OSError, ValueError."""
-        async with self.saving:
-            await trio.to_thread.run_sync(self.file.save, self._snapshot())
+        async with self.save_lock:
+            await trio.to_thread.run_sync(self.snapshot_file.save, self._build_snapshot())
 
-    async def _save_on(self) -> None:
+    async def _save_loop(self) -> None:
         """Write the snapshot now and then, and soon after something in it changed."""
         failed = False
         while True:
@@ -783,21 +823,23 @@
                 if failed:
                     logger.info("recovery: snapshot written again")
                 failed = False
-            except (OSError, ValueError) as bad:
+            except (OSError, ValueError) as error:
                 if not failed:
-                    logger.warning("recovery: snapshot not written: {}", bad)
+                    logger.warning("recovery: snapshot not written: {}", error)
                 failed = True
             await trio.sleep(min(float(self.entry.every), 0.1))
 
 
-def _towards(old: float, now: float, span: float) -> float:
+def _smooth(old: float, current: float, elapsed: float) -> float:
     """A smoothed figure, `span` seconds later."""
-    return now + (old - now) * exp(-span / (RISE_TIME if now > old else FALL_TIME))
+    return current + (old - current) * exp(
+        -elapsed / (RISE_TIME_CONSTANT if current > old else FALL_TIME_CONSTANT)
+    )
 
 
-def mark_of(told: bytes) -> bytes:
+def idempotency_key_of(labels: bytes) -> bytes:
     """The mark in an operation's labels, empty where there is none."""
-    for part in told.split(b","):
+    for part in labels.split(b","):
         if part.startswith(b"k="):
             return part[2:]
     return b""
--- a/gaugehinge/recovery/staleness_rules.py
+++ b/gaugehinge/recovery/staleness_rules.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from .restart_scope import Verdict
-from .snapshot import Kept
+from .snapshot import Snapshot
 
 
 class TrustRule(Enum):
@@ -116,11 +116,11 @@
     from_monotonic_clock: bool  # measured by the monotonic clock within one boot
 
 
-def snapshot_age(kept: Kept, wall_clock: float, monotonic: float, boot: str) -> SnapshotAge:
+def snapshot_age(kept: Snapshot, wall_clock: float, monotonic: float, boot: str) -> SnapshotAge:
     """By the monotonic clock if the machine was not rebooted, else by wall clocks, which may be off."""
-    if boot and kept.boot == boot and monotonic >= kept.steady:
-        return SnapshotAge(monotonic - kept.steady, True)
-    return SnapshotAge(wall_clock - kept.wall if wall_clock >= kept.wall else inf, False)
+    if boot and kept.boot_id == boot and monotonic >= kept.monotonic:
+        return SnapshotAge(monotonic - kept.monotonic, True)
+    return SnapshotAge(wall_clock - kept.wall_clock if wall_clock >= kept.wall_clock else inf, False)
 
 
 def confidence(name: str, age: SnapshotAge) -> float:
--- a/gaugehinge/rehearsal/allcases.py
+++ b/gaugehinge/rehearsal/allcases.py
@@ -22,7 +22,7 @@
 from ..hosted.feed_snapshot import FeedSnapshot
 from ..net.resp import Parser
 from ..net.sockets import connect, shut, tcp
-from ..recovery.snapshot import MOST_BYTES, decode, encode, identity_of
+from ..recovery.snapshot import MAX_SNAPSHOT_BYTES, decode, encode, snapshot_identity
 from . import recoveryplay
 from .allchecks import APART, DRAINED, FROM, GONE, LOWERED, UNTIL, statement
 from .company import MEMORY, Company
@@ -281,9 +281,9 @@
     child = all_.children[router]
     path, number = child.files / "recovery", int(router.removeprefix("router-"))
     if path.exists():
-        own = identity_of(recoveryplay.KEY.encode(), router, number)
-        kept = decode(path.read_bytes()[:MOST_BYTES], own)
-        other = identity_of(recoveryplay.OTHER_KEY, router, number)
+        own = snapshot_identity(recoveryplay.KEY.encode(), router, number)
+        kept = decode(path.read_bytes()[:MAX_SNAPSHOT_BYTES], own)
+        other = snapshot_identity(recoveryplay.OTHER_KEY, router, number)
         path.write_bytes(encode(msgspec.structs.replace(kept, identity=other)))
     snapshot = FeedSnapshot(str(child.files / "snapshot"))
     feed = snapshot.load()
--- a/gaugehinge/rehearsal/recoveryplay.py
+++ b/gaugehinge/rehearsal/recoveryplay.py
@@ -17,7 +17,7 @@
 from ..emulator.link import Fault, State
 from ..histories import figures
 from ..histories.events import AnyEvent, OpBegan, read_history
-from ..recovery.snapshot import MOST_BYTES, Kept, decode, encode, identity_of
+from ..recovery.snapshot import MAX_SNAPSHOT_BYTES, Snapshot, decode, encode, snapshot_identity
 from .company import Company, Plan, company
 from .outcome import Outcome, judged
 
@@ -268,18 +268,18 @@
         if place == 0:
             path.write_bytes(path.read_bytes()[:-40])
         elif place == 1:
-            path.write_bytes(encode(_kept(path, name, number, identity_of(OTHER_KEY, name, number))))
+            path.write_bytes(encode(_kept(path, name, number, snapshot_identity(OTHER_KEY, name, number))))
         elif place < 2 + cast.routers // 2:
             old = _kept(path, name, number)
             run = max(old.run - 1, 1)
-            old = msgspec.structs.replace(old, run=run, wall=old.wall - MONTH, boot="")
+            old = msgspec.structs.replace(old, run=run, wall_clock=old.wall_clock - MONTH, boot_id="")
             path.write_bytes(encode(old))
 
 
-def _kept(path: Path, name: str, number: int, identity: str = "") -> Kept:
-    """A router's snapshot. Raises NotWhole."""
-    own = identity_of(KEY.encode(), name, number)
-    kept = decode(path.read_bytes()[:MOST_BYTES], own)
+def _kept(path: Path, name: str, number: int, identity: str = "") -> Snapshot:
+    """A router's snapshot. Raises SnapshotError."""
+    own = snapshot_identity(KEY.encode(), name, number)
+    kept = decode(path.read_bytes()[:MAX_SNAPSHOT_BYTES], own)
     return msgspec.structs.replace(kept, identity=identity or own)
 
 
--- a/gaugehinge/subsystems.py
+++ b/gaugehinge/subsystems.py
@@ -35,7 +35,7 @@
         """Return the extensions of a router with these subsystems, each kind in the order of the calls.
 
         Endpoint list transformers: `list_gate` is first, so that nothing else sees a list that recovery holds
-        back. `believed_starts` is last: placement and the operators' drain orders use the start times that
+        back. `estimated_starts` is last: placement and the operators' drain orders use the start times that
         discovery stated, and only the routing decisions use those that recovery believes. The update that
         follows from a new drain order enters the chain behind `watch`, so only what comes after it sees it.
         """
@@ -50,7 +50,7 @@
                 recovery.list_gate if recovery is not None else None,
                 self.placement,
                 self.watch,
-                recovery.believed_starts if recovery is not None else None,
+                recovery.estimated_starts if recovery is not None else None,
             ),
             gossip_listeners=_present(recovery),
             poll_policies=_present(recovery),
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -48,7 +48,7 @@
         self.placing = build_placement(service, self.follower)
         nursery.start_soon(self.follower.run)
         self.recovery = Recovery(service, self.entry, KEY, self.follower)
-        self.recovery.begin(nursery)
+        self.recovery.start(nursery)
         return Subsystems(watch=self.follower, placement=self.placing, recovery=self.recovery).extensions()
 
     async def keeper(self, request):
@@ -94,13 +94,13 @@
         all_.service.dispatcher.on_endpoints_changed(
             read_endpoint_list({"rev": 2, "all": True, "targets": targets})
         )
-        while made.recovery.mind.verdict is Verdict.DECIDING or not all_.service.dispatcher.router.endpoints:
+        while made.recovery.view.verdict is Verdict.DECIDING or not all_.service.dispatcher.router.endpoints:
             await trio.sleep(0.01)
         assert {server.started_at for server in made.placing.servers.current.values()} == {5.0}
         told = [target.entry.started for target in made.follower.overrides.discovered if target.entry.started]
         assert set(told) == {5.0}
         believed = {cache.started for cache in all_.service.dispatcher.router.endpoints.values()}
-        assert min(believed) >= made.recovery.began  # nobody knows whether they lived on: cold
+        assert min(believed) >= made.recovery.started_at  # nobody knows whether they lived on: cold
 
     play(tmp_path, look)
 
@@ -108,21 +108,21 @@
 def test_clients_wait_for_leases_up_to_the_bound_and_bounces_for_want_of_one_close_no_lane(tmp_path):
     async def look(made, all_):
         recovery, lifecycle = made.recovery, all_.service.lifecycle
-        recovery.facts.control_plane = True  # it answered once, and told no lease
+        recovery.progress.control_plane = True  # it answered once, and told no lease
         all_.service.dispatcher.on_endpoints_changed(
             read_endpoint_list({"rev": 2, "all": True, "targets": all_.targets})
         )
         while lifecycle.phase is Phase.RECOVERING:
             assert recovery.uptime() < 15.0
             await trio.sleep(0.01)
-        assert recovery.uptime() >= 1.0 and Stage.SUBSYSTEMS.value in recovery.order.timed_out
-        failed = recovery.opening.writes.failed
+        assert recovery.uptime() >= 1.0 and Stage.SUBSYSTEMS.value in recovery.sequence.timed_out
+        failed = recovery.ramp.writes.failed
         client = await all_.client()
         while made.placing.rejected < 3:
             assert (await client.put()).startswith(b"-BUSY")
-        assert recovery.opening.writes.failed == failed == 0
+        assert recovery.ramp.writes.failed == failed == 0
         made.placing.lease.renew(trio.current_time(), 60.0)
-        assert recovery._parts_ready()
+        assert recovery._feed_parts_ready()
 
     play(tmp_path, look, silent=True)
 
@@ -131,7 +131,10 @@
     async def look(made, all_):
         await made.fed.wait()
         made.placing.lease.renew(trio.current_time(), 60.0)
-        tells, kind = made.recovery._tells, all_.service.configuration.settings.deployment.traffic_types[0]
+        tells, kind = (
+            made.recovery._indicates_overload,
+            all_.service.configuration.settings.deployment.traffic_types[0],
+        )
 
         def one(write, *regions):
             return Operation(1, kind, b"k", -1, write, False, 0.0, 1.0, regions=regions)
--- a/tests/test_store_files.py
+++ b/tests/test_store_files.py
@@ -17,7 +17,7 @@
 
 from gaugehinge.cli.main import main
 from gaugehinge.hosted.feed_snapshot import FeedSnapshot
-from gaugehinge.recovery.snapshot import Kept, SnapshotFile
+from gaugehinge.recovery.snapshot import Snapshot, SnapshotFile
 from gaugehinge.store import connection, schema
 from gaugehinge.store.async_store import AsyncStore
 from gaugehinge.store.atomic_file import AtomicFile
@@ -212,7 +212,7 @@
         writer, reader, content = (
             SnapshotFile(path, "i"),
             SnapshotFile(path, "i"),
-            Kept("i", 1, 1.0, 1.0, "b"),
+            Snapshot("i", 1, 1.0, 1.0, "b"),
         )
     module, name = (os, "fsync") if step == "written, not synced" else (fcntl, "flock")
     real = getattr(module, name)
