--- a/gaugehinge/recovery/datagram.py
+++ b/gaugehinge/recovery/datagram.py
@@ -1,8 +1,10 @@
-"""One message between routers as bytes: a fixed form with its version, and a mark that only holders of the
-installation's key can make. No I/O.
+"""Encodes the messages between routers: a fixed, versioned layout and a message authentication code (MAC).
 
-They travel on the tier's datagrams. The length is odd: the module's own payloads are whole figures of four
-bytes, so neither is ever taken for the other, also at a router where recovery is off.
+Only holders of the installation's key can compute the MAC. No I/O.
+
+The messages travel as datagrams between the routers of the tier, which also carry the payloads of the routing
+module. Those are sequences of four-byte values; the length of a message is not a multiple of four. So neither
+is ever mistaken for the other, not even by a router on which recovery is off.
 """
 
 from __future__ import annotations
@@ -17,30 +19,30 @@
 
 MAGIC = 0xE7
 VERSION = 1
-MAC_BYTES = 16  # of the digest that go along
+MAC_BYTES = 16  # bytes of the HMAC that are sent
 LAYOUT = struct.Struct("<BBIIIQQdQdQ?fIB?dQQIIQfBx")
-# By bit. Routers that know none of them send 0: nothing said
+# By bit, lowest first. Routers that know none of them send 0, which claims nothing.
 FLAGS = ("clean_shutdown", "receiver_clean_shutdown", "confirmed_clean_shutdown", "zone_servers_survived")
 MESSAGE_BYTES = LAYOUT.size + MAC_BYTES
 MAX_MESSAGE_BYTES = 256
 if MESSAGE_BYTES > MAX_MESSAGE_BYTES or MESSAGE_BYTES % 4 == 0:
-    raise AssertionError("the form of messages does not fit")
+    raise AssertionError("the message layout exceeds the size limit or has a length divisible by 4")
 
 
 def digest(text: str) -> int:
-    """32 bits of a name, never 0."""
+    """A 32-bit digest of a name, never 0."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=4).digest(), "little") or 1
 
 
 @dataclass(slots=True)
 class MessageCodec:
-    """Makes and reads messages with one key, and counts what was dropped."""
+    """Encodes and decodes messages with one key, and counts dropped datagrams by cause."""
 
     key: bytes
     dropped: dict[str, int] = field(default_factory=lambda: dict.fromkeys(("form", "version", "mark"), 0))
 
     def encode(self, message: PeerMessage) -> bytes:
-        """A message as it goes out."""
+        """The bytes to send."""
         body = LAYOUT.pack(
             MAGIC,
             VERSION,
@@ -70,11 +72,11 @@
         return body + self._mac(body)
 
     def matches(self, payload: bytes) -> bool:
-        """Whether a datagram is of this kind at all: others are the module's."""
+        """Whether a datagram is a recovery message; all others belong to the routing module."""
         return len(payload) == MESSAGE_BYTES and payload[0] == MAGIC
 
     def decode(self, payload: bytes) -> PeerMessage | None:
-        """A message that came; None where it cannot be read, which is counted by cause."""
+        """The message of a datagram, or None if it is invalid; these are counted by cause."""
         if not self.matches(payload):
             return self._drop("form")
         body, mac = payload[: LAYOUT.size], payload[LAYOUT.size :]
