--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -1,7 +1,8 @@
-"""Carries out what the modules of this package decide, in one router: its snapshot, the messages to peers,
-and what it does to endpoint lists, the keeper's answers and requests while service returns.
+"""Carries out the decisions of this package's other modules in one router.
 
-Nothing of it stands in an operation's way once all is open: it intercepts nothing then.
+It writes the snapshot and exchanges messages with peers; while service is being restored it also acts on
+endpoint lists, answers of the control plane and client requests. Once all operations are admitted it
+intercepts none.
 """
 
 from __future__ import annotations
@@ -40,23 +41,22 @@
 from .retry_fencing import RetryFence
 from .snapshot import LearntRates, ServerEntry, Snapshot, SnapshotFile, read_boot_id, snapshot_identity
 
-CHECK_INTERVAL = 0.05  # seconds between two looks at what has come
-CONNECTION_CHECK_INTERVAL = 0.5  # and at the connections to servers
-SHUTDOWN_NOTICES = 3  # times that each peer is told of an ordered end: datagrams may be lost
-SHUTDOWN_NOTICE_INTERVAL = 0.03  # seconds
-RISE_TIME_CONSTANT, FALL_TIME_CONSTANT = (
-    2.0,
-    60.0,
-)  # seconds over which steady service is smoothed: a pause is no less of it
-MAX_REVISION = (1 << 63) - 1  # of versions, as messages carry them
+CHECK_INTERVAL = 0.05  # seconds between periodic checks of what has arrived
+CONNECTION_CHECK_INTERVAL = 0.5  # seconds between checks of the connections to servers
+SHUTDOWN_NOTICES = 3  # sent to each peer at a clean shutdown: datagrams may be lost
+SHUTDOWN_NOTICE_INTERVAL = 0.03  # seconds between them
+# Time constants in seconds with which the rates of steady service are smoothed as they rise and fall. Falling
+# is slow so that a pause in the traffic does not count as lower steady load.
+RISE_TIME_CONSTANT, FALL_TIME_CONSTANT = 2.0, 60.0
+MAX_REVISION = (1 << 63) - 1  # limit of list and store revisions in messages
 PRESENCE_BY_STATE = {presence: state for state, presence in ENDPOINT_STATES.items()}
 
 
 class Recovery(FeedPart):
-    """One router's recovery. A part of the feed, too, where a keeper is followed.
+    """Recovery in one router. Also a part of the feed if the router follows a control plane.
 
     It is a request interceptor, a gossip listener, a poll policy, a connection observer and a shutdown hook;
-    `list_gate` and `believed_starts` are its transformers of endpoint lists.
+    `list_gate` and `estimated_starts` are its endpoint list transformers.
     """
 
     name = "recovery"
@@ -71,7 +71,7 @@
         monotonic: Callable[[], float] = time.monotonic,
         boot_id: Callable[[], str] = read_boot_id,
     ) -> None:
-        """`key`: of the tier's messages; the clocks and the machine's boot may be played by a test."""
+        """`key`: authenticates the messages between routers. Tests may replace the clocks and the boot id."""
         deployment = service.configuration.settings.deployment
         self.service, self.entry, self.watch = service, entry, watch
         self.dispatcher, self.clock = service.dispatcher, service.clock
@@ -89,10 +89,11 @@
         self.slack = restart_scope.restart_slack(
             self.router_count, startup_spreading.steady_messages_per_second(self.router_count)
         )
-        self.peer_reports: dict[int, staleness_rules.PeerReport] = {}  # by peer, the last of each
-        self.peer_clock_offsets: dict[int, float] = {}  # by peer, how far its wall clock is from ours
-        self.last_heard: dict[int, float] = {}  # by peer, when
-        self.keys_lost_at: dict[int, float] = {}  # by peer that lived on, when it saw marks lost last
+        self.peer_reports: dict[int, staleness_rules.PeerReport] = {}  # by peer, the latest report
+        self.peer_clock_offsets: dict[int, float] = {}  # by peer, its wall clock minus ours in seconds
+        self.last_heard: dict[int, float] = {}  # by peer, our uptime in seconds
+        # By peer that survived, our uptime in seconds when it last saw servers lose keys.
+        self.keys_lost_at: dict[int, float] = {}
         self.retry_fence = RetryFence(deployment, float(entry.repeats), self.started_at)
         self.ramp = RecoveryRamp(deployment, secrets.randbits(32))
         self.sequence = StartupSequence(
@@ -105,17 +106,18 @@
         )
         self.progress = StartupProgress(control_plane=watch is None, subsystems=watch is None)
         self.known_store = staleness_rules.KnownStore("", 0, {})
-        self.outdated_feed_until = (
-            0.0  # a keeper from before what was heard is not followed until then; 0: none is
-        )
+        # A feed older than what is known, or of another store, is rejected until then; 0: there was none.
+        self.outdated_feed_until = 0.0
         self.control_plane_run = ""
-        self.servers: dict[str, EndpointTarget] = {}  # as discovery told them, follows the list
+        self.servers: dict[str, EndpointTarget] = {}  # as reported by discovery; bounded by the list
         self.list_rev = -1
         self.list_checksum = 0
-        self.known_rev, self.known_starts = -1, {}  # of the list that was followed last, kept ones too
-        self.held_updates: list[EndpointListUpdate] = []  # until it is decided; emptied then
-        self.outdated_list_until = 0.0  # by an old list only what harms nobody is sent; 0: it is none
-        self.start_times: dict[str, tuple[float, float]] = {}  # as told and as believed, follows the list
+        self.known_rev, self.known_starts = -1, {}  # of the last accepted list, or of the snapshot's
+        self.held_updates: list[EndpointListUpdate] = []  # held back until the verdict is reached
+        # Only idempotent reads are sent while an outdated list is in use. 0: the list is not outdated; inf: it is
+        # the list of the snapshot, used until discovery answers.
+        self.outdated_list_until = 0.0
+        self.start_times: dict[str, tuple[float, float]] = {}  # by uid: reported, estimated
         self.learnt = LearntRates()
         self.saved_at = self.learnt_at = self.started_at
         self.round_number = 0
@@ -124,15 +126,15 @@
         self.incarnations = IncarnationTracker()
         self.connections_checked_at = self.started_at
         self.dirty = trio.Event()
-        self.save_lock = trio.Lock()  # two at a time would write into one file
-        self.intercepting = False  # whether `intercept` has anything to do
+        self.save_lock = trio.Lock()  # two concurrent saves would write to the same file
+        self.intercepting = False  # whether `intercept` may have to act on an operation
         self.list_gate = ListGate(self._gate_list)
         self.estimated_starts = EstimatedStarts(self._estimate_starts)
 
-    # -- the start
+    # -- startup
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Read what was kept, count the run before anybody is told of it, and intercept from now on."""
+        """Load the snapshot, store the new run number before anybody is told it, and start to intercept."""
         self.previous, reason = self.snapshot_file.load()
         stored = self.previous
         if stored is None:
@@ -162,7 +164,7 @@
         try:
             self.snapshot_file.save(self._build_snapshot())
         except (OSError, ValueError) as error:
-            logger.warning("recovery: run {} could not be counted on the disk: {}", run, error)
+            logger.warning("recovery: run {} could not be written to the snapshot: {}", run, error)
         clock_note = "" if self.snapshot_age.from_monotonic_clock else "by wall clocks "
         age_text = "none" if stored is None else f"{clock_note}{self.snapshot_age.seconds:.1f} s old"
         logger.info("recovery: run {}, epoch {}, snapshot {}", run, self.view.epoch, age_text)
@@ -173,7 +175,7 @@
             nursery.start_soon(task)
 
     def _apply_snapshot(self, stored: Snapshot) -> None:
-        """What of the snapshot is believed at once."""
+        """Adopt the items of the snapshot that are trusted at once."""
         self.known_store = staleness_rules.KnownStore(
             stored.store_name, stored.revision, dict(stored.incarnations), stored.incarnation_floor
         )
@@ -192,7 +194,7 @@
             self.watch.add_part(self)
 
     def earliest_poll(self) -> float:
-        """This router's place among all that have just started."""
+        """When discovery may be polled first: routers that start together spread their polls."""
         return self.first_poll_at
 
     def uptime(self) -> float:
@@ -204,7 +206,7 @@
     def intercept(
         self, operation: Operation, payload: RequestPayload, reply_callback: ReplyCallback
     ) -> ReplyCallback | None:
-        """Answer here what is not let in; see how the rest ends, for as long as that is asked."""
+        """Fail fenced retries, reject what is not admitted, and record results until all is admitted."""
         if not self.intercepting:
             return reply_callback
         now = self.clock()
@@ -235,7 +237,7 @@
         return on_reply
 
     def _retry_after(self, row: int, tenant: int, write: bool, now: float) -> float:
-        """Seconds to stay away; 0: let in."""
+        """Seconds after which the client may retry; 0: admitted."""
         idempotent_read = not write and self.deployment.traffic_types[row].effect is Effect.IDEMPOTENT
         if self.outdated_list_until and not idempotent_read:
             return self.ramp.retry_after(1.0)
@@ -244,8 +246,11 @@
         return self.ramp.admit(row, tenant, write, now)
 
     def _indicates_overload(self, operation: Operation, reply: bytes) -> bool:
-        """Whether what was not settled says that too much was let in: not while leases or grants are awaited,
-        and not where a read finds no room in its shard's own region."""
+        """Whether an unsuccessful reply indicates that too much load was admitted.
+
+        It does not while leases or grants are awaited, nor if a read that is confined to its shard's region
+        is rejected for lack of room there.
+        """
         if not self._feed_parts_ready():
             return False
         pinned = bool(operation.regions) and operation.regions[-1] is not None
@@ -254,7 +259,7 @@
         )
 
     def _feed_parts_ready(self) -> bool:
-        """Whether all parts that go by the keeper's word have what they need of it."""
+        """Whether all parts that depend on the control plane have what they need from it."""
         return all(part.ready() for part in self._feed_parts())
 
     def _feed_parts(self) -> tuple[FeedPart, ...]:
@@ -265,10 +270,10 @@
         operation.finished = True
         reply_callback(reply)
 
-    # -- the list
+    # -- endpoint lists
 
     def _gate_list(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate | None:
-        """Take note of discovery's list, or changes of it; held back until it is decided what to believe."""
+        """Record a list from discovery, or its changes; held back (None) until the verdict is reached."""
         if update.complete:
             self._classify_list(update)
             self.servers.clear()
@@ -288,19 +293,19 @@
         self.dirty.set()
         if self.view.verdict is not Verdict.DECIDING:
             return update
-        # When servers started is believed by what is still to be decided; no client is let in before.
+        # The estimated start times depend on the verdict. No client is admitted before it is reached.
         self.held_updates = [update] if update.complete else [*self.held_updates, update]
         return None
 
     def _classify_list(self, update: EndpointListUpdate) -> None:
-        """Whether a whole list is one from before."""
+        """Check whether a complete list is older than the known one."""
         start_times = {target.uid: target.entry.started for target in update.targets}
         status = staleness_rules.classify_list(self.known_rev, self.known_starts, update.rev, start_times)
         if status is staleness_rules.AnswerStatus.OLDER:
             if self.outdated_list_until in (0.0, inf):
                 self.outdated_list_until = self.clock() + float(self.entry.doubt)
                 logger.warning(
-                    "recovery: list {} is older than {} that was known: reads only, for {:.0f} s at most",
+                    "recovery: list {} is older than the known list {}: reads only, for {:.0f} s at most",
                     update.rev,
                     self.known_rev,
                     float(self.entry.doubt),
@@ -308,16 +313,16 @@
                 self.intercepting = True
             return
         if self.outdated_list_until:
-            logger.info("recovery: list {} is followed", update.rev)
+            logger.info("recovery: list {} is accepted", update.rev)
         self.outdated_list_until = 0.0
         self.known_rev, self.known_starts = update.rev, start_times
 
     def _forward_list(self, update: EndpointListUpdate, cached: bool) -> None:
-        """To all that comes behind the gate."""
+        """Send the update through the transformers that come after the gate."""
         self.dispatcher.on_endpoints_changed(update, cached, after=self.list_gate)
 
     def _estimate_starts(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
-        """The list with the times at which servers are believed to have started."""
+        """The list with the estimated start times of the servers."""
         stored_starts = {entry.uid: entry.started for entry in self.previous.servers} if self.previous else {}
         poll_window = startup_spreading.spread_window(
             self.router_count, startup_spreading.DISCOVERY_CALLS_PER_SECOND
@@ -347,13 +352,13 @@
         return EndpointListUpdate(update.rev, update.complete, tuple(targets))
 
     def _use_stored_list(self) -> None:
-        """Discovery is not waited for any longer: what was kept serves reads, and every server is cold."""
+        """Use the snapshot's list for reads if discovery did not answer in time; all servers count as cold."""
         if self.previous is None or not self.previous.servers:
             return
         targets = []
         for stored in self.previous.servers:
             endpoint_address = address(stored.endpoint, "snapshot")
-            ident = xxh64_intdigest(stored.uid.encode())  # as net.list_update makes it
+            ident = xxh64_intdigest(stored.uid.encode())  # as in net.list_update
             entry = EndpointEntry(
                 ident,
                 stored.zone,
@@ -364,21 +369,24 @@
                 stored.weight,
             )
             targets.append(EndpointTarget(entry, stored.uid, endpoint_address))
-        logger.warning("recovery: no list: {} servers as kept, for reads only", len(targets))
+        logger.warning(
+            "recovery: no list from discovery: using {} servers from the snapshot, for reads only",
+            len(targets),
+        )
         self.outdated_list_until = inf
         self._forward_list(EndpointListUpdate(self.previous.list_rev, True, tuple(targets)), True)
 
     # -- connections to servers
 
     def on_connection_lost(self, connection: Connection, pending: PendingAttempt | None) -> None:
-        """A connection was ended by its server, or did not come up: has that lost what it knew?"""
+        """Decide whether a lost or failed connection suggests that its server restarted and lost its keys."""
         endpoint = connection.endpoint
         connect_failed = pending is not None and not (connection.request_sent or connection.idle_since)
         pool, now = self.service.pool, self.clock()
         shutting_down = self.service.lifecycle.phase in (
             Phase.CLOSING,
             Phase.ENDED,
-        )  # they end with this router
+        )  # then this router closes the connections
         if shutting_down or pool.endpoints.get(endpoint.ident) is not endpoint:
             return
         other_connection_up = bool(endpoint.idle) or any(
@@ -402,17 +410,17 @@
         rows = self.retry_fence.suspect_server(ident, now)
         if not rows:
             return
-        logger.info("recovery: {} may have begun anew: no line to it stands, and none comes up", uid)
+        logger.info("recovery: {} may have restarted: connections broke or failed, and none is open", uid)
         self.intercepting = True
         for pending in list(self.dispatcher.pending_operations):
-            # It would be sent once more when the server is back, which remembers nothing of it.
+            # It would be sent again once the server is back, which may have lost its idempotency key.
             operation = pending.operation
             is_affected = operation.is_write and operation.traffic_type.row in rows
             if is_affected and operation.may_have_run_on is not None and not operation.finished:
                 self.dispatcher.reject(operation, FAILED_REPLY)
 
     def _check_connections(self, now: float) -> None:
-        """What connections that stand idle say of their servers' lives."""
+        """Record idle connections as evidence that their servers are alive."""
         if now - self.connections_checked_at < CONNECTION_CHECK_INTERVAL:
             return
         self.connections_checked_at = now
@@ -429,7 +437,7 @@
             )
 
     def _zone_servers_survived(self, number: int) -> bool:
-        """Whether in that peer's zone a server of each cell is known to have lived while it was away."""
+        """Whether in each cell of that peer's zone a server is known to have survived the peer's downtime."""
         downtime = restart_scope.downtime(self.view, number)
         if (
             downtime is None
@@ -447,16 +455,16 @@
                 )
         return bool(cells) and all(cells.values())
 
-    # -- an ordered end
+    # -- shutdown
 
     async def before_exit(self) -> None:
-        """Notify peers where nothing is in flight, and write the snapshot."""
+        """Notify peers of a clean shutdown if nothing is in flight, and write the snapshot."""
         service = self.service
         in_flight = len(self.dispatcher.pending_operations) + len(service.pool.pending)
         in_flight += sum(front.clients.has_pending_replies() for front in service.fronts)
         self.view = restart_scope.begin_shutdown(self.view, in_flight)
-        manner = f"with {in_flight} in hand" if in_flight else "in order"
-        logger.info("recovery: run {} ends {}", self.view.run, manner)
+        manner = f"with {in_flight} in flight" if in_flight else "cleanly"
+        logger.info("recovery: run {} shuts down {}", self.view.run, manner)
         if self.view.shutting_down_cleanly and self.service.gossip is not None:
             for _ in range(SHUTDOWN_NOTICES):
                 for number in range(self.router_count):
@@ -471,7 +479,7 @@
     # -- peers
 
     def on_gossip(self, peer: int, payload: bytes) -> bool:
-        """Take the messages of recovery; all others are the routing decisions'."""
+        """Receive recovery messages; returns False for all others, which belong to the routing module."""
         if not self.codec.matches(payload):
             return False
         message = self.codec.decode(payload)
@@ -504,10 +512,14 @@
         self._on_view_changed(previous_view)
 
     def _on_view_changed(self, previous_view: restart_scope.TierView) -> None:
-        """What a change of mind brings."""
+        """Act on changes of the run, verdict and epoch."""
         view = self.view
         if view.run != previous_view.run:
-            logger.warning("recovery: peers know run {} of this router: now {}", view.run - 1, view.run)
+            logger.warning(
+                "recovery: peers already know run {} of this router: continuing as run {}",
+                view.run - 1,
+                view.run,
+            )
             self.dirty.set()
             if self.watch is not None:
                 self.watch.run_number = view.run
@@ -521,7 +533,7 @@
         restarted = sum(restart_scope.proved_restarted(view, number) for number in range(self.router_count))
         survived = sum(peer.survived for peer in view.peers)
         logger.info(
-            "recovery: {} after {:.1f} s: of {} peers {} lived on, {} began anew; epoch {}",
+            "recovery: {} after {:.1f} s: of {} peers {} survived, {} restarted; epoch {}",
             view.verdict.name.lower(),
             self.uptime(),
             self.router_count - 1,
@@ -539,7 +551,7 @@
         self.dirty.set()
 
     async def _message_loop(self) -> None:
-        """Messages to peers, round by round."""
+        """Send messages to peers in rounds."""
         if self.router_count == 1 or self.service.gossip is None:
             return
         await trio.sleep(self.first_message_delay)
@@ -579,10 +591,10 @@
         )
         self.service.gossip.send((number,), self.codec.encode(message))
 
-    # -- the keeper: a part of the follower's feed
+    # -- the control plane's feed
 
     def hear(self, feed: Feed, asked_at: float) -> None:
-        """A feed was followed."""
+        """Record that a feed of the control plane was applied."""
         previous_view, same_run = (
             self.view,
             bool(self.previous and self.previous.control_plane_run)
@@ -594,25 +606,33 @@
         self._on_view_changed(previous_view)
 
     def filter_feed(self, feed: Feed) -> Feed:
-        """What of a feed is followed. Raises FeedError while it is from before what was heard."""
+        """The part of a feed that is applied, without tenants whose number belonged to another one.
+
+        Raises FeedError, for a limited time (`doubt`), if the feed is older than what is known or of another
+        store.
+        """
         now, known = self.clock(), self._best_known_store()
         status = staleness_rules.classify_feed(known, feed.store_id, feed.revision, feed.complete)
         if status is not staleness_rules.AnswerStatus.CURRENT:
             comparison = (
-                f"store {feed.store_id} revision {feed.revision}, heard was {known.name} {known.revision}"
+                f"store {feed.store_id} revision {feed.revision}, known was {known.name} {known.revision}"
             )
             if not self.outdated_feed_until:
                 self.outdated_feed_until = now + float(self.entry.doubt)
-                logger.error("recovery: keeper is {}: {}", status.value, comparison)
+                logger.error("recovery: control plane is {}: {}", status.value, comparison)
             if now < self.outdated_feed_until:
-                raise FeedError(f"keeper is {status.value}: {comparison}")
-            logger.error("recovery: keeper is followed though it is {}: {}", status.value, comparison)
+                raise FeedError(f"control plane is {status.value}: {comparison}")
+            logger.error(
+                "recovery: control plane is followed although it is {}: {}", status.value, comparison
+            )
         elif self.outdated_feed_until:
-            logger.info("recovery: keeper is at revision {} again", feed.revision)
+            logger.info("recovery: control plane is at revision {} again", feed.revision)
         rows = [(row.incarnation, row.name) for row in feed.tenants]
         reassigned = set(staleness_rules.reassigned_incarnations(known, rows))
         if reassigned:
-            logger.error("recovery: numbers {} were other tenants': not served", sorted(reassigned))
+            logger.error(
+                "recovery: incarnations {} belonged to other tenants before: not served", sorted(reassigned)
+            )
             feed = msgspec.structs.replace(
                 feed, tenants=[row for row in feed.tenants if row.incarnation not in reassigned]
             )
@@ -624,7 +644,7 @@
         return feed
 
     def _best_known_store(self) -> staleness_rules.KnownStore:
-        """What this router knows, and what the best of its peers does."""
+        """What this router knows of the store, or its most authoritative peer if that is ahead."""
         report = staleness_rules.most_authoritative(list(self.peer_reports.values()))
         if (
             report is None
@@ -633,13 +653,14 @@
         ):
             return self.known_store
         if self.progress.control_plane:
-            return self.known_store  # in service each is told by the keeper itself: peers may be ahead of us
+            # Once in service, each router is told by the control plane itself: peers may be ahead of us.
+            return self.known_store
         return self.known_store._replace(revision=max(self.known_store.revision, report.store_revision))
 
-    # -- looks
+    # -- periodic checks
 
     async def _check_loop(self) -> None:
-        """Everything that time alone brings."""
+        """Restore the state of the feed's parts, then run the periodic checks."""
         for part in self._feed_parts():
             if self.previous is not None and part.name in self.previous.parts:
                 part.restore(self.previous.parts[part.name])
@@ -647,17 +668,20 @@
             try:
                 self._check()
             except Exception:
-                if not self.check_failed:  # once: it may fail at each look
-                    logger.exception("recovery failed: all is let in")
+                if not self.check_failed:  # logged once: each check may fail
+                    logger.exception("recovery failed: all operations are admitted")
                 self.check_failed = True
                 self._open_after_failure()
             await trio.sleep(CHECK_INTERVAL)
 
     def _open_after_failure(self) -> None:
-        """A mistake here must not keep the router shut: as a start without recovery, but for repeats."""
+        """Admit all operations after an internal error, which must not keep the router closed.
+
+        The router then behaves as if started without recovery, except that the retry fence stays in force.
+        """
         self.ramp.fully_open, self.sequence.stage, self.outdated_list_until = True, Stage.OPEN, 0.0
         held, self.held_updates = self.held_updates, []
-        # Starts are believed as told where that is this package's matter alone, and no keeper's.
+        # Without a control plane only this package uses the start times: they are then used as reported.
         gate = self.list_gate if self.watch is not None else self.estimated_starts
         for update in held:
             self.dispatcher.on_endpoints_changed(update, after=gate)
@@ -680,7 +704,7 @@
                 self._admit_clients(now)
         if self.outdated_list_until and now >= self.outdated_list_until:
             self.outdated_list_until = 0.0
-            logger.warning("recovery: the list is followed though it may be old")
+            logger.warning("recovery: list is accepted although it may be outdated")
         self.ramp.set_shares([tenant.quota for tenant in self.dispatcher.router.tenants])
         self.ramp.step(self._warmth(now), now)
         if self.ramp.fully_open and self.sequence.stage is Stage.RAMPING:
@@ -695,13 +719,13 @@
         self._check_connections(now)
         restarted = restart_scope.recent_peer_restarts(self.view, uptime, self.slack)
         if restarted > self.peer_restarts:
-            summary = f"{restarted} of {self.router_count - 1} peers began anew within {self.slack:.0f} s"
-            logger.info("recovery: a loss elsewhere: {}", summary)
+            summary = f"{restarted} of {self.router_count - 1} peers restarted within {self.slack:.0f} s"
+            logger.info("recovery: loss elsewhere in the tier: {}", summary)
         self.peer_restarts = restarted
         self._flush_log()
 
     def _admit_clients(self, now: float) -> None:
-        """Clients are let in from now on."""
+        """Start to admit clients."""
         if not self.progress.endpoint_list:
             self._use_stored_list()
         for update in self.held_updates:
@@ -722,9 +746,9 @@
         else:
             self.ramp.start(limits, [tenant.quota for tenant in router.tenants], now)
         logger.info(
-            "recovery: ready after {:.1f} s, {}: {} servers, {:.1f} reads and {:.1f} writes a second before",
+            "recovery: ready after {:.1f} s, {}: {} servers; before: {:.1f} reads/s, {:.1f} writes/s",
             now - self.started_at,
-            "open" if self.ramp.fully_open else "in steps",
+            "fully open" if self.ramp.fully_open else "ramping",
             len(router.endpoints),
             learnt.reads,
             learnt.writes,
@@ -740,7 +764,7 @@
         return sum(min(age / warm_up_time, 1.0) for age in ages) / len(ages)
 
     def _update_learnt_rates(self, now: float) -> None:
-        """Steady service, by what the decisions measure anyhow."""
+        """Update the rates of steady service from what the routing decisions measure anyway."""
         elapsed = now - self.learnt_at
         if elapsed < 1.0 or self.sequence.stage is not Stage.OPEN:
             return
@@ -812,7 +836,7 @@
             await trio.to_thread.run_sync(self.snapshot_file.save, self._build_snapshot())
 
     async def _save_loop(self) -> None:
-        """Write the snapshot now and then, and soon after something in it changed."""
+        """Write the snapshot periodically, and soon after something in it changed."""
         failed = False
         while True:
             with trio.move_on_after(float(self.entry.every)):
@@ -821,7 +845,7 @@
             try:
                 await self._save()
                 if failed:
-                    logger.info("recovery: snapshot written again")
+                    logger.info("recovery: snapshot can be written again")
                 failed = False
             except (OSError, ValueError) as error:
                 if not failed:
@@ -831,14 +855,14 @@
 
 
 def _smooth(old: float, current: float, elapsed: float) -> float:
-    """A smoothed figure, `span` seconds later."""
+    """The exponentially smoothed value, `elapsed` seconds after `old`."""
     return current + (old - current) * exp(
         -elapsed / (RISE_TIME_CONSTANT if current > old else FALL_TIME_CONSTANT)
     )
 
 
 def idempotency_key_of(labels: bytes) -> bytes:
-    """The mark in an operation's labels, empty where there is none."""
+    """The idempotency key in an operation's labels; empty if there is none."""
     for part in labels.split(b","):
         if part.startswith(b"k="):
             return part[2:]
