--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,6 +1,8 @@
-"""The decisions of gaugehinge.recovery in virtual time, and its driver in a router between stand-ins.
+"""Tests the decisions of gaugehinge.recovery in virtual time, and its driver in a router with simulated
+servers, clients and peers.
 
-Parts are also switched off, and must then show the harm that they exist against."""
+Some tests also switch a part off and check that the harm that it prevents then occurs.
+"""
 
 import random
 import struct
@@ -58,7 +60,7 @@
     return run
 
 
-# ---------------------------------------------------------------- the snapshot
+# ---------------------------------------------------------------- snapshot
 
 
 def stored_snapshot(**more) -> Snapshot:
@@ -101,7 +103,7 @@
     assert (tmp_path / "snap").stat().st_size <= MAX_SNAPSHOT_BYTES
     with pytest.raises(ValueError):
         file.save(stored_snapshot(parts={"placement": b"x" * MAX_SNAPSHOT_BYTES}))
-    assert file.load()[0] == found  # what was there is there still
+    assert file.load()[0] == found  # the previous file is still there
 
 
 # ---------------------------------------------------------------- messages
@@ -123,7 +125,9 @@
     assert codec.decode(infinite) is None
     assert codec.dropped == {"form": 2, "version": 1, "mark": 1}
     rates = struct.pack("<34f", *[0.0] * 34)
-    assert not codec.matches(rates) and MESSAGE_BYTES % 4  # the module's are whole figures of four bytes
+    assert (
+        not codec.matches(rates) and MESSAGE_BYTES % 4
+    )  # the routing module's payloads are whole four-byte values
 
 
 @given(st.binary(max_size=300))
@@ -131,12 +135,12 @@
     assert MessageCodec(KEY).decode(data) is None
 
 
-# ---------------------------------------------------------------- what is believed
+# ---------------------------------------------------------------- trust and staleness
 
 
 def test_snapshot_age_and_confidence():
     snapshot = stored_snapshot()
-    # the wall clock is not asked
+    # the wall clock is not used
     assert staleness_rules.snapshot_age(snapshot, 99.0, 530.0, "boot-1") == staleness_rules.SnapshotAge(
         30.0, True
     )
@@ -162,25 +166,27 @@
 
 def test_a_clock_an_hour_off_makes_no_cold_server_look_warm():
     started, began = 10_000.0, 10_003.0  # true times
-    for offset in (3600.0, -3600.0):  # of our own clock
+    for offset in (3600.0, -3600.0):  # error of our own clock
         own_began = began + offset
         assert staleness_rules.clock_correction(began + offset, [began, began, began]) == -offset
-        # No peer has spoken yet, and the list tells a start that is not the one that was known.
+        # No peer was heard yet, and the list reports a start time other than the known one.
         estimated = staleness_rules.estimated_start_time(started, 4.0, own_began, False, 0.0, own_began)
-        assert own_began - estimated <= 0.0  # it counts as just started, whatever the clock says
+        assert own_began - estimated <= 0.0  # it counts as just started, whatever the clock shows
         assert (
             staleness_rules.estimated_start_time(started, 4.0, own_began, True, -offset, own_began)
             == started + offset
         )
-    # Most of the fleet goes an hour behind the servers' clock: a start is no later than it was told of.
+    # Most routers' clocks are an hour behind the servers': a start is no later than when it was reported.
     for fleet_survived in (False, True):
         assert (
             staleness_rules.estimated_start_time(began + 3600.0, 4.0, began, fleet_survived, 0.0, began + 2.0)
             == began + 2.0
         )
-    naive = started  # without the rule: an hour of age, and a budget of a warm server
+    naive = started  # without the rule it would count as an hour old and get the budget of a warm server
     assert began + 3600.0 - naive > 3600.0
-    assert staleness_rules.clock_correction(0.0, [3600.0]) == 0.0  # one other says nothing of who is right
+    assert (
+        staleness_rules.clock_correction(0.0, [3600.0]) == 0.0
+    )  # with one other clock nobody knows which is right
 
 
 def test_outdated_lists_and_feeds_are_detected():
@@ -188,7 +194,7 @@
     older, same = staleness_rules.AnswerStatus.OLDER, staleness_rules.AnswerStatus.CURRENT
     assert staleness_rules.classify_list(9, known, 4, {"a": 5.0, "b": 20.0}) is older
     assert staleness_rules.classify_list(9, known, 4, {"a": 10.0, "gone": 15.0}) is older
-    # it counts anew
+    # a lower revision alone: discovery counts from the start again
     assert staleness_rules.classify_list(9, known, 1, {"a": 30.0, "b": 31.0, "new": 32.0}) is same
     assert staleness_rules.classify_list(9, known, 10, {"a": 5.0}) is same
     store = staleness_rules.KnownStore("s1", 20, {"1": "acme", "2": "bolt"})
@@ -220,17 +226,17 @@
     ) and not staleness_rules.heard_enough([low, high], 9)
 
 
-# ---------------------------------------------------------------- evidence
+# ---------------------------------------------------------------- evidence about restarts
 
 
 def test_a_router_with_an_outdated_snapshot_learns_its_run_and_proves_nothing():
     view = restart_scope.initial_view(0, 1, 3, 11, (3, 9), (-1, 9), 3.0, 0)
     peer = restart_scope.initial_view(1, 1, 10, 22, (57, 9), (56, -1), 3.0, 4)
     peer, echo = restart_scope.receive_message(peer, restart_scope.build_message(view, 1, 0.5), 2.0)
-    assert echo == (11, 0.5)  # run 3 is of the past, and its sender is told so
+    assert echo == (11, 0.5)  # run number 3 was used before; the sender is told
     view, _ = restart_scope.receive_message(view, restart_scope.build_message(peer, 0, 2.0, echo), 0.6)
     assert view.run == 58 and view.epoch == 4 and set(view.runs_before_stop) == {-1}
-    assert view.verdict is Verdict.DECIDING  # its snapshot would have proved that the peer began anew
+    assert view.verdict is Verdict.DECIDING  # with its snapshot the peer would count as restarted
     assert restart_scope.check_deadline(view, 3.0).verdict is Verdict.APART
 
 
@@ -256,17 +262,17 @@
     view = restart_scope.initial_view(0, 1, 3, 11, (3, 9, 9), (-1, 9, 9), 3.0, 0)
     last = PeerMessage(1, 0, 1, 10, 22, 4.0, 11, 4.0, clean_shutdown=True)
     view = receive_all(view, (last, 4.1), (last, 9.0), (PeerMessage(1, 0, 1, 11, 23, 1.0, 11, 9.5), 9.6))
-    assert restart_scope.downtime(view, 1) == (4.0, 9.6)  # and not from 9.0 on
+    assert restart_scope.downtime(view, 1) == (4.0, 9.6)  # the duplicate at 9.0 does not count
     assert (
         restart_scope.build_message(view, 1, 9.7).receiver_clean_shutdown
         and not restart_scope.build_message(view, 2, 9.7).receiver_clean_shutdown
     )
     view = receive_all(view, (PeerMessage(1, 0, 1, 13, 24, 1.0, 11, 11.0), 11.2))
-    # run 12 was never heard: nobody knows how it ended
+    # run 12 was never heard, so how it ended is unknown
     assert not restart_scope.build_message(view, 1, 11.3).receiver_clean_shutdown
 
 
-# ---------------------------------------------------------------- servers' lives
+# ---------------------------------------------------------------- server incarnations
 
 
 def test_overlapping_answer_spans_are_one_incarnation():
@@ -274,29 +280,32 @@
     for connection, answered in (("a", 1.0), ("b", 3.0), ("a", 4.0), ("b", 9.0), ("c", 12.0), ("c", 15.0)):
         incarnations.record_answer(connection, answered)
     assert incarnations.was_alive(1.0, 9.0) and incarnations.was_alive(13.0, 15.0)
-    assert not incarnations.was_alive(8.0, 13.0) and not incarnations.was_alive(
-        1.0, 9.1
-    )  # connection c came up in a gap
+    # connection c came up in a gap between the spans
+    assert not incarnations.was_alive(8.0, 13.0) and not incarnations.was_alive(1.0, 9.1)
     incarnations.prune({"c"}, 130.0)
     assert incarnations.spans == [(12.0, 15.0)] and set(incarnations.connection_spans) == {"c"}
 
 
 def test_a_single_reset_raises_no_suspicion_and_a_server_that_is_down_raises_one():
     tracker = IncarnationTracker()
-    assert not tracker.connect_failed(1, False, False, 1.0)  # it was never up: no loss of this run's
+    assert not tracker.connect_failed(
+        1, False, False, 1.0
+    )  # it was never up during this run, so it lost nothing in it
     assert not tracker.connection_broke(1, True, False, 2.0)
-    assert not tracker.connect_failed(1, True, True, 9.0)  # the other is long ago, and a connection stands
+    assert not tracker.connect_failed(
+        1, True, True, 9.0
+    )  # the other sign is too old, and a connection is open
     assert tracker.connect_failed(1, False, True, 10.0)
-    assert not tracker.connect_failed(1, False, True, 11.0)  # it is down still, and loses nothing more
-    # both were idle
+    assert not tracker.connect_failed(1, False, True, 11.0)  # it is still down and loses nothing more
+    # both connections were idle
     assert not tracker.connection_broke(1, False, True, 20.0) and not tracker.connection_broke(
         1, False, False, 20.01
     )
     assert tracker.connection_broke(1, True, False, 20.02)
-    assert tracker.connect_failed(2, False, True, 1.0)  # where the fleet lived on it may have been up before
+    assert tracker.connect_failed(2, False, True, 1.0)  # if the fleet survived, it may have been up before
 
 
-# ---------------------------------------------------------------- who is asked when
+# ---------------------------------------------------------------- startup spreading
 
 
 def call_times(routers: int, starts: list[float], spread=True) -> list[float]:
@@ -329,7 +338,7 @@
         1.0 - min(startup_spreading.startup_delays(n, routers).discovery, 1.0) for n in range(routers)
     ]
     assert most_calls_within(call_times(routers, worst_starts), 0.1) <= worst
-    if routers == 200:  # without the places all come in one instant
+    if routers == 200:  # without the spreading all calls come at the same instant
         assert most_calls_within(call_times(routers, [0.0] * routers, spread=False), 0.1) == 200
 
 
@@ -344,7 +353,7 @@
     assert set(cycle) == set(range(1, 10))
 
 
-# ---------------------------------------------------------------- effects
+# ---------------------------------------------------------------- retry fencing
 
 
 def new_retry_fence(**changes) -> RetryFence:
@@ -358,7 +367,7 @@
     assert not fence.must_fail(0, False, True, b"", 100.1) and not fence.must_fail(
         1, True, False, b"m2", 100.1
     )
-    assert not fence.must_fail(1, True, True, b"m2", 100.5)  # its first try came after the loss
+    assert not fence.must_fail(1, True, True, b"m2", 100.5)  # its first attempt came after the loss
     assert not fence.must_fail(2, True, True, b"", 105.0) and fence.must_fail(1, True, True, b"m1", 108.9)
     assert not fence.must_fail(1, True, True, b"m1", 109.0) and fence.failed == 3
     for n in range(MAX_FRESH_KEYS + 5):
@@ -379,10 +388,10 @@
         assert fence.must_fail(1, True, True, b"m", 101.0) is active is fence.is_active(101.0)
     zone = new_retry_fence()
     zone.apply_verdict(Verdict.ZONE, [], 101.0)
-    assert not zone.must_fail(1, True, True, b"m", 101.0)  # its group is all servers: some lived
+    assert not zone.must_fail(1, True, True, b"m", 101.0)  # its group is all servers, some of which survived
     assert zone.must_fail(2, True, True, b"", 101.0)
     lone = new_retry_fence()
-    lone.apply_verdict(Verdict.LONE, [6.0, 2.5], 101.0)  # peers saw marks lost 6 and 2.5 s ago
+    lone.apply_verdict(Verdict.LONE, [6.0, 2.5], 101.0)  # peers saw keys lost 6 and 2.5 s ago
     assert lone.must_fail(1, True, True, b"m", 107.4) and not lone.must_fail(1, True, True, b"m", 107.6)
 
 
@@ -393,8 +402,8 @@
     rows = [row(n, zone="ab"[n % 2], cell=n // 2) for n in range(4)]
     fence.on_endpoints_changed(rows, True, 50.0)
     fence.on_endpoints_changed([rows[0]._replace(started=60.0)], False, 60.0)
-    assert not fence.is_active(60.0)  # another of its group remembers
-    fence.on_endpoints_changed([], True, 61.0)  # a list that is empty for once
+    assert not fence.is_active(60.0)  # another server of its group still has the keys
+    fence.on_endpoints_changed([], True, 61.0)  # a single empty list in between
     fence.on_endpoints_changed([each._replace(started=62.0) for each in rows[1:]], False, 62.0)
     assert fence.is_active(70.9) and not fence.is_active(71.1) and "marks lost" in fence.log_lines[0]
 
@@ -408,7 +417,7 @@
     assert fence.must_fail(1, True, True, b"m", 219.0) and not fence.is_active(220.5)
 
 
-# ---------------------------------------------------------------- order and opening
+# ---------------------------------------------------------------- startup sequence and ramp
 
 
 def test_each_stage_waits_until_its_own_timeout_at_most():
@@ -418,7 +427,7 @@
     progress.control_plane = True
     assert sequence.advance(progress, 1.5) is Stage.ENDPOINT_LIST
     progress.verdict = Verdict.ALL
-    assert sequence.advance(progress, 5.9) is Stage.ENDPOINT_LIST  # discovery comes last
+    assert sequence.advance(progress, 5.9) is Stage.ENDPOINT_LIST  # discovery has not answered yet
     assert sequence.advance(progress, 6.0) is Stage.RAMPING
     assert sequence.timed_out == ["list", "placement and grants"]
 
@@ -432,8 +441,11 @@
 
 
 class ColdFleet:
-    """Servers that are cold and an origin, in virtual time: what each is sent within a step against what it
-    bears; over that, all of it fails. Keys that were read once are hits from then on."""
+    """Simulates cold servers and an origin in virtual time, and records their load relative to capacity.
+
+    Load far above capacity within a step fails: above 2.5 times for a server, 2 times for the origin. Keys
+    that were read once are hits from then on.
+    """
 
     def __init__(self, seed: int, on: bool, seconds: float = 25.0) -> None:
         draw = random.Random(seed)
@@ -444,7 +456,7 @@
         )
         ramps = [RecoveryRamp(deployment, n) for n in range(routers)]
         for each in ramps:
-            # 900 reads and 40 writes a second in all before; the origin bears 120 of anything.
+            # All routers had 900 reads and 40 writes a second before; the origin can take 120 operations.
             each.start(LoadLimits(routers, servers, origin, cold, 225.0, 10.0), [3.0, 1.0], 0.0)
             each.fully_open = not on
         stored: set[int] = set()
@@ -491,11 +503,11 @@
 def test_cold_servers_and_the_origin_are_not_overloaded(seed):
     on, off = ColdFleet(seed, True), ColdFleet(seed, False)
     assert on.over_origin <= 1.3 and on.over_cold <= 2.5
-    assert off.over_origin > 4.0 and off.over_cold > 3.0  # the harm without it
+    assert off.over_origin > 4.0 and off.over_cold > 3.0  # the overload without the ramp
     assert sum(on.settled[3]) > sum(off.settled[0])
     assert sum(on.settled[-1]) > 0.9 * 1000
     early = [sum(second[n] for second in on.settled[1:4]) for n in range(2)]
-    assert 1.8 < early[0] / early[1] < 4.2  # shares of 3 to 1, both ask for more
+    assert 1.8 < early[0] / early[1] < 4.2  # shares are 3 to 1, and both tenants demand more
 
 
 def test_high_priority_is_admitted_first_and_failures_lower_the_rate():
@@ -504,7 +516,7 @@
     ramp.start(LoadLimits(1, 4, 40.0, 0.0), [1.0], 0.0)
     admitted, now = {1: 0, 2: 0}, 0.0
     for _ in range(40):
-        for kind in (1, 2) * 20:  # 160 a second, where 20 to 40 are borne
+        for kind in (1, 2) * 20:  # 160 a second, with a capacity of 20 to 40
             if not ramp.admit(kind, 0, True, now):
                 admitted[kind] += 1
                 ramp.record_result(kind, True, True, True)
@@ -531,7 +543,7 @@
 
 
 class RecoverySetup:
-    """A recovery in a router whose peer is this test."""
+    """Builds the recovery of a router; the test acts as its peer."""
 
     def __init__(self, tmp_path, **fields) -> None:
         (tmp_path / "key").write_bytes(KEY)
@@ -577,26 +589,29 @@
         assert await client.ask("PING") == b"+PONG\r\n"
         await wait_until(lambda: recovery.sequence.stage is Stage.OPEN)
         assert (await client.get()).startswith(b"$")
-        assert recovery.intercepting  # the memory of marks is not over
+        assert recovery.intercepting  # the retry fence is still active
         recovery.retry_fence.fenced_until = [0.0] * 3
         await wait_until(lambda: not recovery.intercepting)
 
         def on_reply(reply):
-            raise AssertionError("nobody is to be answered here")
+            raise AssertionError("intercept must not send a reply here")
 
-        assert recovery.intercept(None, None, on_reply) is on_reply  # it looks at nothing of an operation
+        assert recovery.intercept(None, None, on_reply) is on_reply  # the operation is not examined
         await wait_until(lambda: recovery.snapshot_file.load()[0].servers != [])
     again = SnapshotFile(setup.entry.snapshot, snapshot_identity(KEY, "n0", 0)).load()[0]
     assert again.run == 1 and again.list_rev == 2
 
 
 async def _retry_after_a_loss(tmp_path, switched_off):
-    """A marked write is answered by nobody, all ends, and its client repeats it: how often it ran."""
+    """Retries writes from before a loss: one with an idempotency key, and one non-idempotent.
+
+    Returns how often the origin ran a write, and the replies.
+    """
     ran = []
 
     def origin(method, target, headers, body):
         ran.append(target)
-        return 200, "", b"done %d" % len(ran)  # like ones are in doubt on a used connection, and made again
+        return 200, "", b"done %d" % len(ran)  # an equal reply on a reused connection is doubtful: retried
 
     setup, settings = RecoverySetup(tmp_path), {**SETTINGS, "replicasOfMe": 1}
     async with fleet(tmp_path, [Cache()], origin, settings=settings, build_extensions=setup.build) as env:
@@ -628,7 +643,7 @@
 
 
 class ForgetfulOrigin:
-    """An origin that drops repeats by their marks, and forgets them when it ends."""
+    """An origin that deduplicates by idempotency key, and loses the keys when it stops."""
 
     def __init__(self) -> None:
         self.port, self.ran, self.keys, self.override = free_port(), [], set(), None
@@ -652,7 +667,10 @@
 
 
 async def _retry_before_the_list_changes(tmp_path, switched_off):
-    """The origin ends amid a marked write and is back at once; no list tells. How often that write ran."""
+    """The origin restarts during a write with an idempotency key, and no list reports it.
+
+    Returns how often the write ran, its first reply and the reply to its retry.
+    """
     setup, origin, settings = RecoverySetup(tmp_path), ForgetfulOrigin(), {**SETTINGS, "replicasOfMe": 1}
     async with (
         trio.open_nursery() as nursery,
@@ -689,7 +707,7 @@
             replies.append(await other.put(labels=labels))
             await trio.sleep(0.02)
         fresh = [b"-BUSY"]
-        while not fresh[-1].startswith(b"$"):  # the origin may still be set aside
+        while not fresh[-1].startswith(b"$"):  # the origin may still be ejected
             fresh.append(await other.put(labels="c=mark,t=acme,d=4000,k=m2"))
             await trio.sleep(0.02)
         outcome = origin.ran.count("m1"), first_replies[0], replies[-1]
@@ -729,7 +747,7 @@
 
 
 def store_snapshot(tmp_path, targets, **more):
-    """A snapshot of this router's run before."""
+    """Writes a snapshot of the router's previous run."""
     servers = [
         ServerEntry(each["uid"], each["endpoint"], each["az"], each["model"], 0, "ready", 50.0)
         for each in targets
@@ -751,21 +769,20 @@
         recovery = setup.recovery
         assert recovery.view.run == 8
         if way == "older":
-            env.service.dispatcher.on_endpoints_changed(
-                updated_list(env, boot_ms=20_000)
-            )  # from before what was known
+            # older than the known list
+            env.service.dispatcher.on_endpoints_changed(updated_list(env, boot_ms=20_000))
         await wait_until(lambda: env.service.lifecycle.phase.name == "READY")
         assert recovery.outdated_list_until
         client, replies = await env.client(), [b""]
         with trio.fail_after(20):
-            while not replies[-1].startswith(b"$"):  # the decisions have their own budget at cold servers
+            while not replies[-1].startswith(b"$"):  # routing has its own budget for cold servers
                 assert not recovery.outdated_list_until or (await client.put()).startswith(b"-BUSY")
                 replies.append(await client.get())
                 await trio.sleep(0.02)
         if way == "last":
             env.service.dispatcher.on_endpoints_changed(updated_list(env, boot_ms=90_000))
         else:
-            recovery.outdated_list_until = recovery.clock()  # the doubt is over
+            recovery.outdated_list_until = recovery.clock()  # the `doubt` time is over
         await wait_until(lambda: not recovery.outdated_list_until)
         recovery.retry_fence.fenced_until, recovery.ramp.fully_open = [0.0] * 3, True
         assert (await client.put()).startswith(b"$")
@@ -788,9 +805,8 @@
         assert recovery.filter_feed(feed("s1", 21, (1, "acme"), (2, "bolt"))).revision == 21
         with pytest.raises(FeedError, match="other"):
             recovery.filter_feed(feed("s2", 3, (1, "acme"), (2, "dune")))
-        recovery.outdated_feed_until = (
-            1.0  # the doubt is over: the new store is followed, but not its number 2
-        )
+        # The `doubt` time is over: the new store is followed, but not its incarnation 2.
+        recovery.outdated_feed_until = 1.0
         after = recovery.filter_feed(feed("s2", 4, (1, "acme"), (2, "dune")))
         assert [row.name for row in after.tenants] == ["acme"]
         assert recovery.filter_feed(feed("s2", 5, (3, "dune"))).tenants[0].name == "dune"
@@ -819,7 +835,7 @@
         dispatcher.on_gossip(1, recovery.codec.encode(from_survivor))
         after = recovery.clock()
         assert recovery.view.verdict is Verdict.LONE and recovery.view.epoch == 6
-        assert recovery.retry_fence.is_active(before + 5.9)  # it saw marks lost 3 s ago, of 9
+        assert recovery.retry_fence.is_active(before + 5.9)  # it saw keys lost 3 s ago; the window is 9 s
         assert not recovery.retry_fence.is_active(after + 6.1)
         dispatcher.on_gossip(1, struct.pack("<f", 4.0))
         assert dispatcher.router.gossip.peers[1][1] == (4.0,)
@@ -837,7 +853,7 @@
         assert await client.ask("PING") == b"+PONG\r\n" and (await client.get()).startswith(b"$")
 
 
-# ---------------------------------------------------------------- files
+# ---------------------------------------------------------------- installation and key file
 
 INSTALLATION_FILE = """
 listen.clients = "127.0.0.1:7000"
--- a/tests/test_recovery_play.py
+++ b/tests/test_recovery_play.py
@@ -1,4 +1,4 @@
-"""Power losses of a small fleet of processes, with faults by seed: no rule broken, and service returns."""
+"""Power losses of a small fleet of processes with seeded faults: no rule is broken, and service returns."""
 
 from dataclasses import replace
 from functools import partial
@@ -9,7 +9,7 @@
 from gaugehinge.rehearsal.recoveryplay import TINY
 
 CASES = {1: "plain", 2: "again", 3: "snapshots", 4: "keeper older", 5: "zone"}
-MAX_CONCURRENT_SCENARIOS = 3  # plays
+MAX_CONCURRENT_SCENARIOS = 3
 
 
 def test_five_seeds_break_no_rule_and_service_returns(tmp_path):
@@ -34,7 +34,7 @@
         assert outcome.looked_at["answers"] > 100
         assert outcome.looked_at["crashes"] >= 10
     assert sum(outcome.looked_at["effects_by_mark"] for outcome in outcomes.values()) > 50
-    assert outcomes[3].figures["set_aside"] == 2.0  # the torn one and that of another installation
+    assert outcomes[3].figures["set_aside"] == 2.0  # the truncated snapshot and that of another installation
 
 
 def test_a_zone_restarted_cleanly_is_no_loss_and_one_without_power_is(tmp_path):
@@ -49,5 +49,5 @@
     assert not outcome.breaks, outcome.breaks[0].told()
     assert len(verdicts) == 2
     for name, (after_roll, after_power_loss) in verdicts.items():
-        assert after_roll[-1] == "lone", (name, after_roll)  # it may have begun with `zone`
+        assert after_roll[-1] == "lone", (name, after_roll)  # the first verdict may have been `zone`
         assert "lone" not in after_power_loss and after_power_loss, (name, after_power_loss)
