--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -114,8 +114,8 @@
         self.list_checksum = 0
         self.known_rev, self.known_starts = -1, {}  # of the last accepted list, or of the snapshot's
         self.held_updates: list[EndpointListUpdate] = []  # held back until the verdict is reached
-        # Only idempotent reads are sent while an outdated list is in use. 0: the list is not outdated; inf: it is
-        # the list of the snapshot, used until discovery answers.
+        # Only idempotent reads are sent while an outdated list is in use. 0: the list is not outdated; inf:
+        # it is that of the snapshot, used until discovery answers.
         self.outdated_list_until = 0.0
         self.start_times: dict[str, tuple[float, float]] = {}  # by uid: reported, estimated
         self.learnt = LearntRates()
@@ -352,7 +352,7 @@
         return EndpointListUpdate(update.rev, update.complete, tuple(targets))
 
     def _use_stored_list(self) -> None:
-        """Use the snapshot's list for reads if discovery did not answer in time; all servers count as cold."""
+        """Use the snapshot's list for reads if discovery has not answered; all servers count as cold."""
         if self.previous is None or not self.previous.servers:
             return
         targets = []
@@ -386,7 +386,7 @@
         shutting_down = self.service.lifecycle.phase in (
             Phase.CLOSING,
             Phase.ENDED,
-        )  # then this router closes the connections
+        )  # then this router itself closes the connections
         if shutting_down or pool.endpoints.get(endpoint.ident) is not endpoint:
             return
         other_connection_up = bool(endpoint.idle) or any(
@@ -413,7 +413,7 @@
         logger.info("recovery: {} may have restarted: connections broke or failed, and none is open", uid)
         self.intercepting = True
         for pending in list(self.dispatcher.pending_operations):
-            # It would be sent again once the server is back, which may have lost its idempotency key.
+            # Otherwise it would be sent again once the server is back, which may have lost its key.
             operation = pending.operation
             is_affected = operation.is_write and operation.traffic_type.row in rows
             if is_affected and operation.may_have_run_on is not None and not operation.finished:
--- a/gaugehinge/recovery/snapshot.py
+++ b/gaugehinge/recovery/snapshot.py
@@ -24,7 +24,7 @@
 class LearntRates(msgspec.Struct, frozen=True):
     """The load in steady service."""
 
-    reads: float = 0.0  # per second, answered successfully by this router
+    reads: float = 0.0  # per second, completed by this router
     writes: float = 0.0  # the same
 
 
@@ -60,9 +60,8 @@
     control_plane_run: str = msgspec.field(default="", name="keeper_run")
     store_name: str = msgspec.field(default="", name="store")
     revision: int = 0  # of the tenant table, as far as it was followed
-    incarnations: dict[
-        str, str
-    ] = {}  # tenant names by number, all seen on that store: see staleness_rules.py
+    # Tenant names by number, all that were seen on that store; see staleness_rules.py.
+    incarnations: dict[str, str] = {}
     incarnation_floor: int = msgspec.field(default=0, name="floor")  # numbers up to this one are forgotten
     parts: dict[str, bytes] = {}  # state of placement and drains, as they provided it
 
