--- a/gaugehinge/recovery/driver.py
+++ b/gaugehinge/recovery/driver.py
@@ -572,7 +572,7 @@
             await trio.sleep(startup_spreading.ROUND_INTERVAL)
 
     def _send_message(self, number: int, echo: tuple[int, float] | None = None) -> None:
-        now, effects = self.clock(), self.retry_fence
+        now, fence = self.clock(), self.retry_fence
         decided = self.view.verdict is not Verdict.DECIDING
         message = restart_scope.build_message(
             self.view,
@@ -586,7 +586,7 @@
             control_plane_run=digest(self.control_plane_run) if self.control_plane_run else 0,
             store_digest=digest(self.known_store.name) if self.known_store.name else 0,
             store_revision=min(self.known_store.revision, MAX_REVISION),
-            keys_lost_ago=now - effects.keys_lost_at if decided and effects.is_active(now) else -1.0,
+            keys_lost_ago=now - fence.keys_lost_at if decided and fence.is_active(now) else -1.0,
             zone_servers_survived=self._zone_servers_survived(number),
         )
         self.service.gossip.send((number,), self.codec.encode(message))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -434,10 +434,10 @@
 
 @given(st.lists(st.tuples(st.floats(0.01, 10), st.floats(0, 100)), min_size=1, max_size=8), st.floats(0, 200))
 def test_division_by_shares_wastes_nothing(rows, total):
-    shares, wanted = [r[0] for r in rows], [r[1] for r in rows]
-    got = divide_by_shares(total, shares, wanted)
-    assert all(g <= w + 1e-6 for g, w in zip(got, wanted, strict=True))
-    assert sum(got) == pytest.approx(min(total, sum(wanted)), rel=1e-6, abs=1e-6)
+    shares, demands = [r[0] for r in rows], [r[1] for r in rows]
+    allocated = divide_by_shares(total, shares, demands)
+    assert all(g <= w + 1e-6 for g, w in zip(allocated, demands, strict=True))
+    assert sum(allocated) == pytest.approx(min(total, sum(demands)), rel=1e-6, abs=1e-6)
 
 
 class ColdFleet:
