--- a/gaugehinge/recovery/datagram.py
+++ b/gaugehinge/recovery/datagram.py
@@ -1,8 +1,10 @@
-"""One message between routers as bytes: a fixed form with its version, and a mark that only holders of the
-installation's key can make. No I/O.
+"""Encodes the messages between routers: a fixed, versioned layout and a message authentication code (MAC).
 
-They travel on the tier's datagrams. The length is odd: the module's own payloads are whole figures of four
-bytes, so neither is ever taken for the other, also at a router where recovery is off.
+Only holders of the installation's key can compute the MAC. No I/O.
+
+The messages travel as datagrams between the routers of the tier, which also carry the payloads of the routing
+module. Those are sequences of four-byte values; the length of a message is not a multiple of four. So neither
+is ever mistaken for the other, not even by a router on which recovery is off.
 """
 
 from __future__ import annotations
@@ -17,82 +19,88 @@
 
 MAGIC = 0xE7
 VERSION = 1
-MARK_BYTES = 16  # of the digest that go along
-FORM = struct.Struct("<BBIIIQQdQdQ?fIB?dQQIIQfBx")
-# By bit. Routers that know none of them send 0: nothing said
+MAC_BYTES = 16  # bytes of the HMAC that are sent
+LAYOUT = struct.Struct("<BBIIIQQdQdQ?fIB?dQQIIQfBx")
+# By bit, lowest first. Routers that know none of them send 0, which claims nothing.
 FLAGS = ("clean_shutdown", "receiver_clean_shutdown", "confirmed_clean_shutdown", "zone_servers_survived")
-LENGTH = FORM.size + MARK_BYTES
-MOST_BYTES = 256
-if LENGTH > MOST_BYTES or LENGTH % 4 == 0:
-    raise AssertionError("the form of messages does not fit")
+MESSAGE_BYTES = LAYOUT.size + MAC_BYTES
+MAX_MESSAGE_BYTES = 256
+if MESSAGE_BYTES > MAX_MESSAGE_BYTES or MESSAGE_BYTES % 4 == 0:
+    raise AssertionError("the message layout exceeds the size limit or has a length divisible by 4")
 
 
 def digest(text: str) -> int:
-    """32 bits of a name, never 0."""
+    """A 32-bit digest of a name, never 0."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=4).digest(), "little") or 1
 
 
 @dataclass(slots=True)
-class Wire:
-    """Makes and reads messages with one key, and counts what was dropped."""
+class MessageCodec:
+    """Encodes and decodes messages with one key, and counts dropped datagrams by cause."""
 
     key: bytes
     dropped: dict[str, int] = field(default_factory=lambda: dict.fromkeys(("form", "version", "mark"), 0))
 
-    def write(self, told: PeerMessage) -> bytes:
-        """A message as it goes out."""
-        body = FORM.pack(
+    def encode(self, message: PeerMessage) -> bytes:
+        """The bytes to send."""
+        body = LAYOUT.pack(
             MAGIC,
             VERSION,
-            told.sender,
-            told.receiver,
-            told.zone,
-            told.run,
-            told.nonce,
-            told.uptime,
-            told.echo_nonce,
-            told.echo_uptime,
-            told.receiver_run,
-            told.survived,
-            told.last_heard_ago,
-            told.epoch,
-            told.verdict,
-            told.ready,
-            told.wall_clock,
-            told.list_rev,
-            told.list_checksum,
-            told.control_plane_run,
-            told.store_digest,
-            told.store_revision,
-            told.keys_lost_ago,
-            sum(getattr(told, name) << bit for bit, name in enumerate(FLAGS)),
+            message.sender,
+            message.receiver,
+            message.zone,
+            message.run,
+            message.nonce,
+            message.uptime,
+            message.echo_nonce,
+            message.echo_uptime,
+            message.receiver_run,
+            message.survived,
+            message.last_heard_ago,
+            message.epoch,
+            message.verdict,
+            message.ready,
+            message.wall_clock,
+            message.list_rev,
+            message.list_checksum,
+            message.control_plane_run,
+            message.store_digest,
+            message.store_revision,
+            message.keys_lost_ago,
+            sum(getattr(message, name) << bit for bit, name in enumerate(FLAGS)),
         )
-        return body + self._mark(body)
+        return body + self._mac(body)
 
-    def mine(self, payload: bytes) -> bool:
-        """Whether a datagram is of this kind at all: others are the module's."""
-        return len(payload) == LENGTH and payload[0] == MAGIC
+    def matches(self, payload: bytes) -> bool:
+        """Whether a datagram is a recovery message; all others belong to the routing module."""
+        return len(payload) == MESSAGE_BYTES and payload[0] == MAGIC
 
-    def read(self, payload: bytes) -> PeerMessage | None:
-        """A message that came; None where it cannot be read, which is counted by cause."""
-        if not self.mine(payload):
+    def decode(self, payload: bytes) -> PeerMessage | None:
+        """The message of a datagram, or None if it is invalid; these are counted by cause."""
+        if not self.matches(payload):
             return self._drop("form")
-        body, mark = payload[: FORM.size], payload[FORM.size :]
+        body, mac = payload[: LAYOUT.size], payload[LAYOUT.size :]
         if body[1] != VERSION:
             return self._drop("version")
-        if not hmac.compare_digest(mark, self._mark(body)):
+        if not hmac.compare_digest(mac, self._mac(body)):
             return self._drop("mark")
-        _, _, *figures, flags = FORM.unpack(body)
-        said = {name: bool(flags >> bit & 1) for bit, name in enumerate(FLAGS)} if flags else {}
-        told = PeerMessage(*figures, **said)
-        times = (told.uptime, told.echo_uptime, told.last_heard_ago, told.wall_clock, told.keys_lost_ago)
-        known = told.verdict in Verdict._value2member_map_
-        if not all(map(isfinite, times)) or min(times[:3]) < 0.0 or not known:
+        _, _, *fields, flags = LAYOUT.unpack(body)
+        flag_values = {name: bool(flags >> bit & 1) for bit, name in enumerate(FLAGS)} if flags else {}
+        message = PeerMessage(*fields, **flag_values)
+        times = (
+            message.uptime,
+            message.echo_uptime,
+            message.last_heard_ago,
+            message.wall_clock,
+            message.keys_lost_ago,
+        )
+        known_verdict = message.verdict in Verdict._value2member_map_
+        if not all(map(isfinite, times)) or min(times[:3]) < 0.0 or not known_verdict:
             return self._drop("form")
-        return told
+        return message
 
-    def _mark(self, body: bytes) -> bytes:
-        return hmac.digest(self.key, body, "sha256")[:MARK_BYTES]
+    def _mac(self, body: bytes) -> bytes:
+        return hmac.digest(self.key, body, "sha256")[:MAC_BYTES]
 
     def _drop(self, cause: str) -> None:
         self.dropped[cause] += 1
--- a/tests/test_parts_together.py
+++ b/tests/test_parts_together.py
@@ -50,7 +50,7 @@
         self.placement = build_placement(service, self.follower)
         nursery.start_soon(self.follower.run)
         self.recovery = Recovery(service, self.entry, KEY, self.follower)
-        self.recovery.begin(nursery)
+        self.recovery.start(nursery)
         return Subsystems(watch=self.follower, placement=self.placement, recovery=self.recovery).extensions()
 
     async def handle_control_plane_call(self, request):
@@ -101,7 +101,7 @@
             read_endpoint_list({"rev": 2, "all": True, "targets": targets})
         )
         while (
-            setup.recovery.mind.verdict is Verdict.DECIDING
+            setup.recovery.view.verdict is Verdict.DECIDING
             or not running_fleet.service.dispatcher.router.endpoints
         ):
             await trio.sleep(0.01)
@@ -112,7 +112,7 @@
         assert set(reported) == {5.0}
         assumed = {cache.started for cache in running_fleet.service.dispatcher.router.endpoints.values()}
         assert (
-            min(assumed) >= setup.recovery.began
+            min(assumed) >= setup.recovery.started_at
         )  # it is unknown whether they kept running, so they count as cold
 
     run_scenario(tmp_path, scenario)
@@ -121,21 +121,21 @@
 def test_startup_waits_for_leases_up_to_a_limit_and_rejections_without_a_lease_are_not_failures(tmp_path):
     async def scenario(setup, running_fleet):
         recovery, lifecycle = setup.recovery, running_fleet.service.lifecycle
-        recovery.facts.control_plane = True  # it replied once, without a lease
+        recovery.progress.control_plane = True  # it replied once, without a lease
         running_fleet.service.dispatcher.on_endpoints_changed(
             read_endpoint_list({"rev": 2, "all": True, "targets": running_fleet.targets})
         )
         while lifecycle.phase is Phase.RECOVERING:
             assert recovery.uptime() < 15.0
             await trio.sleep(0.01)
-        assert recovery.uptime() >= 1.0 and Stage.SUBSYSTEMS.value in recovery.order.timed_out
-        failed = recovery.opening.writes.failed
+        assert recovery.uptime() >= 1.0 and Stage.SUBSYSTEMS.value in recovery.sequence.timed_out
+        failed = recovery.ramp.writes.failed
         client = await running_fleet.client()
         while setup.placement.rejected < 3:
             assert (await client.put()).startswith(b"-BUSY")
-        assert recovery.opening.writes.failed == failed == 0
+        assert recovery.ramp.writes.failed == failed == 0
         setup.placement.lease.renew(trio.current_time(), 60.0)
-        assert recovery._parts_ready()
+        assert recovery._feed_parts_ready()
 
     run_scenario(tmp_path, scenario, silent=True)
 
@@ -145,7 +145,7 @@
         await setup.third_call.wait()
         setup.placement.lease.renew(trio.current_time(), 60.0)
         counts_as_failure, traffic_type = (
-            setup.recovery._tells,
+            setup.recovery._indicates_overload,
             running_fleet.service.configuration.settings.deployment.traffic_types[0],
         )
 
