--- a/gaugehinge/net/backlog_times.py
+++ b/gaugehinge/net/backlog_times.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 
-class _Look(NamedTuple):
+class _Observation(NamedTuple):
     """What was seen of the backlog at one moment."""
 
     time: float
@@ -17,24 +17,24 @@
 class BacklogTimes:
     """Looks at one backlog. Connections leave it in the order in which they came."""
 
-    __slots__ = ("_absent_at", "_accepted", "_looks")
+    __slots__ = ("_absent_at", "_accepted", "_observations")
 
     def __init__(self) -> None:
         """Of a listener that has accepted nothing."""
-        self._looks: deque[_Look] = deque()
+        self._observations: deque[_Observation] = deque()
         self._accepted = 0
         self._absent_at = -inf
 
     def observe(self, now: float, waiting: int) -> None:
         """Note that so many connections wait now."""
-        look = _Look(now, self._accepted + waiting)
-        if self._looks and self._looks[-1].arrivals >= look.arrivals:
-            self._looks.pop()  # the later of two equal ones tells more
-        self._looks.append(look)
+        observation = _Observation(now, self._accepted + waiting)
+        if self._observations and self._observations[-1].arrivals >= observation.arrivals:
+            self._observations.pop()  # the later of two equal ones tells more
+        self._observations.append(observation)
 
     def on_accepted(self) -> float:
         """Note that the next connection left; the last time at which it had not come yet, -inf: not known."""
-        while self._looks and self._looks[0].arrivals <= self._accepted:
-            self._absent_at = self._looks.popleft().time
+        while self._observations and self._observations[0].arrivals <= self._accepted:
+            self._absent_at = self._observations.popleft().time
         self._accepted += 1
         return self._absent_at
--- a/tests/test_late_replies.py
+++ b/tests/test_late_replies.py
@@ -25,10 +25,10 @@
     return b"*3\r\n" + bulk(value) + b"$3\r\nhit\r\n$10\r\ninflight=7\r\n"
 
 
-class Copying(Cache):
+class DuplicatingCache(Cache):
     """Sends the reply to the first request of a connection once more, beside the reply to the second one."""
 
-    place = ""
+    position = ""
 
     def __init__(self) -> None:
         super().__init__()
@@ -44,7 +44,7 @@
             "behind": own + copy,
             "half before": copy[:-9] + own + copy[-9:],
         }
-        await stream.send_all(sent[self.place] if len(served) == 2 else own)
+        await stream.send_all(sent[self.position] if len(served) == 2 else own)
 
 
 async def ask(client, kind: str, ident: str) -> bytes:
@@ -52,20 +52,22 @@
     return await client.ask("KV.GET", *words) if kind == "read" else await client.ask("KV.SET", *words, "new")
 
 
-@pytest.mark.parametrize("place", ["before", "between", "behind", "half before"])
+@pytest.mark.parametrize("position", ["before", "between", "behind", "half before"])
 @pytest.mark.parametrize("kind", list(KINDS))
 @pytest.mark.parametrize("delay", DELAYS)
-def test_a_copy_beside_the_reply_to_the_next_request(tmp_path, monkeypatch, delay, kind, place):
+def test_duplicate_reply_next_to_the_reply_to_the_next_request(tmp_path, monkeypatch, delay, kind, position):
     """By the age of the connection, it has rested for the delay as its next request is written."""
-    monkeypatch.setattr(Copying, "place", place)
+    monkeypatch.setattr(DuplicatingCache, "position", position)
 
     async def scene():
-        caches = [Copying(), Copying()]
+        caches = [DuplicatingCache(), DuplicatingCache()]
         async with fleet(tmp_path, caches, settings=THROUGH) as made:
             client, pool = await made.client(), made.service.pool
             assert await ask(client, kind, "i1") == bulk(b"for i1")
-            [rested] = [line for server in pool.endpoints.values() for line in server.idle]
-            rested.idle_since -= delay / 1000.0
+            [idle_connection] = [
+                connection for server in pool.endpoints.values() for connection in server.idle
+            ]
+            idle_connection.idle_since -= delay / 1000.0
             answer = await ask(client, kind, "i2")
             ran = [command for cache in caches for command in cache.commands if command[2] == b"i2"]
             assert any(len(served) > 1 for cache in caches for served in cache.served.values())
@@ -91,14 +93,14 @@
     "busy": b"-BUSY\r\n",
     "error": b"-ERR failed inflight=3\r\n",
 }
-EARLIER = {
+EARLIER_REPLIES = {
     **{name: reply.replace(b"k2", b"k1") for name, reply in REPLIES.items()},
     "long": reply_to(b"of k1 " + b"v" * 40),
     "report as long as a reply": b"*3\r\n$5\r\nof k1\r\n$3\r\nhit\r\n$27\r\n" + b"r" * 27 + b"\r\n",
 }
 
 
-def reused(earlier: bytes, value: bytes | None = None) -> Connection:
+def reused_connection(earlier: bytes, value: bytes | None = None) -> Connection:
     """A connection that has carried a request, with its reply, and on which the next one was written."""
     codec = RespCodec()
     connection = Connection(None, ServerPool(1, "s", ("127.0.0.1", 1), 0.0), codec.new_state(), None)
@@ -134,20 +136,20 @@
 @pytest.mark.parametrize("piece", [1, 7, 1000])
 @pytest.mark.parametrize("write", [False, True], ids=["read", "write"])
 @pytest.mark.parametrize("later", list(REPLIES))
-@pytest.mark.parametrize("earlier", list(EARLIER))
-def test_a_cut_copy_before_a_reply_gives_no_other_reply(earlier, later, write, piece):
+@pytest.mark.parametrize("earlier", list(EARLIER_REPLIES))
+def test_truncated_duplicate_before_a_reply_yields_no_wrong_reply(earlier, later, write, piece):
     """The rest comes behind the true reply, or never. Wrong: a value that nobody gave for this request, and a
     rejection of a write that may have run. A read that takes a copied miss or rejection goes elsewhere."""
-    copy, own, wrong = EARLIER[earlier], REPLIES[later], []
+    copy, own, wrong = EARLIER_REPLIES[earlier], REPLIES[later], []
     value = b"new" if write else None
-    true = outcome_of(reused(copy, value), own, 1000)
+    true = outcome_of(reused_connection(copy, value), own, 1000)
     allowed = {"lost", "waits", true, (Outcome.SERVER_ERROR, None)}
     if not write:
         allowed |= {(Outcome.CACHE_MISS, None), (Outcome.REJECTED, None)}
     for cut in range(1, len(copy) + 1):
         half, rest = copy[:cut], copy[cut:]
         for data in (half + own + rest, half + own):
-            found = outcome_of(reused(copy, value), data, piece)
+            found = outcome_of(reused_connection(copy, value), data, piece)
             if found not in allowed:
                 wrong.append((cut, data, found))
     assert not wrong
@@ -155,19 +157,19 @@
 
 @pytest.mark.parametrize("piece", [1, 7, 1000])
 @pytest.mark.parametrize("name", list(REPLIES))
-def test_a_true_reply_that_is_like_the_one_before_is_taken(name, piece):
+def test_genuine_reply_equal_to_the_previous_one_is_accepted(name, piece):
     """Two reads of one key, say: the fence shows that nothing else came for the request."""
     reply = REPLIES[name]
-    found = outcome_of(reused(reply), reply, piece)
-    assert found == outcome_of(reused(b"-ERR other\r\n"), reply, 1000)
+    found = outcome_of(reused_connection(reply), reply, piece)
+    assert found == outcome_of(reused_connection(b"-ERR other\r\n"), reply, 1000)
 
 
 @pytest.mark.parametrize("copied", ["miss", "busy", "error"])
-def test_the_true_reply_behind_a_copied_miss_is_not_the_next_requests(copied):
+def test_genuine_reply_after_a_duplicate_miss_is_not_taken_for_the_next_request(copied):
     """The copy sends the read elsewhere, and the connection carries the next request. What comes then first
     is the reply to the read before."""
     copy = REPLIES[copied]
-    connection, codec = reused(copy), RespCodec()
+    connection, codec = reused_connection(copy), RespCodec()
     payload = RequestPayload(b"i", b"k", (b"d=", b""), b"d=1", b"*4\r\n", b"", None)
     assert codec.decode(connection, copy).value is None
     codec.encode(connection, payload, 1.0)
@@ -178,8 +180,8 @@
 
 
 @pytest.mark.parametrize("repeated", ["miss", "busy", "error"])
-def test_behind_a_true_miss_that_is_like_the_one_before_a_value_is_asked_for_once(repeated):
-    connection, codec = reused(REPLIES[repeated]), RespCodec()
+def test_value_after_a_repeated_miss_is_fenced_once(repeated):
+    connection, codec = reused_connection(REPLIES[repeated]), RespCodec()
     payload = RequestPayload(b"i", b"k", (b"d=", b""), b"d=1", b"*4\r\n", b"", None)
     assert codec.decode(connection, REPLIES[repeated]).value is None
     for number, asked in enumerate([True, False, False]):
@@ -191,10 +193,10 @@
         assert reply.value == bulk(b"%d" % number) and reply.reusable
 
 
-def test_replies_in_doubt_are_counted_by_cause_and_told_as_their_number_doubles():
+def test_doubtful_replies_are_counted_by_cause_and_logged_as_their_number_doubles():
     logged = []
     sink = logger.add(logged.append, format="{message}")
-    connection, codec = reused(REPLIES["miss"]), RespCodec()
+    connection, codec = reused_connection(REPLIES["miss"]), RespCodec()
     payload = RequestPayload(b"i", b"k", (b"d=", b""), b"d=1", b"*4\r\n", b"", None)
     for reply in (REPLIES["miss"], reply_to(b"a"), reply_to(b"a"), reply_to(b"b"), reply_to(b"a")):
         if codec.decode(connection, reply) is None:
@@ -210,8 +212,8 @@
     ]
 
 
-def test_a_connection_ends_with_as_many_replies_as_are_remembered():
-    connection, codec = reused(reply_to(b"first")), RespCodec()
+def test_connection_is_not_reused_once_its_reply_memory_is_full():
+    connection, codec = reused_connection(reply_to(b"first")), RespCodec()
     payload = RequestPayload(b"i", b"k", (b"d=", b""), b"d=1", b"*4\r\n", b"", None)
     reusable, fences = [], 0
     for number in range(MAX_REPLIES - 1):
@@ -243,7 +245,7 @@
 @pytest.mark.parametrize(
     "own", [b"+OK\r\n", b"$2\r\nk2\r\n", b"-MOVED 1 127.0.0.1:2\r\n", b"-LOADING it\r\n"]
 )
-def test_a_copy_before_a_reply_of_a_server_in_cluster_mode(first, own):
+def test_duplicate_before_a_reply_in_cluster_mode(first, own):
     """There the fence is PING: +OK is what a SET gets. Two that are alike to the byte say the same."""
     codec = ClusterDialect(own_slots_only=True)
     connection = Connection(None, ServerPool(1, "s", ("127.0.0.1", 1), 0.0), codec.new_state(), None)
@@ -276,7 +278,7 @@
 # -- the request has run once its own last byte is out, whatever of the fence is missing
 
 
-def test_a_write_whose_fence_finds_no_room_counts_as_one_that_may_have_run(tmp_path, monkeypatch):
+def test_write_whose_fence_could_not_be_sent_counts_as_possibly_executed(tmp_path, monkeypatch):
     """Taken for one that never ran, a write that may not be repeated would be sent twice."""
 
     async def scene():
@@ -289,8 +291,8 @@
             client = await made.client()
             assert await ask(client, "once", "i1") == bulk(b"the same to all")
             for server in made.service.pool.endpoints.values():
-                for line in server.idle:
-                    line.idle_since -= 1.0
+                for connection in server.idle:
+                    connection.idle_since -= 1.0
 
             def without_fence(sock, data):
                 return 0 if bytes(data) == FENCE_COMMAND else sockets.send_some(sock, data)
@@ -310,15 +312,15 @@
 
 
 @pytest.mark.parametrize("kind", list(KINDS))
-def test_a_copy_of_a_response_of_the_origin_is_not_the_next_ones(tmp_path, kind):
+def test_duplicate_origin_response_is_not_taken_for_the_next_request(tmp_path, kind):
     """Fetches of reads that missed, and receipts of writes: the copy comes just behind the next request."""
     for delay in (11, *DELAYS):
-        answer, runs = trio.run(answer_behind_a_copy_at_the_origin, tmp_path, kind, delay)
+        answer, runs = trio.run(ask_twice_with_duplicate_origin_response, tmp_path, kind, delay)
         assert answer == bulk(b"receipt of i2") or answer.startswith(b"-"), delay
         assert kind != "once" or runs <= 1, delay
 
 
-async def answer_behind_a_copy_at_the_origin(tmp_path, kind: str, delay: int) -> tuple[bytes, int]:
+async def ask_twice_with_duplicate_origin_response(tmp_path, kind: str, delay: int) -> tuple[bytes, int]:
     """What a second request gets so many milliseconds behind the first, and how often it ran."""
     streams = []
 
@@ -339,7 +341,7 @@
         client = await made.client()
         assert await ask(client, kind, "i1") == bulk(b"receipt of i1")
         for server in made.service.pool.endpoints.values():
-            for line in server.idle:
-                line.idle_since -= delay / 1000.0
+            for connection in server.idle:
+                connection.idle_since -= delay / 1000.0
         answer = await ask(client, kind, "i2")
         return answer, [headers["x-txn"] for _, _, headers, _ in made.origin.seen].count("i2")
--- a/tests/test_listener_backlog.py
+++ b/tests/test_listener_backlog.py
@@ -21,31 +21,31 @@
     monkeypatch.setattr(idle_reaper, "IDLE_TIMEOUT", 60.0)
 
 
-async def fill(made) -> list:
+async def fill_all_connections(made) -> list:
     """Idle clients on all places."""
     return [await made.client() for _ in range(made.service.clients.limits.max_accepted)]
 
 
-async def ask_from_backlog(made, wait_ms: int, seconds: float, key: str = "k1") -> tuple[bytes | None, float]:
+async def get_from_backlog(made, wait_ms: int, seconds: float, key: str = "k1") -> tuple[bytes | None, float]:
     """The answer to a read that stood in the backlog for a time, and the seconds from its sending."""
-    crowd = await fill(made)
+    idle_clients = await fill_all_connections(made)
     client = await made.client()
     sent = trio.current_time()
     await client.send("KV.GET", key, "from-backlog", f"c=read,t=acme,d={wait_ms}")
     await trio.sleep(seconds)
-    assert len(made.service.clients.connections) == len(crowd)
-    for one in crowd:
-        await one.stream.aclose()
+    assert len(made.service.clients.connections) == len(idle_clients)
+    for idle_client in idle_clients:
+        await idle_client.stream.aclose()
     answer = await client.answer()
     return answer, trio.current_time() - sent
 
 
 @both
 @pytest.mark.parametrize("wait_ms", [100, 300])
-def test_a_request_whose_client_gave_up_in_the_backlog_gets_no_late_answer(tmp_path, wait_ms):
+def test_request_whose_client_gave_up_while_in_the_backlog_gets_no_late_reply(tmp_path, wait_ms):
     async def scene():
         async with fleet(tmp_path, sockets=64) as made:
-            answer, _ = await ask_from_backlog(made, wait_ms, wait_ms / 1000 + 0.2)
+            answer, _ = await get_from_backlog(made, wait_ms, wait_ms / 1000 + 0.2)
             assert answer is None
             assert not made.caches[0].commands
 
@@ -53,10 +53,10 @@
 
 
 @both
-def test_the_time_in_the_backlog_counts_for_the_deadline(tmp_path):
+def test_time_in_the_backlog_counts_towards_the_deadline(tmp_path):
     async def scene():
         async with fleet(tmp_path, [Cache("stall")], sockets=64) as made:
-            answer, seconds = await ask_from_backlog(made, wait_ms=1000, seconds=0.6)
+            answer, seconds = await get_from_backlog(made, wait_ms=1000, seconds=0.6)
             assert answer is not None
             assert seconds < 1.0 + ANSWER_GRACE
 
@@ -67,21 +67,21 @@
 def test_a_request_from_the_backlog_is_served_while_its_client_waits(tmp_path):
     async def scene():
         async with fleet(tmp_path, sockets=64) as made:
-            answer, _ = await ask_from_backlog(made, wait_ms=4000, seconds=0.3)
+            answer, _ = await get_from_backlog(made, wait_ms=4000, seconds=0.3)
             assert answer in (b"$5\r\nof k1\r\n", BUSY)  # the places beyond the limit only reject
 
     run(scene)
 
 
 @both
-def test_what_comes_later_on_a_connection_from_the_backlog_has_its_whole_time(tmp_path):
+def test_request_sent_after_leaving_the_backlog_has_its_full_deadline(tmp_path):
     async def scene():
         async with fleet(tmp_path, sockets=64) as made:
-            crowd = await fill(made)
+            idle_clients = await fill_all_connections(made)
             client = await made.client()
             await trio.sleep(0.4)
-            for one in crowd:
-                await one.stream.aclose()
+            for idle_client in idle_clients:
+                await idle_client.stream.aclose()
             while len(made.service.clients.connections) != 1:
                 await trio.sleep(0.005)
             assert await client.get(labels="c=read,t=acme,d=300") == b"$5\r\nof k1\r\n"
@@ -92,12 +92,12 @@
 @both
 @pytest.mark.parametrize("in_pieces", [False, True], ids=["two requests", "a request in pieces"])
 @pytest.mark.parametrize("wait_ms", [100, 1100])
-def test_what_came_first_on_a_connection_in_the_backlog_is_not_answered_late(tmp_path, wait_ms, in_pieces):
+def test_first_request_of_a_connection_in_the_backlog_is_not_answered_late(tmp_path, wait_ms, in_pieces):
     """The system tells when the last bytes came alone, here a second behind the first ones."""
 
     async def scene():
         async with fleet(tmp_path, [Cache("stall")], sockets=64) as made:
-            crowd = await fill(made)
+            idle_clients = await fill_all_connections(made)
             await trio.sleep(0.3)
             client = await made.client()
             sent = trio.current_time()
@@ -108,8 +108,8 @@
             await trio.sleep(1.0)
             await client.stream.send_all(request[cut:] or request.replace(b"first", b"other"))
             await trio.sleep(0.05)
-            for one in crowd:
-                await one.stream.aclose()
+            for idle_client in idle_clients:
+                await idle_client.stream.aclose()
             answer = await client.answer()
             assert answer is None or trio.current_time() - sent < wait_ms / 1000 + ANSWER_GRACE
 
@@ -120,14 +120,14 @@
 def test_several_requests_from_the_backlog_are_served_while_their_client_waits(tmp_path):
     async def scene():
         async with fleet(tmp_path, sockets=64) as made:
-            crowd = await fill(made)
+            idle_clients = await fill_all_connections(made)
             await trio.sleep(1.0)
             client = await made.client()
             for ident in ("first", "other"):
                 await client.send("KV.GET", "k1", ident, "c=read,t=acme,d=900")
                 await trio.sleep(0.1)
-            for one in crowd:
-                await one.stream.aclose()
+            for idle_client in idle_clients:
+                await idle_client.stream.aclose()
             for _ in range(2):
                 assert await client.answer() in (b"$5\r\nof k1\r\n", BUSY)
 
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("in_pieces", [False, True], ids=["two requests", "a request in pieces"])
-def test_what_came_first_while_the_loop_stood_is_not_begun_behind_its_time(tmp_path, in_pieces):
+def test_first_request_received_during_a_loop_stall_is_not_started_after_its_deadline(tmp_path, in_pieces):
     """No limit is in the way here: the connections wait for the loop alone."""
 
     def send_slowly(port: int) -> None:
--- a/tests/test_shutdown_answers.py
+++ b/tests/test_shutdown_answers.py
@@ -24,16 +24,16 @@
 from tests.helper import Cache, Client, fleet
 
 ANSWERS = (b"-ERR failed", b"-BUSY")
-SMALL_BUFFER = 4096  # bytes
-LONG = 60_000  # bytes of a value of which most does not fit the buffers
+SMALL_BUFFER_BYTES = 4096  # bytes
+LONG_VALUE_BYTES = 60_000  # bytes of a value of which most does not fit the buffers
 
 
-def writes(count: int) -> bytes:
+def pipelined_writes(count: int) -> bytes:
     bodies = [[b"KV.SET", b"k", b"i%d" % n, b"c=once,t=acme,d=4000", b"v"] for n in range(count)]
     return b"".join(b"*5\r\n" + b"".join(map(bulk, words)) for words in bodies)
 
 
-async def answers_until_end(client) -> list[bytes]:
+async def read_replies_until_eof(client) -> list[bytes]:
     found = []
     while (answer := await client.answer()) is not None:
         found.append(answer)
@@ -50,7 +50,7 @@
 
 
 @pytest.fixture
-def a_stall_past_the_end(monkeypatch):
+def stall_past_shutdown_deadline(monkeypatch):
     """The loop gets no time between the last look at the clock and the router's end."""
     stop = GracefulShutdown._stop_accepting
 
@@ -62,8 +62,8 @@
 
 
 @pytest.mark.parametrize("new_door", [None, FairAdmissionControl])
-def test_all_that_was_read_is_answered_by_a_router_that_is_past_its_end(
-    tmp_path, a_stall_past_the_end, errors, new_door
+def test_router_past_its_shutdown_deadline_answers_every_request_it_has_read(
+    tmp_path, stall_past_shutdown_deadline, errors, new_door
 ):
     count = 700
 
@@ -71,12 +71,12 @@
         async with fleet(tmp_path, origin=lambda *call: "stall", new_door=new_door) as made:
             made.service.dispatcher.router.origin_limit.limit = 1e6
             client = await made.client()
-            await client.stream.send_all(writes(count))
+            await client.stream.send_all(pipelined_writes(count))
             with trio.fail_after(20):
                 while not (found := list(made.service.clients.connections)) or not found[0].paused:
                     await trio.sleep(0.002)
             os.kill(os.getpid(), signal.SIGTERM)
-            answers = await answers_until_end(client)
+            answers = await read_replies_until_eof(client)
             assert all(answer.startswith(ANSWERS) for answer in answers)
             assert len(answers) == count
 
@@ -85,19 +85,19 @@
 
 
 @pytest.mark.parametrize("count", [MAX_PIPELINED_REQUESTS, 2 * MAX_PIPELINED_REQUESTS])
-def test_the_last_reply_of_a_full_pipeline_closes_its_connection_with_no_error(tmp_path, errors, count):
+def test_last_reply_of_a_full_pipeline_closes_the_connection_without_an_error(tmp_path, errors, count):
     """The reply ends the connection in its own step, and the task that reads it was woken by that reply."""
 
     async def scene():
         async with fleet(tmp_path, origin=lambda *call: "stall") as made:
             made.service.dispatcher.router.origin_limit.limit = 1e6
             client = await made.client()
-            await client.stream.send_all(writes(count))
+            await client.stream.send_all(pipelined_writes(count))
             with trio.fail_after(20):
                 while not (found := list(made.service.clients.connections)) or not found[0].pending_replies:
                     await trio.sleep(0.002)
             os.kill(os.getpid(), signal.SIGTERM)
-            assert len(await answers_until_end(client)) == count
+            assert len(await read_replies_until_eof(client)) == count
             await made.ended.wait()
 
     trio.run(scene)
@@ -105,27 +105,27 @@
 
 
 @pytest.fixture
-def killed_at_its_end(monkeypatch):
+def killed_before_last_shutdown_step(monkeypatch):
     """The platform kills the router at the earliest moment that it may: it does not come to its last step."""
     monkeypatch.setattr(GracefulShutdown, "_forget_connections", lambda shutdown: None)
 
 
-async def client_with_a_small_buffer(port: int) -> Client:
+async def connect_with_small_buffer(port: int) -> Client:
     raw = trio.socket.socket()
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
+    raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
     await raw.connect(("127.0.0.1", port))
     return Client(trio.SocketStream(raw))
 
 
-@pytest.mark.parametrize("end", ["a_stall_past_the_end", "killed_at_its_end"])
-def test_a_client_that_reads_once_the_router_has_ended_gets_whole_replies(tmp_path, errors, request, end):
+@pytest.mark.parametrize("end", ["stall_past_shutdown_deadline", "killed_before_last_shutdown_step"])
+def test_client_that_reads_after_the_router_has_exited_gets_complete_replies(tmp_path, errors, request, end):
     request.getfixturevalue(end)
-    count, key = 2, b"k" * LONG
+    count, key = 2, b"k" * LONG_VALUE_BYTES
 
     async def scene():
         async with fleet(tmp_path, [Cache() for _ in range(3)]) as made:
-            made.service.listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
-            client = await client_with_a_small_buffer(made.port)
+            made.service.listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
+            client = await connect_with_small_buffer(made.port)
             for n in range(count):
                 await client.send(b"KV.GET", key, b"i%d" % n, b"c=read,t=acme,d=4000")
             with trio.fail_after(20):
@@ -140,7 +140,7 @@
     assert not errors
 
 
-def test_calls_on_a_socket_that_was_closed_on_this_side():
+def test_calls_on_a_locally_closed_socket():
     """Each may come from a task or timer that was scheduled before the close."""
 
     async def scene():
