--- a/gaugehinge/net/client_connection.py
+++ b/gaugehinge/net/client_connection.py
@@ -1,4 +1,4 @@
-"""The state of one client connection and of the replies that it waits for. No I/O but the half-close."""
+"""State of one client connection and of its pending replies. Does no I/O except the half-close."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from .resp import Parser
 from .timer_queue import Timer
 
-NO_TENANT_YET = -2  # in place of a tenant's index, until the first operation
+NO_TENANT_YET = -2  # used as the tenant index until the first operation
 
 
 @dataclass(slots=True, eq=False)
 class PendingReply:
-    """A request's place in the order of replies."""
+    """The slot of one request in the ordered queue of replies."""
 
-    operation_handle: Any = None  # of its operation, while that is in flight
+    operation_handle: Any = None  # handle of the request's operation while it is in flight
     request_id: bytes = b""
     data: bytes | None = None  # None until the reply is known
     reserved_bytes: int = 0  # counted against the memory limit
@@ -28,40 +28,41 @@
 
 @dataclass(slots=True, eq=False)
 class ClientConnection:
-    """One connection of a client. Times are in seconds of the router's clock."""
+    """One client connection. Times are in seconds of the router's clock."""
 
     sock: socket.socket
     accepted_at: float
-    handle: int = -1  # in the table of connections
+    handle: int = -1  # in the connection table
     parser: Parser = field(default_factory=Parser)
     pending_replies: deque[PendingReply] = field(default_factory=deque)  # in the order of their requests
-    reply_written: trio.Event = field(default_factory=trio.Event)  # set when a paused connection may go on
+    reply_written: trio.Event = field(default_factory=trio.Event)  # set when a paused client may continue
     cancel_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     has_sent_request: bool = False
-    unwritten: bytes | memoryview = b""  # the rest of the first reply, which a task of its own is writing
-    data_arrived_at: float = 0.0  # of the bytes being handled, where their reader knows that; else 0
-    unread_since: float = 0.0  # when its first bytes came, while they stood in the listener's backlog; else 0
-    is_held_back: bool = False  # they stood there since no place was free
-    paused: bool = False  # not read on: too many of its requests are in flight, or it is authenticating
-    authenticating: bool = False  # credentials of it are being checked
-    recheck_timer: Timer | None = None  # when it is looked at again, over the connection limit
-    draining: bool = False  # no further request is handled; it ends when all replies are written
-    closing_after_reply: bool = False  # and at once, with nothing more read
-    discarded_bytes: int = 0  # that arrived while draining
+    unwritten: bytes | memoryview = b""  # rest of the first reply, written by a separate task
+    data_arrived_at: float = 0.0  # arrival time of the bytes being handled, if their reader knows it; else 0
+    # Arrival time of its first bytes, if they arrived while it was in the listener's backlog; else 0.
+    unread_since: float = 0.0
+    is_held_back: bool = False  # it waited in the backlog because the connection limit was reached
+    paused: bool = False  # reading is suspended: too many of its requests in flight, or it is authenticating
+    authenticating: bool = False  # its credentials are being checked
+    recheck_timer: Timer | None = None  # next idle check while the connection is over the connection limit
+    draining: bool = False  # no further request is handled; it is closed when all replies are written
+    closing_after_reply: bool = False  # like draining, but closed immediately, with nothing more read
+    discarded_bytes: int = 0  # bytes that arrived while draining
     idle_since: float = 0.0
-    message_started_at: float = 0.0  # when the first byte arrived of what the parser holds
-    over_limit: bool = False  # its requests are rejected, and it is closed once it is idle
-    client_id: bytes = b""  # by which admission control tells clients apart
-    source: str = ""  # the address that it came from
+    message_started_at: float = 0.0  # arrival time of the first byte that the parser holds
+    over_limit: bool = False  # its requests are rejected, and it is closed once idle
+    client_id: bytes = b""  # identifies the client to admission control
+    source: str = ""  # remote address
     tenant: int = NO_TENANT_YET  # index of the tenant of its last operation
-    ready_since: float = 0.0  # when a shared reader first saw unread bytes there; 0: nothing unread
+    ready_since: float = 0.0  # when a shared reader first saw unread bytes on it; 0: none unread
 
     @property
     def write_blocked(self) -> bool:
-        """Whether the rest of a reply waits for the client to take what was written before."""
+        """Whether the rest of a reply waits until the client has read earlier bytes."""
         return len(self.unwritten) > 0
 
     def half_close(self) -> None:
-        """Tell the client that no reply follows. One that has gone already is left as it is."""
+        """Shut down the sending side: no reply follows. Does nothing if the client has disconnected."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
--- a/gaugehinge/net/client_server.py
+++ b/gaugehinge/net/client_server.py
@@ -1,4 +1,4 @@
-"""Serves the clients of one front: composes its parts, and hands requests on as operations."""
+"""Serves the clients of one front: wires its components together and submits requests as operations."""
 
 from __future__ import annotations
 
@@ -28,22 +28,23 @@
 from .resp import ARRAY, BULK, Message
 from .sockets import hung_up
 
-MAX_LOOP_DELAY = 0.15  # seconds that the event loop may be late before all operations are rejected
+MAX_LOOP_DELAY = 0.15  # seconds; with a larger event loop lag, all operations are rejected
 
 GET, SET = b"KV.GET", b"KV.SET"
 PONG = b"+PONG\r\n"
 OK = b"+OK\r\n"
 UNKNOWN_COMMAND = b"-ERR unknown command\r\n"
 
-CommandHandler = Callable[[ClientConnection, Message], bytes | None]  # the reply; None: it follows later
+# Returns the reply, or None if it follows later.
+CommandHandler = Callable[[ClientConnection, Message], bytes | None]
 
 
 class ClientServer:
-    """All client connections of one front, within its limits.
+    """Serves all client connections of one front, within its limits.
 
-    The parts, each with one job: `registry` owns the connections, `acceptor` lets new ones in, `idle_reaper`
-    closes those that do nothing, `request_reader` finds whole requests, `request_parser` makes operations of
-    them, `reply_writer` writes the replies in the order of their requests.
+    Each component has one responsibility: `registry` owns the connections, `acceptor` accepts new ones,
+    `idle_reaper` closes idle ones, `request_reader` reads complete requests, `request_parser` turns them into
+    operations, and `reply_writer` writes the replies in the order of their requests.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         nursery: trio.Nursery,
         admission_control: AdmissionControl | None = None,
     ) -> None:
-        """`memory`: bytes that this front may use; `nursery` runs its tasks."""
+        """Create the components. `memory`: bytes that this front may use; `nursery` runs its tasks."""
         self.settings = settings
         self.admission_control = admission_control
         self.lifecycle = lifecycle
@@ -94,56 +95,56 @@
         }
 
     def new_connection(self, sock: socket.socket, now: float, source: str) -> ClientConnection:
-        """The state of a connection that was just accepted."""
+        """Create the state of a connection that was just accepted."""
         return ClientConnection(sock, now, idle_since=now, source=source)
 
     def new_request_parser(self) -> RequestParser:
-        """What makes operations of the requests of this front."""
+        """Create the parser that turns the requests of this front into operations."""
         return RequestParser(self.settings, self.timers, self.request_ids, self.settings.tenant_indexes)
 
-    # -- for the service
+    # -- called by the service
 
     def set_limits(self, max_connections: int, memory: int) -> None:
-        """Change the limits in service; `memory` in bytes."""
+        """Change the limits at run time; `memory` in bytes."""
         self.limits.update(max_connections, memory)
 
     async def accept(self, listening: socket.socket) -> None:
-        """Accept connections until cancelled. With no place left the others wait in the backlog."""
+        """Accept connections until cancelled. At the connection limit, further ones wait in the backlog."""
         await self.acceptor.accept(listening)
 
     def accept_pending(self, listening: socket.socket) -> bool:
-        """Accept what has come already; False where a limit is in the way."""
+        """Accept the connections in the backlog; returns False if a limit left some of them there."""
         return self.acceptor.accept_pending(listening)
 
     def close_idle(self, idle_grace: float) -> None:
-        """Close what was idle for so many seconds; called again until all connections are closed."""
+        """Close connections idle for `idle_grace` seconds. The caller repeats this until all are closed."""
         self.registry.idle_grace = idle_grace
         for client in self.connections:
             self.registry.close_if_idle(client)
 
     def has_pending_replies(self) -> bool:
-        """Whether a reply is still to be given or written, or a request to be handled."""
+        """Whether any reply is still outstanding or unwritten, or any request that was read is unhandled."""
         return any(client.pending_replies or client.paused for client in self.connections)
 
     def resume_paused(self) -> bool:
-        """Handle requests that were read and wait behind those in flight; whether there were any.
+        """Handle requests that were read and wait behind those in flight; returns whether there were any.
 
-        For the end: the tasks that would do so may not run before their connections are closed.
+        Used at shutdown: the tasks that normally do this may not run before their connections are closed.
         """
         resumed = [self.request_reader.resume_if_paused(client) for client in self.connections]
         return any(resumed)
 
     def close(self, client: ClientConnection) -> None:
-        """Close a connection and give up all that it asked for."""
+        """Close a connection and abandon its pending requests."""
         self.registry.close(client)
 
     def enlarge_buffers(self) -> None:
-        """Let the system take the replies that wait to be written, for the end of the process."""
+        """Enlarge the send buffers so that the kernel takes all unwritten replies before the router exits."""
         for client in self.connections:
             self.reply_writer.enlarge_buffer(client)
 
     def close_before_exit(self) -> None:
-        """Close all connections, behind as much of their replies as the system takes at once."""
+        """Write as much of the pending replies as the kernel takes at once, then close all connections."""
         for client in self.connections:
             self.reply_writer.write_before_exit(client)
             self.registry.close(client)
@@ -151,7 +152,7 @@
     # -- requests
 
     def reply(self, client: ClientConnection, data: bytes) -> None:
-        """Answer a request at once, behind those before it."""
+        """Answer a request immediately; the reply is written after those of earlier requests."""
         self.reply_writer.reply(client, data)
 
     def _handle_command(self, client: ClientConnection, message: Message) -> None:
@@ -159,7 +160,7 @@
         if message.top.kind != ARRAY or not parts or any(p.kind != BULK or p.body is None for p in parts):
             raise MalformedCommandError
         name = parts[0].body
-        if name in (GET, SET):  # in this form alone, since they go on as they came
+        if name in (GET, SET):  # matched case-sensitively, since the bytes are forwarded unchanged
             self._handle_operation(client, message, name == SET)
             return
         handler = self.commands.get(name.upper())
@@ -186,9 +187,9 @@
             return
         operation, payload, _ = request
         client.tenant = operation.tenant
-        size = len(message.raw) * (2 if is_write else 1)  # its value stands alone, too, for the origin
+        size = len(message.raw) * (2 if is_write else 1)  # a write also keeps its value apart, for the origin
         if self._must_reject(client, size):
-            # It never ran.
+            # Not executed, so it is answered as rejected and a retry is harmless.
             admission_control = self.admission_control
             self.reply(
                 client,
@@ -200,18 +201,18 @@
     def parse_request(
         self, client: ClientConnection, message: Message, is_write: bool, arrived_at: float
     ) -> ParsedRequest:
-        """Make an operation of a request of a client. Raises RequestError."""
+        """Turn a client's request into an operation. Raises RequestError."""
         is_waiting = partial(self.is_client_present, client)
         return self.request_parser.parse(message, is_write, arrived_at, is_waiting)
 
     def _close_unanswered(self, client: ClientConnection) -> None:
-        """End a connection behind the replies that it waits for; what was read last gets none."""
+        """Close a connection after its pending replies; the request being handled gets no reply."""
         client.draining = True
         if not client.pending_replies:
             self.registry.close_soon(client)
 
     def _must_reject(self, client: ClientConnection, size: int) -> bool:
-        """Whether there is no capacity for an operation of `size` bytes."""
+        """Whether an operation of `size` bytes has to be rejected for lack of capacity."""
         limits = self.limits
         if self.registry.is_over_limit(client) and self.admission_control is not None:
             client.over_limit = self.admission_control.exceeds_connection_quota(
@@ -225,9 +226,9 @@
         )
 
     def is_overloaded(self) -> bool:
-        """Whether the event loop is late for want of CPU, and nothing else sheds load.
+        """Whether the event loop lags for lack of CPU and no admission control sheds load.
 
-        More in flight makes all of it late then: what comes is rejected while that is cheap.
+        More operations in flight would then delay all of them, so new ones are rejected while that is cheap.
         """
         return self.admission_control is None and self.timers.current_lag > MAX_LOOP_DELAY
 
@@ -256,19 +257,20 @@
             pending_reply.operation_handle = handle
 
     def abandon_reply(self, pending_reply: PendingReply) -> None:
-        """Give an operation up whose client has gone before the reply.
+        """Abandon an operation whose client disconnected before the reply.
 
-        Its ID stays in use for as long as an attempt is in flight: sent again, an operation that may not be
-        repeated ran a second time beside that.
+        Its ID stays in use while an attempt is in flight: when a client resent a non-repeatable operation in
+        that time, it was executed a second time alongside the attempt.
         """
         close_id = partial(self.request_ids.close, pending_reply.request_id)
         (self.admission_control or self.dispatcher).client_gone(pending_reply.operation_handle, close_id)
 
     def is_client_present(self, client: ClientConnection) -> bool:
-        """Whether a client is still there, asked before each attempt for it begins.
+        """Whether a client is still connected; checked before each attempt for it starts.
 
-        Its end may stand unread: behind requests that are not handled yet, or since the loop is late. Found
-        by the sweep alone, up to a quarter of a second later, what waited was still forwarded for nobody.
+        The end of its stream may be unread: behind requests that are not handled yet, or because the event
+        loop lags. When only the sweep detected it, up to a quarter of a second later, waiting requests were
+        still forwarded for a client that had disconnected.
         """
         if not hung_up(client.sock):
             return True
