--- a/gaugehinge/net/connection_acceptor.py
+++ b/gaugehinge/net/connection_acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections of clients, as far as the limits go."""
+"""Accepts client connections within the limits."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from .idle_reaper import IdleReaper
 from .sockets import backlog_length, unread_input
 
-MIN_BACKLOG_WAIT = 0.05  # seconds; a shorter one is left to the margin of the reply
-FULL_RETRY_INTERVAL = 0.1  # seconds between two attempts to accept while there is no place
+MIN_BACKLOG_WAIT = 0.05  # seconds; a shorter wait is ignored, as the reply's margin covers it
+FULL_RETRY_INTERVAL = 0.1  # seconds between two attempts to accept while a limit is reached
 
 
 class ConnectionAcceptor:
-    """Accepts the connections of one front. Those with no place wait in the listener's backlog."""
+    """Accepts the connections of one front. Those over the limits wait in the listener's backlog."""
 
     def __init__(
         self,
@@ -34,16 +34,16 @@
         new_connection: Callable[[socket.socket, float, str], ClientConnection],
         start_reading: Callable[[ClientConnection], None],
     ) -> None:
-        """`new_connection` makes one from a socket, the time and the address it came from."""
+        """Create the acceptor. `new_connection` takes the socket, the time and the remote address."""
         self.registry = registry
         self.limits = limits
         self.idle_reaper = idle_reaper
         self.admission_control = admission_control
         self._new_connection = new_connection
         self._start_reading = start_reading
-        self._is_full = False  # connections are left waiting for a place
-        self._full_until = -inf  # when that was last over
-        self._waiting = 0  # connections in the backlog, as last seen
+        self._is_full = False  # accepting stopped because the connection limit was reached
+        self._full_until = -inf  # when that last ended
+        self._waiting = 0  # last observed number of connections in the backlog
         self._backlog_times = BacklogTimes()
 
     async def accept(self, listening: socket.socket) -> None:
@@ -55,7 +55,7 @@
                 self._observe_backlog(listening)
 
     def accept_pending(self, listening: socket.socket) -> bool:
-        """Accept what has come; False where a limit is in the way."""
+        """Accept the connections in the backlog; returns False if a limit left some of them there."""
         if self.admission_control is None:
             return self._accept_and_observe(listening)
         began = thread_time()
@@ -65,10 +65,10 @@
             self.admission_control.on_accepted(thread_time() - began)
 
     def _accept_and_observe(self, listening: socket.socket) -> bool:
-        """Accept what may be accepted, and note how many wait before that and behind it."""
+        """Accept what the limits allow, and record the length of the backlog before and after that."""
         if self._waiting:
             self._observe_backlog(listening)
-        else:  # the first one came since the loop was punctual
+        else:  # the first waiting connection arrived after the loop was last punctual
             self._backlog_times.observe(self.registry.timers.punctual_at(self.registry.clock()), 0)
         is_empty = self._accept_all(listening)
         if is_empty:
@@ -88,12 +88,12 @@
             self._full_until = self.registry.clock()
         while len(connections) < limits.max_accepted or self.idle_reaper.close_one_idle():
             if self.admission_control is not None and not self.admission_control.may_accept():
-                return False  # the others wait: each new connection costs what several operations do
+                return False  # the others wait: each new connection costs as much as several operations
             try:
                 sock, sender = listening.accept()
             except BlockingIOError:
                 return True
-            except OSError as error:  # out of descriptors, or gone before it was accepted
+            except OSError as error:  # out of file descriptors, or the client disconnected before the accept
                 logger.warning("accept failed: {}", error)
                 return False
             absent_at = self._backlog_times.on_accepted()
@@ -124,10 +124,11 @@
 
 
 def _unread_since(sock: socket.socket, now: float, absent_at: float) -> float:
-    """When what stands unread on a connection came, at the earliest; `absent_at`: that had not come yet.
+    """The earliest time at which the unread bytes of a connection may have arrived.
 
-    The system tells when the last bytes came. Where there are several requests, or one in pieces, the first
-    may have come as early as the connection.
+    `absent_at` is the last time at which the connection is known not to have arrived yet. The kernel reports
+    only when the last bytes arrived. Where there are several requests, or one in pieces, the first bytes may
+    have arrived as early as the connection.
     """
     unread = unread_input(sock)
     last_came_at = now - unread.age
--- a/gaugehinge/net/connection_registry.py
+++ b/gaugehinge/net/connection_registry.py
@@ -1,4 +1,4 @@
-"""The open connections of one front, and the ways in which one of them is closed."""
+"""The open client connections of one front, and the ways to close them."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from .sockets import shut, silent, unsent
 from .timer_queue import TimerQueue
 
-IDLE_GRACE = 0.05  # seconds with nothing to do after which a connection in use counts as idle
-NEW_CONNECTION_GRACE = 0.3  # seconds that a new connection has to send something before it counts as idle
-MIN_RECHECK_INTERVAL = 0.01  # seconds between two looks at a connection over the limit
+IDLE_GRACE = 0.05  # seconds without a request after which a connection that has sent one counts as idle
+NEW_CONNECTION_GRACE = 0.3  # seconds that a new connection has for its first request before it counts as idle
+MIN_RECHECK_INTERVAL = 0.01  # seconds between two checks of a connection over the limit
 
 
 class ConnectionRegistry:
@@ -22,21 +22,21 @@
     def __init__(
         self, timers: TimerQueue, limits: ClientLimits, abandon_reply: Callable[[PendingReply], None]
     ) -> None:
-        """`abandon_reply` gives an operation up whose client has gone."""
+        """Create an empty registry. `abandon_reply` abandons the operation of a disconnected client."""
         self.timers = timers
         self.clock = timers.clock
         self.limits = limits
         self.connections: HandleTable[ClientConnection] = HandleTable()
-        self.reader: ConnectionReader | None = None  # None: each connection has a task that reads it
+        self.reader: ConnectionReader | None = None  # None: each connection is read by its own task
         self.idle_grace = IDLE_GRACE
         self._abandon_reply = abandon_reply
 
     def is_open(self, client: ClientConnection) -> bool:
-        """Whether a connection is not closed yet."""
+        """Whether a connection is still open."""
         return self.connections.get(client.handle) is client
 
     def close(self, client: ClientConnection) -> None:
-        """Close a connection and give up all that it asked for. A second call does nothing."""
+        """Close a connection and abandon its pending requests. A second call does nothing."""
         if self.connections.remove(client.handle) is None:
             return
         if self.reader is not None:
@@ -49,24 +49,24 @@
         shut(client.sock)
 
     def close_soon(self, client: ClientConnection) -> None:
-        """Close a connection, though not from within what found that it has to be closed."""
+        """Schedule the close of a connection, for callers that must not close it within their own call."""
         if self.reader is None:
             client.cancel_scope.cancel()  # its task closes it
         else:
             self.timers.call_at(self.clock(), self.close, client)
 
     def shut_down(self, client: ClientConnection) -> None:
-        """Tell the client that no reply follows, and close the connection in the same step."""
+        """Half-close a connection to tell the client that no reply follows, and close it in the same step."""
         client.half_close()
         client.draining = True
         client.cancel_scope.cancel()
         self.close(client)
 
     def close_if_idle(self, client: ClientConnection) -> bool:
-        """Close a connection that stands between requests; whether it did.
+        """Close a connection that is idle between requests; returns whether it was closed.
 
-        A client that has just been answered may write its next request at this moment: so not at once.
-        And nothing may stand between the look and the end: a request that came there would be lost.
+        A grace period applies, since a client that has just been answered may be writing its next request.
+        Nothing may run between the check and the close: a request that arrived there would be lost.
         """
         if client.pending_replies or client.draining or client.ready_since or len(client.parser):
             return False
@@ -74,17 +74,19 @@
         if self.clock() - client.idle_since < grace:
             return False
         if not silent(client.sock) or unsent(client.sock):
-            return False  # or the rest of a long reply would go with its next request, behind the end
+            # With unsent bytes, the client's next request would reset the closed connection, and the rest of
+            # a long reply would be lost with it.
+            return False
         self.shut_down(client)
         return True
 
     def is_over_limit(self, client: ClientConnection) -> bool:
-        """Whether a connection is over the limit, and was all the time since it was accepted."""
+        """Whether a connection has been over the limit ever since it was accepted."""
         client.over_limit = client.over_limit and len(self.connections) > self.limits.max_connections
         return client.over_limit
 
     def close_over_limit_when_idle(self, client: ClientConnection) -> None:
-        """Look again, until a connection over the limit is idle and can be closed."""
+        """Schedule checks of a connection over the limit until it is idle and can be closed."""
         if (
             client.over_limit
             and not client.draining
--- a/gaugehinge/net/idle_reaper.py
+++ b/gaugehinge/net/idle_reaper.py
@@ -1,4 +1,4 @@
-"""Closes connections that take a place and do nothing with it: idle, stalled and over the limit."""
+"""Closes connections that occupy capacity without using it: idle, stalled and over the limit."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from .reply_writer import ReplyWriter
 from .sockets import hung_up
 
-SWEEP_INTERVAL = 0.25  # seconds between two looks at all connections
-# Seconds for a request to arrive whole; the first one of a connection has them from its start.
+SWEEP_INTERVAL = 0.25  # seconds between two checks of all connections
+# Seconds for a request to arrive completely; for a connection's first request they start at the accept.
 REQUEST_READ_TIMEOUT = 2.0
-IDLE_TIMEOUT = 2.0  # seconds with nothing in flight: some clients ask once and stay connected for good
+IDLE_TIMEOUT = 2.0  # seconds with nothing in flight: some clients send one request and never disconnect
 MIN_SEARCH_INTERVAL = 0.01  # seconds between two searches for an idle connection that found none
-# Seconds for which an order of eviction is good. Made for each new connection, a full front of 500
-# connections spent half of its time on it.
+# Seconds for which an eviction order is reused. Computed anew for each new connection, it took half the time
+# of a full front of 500 connections.
 EVICTION_ORDER_LIFETIME = 0.05
 REQUEST_TIMEOUT_REPLY = b"-ERR protocol: command not whole in time\r\n"
 
 
 class IdleReaper:
-    """Looks at all connections of one front now and then, and for one to close when a place is wanted."""
+    """Checks all connections of one front periodically, and finds one to close when a new one needs room."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         reply_writer: ReplyWriter,
         admission_control: AdmissionControl | None,
     ) -> None:
-        """`admission_control`, where there is one, says who yields a place first."""
+        """Create the reaper. `admission_control`, if present, decides the order of eviction."""
         self.registry = registry
         self.limits = limits
         self.lifecycle = lifecycle
@@ -48,21 +48,22 @@
         self._next_eviction_order = 0.0
 
     def sweep(self) -> None:
-        """Close what overstays, also while there is capacity, and do so again after an interval.
+        """Close connections past their timeouts, even with capacity left, and schedule the next sweep.
 
-        Silent and idle connections, and those whose request never comes whole, each hold a descriptor for as
-        long as their clients like.
+        Otherwise silent and idle connections, and those whose request never arrives completely, would each
+        hold a file descriptor for as long as their clients keep them open.
         """
         now = self.clock()
-        # While the loop stood still nobody was idle: what came then is not read yet, or was held up with it.
-        # By the clock alone, one that had stood for 2 s ended all connections, with requests on their way.
+        # Time during which the event loop stalled does not count as idle: bytes that arrived then are not
+        # read yet, or were delayed as well. Measured by the clock alone, a stall of 2 s made the router close
+        # all connections, with requests on their way.
         if now > self.last_sweep + 2 * SWEEP_INTERVAL:
             self.responsive_since = now
         self.last_sweep = now
-        leaving = self.lifecycle.phase is Phase.LEAVING  # then clients get no new connection for a closed one
+        leaving = self.lifecycle.phase is Phase.LEAVING  # clients cannot open a new connection then
         for client in self.registry.connections:
             self._check(client, now, leaving)
-        # A limit that was lowered in service binds those that are here already, as they come to rest.
+        # A limit that was lowered at run time also applies to existing connections, once they are idle.
         while (
             not leaving
             and len(self.registry.connections) > self.limits.max_accepted
@@ -72,7 +73,7 @@
         self.timers.call_at(now + SWEEP_INTERVAL, self.sweep)
 
     def _check(self, client: ClientConnection, now: float, leaving: bool) -> None:
-        """Close one connection that its client ended, that is idle, or whose request does not arrive."""
+        """Close a connection if its client disconnected, if it is idle, or if its request timed out."""
         if client.paused and hung_up(client.sock):
             self.registry.close_soon(client)
         if client.pending_replies or client.draining:
@@ -88,13 +89,13 @@
             self.registry.close_if_idle(client)
 
     def close_one_idle(self) -> bool:
-        """Close a connection that stands between requests; its client opens a new one at need.
+        """Close a connection that is idle between requests; its client opens a new one when it needs it.
 
-        Returns whether one was found.
+        Returns whether one was closed.
         """
         now = self.clock()
         if now < self._next_search:
-            # A look at all of them for each new connection would be most of what a full front does.
+            # Checking all connections for each new one would take most of the time of a full front.
             return False
         if any(self.registry.close_if_idle(client) for client in self._candidates(now)):
             return True
@@ -103,7 +104,10 @@
         return False
 
     def _candidates(self, now: float) -> Iterator[ClientConnection]:
-        """Connections that may be closed; one that was looked at is not again until the next order."""
+        """Connections to check for closing.
+
+        With admission control, one that was checked is not checked again until the next eviction order.
+        """
         if self.admission_control is None:
             return iter(self.registry.connections)
         if now >= self._next_eviction_order:
