--- a/gaugehinge/net/recent_request_ids.py
+++ b/gaugehinge/net/recent_request_ids.py
@@ -1,24 +1,26 @@
-"""Request IDs that are in flight or were a moment ago."""
+"""Request IDs that are in flight or were until recently."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-RETENTION = 2.0  # seconds after its reply that an ID is remembered at least, and twice that at most
+RETENTION = 2.0  # seconds; an ID is remembered for at least this long after its reply, at most twice as long
 
 
 class RecentRequestIds:
-    """IDs that no other request may bear now.
+    """IDs that no new request may use at present.
 
-    Two operations of one ID would be confused: what a server answers to the one, or has done for it, is taken
-    for both. A second use may cross the reply to the first, so an ID stays in use for a while after that.
+    Two operations with one ID would be confused: a server's reply to one of them, or its effect, would be
+    taken for that of the other. A second use may cross the reply to the first on the network, so an ID stays
+    in use for a while after the reply.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """`clock` tells the time in seconds."""
+        """Create an empty set. `clock` returns the time in seconds."""
         self._clock = clock
         self.open: set[bytes] = set()  # in flight
-        self.closed: set[bytes] = set()  # of late; moved on, then dropped, each RETENTION
+        # Recently answered or abandoned; moved to `closed_before` each RETENTION, and dropped at the next.
+        self.closed: set[bytes] = set()
         self.closed_before: set[bytes] = set()
         self.next_rotation = 0.0
 
@@ -27,11 +29,11 @@
         return request_id in self.open or request_id in self.closed or request_id in self.closed_before
 
     def add(self, request_id: bytes) -> None:
-        """A request of this ID is in flight from now on."""
+        """Record that a request with this ID is in flight."""
         self.open.add(request_id)
 
     def close(self, request_id: bytes) -> None:
-        """Its request is answered, or was given up with no attempt in flight."""
+        """Record that the ID's request was answered, or abandoned with no attempt in flight."""
         self.open.discard(request_id)
         now = self._clock()
         if now >= self.next_rotation:
--- a/gaugehinge/net/reply_fence.py
+++ b/gaugehinge/net/reply_fence.py
@@ -1,8 +1,9 @@
-"""Tells the reply to the last request on a reused connection from late copies of earlier replies. No I/O.
+"""Distinguishes the reply to the last request on a reused connection from late duplicates. Does no I/O.
 
-RESP replies carry no id, and a server may send a second copy of a reply at any later time. A fence, a command
-whose reply is known, shows which reply is the request's: servers answer in order, so exactly one reply comes
-before the fence's, and where two come that differ, nobody can say which of them belongs to the request.
+RESP replies carry no ID, and a server may send a second copy of an earlier reply at any time. A fence, which
+is a command with a known reply, shows which reply belongs to the request: servers answer in order, so exactly
+one reply has to precede that to the fence. If two different ones do, it cannot be decided which of them is
+the request's.
 """
 
 from __future__ import annotations
@@ -16,40 +17,40 @@
 
 
 class ReplyFence(Generic[Reply]):
-    """The fence of one connection: written behind a request, or once a reply to it is doubtful."""
+    """The fence of one connection, written after a request or once the reply to it is doubtful."""
 
     def __init__(
         self, command: bytes, is_fence_reply: Callable[[Reply], bool], raw_bytes: Callable[[Reply], bytes]
     ) -> None:
-        """`command`: the fence's bytes. `raw_bytes` gives a reply as it came."""
+        """Create an unarmed fence. `command`: its bytes. `raw_bytes` returns a reply as it was received."""
         self._command = command
         self._is_fence_reply = is_fence_reply
         self._raw_bytes = raw_bytes
         self._has_carried_request = False
         self._reply: Reply | None = None
-        self.is_armed = False  # whether the reply to the fence is still to come
+        self.is_armed = False  # whether the reply to the fence is outstanding
 
     def arm(self) -> bytes:
-        """What has to follow the request that is about to be written: b"" behind the first one."""
+        """Return the bytes to write after the next request; b"" after the connection's first one."""
         self.is_armed = self._has_carried_request
         self._has_carried_request = True
         self._reply = None
         return self._command if self.is_armed else b""
 
     def hold(self, reply: Reply) -> bytes:
-        """Hold a doubtful reply until the fence has shown whose it is; what has to be written now."""
+        """Hold a doubtful reply until the fence shows whose reply it is; returns the bytes to write now."""
         self.is_armed = True
         self._reply = reply
         return self._command
 
     def accept(self, message: Reply) -> Reply | None:
-        """Take a complete message; the request's reply once it is known to be that, until then None.
+        """Process a complete message; returns the request's reply once it is certain, None until then.
 
-        Of two replies that are the same to the byte either is right: the connection must then carry no
-        further request, as `is_armed` says.
+        Of two byte-identical replies either is correct. The connection must not carry another request then,
+        which callers see by `is_armed` still being set.
 
         Raises:
-            MalformedReply: no reply, or two different ones, came before the reply to the fence.
+            MalformedReply: no reply, or two different ones, preceded the reply to the fence.
         """
         if not self.is_armed:
             return message
--- a/gaugehinge/net/reply_memory.py
+++ b/gaugehinge/net/reply_memory.py
@@ -1,7 +1,8 @@
-"""What one connection remembers of its replies: a Bloom filter of their hashes. No I/O.
+"""Bloom filter over the hashes of one connection's replies. Does no I/O.
 
-It never forgets a reply, so that a copy is known as one at any delay. It may take a new reply for an earlier
-one, which costs the question whose it is: one of 400 at most, at the connection's end.
+A Bloom filter has no false negatives, so a duplicate is recognised however late it arrives. A false positive,
+a new reply that is taken for an earlier one, costs a fence to establish which request it belongs to. At most
+1 in 400 replies is one, a rate reached as the connection nears its maximum number of replies.
 """
 
 from __future__ import annotations
@@ -10,22 +11,22 @@
 
 FILTER_BITS = 1 << 15  # 4 KiB
 INDEX_MASK = FILTER_BITS - 1
-INDEX_SHIFTS = (0, 16, 32, 48)  # of the parts of a hash, each an index into the filter
-MAX_REPLIES = 2048  # with more the filter takes too many replies for earlier ones: the connection ends
+INDEX_SHIFTS = (0, 16, 32, 48)  # offsets in bits of the parts of a hash, each an index into the filter
+MAX_REPLIES = 2048  # the connection is closed then: with more replies there are too many false positives
 
 
 class ReplyMemory:
-    """The replies of one connection."""
+    """Remembers the replies of one connection."""
 
     __slots__ = ("_bits", "count")
 
     def __init__(self) -> None:
-        """None so far."""
-        self._bits = bytearray()  # made with the first reply: many connections carry none
+        """Create an empty memory."""
+        self._bits = bytearray()  # allocated with the first reply: many connections carry none
         self.count = 0
 
     def add(self, reply: bytes) -> bool:
-        """Remember a reply; whether it may be one of those before. False is certain."""
+        """Remember a reply; returns whether it may equal an earlier one. False is certain."""
         bits = self._bits
         if not bits:
             bits = self._bits = bytearray(FILTER_BITS // 8)
@@ -41,7 +42,7 @@
         return may_be_known
 
     def has(self, reply: bytes) -> bool:
-        """Whether a reply may be one of those before. False is certain."""
+        """Whether a reply may equal an earlier one. False is certain."""
         bits, digest = self._bits, xxh64_intdigest(reply)
         if not bits:
             return False
--- a/gaugehinge/net/reply_writer.py
+++ b/gaugehinge/net/reply_writer.py
@@ -1,4 +1,4 @@
-"""Replies out, in the order of their requests, as fast as each client takes them."""
+"""Writes replies in the order of their requests, as fast as each client reads them."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from .lifecycle import Lifecycle, Phase
 from .sockets import enlarge_send_buffer, send_some, silent, unsent, wait_writable
 
-WRITE_TIMEOUT = 10.0  # seconds; a client that does not take a reply for this long is cut off
-LINGER_INTERVAL = 0.5  # seconds after the last reply, for the client to read it before the end
+WRITE_TIMEOUT = 10.0  # seconds; a client that has not read a reply by then is disconnected
+LINGER_INTERVAL = 0.5  # seconds after the last reply, for the client to read it before the close
 
 
 class ReplyWriter:
@@ -28,7 +28,7 @@
         lifecycle: Lifecycle,
         nursery: trio.Nursery,
     ) -> None:
-        """`nursery` runs the tasks that write what a connection did not take at once."""
+        """Create the writer. `nursery` runs the tasks that write what a socket did not take immediately."""
         self.registry = registry
         self.limits = limits
         self.lifecycle = lifecycle
@@ -37,12 +37,15 @@
         self.clock = registry.clock
 
     def reply(self, client: ClientConnection, data: bytes) -> None:
-        """Answer a request at once, behind those before it."""
+        """Answer a request immediately; the reply is written after those of earlier requests."""
         client.pending_replies.append(PendingReply(data=data))
         self.flush(client)
 
     def defer_reply(self, client: ClientConnection) -> Callable[[bytes], None]:
-        """A place in the order of replies, filled by a call; until then the connection is not read on."""
+        """Reserve the next place in the order of replies; returns a function that sets the reply.
+
+        Reading from the connection is suspended until that function is called.
+        """
         pending_reply = PendingReply()
         client.pending_replies.append(pending_reply)
         client.authenticating = client.paused = True
@@ -56,13 +59,13 @@
         return answer
 
     def flush(self, client: ClientConnection) -> None:
-        """Write what is known, in the order of the requests; then end the connection where that is due."""
+        """Write the replies that are known, in the order of their requests; then close if that is due."""
         pending_replies = client.pending_replies
         while pending_replies and (data := pending_replies[0].data) is not None and not client.write_blocked:
             try:
                 sent = self._write(client, data)
             except OSError:
-                self.registry.close_soon(client)  # the client has gone
+                self.registry.close_soon(client)  # the client has disconnected
                 return
             if sent < len(data):
                 client.unwritten = memoryview(data)[sent:]
@@ -80,24 +83,24 @@
             self.registry.close_over_limit_when_idle(client)
 
     def enlarge_buffer(self, client: ClientConnection) -> None:
-        """Let the system take all replies that wait to be written, for the end of the process.
+        """Enlarge the send buffer so that the kernel takes all unwritten replies before the process exits.
 
-        It goes on delivering them to a client that reads slowly, or that has not begun to.
+        The kernel goes on delivering them to a client that reads slowly or has not started to read.
         """
         if not client.write_blocked:
             return
         size = sum(len(reply.data) for reply in client.pending_replies if reply.data is not None)
-        with suppress(OSError):  # the client has gone
+        with suppress(OSError):  # the client has disconnected
             enlarge_send_buffer(client.sock, size)
 
     def write_before_exit(self, client: ClientConnection) -> None:
-        """Write as much as the system takes in this step, in which the connection is closed.
+        """Write as much as the kernel takes immediately; the connection is closed in the same step.
 
-        The task that waits to write may not have run since there was room: a router that got no processor
-        time for a while finds its time over as it wakes, and the buffers empty.
+        The task that waits to write may not have run since the buffer had room: a router that was without CPU
+        time for a while may find, once it runs again, its shutdown deadline past and the buffers empty.
         """
         self.enlarge_buffer(client)
-        with suppress(OSError):  # the client has gone
+        with suppress(OSError):  # the client has disconnected
             while client.write_blocked:
                 self._write_unwritten(client)
                 if client.write_blocked:
@@ -107,11 +110,12 @@
                 client.unwritten = following or b""
 
     def _write(self, client: ClientConnection, data: bytes) -> int:
-        """Write a reply at once, as far as it goes; returns the bytes written.
+        """Write as much of a reply as the socket takes immediately; returns the number of bytes written.
 
-        While closing, one that is the last thing in its connection ends that in the same step: a busy client
-        is never found idle, and all that it sends after that would be lost with the process. What crosses
-        that end must not be read, not even to discard it: a client may send again what nobody read.
+        In the closing phase, a reply with nothing outstanding behind it closes its connection in the same
+        step: a busy client is never found idle, and all that it sends afterwards would be lost with the
+        process. Bytes that arrive after that close must not be read, not even to discard them: a client may
+        safely resend what was never read.
         """
         is_last = (
             self.lifecycle.phase is Phase.CLOSING and len(client.pending_replies) == 1 and not client.draining
@@ -123,7 +127,7 @@
         return sent
 
     def _finish_reply(self, client: ClientConnection) -> None:
-        """The first pending reply is written."""
+        """Remove the first pending reply, which is written, and resume a connection that was paused."""
         self.limits.reserved_bytes -= client.pending_replies.popleft().reserved_bytes
         client.idle_since = self.clock()
         if client.paused and not client.authenticating:
@@ -132,10 +136,10 @@
                 self.registry.reader.watch(client)
 
     async def _write_rest(self, client: ClientConnection) -> None:
-        """Write the rest of a reply that did not go at once.
+        """Write the rest of a reply that the socket did not take immediately.
 
-        The client may have gone before this begins, and its pending replies with it. What failed here would
-        end the router with all that it has in flight.
+        The client may have disconnected before this starts, and its pending replies are gone then. No error
+        may leave this task: it would end the router with all its operations in flight.
         """
         try:
             with self.timers.timeout_scope(WRITE_TIMEOUT) as scope:
@@ -159,7 +163,7 @@
         client.unwritten = client.unwritten[sent:]
 
     def _linger(self, client: ClientConnection, latest: float) -> None:
-        """Close the connection once the client has taken the last reply, and at `latest` in any case."""
+        """Close the connection once the client has received the last reply, or when `latest` has passed."""
         self.timers.call_at(self.clock() + LINGER_INTERVAL, self._end_linger, client, latest)
 
     def _end_linger(self, client: ClientConnection, latest: float) -> None:
