--- a/gaugehinge/net/request_errors.py
+++ b/gaugehinge/net/request_errors.py
@@ -1,4 +1,4 @@
-"""Errors of client requests. Their texts are sent to the client: the wording is part of the protocol."""
+"""Errors in client requests. Their texts are sent to the client, so their wording is part of the protocol."""
 
 from __future__ import annotations
 
@@ -6,50 +6,50 @@
 
 
 class RequestError(Exception):
-    """A request that cannot be served. Its text follows `-ERR ` in the reply; the connection goes on."""
+    """A request that cannot be served. Its text follows `-ERR ` in the reply; the connection stays open."""
 
     text = ""
 
     def __init__(self, text: str = "") -> None:
-        """`text` stands in place of the class's own."""
+        """Create the error. `text` replaces the default text of the class."""
         super().__init__(text or self.text)
 
 
 class WrongArgumentCountError(RequestError):
-    """The command has fewer or more arguments than its form asks for."""
+    """The command has too few or too many arguments."""
 
     text = "wrong number of arguments"
 
 
 class UnprintableTextError(RequestError):
-    """The request ID or the labels hold bytes that may not stand in an HTTP header."""
+    """The request ID or the labels contain bytes that are not allowed in an HTTP header."""
 
     text = "id and labels must be plain text"
 
 
 class MalformedLabelsError(RequestError):
-    """The labels are not a list of `name=value` with each name once."""
+    """The labels are not a list of `name=value` items with unique names."""
 
     text = "labels are names and values"
 
 
 class InvalidLabelError(RequestError):
-    """One label is missing or has a value that cannot be used."""
+    """A label is missing or has an invalid value."""
 
     def __init__(self, label: str, problem: str) -> None:
-        """`label` is its name on the wire, `problem` says what is wrong with it."""
+        """Create the error. `label` is the label's name on the wire, `problem` says what is wrong with it."""
         super().__init__(f"label {label}: {problem}")
 
 
 class RequestIdInUseError(RequestError):
-    """Another request of the same ID is in flight or was answered a moment ago."""
+    """Another request with the same ID is in flight or was until recently."""
 
     text = "id in use"
 
 
 class MalformedCommandError(Malformed):
-    """A whole RESP value that is no command. The connection cannot go on."""
+    """A complete RESP value that is not a command. The connection has to be closed."""
 
     def __init__(self) -> None:
-        """Its text is sent to the client, as that of any malformed message."""
+        """Create the error. Its text is sent to the client, as for any malformed message."""
         super().__init__("a command is an array of bulk strings")
--- a/gaugehinge/net/request_parser.py
+++ b/gaugehinge/net/request_parser.py
@@ -1,4 +1,4 @@
-"""From the commands `KV.GET` and `KV.SET` with their labels to operations and what they carry to servers."""
+"""Parses the commands `KV.GET` and `KV.SET` and their labels into operations and payloads for servers."""
 
 from __future__ import annotations
 
@@ -20,40 +20,44 @@
 from .resp import Message
 from .timer_queue import TimerQueue
 
-MAX_CLIENT_WAIT = 3600.0  # seconds; a longer wait is taken for this
+MAX_CLIENT_WAIT = 3600.0  # seconds; a longer wait is reduced to this
 MAX_WAIT_DIGITS = 12
-REPLY_MARGIN = 0.005  # seconds kept before the deadline beside the loop's lag, for the reply's own way
-MAX_MARGIN_FRACTION = 0.25  # of the wait: after a long stall the short ones must not all be given up
+# Seconds by which the deadline precedes the end of the client's wait, besides the loop's lag: time for the
+# reply to reach the client.
+REPLY_MARGIN = 0.005
+# Share of the wait that the margin may take: after a long stall, requests with a short wait must not all be
+# given up.
+MAX_MARGIN_FRACTION = 0.25
 MILLISECONDS = 1000.0
 NO_TENANT = -1
-PRINTABLE_ASCII = re.compile(rb"[!-~]+")  # what may stand in an HTTP header
+PRINTABLE_ASCII = re.compile(rb"[!-~]+")  # bytes that are allowed in an HTTP header
 
-# names of labels on the wire
-CLASS_LABEL = "c"  # the traffic type
+# label names on the wire
+CLASS_LABEL = "c"  # traffic type
 IDEMPOTENCY_KEY_LABEL = "k"
-RETRY_LABEL = "r"  # 1: the client's own retry
+RETRY_LABEL = "r"  # 1: the request is a retry by the client
 TENANT_LABEL = "t"
 WAIT_LABEL = "d"  # milliseconds that the client waits
 WAIT_LABEL_BYTES = b"d"
 
 
 class Labels(NamedTuple):
-    """The labels of a request by name, and their bytes before and behind the figure of the wait."""
+    """The labels of a request by name, and their bytes before and after the value of the wait label."""
 
     values: dict[str, str]
     around_wait: tuple[bytes, bytes]
 
 
 class ParsedRequest(NamedTuple):
-    """A request as the decisions see it, and what goes on to servers."""
+    """A request as an operation to be routed, and the payload to send to servers."""
 
     operation: Operation
     payload: RequestPayload
-    client_waits_until: float  # seconds of the router's clock; a reply that comes later is not wanted
+    client_waits_until: float  # seconds of the router's clock; the client ignores later replies
 
 
 class RequestParser:
-    """Makes operations of the requests of one front."""
+    """Turns the requests of one front into operations."""
 
     def __init__(
         self,
@@ -62,7 +66,10 @@
         request_ids: RecentRequestIds,
         tenant_indexes: Mapping[str, int],
     ) -> None:
-        """`tenant_indexes`: places in the table of tenants by name; empty where no label tells the tenant."""
+        """Create a parser.
+
+        `tenant_indexes`: index in the tenant table by name; empty if tenants are not identified by a label.
+        """
         self._settings = settings
         self._timers = timers
         self._request_ids = request_ids
@@ -71,9 +78,9 @@
     def parse(
         self, message: Message, is_write: bool, arrived_at: float, is_waiting: Callable[[], bool]
     ) -> ParsedRequest:
-        """Read one command, all of whose parts are bulk strings.
+        """Parse one command, whose parts must all be bulk strings.
 
-        `arrived_at`: seconds; `is_waiting`: whether the client still waits. Raises RequestError.
+        `arrived_at`: seconds; `is_waiting` returns whether the client still waits. Raises RequestError.
         """
         parts: Any = message.top.body
         if len(parts) != 4 + is_write:
@@ -106,10 +113,10 @@
         return ParsedRequest(operation, payload, arrived_at + wait)
 
     def _tenant_index(self, name: str) -> int:
-        """A tenant's index; NO_TENANT with no label, or where the settings name no tenants."""
+        """Return a tenant's index, or NO_TENANT without a label or if the settings name no tenants."""
         indexes = self._tenant_indexes
         if name and indexes and name not in indexes:
-            # Taken for no tenant's, it would be served beside all quotas.
+            # Treated as belonging to no tenant, the request would bypass all quotas.
             raise InvalidLabelError(TENANT_LABEL, "no such tenant")
         return indexes.get(name, NO_TENANT)
 
@@ -121,7 +128,7 @@
 
 
 def _parse_wait(labels: dict[str, str]) -> float:
-    """The client's wait in seconds."""
+    """Return the time that the client waits, in seconds."""
     text = labels.get(WAIT_LABEL, "")
     if not text.isdigit() or len(text) > MAX_WAIT_DIGITS:
         raise InvalidLabelError(WAIT_LABEL, "not a number of milliseconds")
@@ -129,13 +136,17 @@
 
 
 def _require_idempotency_key(labels: dict[str, str]) -> None:
-    """Without a key a server could not recognise an attempt as repeated, and it may be repeated here."""
+    """Raise InvalidLabelError if the idempotency key is missing.
+
+    Operations of this traffic type may be repeated, and without a key a server could not recognise a repeated
+    attempt.
+    """
     if not labels.get(IDEMPOTENCY_KEY_LABEL):
         raise InvalidLabelError(IDEMPOTENCY_KEY_LABEL, "missing")
 
 
 def parse_labels(text: bytes) -> Labels:
-    """Read labels, `name=value` parted by commas. Raises RequestError."""
+    """Parse comma-separated `name=value` labels. Raises RequestError."""
     values: dict[str, str] = {}
     around_wait = None
     start = 0
--- a/gaugehinge/net/request_reader.py
+++ b/gaugehinge/net/request_reader.py
@@ -1,4 +1,4 @@
-"""Bytes of clients in, whole requests out, as long as not too many of one connection are in flight."""
+"""Reads complete requests from client connections, with a limit on the requests in flight on each."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from .resp import Malformed
 from .sockets import hung_up, receive
 
-MAX_PIPELINED_REQUESTS = 32  # of one connection in flight; then it is not read on
-MAX_DISCARDED_BYTES = 256 * 1024  # read and discarded behind an error; then the connection is not read on
+MAX_PIPELINED_REQUESTS = 32  # in flight on one connection; with this many, reading from it is suspended
+MAX_DISCARDED_BYTES = 256 * 1024  # discarded after an error or the last request; with more, reading stops
 
 
 class RequestReader:
-    """Reads the connections of one front: by a task each, or as a shared reader hands their bytes on."""
+    """Reads the connections of one front, with a task for each or by a shared reader that passes on bytes."""
 
     def __init__(
         self,
@@ -28,7 +28,10 @@
         nursery: trio.Nursery,
         handle_command: Callable[[ClientConnection, Any], None],
     ) -> None:
-        """`handle_command` takes each whole message; it may raise Malformed. `nursery` runs the tasks."""
+        """Create the reader.
+
+        `handle_command` gets each complete message and may raise Malformed. `nursery` runs the tasks.
+        """
         self.registry = registry
         self.reply_writer = reply_writer
         self.clock = registry.clock
@@ -36,7 +39,7 @@
         self._handle_command = handle_command
 
     def start(self, client: ClientConnection) -> None:
-        """Read a connection until it is closed."""
+        """Start to read a connection, until it is closed."""
         if self.registry.reader is None:
             self._nursery.start_soon(self._serve, client)
         else:
@@ -48,29 +51,29 @@
                 await self._read(client)
         except (OSError, trio.ClosedResourceError):
             pass
-        except Exception:  # a defect fails this connection alone
+        except Exception:  # a defect ends only this connection
             logger.exception("client connection failed")
         finally:
             self.registry.close(client)
 
     async def _read(self, client: ClientConnection) -> None:
-        """Read until the client goes.
+        """Read until the client disconnects.
 
-        What comes after the last request is read and discarded: closed with bytes unread, the connection is
-        reset and the last reply may be lost with it. But to read all of a value of many megabytes takes the
-        time of hundreds of operations.
+        Bytes after the last request are read and discarded: a connection that is closed with unread bytes is
+        reset, and the last reply may be lost. Their number is limited, since reading all of a value of many
+        megabytes takes as long as hundreds of operations.
         """
         while data := await receive(client.sock):
             self.data_received(client, data)
             if client.discarded_bytes > MAX_DISCARDED_BYTES:
-                await trio.sleep_forever()  # until pending replies are written and have lingered
+                await trio.sleep_forever()  # until pending replies are written and the linger time is over
             while client.paused:
                 client.reply_written = trio.Event()
                 await client.reply_written.wait()
                 self.resume(client)
 
     def data_received(self, client: ClientConnection, data: bytes, arrived_at: float = 0.0) -> None:
-        """Handle bytes of a connection that stood there since a time, where that is known."""
+        """Handle received bytes. `arrived_at`: when they arrived, in seconds; 0 if unknown."""
         arrived_at = client.unread_since or arrived_at
         if client.draining:
             client.discarded_bytes += len(data)
@@ -84,17 +87,18 @@
         client.is_held_back = False
 
     def resume_if_paused(self, client: ClientConnection) -> bool:
-        """Go on with a connection that is paused; whether a request was handled."""
+        """Resume a connection if it is paused; returns whether a request was handled."""
         unparsed = len(client.parser)
         if client.paused:
             self.resume(client)
         return len(client.parser) < unparsed
 
     def resume(self, client: ClientConnection) -> None:
-        """Handle the requests that stand whole, until too many are in flight.
+        """Handle the complete requests that were read, until too many are in flight.
 
-        Some clients send hundreds at once and go: their end stands behind bytes that are not read yet, and
-        the rest was forwarded for nobody, as fast as what went before it ended.
+        Some clients send hundreds of requests at once and disconnect. The end of the stream then follows
+        bytes that are not read yet. Without the check for it here, the remaining requests were forwarded for
+        a client that had disconnected, as fast as the ones before them ended.
         """
         if client.paused and hung_up(client.sock):
             self.registry.close_soon(client)
--- a/gaugehinge/net/resp.py
+++ b/gaugehinge/net/resp.py
@@ -1,30 +1,30 @@
-"""RESP2, parsed piece by piece as it comes, with no I/O. A message keeps its own bytes, to be forwarded."""
+"""Incremental RESP2 parser without I/O. A message keeps its raw bytes, so that they can be forwarded."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MAX_VALUE_BYTES = 64 * 1024  # of a client's bulk string, by the protocol
-MAX_REPLY_BYTES = 1 << 20  # of a server's bulk string: some serve values of several times the clients' limit
-MAX_LINE_BYTES = 1024  # of a status, an error, a number or a length
+MAX_VALUE_BYTES = 64 * 1024  # in a client's bulk string; set by the protocol
+MAX_REPLY_BYTES = 1 << 20  # in a server's bulk string: some values are several times the clients' limit
+MAX_LINE_BYTES = 1024  # in the line of a status, an error, a number or a length
 MAX_ARRAY_ITEMS = 16  # no command or reply has as many
 MAX_DEPTH = 3
-MAX_OVERHEAD_BYTES = 16 * 1024  # of a message beside one value
+MAX_OVERHEAD_BYTES = 16 * 1024  # in a message, besides one value
 MAX_LENGTH_DIGITS = 7
 
 CRLF = b"\r\n"
 CRLF_BYTES = 2
-ERROR, STATUS, NUMBER, BULK, ARRAY = b"-+:$*"  # a value's first byte
+ERROR, STATUS, NUMBER, BULK, ARRAY = b"-+:$*"  # the first byte of a value
 
 
 class Malformed(Exception):
-    """The bytes are not RESP2, or past the limits; the text says how. The connection cannot go on."""
+    """The bytes are not valid RESP2 or exceed the limits; the text says which. The connection is unusable."""
 
 
 @dataclass(slots=True)
 class Frame:
-    """One RESP value and where it stands in its message."""
+    """One RESP value and its position in the message, as byte offsets."""
 
     kind: int
     start: int
@@ -33,39 +33,39 @@
 
 
 class Message(NamedTuple):
-    """A complete value as it came, and its parts."""
+    """A complete top-level value: its raw bytes and its parsed parts."""
 
     raw: bytes
     top: Frame
 
     def part(self, frame: Frame) -> bytes:
-        """A part's own bytes with its head and its end."""
+        """Return the raw bytes of a part, including its type byte, length and terminator."""
         return self.raw[frame.start : frame.end]
 
 
 class Parser:
-    """Takes bytes as they come and gives complete messages."""
+    """Takes received bytes and returns complete messages."""
 
     def __init__(self, max_value_bytes: int = MAX_VALUE_BYTES) -> None:
-        """A longer bulk string is malformed."""
+        """Create a parser. A bulk string longer than `max_value_bytes` is malformed."""
         self.max_value_bytes = max_value_bytes
         self._buffer = bytearray()
         self._needed = 0  # with fewer bytes the message cannot be complete
 
     def __len__(self) -> int:
-        """How many bytes wait to be parsed."""
+        """Number of bytes that are not parsed yet."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> None:
-        """Append bytes that were received."""
+        """Append received bytes."""
         self._buffer += data
 
     def unparsed(self) -> bytes:
-        """The bytes after the last message."""
+        """Return the bytes after the last complete message."""
         return bytes(self._buffer)
 
     def next(self) -> Message | None:
-        """The next complete message, or None until more has come. Raises Malformed."""
+        """Return the next complete message, or None if more bytes are needed. Raises Malformed."""
         if not self._buffer or len(self._buffer) < self._needed:
             return None
         self._needed = 0
@@ -74,7 +74,7 @@
             if len(self._buffer) > self.max_value_bytes + MAX_OVERHEAD_BYTES:
                 raise Malformed("message too long")
             return None
-        if top.end == len(self._buffer):  # as nearly always
+        if top.end == len(self._buffer):  # nearly always the case
             raw = bytes(self._buffer)
             self._buffer.clear()
         else:
@@ -83,7 +83,7 @@
         return Message(raw, top)
 
     def _parse(self, start: int, depth: int) -> Frame | None:
-        """The value that begins at `start`; None while it is incomplete."""
+        """Parse the value that begins at `start`; returns None while it is incomplete."""
         if start >= len(self._buffer):
             return None
         kind = self._buffer[start]
@@ -132,8 +132,9 @@
 
 
 def _read_length(line: bytes, limit: int, error: str) -> int:
-    """A length; Malformed with the text `error` where it is over the limit."""
-    # Forwarded as it came, a length that other parsers may reject (007) would end a connection to a server.
+    """Parse a length. Raises Malformed, with the text `error` if it is over the limit."""
+    # Messages are forwarded unchanged: a length that other parsers may reject, such as 007, would cost a
+    # connection to a server.
     if not line.isdigit() or (line.startswith(b"0") and line != b"0"):
         raise Malformed("not a length")
     if len(line) > MAX_LENGTH_DIGITS or int(line) > limit:
@@ -142,5 +143,5 @@
 
 
 def bulk(body: bytes) -> bytes:
-    """The bulk string of a value."""
+    """Encode a value as a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(body), body)
