--- a/gaugehinge/net/admission_control.py
+++ b/gaugehinge/net/admission_control.py
@@ -1,4 +1,4 @@
-"""Interfaces between the client server and admission control, which `gaugehinge.admission` implements."""
+"""Interfaces between the client server and admission control, implemented by `gaugehinge.admission`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AdmissionControl(Protocol):
-    """Decides which operations and connections are admitted. Absent unless an installation switches it on."""
+    """Decides which operations and connections are admitted. Absent unless the installation enables it."""
 
     def submit(
         self,
@@ -24,36 +24,36 @@
         client: bytes,
         size: int,
     ) -> Any:
-        """Take an operation of a client, `size` bytes long; returns the handle that `client_gone` takes.
+        """Submit an operation of a client, of `size` bytes; returns the handle to pass to `client_gone`.
 
-        `answer` gets the one final reply, perhaps before this returns.
+        `answer` is called once with the final reply, possibly before this returns.
         """
 
     def client_gone(self, handle: Any, freed: Callable[[], None]) -> None:
-        """Nobody waits for the reply any more; `freed` is called once no attempt is in flight."""
+        """The client has disconnected before the reply; `freed` is called once no attempt is in flight."""
 
     def may_accept(self) -> bool:
-        """Whether one more connection may be accepted now."""
+        """Whether another connection may be accepted now."""
 
     def on_accepted(self, cpu: float) -> None:
-        """Connections were accepted, which took so many seconds of CPU."""
+        """Record that accepting connections took `cpu` seconds of CPU time."""
 
     def order_of_eviction(self, connections: Iterable[ClientConnection]) -> list[ClientConnection]:
-        """Connections in the order in which they are closed to make room for new ones."""
+        """Return the connections in the order in which they are to be closed to make room for new ones."""
 
     def exceeds_connection_quota(
         self, tenant: int, connections: Iterable[ClientConnection], most: int
     ) -> bool:
-        """Whether a connection over the limit of `most` is one too many for its tenant."""
+        """Whether a connection over the limit of `most` is beyond its tenant's share of the limit."""
 
     def overload_reply(self, operation: Operation) -> bytes:
-        """The reply to an operation for which there is no capacity or no memory."""
+        """Return the reply to an operation for which there is no capacity or no memory."""
 
     def reject_queued(self) -> None:
-        """The router ends: reject all that waits for admission."""
+        """Reject all operations that wait for admission, since the router is shutting down."""
 
     def new_reader(self, clients: ClientServer) -> ConnectionReader:
-        """What reads the connections, in place of a task each."""
+        """Create the shared reader of all connections, which replaces a task for each."""
 
 
 class ConnectionReader(Protocol):
@@ -63,7 +63,7 @@
         """Read until cancelled."""
 
     def watch(self, client: ClientConnection) -> None:
-        """Read this connection from now on."""
+        """Start to read this connection."""
 
     def unwatch(self, client: ClientConnection) -> None:
-        """Read this connection no more, or not for now."""
+        """Stop reading this connection, for good or until `watch` is called again."""
