--- a/tests/test_late_replies.py
+++ b/tests/test_late_replies.py
@@ -1,4 +1,4 @@
-"""A late second copy of a cache server's reply, whole or cut, is never taken for the next request's."""
+"""A late duplicate of a cache server's reply, complete or truncated, is never taken for the next reply."""
 
 import pytest
 import trio
@@ -26,7 +26,7 @@
 
 
 class DuplicatingCache(Cache):
-    """Sends the reply to the first request of a connection once more, beside the reply to the second one."""
+    """Sends the reply to a connection's first request again, next to the reply to the second request."""
 
     position = ""
 
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("kind", list(KINDS))
 @pytest.mark.parametrize("delay", DELAYS)
 def test_duplicate_reply_next_to_the_reply_to_the_next_request(tmp_path, monkeypatch, delay, kind, position):
-    """By the age of the connection, it has rested for the delay as its next request is written."""
+    """The connection's idle time is moved back, so that it counts as idle for `delay` at the next request."""
     monkeypatch.setattr(DuplicatingCache, "position", position)
 
     async def scene():
@@ -76,13 +76,15 @@
                 assert answer == bulk(b"for i2")
             if kind == "once":
                 assert len(ran) == 1
-            assert not answer.startswith(b"-BUSY"), "told that a repeat is harmless, though it ran"
+            assert not answer.startswith(b"-BUSY"), (
+                "rejected, i.e. a retry is harmless, although it was executed"
+            )
             assert await ask(client, kind, "i3") == bulk(b"for i3")
 
     trio.run(scene)
 
 
-# -- every cut of every reply, by the codec alone
+# -- every reply truncated at every byte, with the codec alone
 
 REPLIES = {
     "value": reply_to(b"of k2"),
@@ -101,7 +103,7 @@
 
 
 def reused_connection(earlier: bytes, value: bytes | None = None) -> Connection:
-    """A connection that has carried a request, with its reply, and on which the next one was written."""
+    """A connection that has carried a request and its reply, and on which the next request was written."""
     codec = RespCodec()
     connection = Connection(None, ServerPool(1, "s", ("127.0.0.1", 1), 0.0), codec.new_state(), None)
     payload = RequestPayload(b"i", b"k", (b"d=", b""), b"d=1", b"*4\r\n", b"", value)
@@ -112,9 +114,9 @@
 
 
 def outcome_of(connection: Connection, data: bytes, piece: int):
-    """What the codec makes of the bytes behind a request on a reused connection, fed in pieces.
+    """Decode the bytes received after a request on a reused connection, in pieces; returns the outcome.
 
-    A server that gets the fence answers it behind all that it sends before.
+    A server that receives the fence replies to it after all that it sends before.
     """
     codec = RespCodec()
     fenced = False
@@ -138,8 +140,11 @@
 @pytest.mark.parametrize("later", list(REPLIES))
 @pytest.mark.parametrize("earlier", list(EARLIER_REPLIES))
 def test_truncated_duplicate_before_a_reply_yields_no_wrong_reply(earlier, later, write, piece):
-    """The rest comes behind the true reply, or never. Wrong: a value that nobody gave for this request, and a
-    rejection of a write that may have run. A read that takes a copied miss or rejection goes elsewhere."""
+    """The rest of the duplicate follows the genuine reply, or never arrives.
+
+    Wrong outcomes are a value that no server sent for this request, and a rejection of a write that may have
+    been executed. A read may take a duplicated miss or rejection, since it is then sent elsewhere.
+    """
     copy, own, wrong = EARLIER_REPLIES[earlier], REPLIES[later], []
     value = b"new" if write else None
     true = outcome_of(reused_connection(copy, value), own, 1000)
@@ -158,7 +163,7 @@
 @pytest.mark.parametrize("piece", [1, 7, 1000])
 @pytest.mark.parametrize("name", list(REPLIES))
 def test_genuine_reply_equal_to_the_previous_one_is_accepted(name, piece):
-    """Two reads of one key, say: the fence shows that nothing else came for the request."""
+    """As with two reads of one key: the fence shows that no other reply came for the request."""
     reply = REPLIES[name]
     found = outcome_of(reused_connection(reply), reply, piece)
     assert found == outcome_of(reused_connection(b"-ERR other\r\n"), reply, 1000)
@@ -166,8 +171,10 @@
 
 @pytest.mark.parametrize("copied", ["miss", "busy", "error"])
 def test_genuine_reply_after_a_duplicate_miss_is_not_taken_for_the_next_request(copied):
-    """The copy sends the read elsewhere, and the connection carries the next request. What comes then first
-    is the reply to the read before."""
+    """The duplicate sends the read elsewhere, and the connection carries the next request.
+
+    The first reply after that is the one to the previous read.
+    """
     copy = REPLIES[copied]
     connection, codec = reused_connection(copy), RespCodec()
     payload = RequestPayload(b"i", b"k", (b"d=", b""), b"d=1", b"*4\r\n", b"", None)
@@ -238,7 +245,7 @@
     assert all(memory.add(reply) for reply in replies)
 
 
-# -- servers in cluster mode: the fence follows each request there, since +OK is what every SET gets
+# -- servers in cluster mode: the fence follows each request there, since the reply to every SET is +OK
 
 
 @pytest.mark.parametrize("first", [b"+OK\r\n", b"$2\r\nk1\r\n", b"-LOADING it\r\n"])
@@ -246,7 +253,7 @@
     "own", [b"+OK\r\n", b"$2\r\nk2\r\n", b"-MOVED 1 127.0.0.1:2\r\n", b"-LOADING it\r\n"]
 )
 def test_duplicate_before_a_reply_in_cluster_mode(first, own):
-    """There the fence is PING: +OK is what a SET gets. Two that are alike to the byte say the same."""
+    """The fence is PING there, since the reply to a SET is +OK. Byte-identical replies mean the same."""
     codec = ClusterDialect(own_slots_only=True)
     connection = Connection(None, ServerPool(1, "s", ("127.0.0.1", 1), 0.0), codec.new_state(), None)
     connection.pending = type("Pending", (), {"attempt": type("A", (), {"operation": type("O", (), {})})})()
@@ -275,11 +282,11 @@
     return connection
 
 
-# -- the request has run once its own last byte is out, whatever of the fence is missing
+# -- a request counts as executed once its own last byte is sent, even if part of the fence is not
 
 
 def test_write_whose_fence_could_not_be_sent_counts_as_possibly_executed(tmp_path, monkeypatch):
-    """Taken for one that never ran, a write that may not be repeated would be sent twice."""
+    """If it counted as not executed, a write that must not be repeated would be sent twice."""
 
     async def scene():
         class Same(Cache):
@@ -308,12 +315,12 @@
     trio.run(scene)
 
 
-# -- the origin speaks HTTP, whose responses carry no id either, and nothing may follow a request as a fence
+# -- the origin speaks HTTP: its responses carry no ID either, and no fence may follow a request
 
 
 @pytest.mark.parametrize("kind", list(KINDS))
 def test_duplicate_origin_response_is_not_taken_for_the_next_request(tmp_path, kind):
-    """Fetches of reads that missed, and receipts of writes: the copy comes just behind the next request."""
+    """Fetches after a miss and receipts of writes: the duplicate arrives just after the next request."""
     for delay in (11, *DELAYS):
         answer, runs = trio.run(ask_twice_with_duplicate_origin_response, tmp_path, kind, delay)
         assert answer == bulk(b"receipt of i2") or answer.startswith(b"-"), delay
@@ -321,7 +328,7 @@
 
 
 async def ask_twice_with_duplicate_origin_response(tmp_path, kind: str, delay: int) -> tuple[bytes, int]:
-    """What a second request gets so many milliseconds behind the first, and how often it ran."""
+    """Send a second request `delay` milliseconds after the first; returns its reply and how often it ran."""
     streams = []
 
     class Origin(Web):
--- a/tests/test_listener_backlog.py
+++ b/tests/test_listener_backlog.py
@@ -1,4 +1,4 @@
-"""Requests that stood in the listener's backlog while all places were taken."""
+"""Requests that waited in the listener's backlog while the connection limit was reached."""
 
 import socket
 import threading
@@ -12,7 +12,7 @@
 from tests.helper import Cache, both, fleet, run
 
 BUSY = b"-BUSY\r\n"
-ANSWER_GRACE = 0.05  # seconds, the page's
+ANSWER_GRACE = 0.05  # seconds; the value in the documentation
 
 
 @pytest.fixture(autouse=True)
@@ -22,12 +22,12 @@
 
 
 async def fill_all_connections(made) -> list:
-    """Idle clients on all places."""
+    """Connect idle clients until no further connection is accepted."""
     return [await made.client() for _ in range(made.service.clients.limits.max_accepted)]
 
 
 async def get_from_backlog(made, wait_ms: int, seconds: float, key: str = "k1") -> tuple[bytes | None, float]:
-    """The answer to a read that stood in the backlog for a time, and the seconds from its sending."""
+    """Send a read that waits in the backlog for `seconds`; returns the reply and seconds since sending."""
     idle_clients = await fill_all_connections(made)
     client = await made.client()
     sent = trio.current_time()
@@ -68,7 +68,7 @@
     async def scene():
         async with fleet(tmp_path, sockets=64) as made:
             answer, _ = await get_from_backlog(made, wait_ms=4000, seconds=0.3)
-            assert answer in (b"$5\r\nof k1\r\n", BUSY)  # the places beyond the limit only reject
+            assert answer in (b"$5\r\nof k1\r\n", BUSY)  # BUSY on connections over the limit
 
     run(scene)
 
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("in_pieces", [False, True], ids=["two requests", "a request in pieces"])
 @pytest.mark.parametrize("wait_ms", [100, 1100])
 def test_first_request_of_a_connection_in_the_backlog_is_not_answered_late(tmp_path, wait_ms, in_pieces):
-    """The system tells when the last bytes came alone, here a second behind the first ones."""
+    """The kernel reports only when the last bytes arrived, here a second after the first ones."""
 
     async def scene():
         async with fleet(tmp_path, [Cache("stall")], sockets=64) as made:
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("in_pieces", [False, True], ids=["two requests", "a request in pieces"])
 def test_first_request_received_during_a_loop_stall_is_not_started_after_its_deadline(tmp_path, in_pieces):
-    """No limit is in the way here: the connections wait for the loop alone."""
+    """No limit is reached here: the connections wait only for the stalled event loop."""
 
     def send_slowly(port: int) -> None:
         labels = b"c=once,t=acme,d=300"
@@ -153,7 +153,7 @@
             await trio.sleep(0.2)
             client = threading.Thread(target=send_slowly, args=(made.port,))
             client.start()
-            time.sleep(0.5)  # the router's loop is this test's
+            time.sleep(0.5)  # stalls the router, which runs in this test's event loop
             await trio.to_thread.run_sync(client.join)
             ran = [command[2] for cache in made.caches for command in cache.commands]
             assert b"first" not in ran
--- a/tests/test_shutdown_answers.py
+++ b/tests/test_shutdown_answers.py
@@ -1,11 +1,11 @@
-"""Requests that were read are answered, however late the router gets to its end.
-
-Of 700 pipelined requests 448 were answered on a machine under load, and the log had "client connection
-failed" with `ValueError: file descriptor cannot be a negative integer (-1)` from `sockets.hung_up`. The last
-part of the shutdown gave up 32 requests of a connection at a time, with a pass of the loop between; a router
-that got no processor time for a while was past its end after the first of them, and closed the connection
-over the rest. The task that was to go on with them ran after that, and asked the closed socket for its
-client.
+"""Every request that was read is answered, even if the router is past its shutdown deadline.
+
+Guards against a failure on a machine under load: of 700 pipelined requests 448 were answered, and the log
+had "client connection failed" with `ValueError: file descriptor cannot be a negative integer (-1)` from
+`sockets.hung_up`. The last part of the shutdown gave up, and so answered, 32 requests of a connection at a
+time, with a pass of the event loop in between. A router without CPU time for a while was past its deadline
+after the first 32 and closed the connection with the rest unanswered. The task that was to resume the
+connection ran after that and called `hung_up` on the closed socket.
 """
 
 import os
@@ -24,8 +24,8 @@
 from tests.helper import Cache, Client, fleet
 
 ANSWERS = (b"-ERR failed", b"-BUSY")
-SMALL_BUFFER_BYTES = 4096  # bytes
-LONG_VALUE_BYTES = 60_000  # bytes of a value of which most does not fit the buffers
+SMALL_BUFFER_BYTES = 4096
+LONG_VALUE_BYTES = 60_000  # most of such a value does not fit into the buffers
 
 
 def pipelined_writes(count: int) -> bytes:
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def errors():
-    """What is logged as an error."""
+    """The messages that are logged as errors."""
     found = []
     handler = logger.add(lambda message: found.append(str(message)), level="ERROR")
     yield found
@@ -51,7 +51,7 @@
 
 @pytest.fixture
 def stall_past_shutdown_deadline(monkeypatch):
-    """The loop gets no time between the last look at the clock and the router's end."""
+    """Stall the loop between the last check of the clock and the router's shutdown deadline."""
     stop = GracefulShutdown._stop_accepting
 
     async def stalled(shutdown, accepting):
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("count", [MAX_PIPELINED_REQUESTS, 2 * MAX_PIPELINED_REQUESTS])
 def test_last_reply_of_a_full_pipeline_closes_the_connection_without_an_error(tmp_path, errors, count):
-    """The reply ends the connection in its own step, and the task that reads it was woken by that reply."""
+    """The last reply closes the connection in the same step in which it wakes the task that reads it."""
 
     async def scene():
         async with fleet(tmp_path, origin=lambda *call: "stall") as made:
@@ -106,7 +106,7 @@
 
 @pytest.fixture
 def killed_before_last_shutdown_step(monkeypatch):
-    """The platform kills the router at the earliest moment that it may: it does not come to its last step."""
+    """The platform kills the router at the earliest permitted time, before its last shutdown step."""
     monkeypatch.setattr(GracefulShutdown, "_forget_connections", lambda shutdown: None)
 
 
@@ -141,7 +141,7 @@
 
 
 def test_calls_on_a_locally_closed_socket():
-    """Each may come from a task or timer that was scheduled before the close."""
+    """A task or timer that was scheduled before the close may make any of these calls after it."""
 
     async def scene():
         sock = sockets.tcp(("127.0.0.1", 1))
