--- a/gaugehinge/net/discovery.py
+++ b/gaugehinge/net/discovery.py
@@ -66,7 +66,7 @@
         self._older_full_list_seen = False  # since the last list that was taken over
         self._schedule = DiscoverySchedule(seed, local_agent)
         self._drain_grace = drain_grace
-        self._names_servers = version is not None  # whether the list that is followed does
+        self._list_has_servers = version is not None  # whether the list that is followed does
         self._empty_list_timer: Timer | None = None  # when a list that names nobody is believed
         self._watch_scope: trio.CancelScope | None = None
 
@@ -79,7 +79,7 @@
         The former watch ends now: a list that it still brought would undo what the new one tells.
         """
         self.address, self.moved = address, True
-        self._drop_doubtful_list()
+        self._discard_unconfirmed_list()
         if self.local_agent:
             self.version = None
         self._schedule.on_discovery_moved()
@@ -155,7 +155,7 @@
                 watch.close()
                 await trio.sleep(self._schedule.reconnect_delay())
                 continue
-            if self._is_doubtful(update):
+            if self._is_unconfirmed_empty_list(update):
                 await trio.sleep(self._schedule.empty_list_recheck_delay())
                 continue
             self._accept(update)
@@ -170,7 +170,7 @@
             self._schedule.postpone_full_poll(now)  # should this poll fail
             return await watch.poll(ENDPOINTS_PATH, timing.grace)
         wait = timing.wait
-        if not self._names_servers:
+        if not self._list_has_servers:
             wait = min(wait, max(self._schedule.full_poll_at - now, MIN_POLL_INTERVAL))
         target = f"{ENDPOINTS_PATH}?index={self.version}&wait={int(wait * 1000)}"
         return await watch.poll(target, wait + timing.grace)
@@ -182,12 +182,12 @@
         elif isinstance(error, PollTimeoutError) and self.moved:
             self.version = None  # a service with another count may wait for a version that is far away
 
-    def _is_doubtful(self, update: EndpointListUpdate) -> bool:
+    def _is_unconfirmed_empty_list(self, update: EndpointListUpdate) -> bool:
         """Whether a list names nobody, and the one before is still used while the whole list is polled again.
 
         Believed at once, an empty answer of one moment stood until the version of the list changed.
         """
-        if not update.complete or _names_servers(update) or not self._names_servers:
+        if not update.complete or _has_servers(update) or not self._list_has_servers:
             return False
         hold = self._schedule.empty_list_hold(self._drain_grace)
         if hold <= 0.0:
@@ -196,23 +196,23 @@
             logger.warning(
                 "discovery lists no server at version {}: asked again for {:.2f} s", update.rev, hold
             )
-            believed_at = self.timers.clock() + hold
-            self._empty_list_timer = self.timers.call_at(believed_at, self._accept, update)
+            accept_at = self.timers.clock() + hold
+            self._empty_list_timer = self.timers.call_at(accept_at, self._accept, update)
         self.version = None
         return True
 
-    def _drop_doubtful_list(self) -> None:
+    def _discard_unconfirmed_list(self) -> None:
         if self._empty_list_timer is not None:
             self.timers.cancel(self._empty_list_timer)
             self._empty_list_timer = None
 
     def _accept(self, update: EndpointListUpdate) -> None:
         """Take a list over and pass it on."""
-        self._drop_doubtful_list()
-        named_servers = self._names_servers
-        self._names_servers = _names_servers(update) or (named_servers and not update.complete)
-        if update.complete and not self._names_servers:
-            if named_servers or self.newest_version is None:
+        self._discard_unconfirmed_list()
+        had_servers = self._list_has_servers
+        self._list_has_servers = _has_servers(update) or (had_servers and not update.complete)
+        if update.complete and not self._list_has_servers:
+            if had_servers or self.newest_version is None:
                 logger.warning("discovery lists no server at version {}: none is used", update.rev)
             self._schedule.schedule_empty_list_recheck(self.timers.clock())
         elif update.complete:
@@ -243,6 +243,6 @@
         return self._older_full_list_seen and not self.moved
 
 
-def _names_servers(update: EndpointListUpdate) -> bool:
+def _has_servers(update: EndpointListUpdate) -> bool:
     """Whether a list names a server that has not gone."""
     return any(target.address is not None for target in update.targets)
--- a/gaugehinge/net/discovery_schedule.py
+++ b/gaugehinge/net/discovery_schedule.py
@@ -49,7 +49,7 @@
 MIN_POLL_INTERVAL = 0.05  # between polls that are answered at once; discovery keeps a watch for 0.2 s
 
 MAX_DOUBLINGS = 8  # more make no difference to a delay that has a limit
-RANDOM_RANGE = 1 << 32  # of crc32
+CRC32_RANGE = 1 << 32  # of crc32
 
 
 class PollTiming(NamedTuple):
@@ -76,7 +76,7 @@
 
     def subsequent(self) -> PollTiming:
         """The times of the poll after one that was answered."""
-        return PollTiming(LONG_POLL_WAIT - LONG_POLL_JITTER * self._random(), RESPONSE_GRACE)
+        return PollTiming(LONG_POLL_WAIT - LONG_POLL_JITTER * self._random_fraction(), RESPONSE_GRACE)
 
     def after_failure(self) -> PollTiming:
         """The times of the first poll after one that failed."""
@@ -84,7 +84,7 @@
 
     def reconnect_delay(self) -> float:
         """How long to pause before a watch that timed out reconnects."""
-        return RECONNECT_JITTER * self._random()
+        return RECONNECT_JITTER * self._random_fraction()
 
     def agent_retry_delay(self) -> float:
         """How long to pause after a failed poll of an agent on this machine."""
@@ -96,16 +96,16 @@
 
     def postpone_full_poll(self, now: float) -> None:
         """Poll the whole list some time from now."""
-        part = zlib.crc32(b"%d whole" % self._seed) / RANDOM_RANGE
-        self.full_poll_at = now + FULL_POLL_DELAY + FULL_POLL_JITTER * part
+        fraction = zlib.crc32(b"%d whole" % self._seed) / CRC32_RANGE
+        self.full_poll_at = now + FULL_POLL_DELAY + FULL_POLL_JITTER * fraction
 
     def empty_list_recheck_delay(self) -> float:
         """How long to pause after a whole list that named nobody before it is polled again."""
         self._empty_lists += 1
         if self._empty_lists == 1:
             return MIN_POLL_INTERVAL
-        doubled = EMPTY_LIST_RECHECK_DELAY * 2.0 ** min(self._empty_lists - 2, MAX_DOUBLINGS)
-        return min(doubled, MAX_EMPTY_LIST_RECHECK_DELAY) + self.reconnect_delay()
+        delay = EMPTY_LIST_RECHECK_DELAY * 2.0 ** min(self._empty_lists - 2, MAX_DOUBLINGS)
+        return min(delay, MAX_EMPTY_LIST_RECHECK_DELAY) + self.reconnect_delay()
 
     def schedule_empty_list_recheck(self, now: float) -> None:
         """Poll the whole list again, since the last one, which is believed now, named nobody."""
@@ -124,7 +124,7 @@
         self.full_poll_at = inf
         self._empty_lists = 0
 
-    def _random(self) -> float:
+    def _random_fraction(self) -> float:
         """From 0 up to 1."""
         self._draws += 1
-        return zlib.crc32(b"%d watch %d" % (self._seed, self._draws)) / RANDOM_RANGE
+        return zlib.crc32(b"%d watch %d" % (self._seed, self._draws)) / CRC32_RANGE
--- a/gaugehinge/net/endpoint_list.py
+++ b/gaugehinge/net/endpoint_list.py
@@ -12,7 +12,7 @@
 from .configuration import Address, address
 
 ENDPOINT_STATES = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
-MILLISECONDS = 1000.0  # a second
+MILLISECONDS_PER_SECOND = 1000.0  # a second
 NO_CELL = -1  # the least number of a `pod_group`
 
 
@@ -50,16 +50,16 @@
     # A state that is not known may mean anything: nothing new is sent there.
     state = ENDPOINT_STATES.get(reader.text("state", "ready"), EndpointState.DRAINING)
     gone = state is EndpointState.GONE
-    where = None if gone else address(reader.text("endpoint"), f"{reader.path}.endpoint")
+    target_address = None if gone else address(reader.text("endpoint"), f"{reader.path}.endpoint")
     # The hash ring must be the same at all routers: only the `uid` is.
     uid = reader.text("uid")
-    ident = xxh64_intdigest(uid.encode())
-    started = reader.number("boot_ms", 0) / MILLISECONDS
+    endpoint_id = xxh64_intdigest(uid.encode())
+    started = reader.number("boot_ms", 0) / MILLISECONDS_PER_SECOND
     cell = int(reader.number("pod_group", 0, minimum=NO_CELL))
     weight = _read_weight(reader)
     zone, kind = reader.text("az", ""), reader.text("model", "")
-    entry = EndpointEntry(ident, zone, kind, cell, state, started, weight)
-    return EndpointTarget(entry, uid, where)
+    entry = EndpointEntry(endpoint_id, zone, kind, cell, state, started, weight)
+    return EndpointTarget(entry, uid, target_address)
 
 
 def _read_weight(reader: SettingsReader) -> float:
--- a/gaugehinge/net/gossip.py
+++ b/gaugehinge/net/gossip.py
@@ -37,13 +37,13 @@
             self.sock.bind(listen)
         except OSError as error:
             self.sock.close()
-            where = f"{listen[0]}:{listen[1]} (peers)"
-            raise OSError(error.errno, f"{where}: {error.strerror}") from error
+            listen_name = f"{listen[0]}:{listen[1]} (peers)"
+            raise OSError(error.errno, f"{listen_name}: {error.strerror}") from error
 
     def set_peers(self, peers: tuple[Address, ...]) -> None:
         """The addresses of all peers; a peer's number is its place among them."""
         self.addresses = peers
-        self.numbers = {address: number for number, address in enumerate(peers)}
+        self.peer_numbers = {address: number for number, address in enumerate(peers)}
 
     def send(self, numbers: tuple[int, ...], payload: bytes) -> None:
         """Send a message to the peers of these numbers. It may be lost."""
@@ -69,7 +69,7 @@
             except OSError:  # the refusal of an earlier datagram is reported here
                 await trio.sleep(ERROR_PAUSE)
                 continue
-            number = self.numbers.get(sender[:2])
+            number = self.peer_numbers.get(sender[:2])
             if number is None or len(message) > MAX_MESSAGE_BYTES or not message.startswith(self.stamp):
                 continue
             try:
