--- a/tests/test_copied_lists.py
+++ b/tests/test_copied_lists.py
@@ -21,14 +21,14 @@
 NEWEST = 3
 PAUSE = 0.02  # seconds between calls of the control plane
 GAP = 0.05  # seconds, over which the network holds up what follows a cut
-LEFTS = [1, 6, 14]
+REMAINING_BYTES = [1, 6, 14]
 
 
 def http(body: bytes) -> bytes:
     return b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-class Heard(NamedTuple):
+class ReceivedState(NamedTuple):
     rev: int
     state: str
     at: float
@@ -63,48 +63,50 @@
                     return
                 buffer += data
             head, _, buffer = buffer.partition(b"\r\n\r\n")
-            asked = re.search(rb"index=(\d+)&wait=(\d+)", head)
-            index, wait = (int(asked[1]), int(asked[2]) / 1000) if asked else (None, 0.0)
+            query = re.search(rb"index=(\d+)&wait=(\d+)", head)
+            index, wait = (int(query[1]), int(query[2]) / 1000) if query else (None, 0.0)
             if self.tamper == "older" and index == self.at_version and not self.tampered_at:
                 self.tampered_at = trio.current_time()
                 await stream.send_all(self.sent[0])
             with trio.move_on_after(wait):
                 while index == self.version:
                     await trio.sleep(0.01)
-            own = http(self.body(index))
-            self.sent.append(own)
+            response = http(self.body(index))
+            self.sent.append(response)
             if self.version == self.at_version and self.tamper != "older" and not self.tampered_at:
                 self.tampered_at = trio.current_time()
-                for part in self.tamper(own, http(self.body(None)) if len(self.sent) == 1 else self.sent[0]):
+                for part in self.tamper(
+                    response, http(self.body(None)) if len(self.sent) == 1 else self.sent[0]
+                ):
                     await stream.send_all(part)
                     await trio.sleep(GAP)
             else:
-                await stream.send_all(own)
+                await stream.send_all(response)
 
 
-def within(left: int, together: bool, own: bytes, copy: bytes) -> list[bytes]:
+def copy_within(remaining: int, together: bool, response: bytes, copy: bytes) -> list[bytes]:
     """A copy within the last bytes; the network cuts where it has filled the response."""
-    first, rest = own[:-left] + copy[:left], copy[left:] + own[-left:]
+    first, rest = response[:-remaining] + copy[:remaining], copy[remaining:] + response[-remaining:]
     return [first + rest] if together else [first, rest]
 
 
-def cut(left: int, own: bytes, copy: bytes) -> list[bytes]:
+def cut(remaining: int, response: bytes, copy: bytes) -> list[bytes]:
     """Nothing follows a cut list."""
-    return [own[:-left]]
+    return [response[:-remaining]]
 
 
-def cut_and_copy(left: int, own: bytes, copy: bytes) -> list[bytes]:
+def cut_and_copy(remaining: int, response: bytes, copy: bytes) -> list[bytes]:
     """A whole copy follows a cut list."""
-    return [own[:-left], copy]
+    return [response[:-remaining], copy]
 
 
-async def follow(discovery: Discovery, local_agent: bool = False) -> list[Heard]:
+async def follow(discovery: Discovery, local_agent: bool = False) -> list[ReceivedState]:
     """What a client hears until the newest version, and for three seconds after that."""
-    heard: list[Heard] = []
+    received: list[ReceivedState] = []
 
     def on_update(update) -> None:
         for target in update.targets:
-            heard.append(Heard(update.rev, target.entry.state.name, trio.current_time()))
+            received.append(ReceivedState(update.rev, target.entry.state.name, trio.current_time()))
 
     async with trio.open_nursery() as nursery:
         timers = TimerQueue(trio.current_time)
@@ -125,63 +127,63 @@
         with trio.move_on_after(20):
             while True:
                 await trio.sleep(0.3)
-                if heard and heard[-1].rev == discovery.version:
+                if received and received[-1].rev == discovery.version:
                     if discovery.version == NEWEST:
                         break
                     discovery.version += 1
             await trio.sleep(3.0)
         nursery.cancel_scope.cancel()
-    return heard
+    return received
 
 
 async def follow_all(cases, local_agent: bool = False):
-    found = {}
+    results = {}
 
     async def one(name, tamper, at_version):
         discovery = Discovery(tamper, at_version)
-        found[name] = (await follow(discovery, local_agent), discovery)
+        results[name] = (await follow(discovery, local_agent), discovery)
 
     async with trio.open_nursery() as nursery:
         for name, tamper, at_version in cases:
             nursery.start_soon(one, name, tamper, at_version)
-    return found
+    return results
 
 
 CASES = [
-    (f"{kind} {left} at {version}", tamper, version)
-    for left in LEFTS
+    (f"{kind} {remaining} at {version}", tamper, version)
+    for remaining in REMAINING_BYTES
     for version in (1, 2, 3)
     for kind, tamper in (
-        ("apart", partial(within, left, False)),
-        ("together", partial(within, left, True)),
-        ("cut", partial(cut, left)),
-        ("cut and copy", partial(cut_and_copy, left)),
+        ("apart", partial(copy_within, remaining, False)),
+        ("together", partial(copy_within, remaining, True)),
+        ("cut", partial(cut, remaining)),
+        ("cut and copy", partial(cut_and_copy, remaining)),
     )
 ]
 
 
-def states_ok(heard) -> bool:
-    return all(each.state == ("UP" if each.rev % 2 else "DRAINING") for each in heard)
+def states_ok(received) -> bool:
+    return all(each.state == ("UP" if each.rev % 2 else "DRAINING") for each in received)
 
 
 @pytest.mark.parametrize("local_agent", [False, True], ids=["service", "agent"])
-def test_a_list_that_ends_in_a_copy_or_is_cut_there_hides_no_change(local_agent):
-    found = trio.run(follow_all, CASES, local_agent)
-    for name, (heard, discovery) in found.items():
-        versions = [each.rev for each in heard]
-        after = [each.at - discovery.tampered_at for each in heard if each.rev >= discovery.at_version]
+def test_a_list_with_a_copy_in_its_last_bytes_or_cut_short_hides_no_change(local_agent):
+    results = trio.run(follow_all, CASES, local_agent)
+    for name, (received, discovery) in results.items():
+        versions = [each.rev for each in received]
+        after = [each.at - discovery.tampered_at for each in received if each.rev >= discovery.at_version]
         assert discovery.tampered_at, name
         assert versions == sorted(versions) and versions[-1] == NEWEST, name
-        assert states_ok(heard), name
+        assert states_ok(received), name
         assert min(after) < 6.0, name
 
 
 @pytest.mark.parametrize("local_agent", [False, True], ids=["service", "agent"])
-def test_a_late_copy_of_an_older_list_undoes_no_change(local_agent):
+def test_a_late_copy_of_an_older_list_reverts_no_change(local_agent):
     """The copy of the first list answers a poll by the second or the third version."""
-    found = trio.run(follow_all, [("at 2", "older", 2), ("at 3", "older", 3)], local_agent)
-    for name, (heard, discovery) in found.items():
-        versions = [each.rev for each in heard]
+    results = trio.run(follow_all, [("at 2", "older", 2), ("at 3", "older", 3)], local_agent)
+    for name, (received, discovery) in results.items():
+        versions = [each.rev for each in received]
         assert discovery.tampered_at, name
         assert versions == sorted(versions) and versions[-1] == NEWEST, name
 
@@ -224,10 +226,10 @@
             with trio.move_on_after(report.max_wait):
                 while report.known_revision == self.revision:
                     await trio.sleep(0.01)
-            own = http(self.feed(report.known_revision))
-            self.sent.append(own)
+            response = http(self.feed(report.known_revision))
+            self.sent.append(response)
             second = len(self.sent) == 2
-            await stream.send_all(own + self.sent[0] if second and self.place == "behind" else own)
+            await stream.send_all(response + self.sent[0] if second and self.place == "behind" else response)
             if second and self.place == "idle":
                 await trio.sleep(0.005)
                 await stream.send_all(self.sent[0])
@@ -258,7 +260,7 @@
 
 
 @pytest.mark.parametrize("place", ["none", "behind", "idle", "next"])
-def test_a_copy_of_the_whole_feed_brings_no_tenant_back(place):
+def test_a_copy_of_the_whole_feed_restores_no_removed_tenant(place):
     """The tenant is gone by the second answer; the first one comes once more behind that."""
     held = trio.run(follow_feeds, place)
     assert held[1:] == [(6, [1])] * 7
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,7 @@
 import trio
 import trio.testing
 
-from gaugehinge.net import discovery as module
+from gaugehinge.net import discovery as discovery_module
 from gaugehinge.net import discovery_schedule
 from gaugehinge.net.discovery import DiscoveryClient
 from gaugehinge.net.discovery_schedule import AGENT_RETRY_DELAY, MAX_RECONNECTS
@@ -20,23 +20,23 @@
 from gaugehinge.settings import read_settings
 from tests.helper import SETTINGS, fleet
 
-TOLD_AFTER, TOLD_BEHIND_WAIT = 6.0, 2.0  # the operators' clock for silence
+NOTIFIED_AFTER, NOTIFIED_AFTER_WAIT = 6.0, 2.0  # the operators' clock for silence
 
 
-class Service:
+class FakeDiscovery:
     """A played discovery: the whole list has version `rev`; `silent(at)` says whether a call that comes then
     (or stands open then) ever gets an answer, `refused(at)` whether it fails at once."""
 
     def __init__(self, clock) -> None:
         self.clock = clock
-        self.rev, self.news = 1, trio.Event()
+        self.rev, self.changed = 1, trio.Event()
         self.calls: list[tuple[float, float]] = []  # when, and the wait that was asked for
         self.silent_from, self.silent_calls, self.refused = float("inf"), 0, False
 
-    def tell(self) -> None:
+    def change(self) -> None:
         self.rev += 1
-        self.news.set()
-        self.news = trio.Event()
+        self.changed.set()
+        self.changed = trio.Event()
 
     async def poll(self, target: str, time_limit: float) -> EndpointListUpdate:
         wait = float(target.rpartition("wait=")[2]) / 1000 if "wait=" in target else 0.0
@@ -44,13 +44,13 @@
         self.calls.append((self.clock(), wait))
         if self.refused:
             raise PollError
-        mute = self.silent_calls > 0 and self.clock() >= self.silent_from
-        if not mute:
+        silent = self.silent_calls > 0 and self.clock() >= self.silent_from
+        if not silent:
             with trio.move_on_after(min(wait, max(self.silent_from - self.clock(), 0.0))) as limit:
                 while self.rev == since:
-                    await self.news.wait()
-            mute = limit.cancelled_caught and self.clock() >= self.silent_from and self.silent_calls > 0
-        if mute:
+                    await self.changed.wait()
+            silent = limit.cancelled_caught and self.clock() >= self.silent_from and self.silent_calls > 0
+        if silent:
             self.silent_calls -= 1
             await trio.sleep_until(self.calls[-1][0] + time_limit)
             raise PollTimeoutError
@@ -60,110 +60,110 @@
         pass
 
 
-def play(scene, monkeypatch, seed: int = 1, near: bool = False):
+def run_scenario(scenario, monkeypatch, seed: int = 1, local_agent: bool = False):
     """A discovery that heard its first list, before a played service, on a clock that jumps."""
 
     async def main():
-        service = Service(trio.current_time)
-        monkeypatch.setattr(module, "Watch", lambda where, timers: service)
-        heard, failed = [], []
+        service = FakeDiscovery(trio.current_time)
+        monkeypatch.setattr(discovery_module, "Watch", lambda where, timers: service)
+        received, failures = [], []
         async with trio.open_nursery() as nursery:
-            made = DiscoveryClient(
+            client = DiscoveryClient(
                 nursery,
                 TimerQueue(trio.current_time),
                 ("127.0.0.1", 1),
                 0,
-                lambda update: heard.append((trio.current_time(), update.rev)),
-                lambda: failed.append(trio.current_time()),
+                lambda update: received.append((trio.current_time(), update.rev)),
+                lambda: failures.append(trio.current_time()),
                 seed,
-                near,
+                local_agent,
             )
-            made.start_watch()
-            await scene(service, heard, failed)
+            client.start_watch()
+            await scenario(service, received, failures)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 @pytest.mark.parametrize("times", [1, 2])
-def test_news_behind_a_silence_arrives_before_it_counts_as_told(monkeypatch, times):
+def test_a_change_missed_during_a_silence_arrives_before_it_counts_as_notified(monkeypatch, times):
     for seed in range(40):
 
-        async def scene(service, heard, failed, seed=seed):
+        async def scenario(service, received, failures, seed=seed):
             await trio.sleep(5.0 + seed * 0.13)
             last, wait = service.calls[-1]
             # Falls silent now, with its next call, or amid this one: news of then is missed.
-            service.silent_from = began = [trio.current_time(), last + wait][seed % 2]
+            service.silent_from = silent_from = [trio.current_time(), last + wait][seed % 2]
             service.silent_calls = times
-            await trio.sleep_until(began + 0.001)
-            service.tell()
-            told = max(began + TOLD_AFTER, sum(service.calls[-1]) + TOLD_BEHIND_WAIT)
+            await trio.sleep_until(silent_from + 0.001)
+            service.change()
+            deadline = max(silent_from + NOTIFIED_AFTER, sum(service.calls[-1]) + NOTIFIED_AFTER_WAIT)
             await trio.sleep(12.0)
-            arrived = next(at for at, rev in heard if rev == service.rev)
-            assert arrived < told - 0.5, (seed, arrived - began)
-            assert not failed
+            arrived = next(at for at, rev in received if rev == service.rev)
+            assert arrived < deadline - 0.5, (seed, arrived - silent_from)
+            assert not failures
 
-        play(scene, monkeypatch, seed)
+        run_scenario(scenario, monkeypatch, seed)
 
 
-def test_many_that_fall_silent_in_one_instant_do_not_come_back_in_one(monkeypatch):
-    back = []
+def test_many_watches_that_time_out_together_do_not_reconnect_together(monkeypatch):
+    reconnects = []
     for seed in range(200):
 
-        async def scene(service, heard, failed):
+        async def scenario(service, received, failures):
             await trio.sleep(1.0)
-            service.tell()  # wakes all of a fleet: from here on their calls go out together
+            service.change()  # wakes all of a fleet: from here on their calls go out together
             service.silent_from, service.silent_calls = trio.current_time() + 0.1, 1
             before = len(service.calls) + 1
             await trio.sleep(8.0)
-            back.append(service.calls[before][0])
+            reconnects.append(service.calls[before][0])
 
-        play(scene, monkeypatch, seed)
-    most = max(sum(at <= each < at + 0.05 for each in back) for at in back)
+        run_scenario(scenario, monkeypatch, seed)
+    most = max(sum(at <= each < at + 0.05 for each in reconnects) for at in reconnects)
     assert most <= 60  # of 200, in any 50 ms
-    assert max(back) - min(back) > 0.4
+    assert max(reconnects) - min(reconnects) > 0.4
 
 
-def test_a_refusal_and_too_many_silences_are_left_to_the_module(monkeypatch):
-    async def refused(service, heard, failed):
+def test_a_refusal_and_too_many_timeouts_are_left_to_the_decision_module(monkeypatch):
+    async def refused(service, received, failures):
         await trio.sleep(1.0)
         service.refused = True
         await trio.sleep(30.0)
-        assert len(failed) == 1
-        assert service.calls[-1][0] <= failed[0]
+        assert len(failures) == 1
+        assert service.calls[-1][0] <= failures[0]
 
-    async def silent(service, heard, failed):
+    async def silent(service, received, failures):
         await trio.sleep(1.0)
         service.silent_from, service.silent_calls = trio.current_time(), 10**6
         before = len(service.calls)
         await trio.sleep(60.0)
-        assert len(failed) == 1
+        assert len(failures) == 1
         assert len(service.calls) <= before + 1 + MAX_RECONNECTS
 
-    play(refused, monkeypatch)
-    play(silent, monkeypatch)
+    run_scenario(refused, monkeypatch)
+    run_scenario(silent, monkeypatch)
 
 
-def test_an_agent_at_hand_is_asked_again_at_once_after_an_outage(monkeypatch):
-    async def scene(service, heard, failed):
+def test_a_local_agent_is_polled_again_at_once_after_an_outage(monkeypatch):
+    async def scenario(service, received, failures):
         await trio.sleep(1.0)
         service.refused = True
         await trio.sleep(20.0)
-        service.tell()
-        service.refused, back = False, trio.current_time()
+        service.change()
+        service.refused, available_at = False, trio.current_time()
         await trio.sleep(1.0)
-        arrived = next(at for at, rev in heard if rev == service.rev)
-        assert arrived <= back + AGENT_RETRY_DELAY
-        assert not failed
+        arrived = next(at for at, rev in received if rev == service.rev)
+        assert arrived <= available_at + AGENT_RETRY_DELAY
+        assert not failures
 
-    play(scene, monkeypatch, near=True)
+    run_scenario(scenario, monkeypatch, local_agent=True)
 
 
-def test_a_silence_on_sockets_at_connect_after_the_request_and_amid_the_body(tmp_path, monkeypatch):
+def test_discovery_on_sockets_silent_at_connect_after_the_request_and_within_the_body(tmp_path, monkeypatch):
     """Each call of a kind is silent in its way once, then the list comes, indented and in pieces."""
     monkeypatch.setattr(discovery_schedule, "INITIAL_GRACE", 0.3)
     monkeypatch.setattr(discovery_schedule, "RECONNECT_GRACE", 0.3)
-    told = {
+    endpoint_list = {
         "rev": 5,
         "all": True,
         "targets": [
@@ -179,7 +179,7 @@
             }
         ],
     }
-    body = json.dumps(told, indent=4).encode()
+    body = json.dumps(endpoint_list, indent=4).encode()
     calls = []
 
     async def silent_at_first(stream) -> None:
@@ -197,40 +197,40 @@
         await trio.sleep_forever()
 
     async def main():
-        heard, failed = [], []
+        received, failures = [], []
         async with trio.open_nursery() as nursery:
             timers = TimerQueue(trio.current_time)
             nursery.start_soon(timers.run)
             [listener] = await nursery.start(partial(trio.serve_tcp, silent_at_first, 0, host="127.0.0.1"))
-            made = DiscoveryClient(
+            client = DiscoveryClient(
                 nursery,
                 timers,
                 listener.socket.getsockname(),
                 1,
-                heard.append,
-                lambda: (failed.append(1), made.start_watch()),
+                received.append,
+                lambda: (failures.append(1), client.start_watch()),
             )
-            made.start_watch()
+            client.start_watch()
             with trio.fail_after(60):
-                while not heard:
+                while not received:
                     await trio.sleep(0.01)
-            assert len(failed) == 1  # after as many silences in a row as are not the module's matter
-            assert heard[0].rev == 5
-            assert heard[0].targets[0].uid == "s-9"
+            assert len(failures) == 1  # after as many silences in a row as are not the module's matter
+            assert received[0].rev == 5
+            assert received[0].targets[0].uid == "s-9"
             assert len(calls) == 4
             nursery.cancel_scope.cancel()
 
     trio.run(main)
 
 
-def test_where_lists_are_pushed_a_new_router_first_asks_the_agent(tmp_path):
-    told = {**SETTINGS, "discovery": "pushed"}
-    assert read_settings(1, told).endpoints_pushed
+def test_where_lists_are_pushed_a_new_router_polls_the_agent_first(tmp_path):
+    settings = {**SETTINGS, "discovery": "pushed"}
+    assert read_settings(1, settings).endpoints_pushed
     assert not read_settings(1, SETTINGS).endpoints_pushed
-    asked = []
+    targets = []
 
     def agent(method, target, headers, body):
-        asked.append(target)
+        targets.append(target)
         if "index" in target:
             return "stall"
         entry = {
@@ -246,31 +246,31 @@
         return 200, "", json.dumps({"rev": 9, "all": True, "targets": [entry]}).encode()
 
     async def main():
-        async with fleet(tmp_path, discovery=agent, settings=told) as made:
-            client = await made.client()
-            answer = await client.get()
-            while made.service.lifecycle.phase is not Phase.READY:
+        async with fleet(tmp_path, discovery=agent, settings=settings) as running:
+            client = await running.client()
+            reply = await client.get()
+            while running.service.lifecycle.phase is not Phase.READY:
                 await trio.sleep(0.01)
             # The list kept from before has it ready: by that one, the drain would have been broken.
-            assert answer.startswith(b"-BUSY")
-            assert not made.caches[0].commands
+            assert reply.startswith(b"-BUSY")
+            assert not running.caches[0].commands
             assert (await client.get("k2", "j2")).startswith(b"-BUSY")
-            assert not made.caches[0].commands
-            assert asked[0] == "/discovery/hosts"
+            assert not running.caches[0].commands
+            assert targets[0] == "/discovery/hosts"
 
     trio.run(main)
 
 
-def test_without_a_word_of_the_agent_the_list_kept_before_serves(tmp_path, monkeypatch):
+def test_without_an_answer_of_the_agent_the_cached_list_is_used(tmp_path, monkeypatch):
     from gaugehinge.net import startup
 
     monkeypatch.setattr(startup, "START_TIME", 0.2)
 
     async def main():
-        async with fleet(tmp_path, settings={**SETTINGS, "discovery": "pushed"}) as made:
-            client = await made.client()
+        async with fleet(tmp_path, settings={**SETTINGS, "discovery": "pushed"}) as running:
+            client = await running.client()
             assert (await client.get()).startswith(b"-BUSY")
-            while made.service.lifecycle.phase is not Phase.READY:
+            while running.service.lifecycle.phase is not Phase.READY:
                 await trio.sleep(0.01)
             assert (await client.get("k2", "j2")).startswith(b"$")
 
--- a/tests/test_empty_lists.py
+++ b/tests/test_empty_lists.py
@@ -12,7 +12,7 @@
 import trio.testing
 from loguru import logger
 
-from gaugehinge.net import discovery as module
+from gaugehinge.net import discovery as discovery_module
 from gaugehinge.net.discovery import DiscoveryClient
 from gaugehinge.net.endpoint_list import EndpointListUpdate, EndpointTarget
 from gaugehinge.net.timer_queue import TimerQueue
@@ -20,12 +20,12 @@
 from gaugehinge.settings import read_settings
 from tests.helper import SETTINGS, Cache, fleet, row
 
-NOBODY = ()
+NO_SERVERS = ()
 SERVER = (EndpointTarget(row(1), "s-1", ("127.0.0.1", 1)),)
 GONE = (EndpointTarget(row(1, EndpointState.GONE), "s-1", None),)
 
 
-class Service:
+class FakeDiscovery:
     """A played discovery: answers whole lists, and changes only once the version is another one."""
 
     def __init__(self) -> None:
@@ -56,10 +56,10 @@
         pass
 
 
-def play(monkeypatch, grace: float, scene, version: int | None = 6) -> None:
+def run_scenario(monkeypatch, grace: float, scenario, version: int | None = 6) -> None:
     async def main():
-        service, heard = Service(), []
-        monkeypatch.setattr(module, "Watch", lambda where, timers: service)
+        service, received = FakeDiscovery(), []
+        monkeypatch.setattr(discovery_module, "Watch", lambda where, timers: service)
         async with trio.open_nursery() as nursery:
             timers = TimerQueue(trio.current_time)
             nursery.start_soon(timers.run)
@@ -68,114 +68,114 @@
                 timers,
                 ("127.0.0.1", 1),
                 version,
-                lambda update: heard.append((trio.current_time(), update)),
+                lambda update: received.append((trio.current_time(), update)),
                 lambda: None,
                 drain_grace=grace,
             )
             client.start_watch()
-            await scene(service, heard, client)
+            await scenario(service, received, client)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def named(heard) -> list[int]:
+def listed_server_counts(received) -> list[int]:
     """How many servers each list named that was passed on."""
-    return [len(update.targets) for _, update in heard if update.complete]
+    return [len(update.targets) for _, update in received if update.complete]
 
 
-async def fault(service: Service, seconds: float) -> float:
+async def serve_empty_list(service: FakeDiscovery, seconds: float) -> float:
     """A new version, and an empty answer for so long; when it began. The version stays."""
     await trio.sleep(1.0)
-    service.change(NOBODY)
+    service.change(NO_SERVERS)
     began = trio.current_time()
     await trio.sleep(seconds)
     service.targets = SERVER
     return began
 
 
-def test_a_short_fault_within_the_grace_of_drains_is_not_felt(monkeypatch):
-    async def scene(service, heard, client):
-        await fault(service, 0.6)
+def test_an_empty_list_shorter_than_the_drain_grace_has_no_effect(monkeypatch):
+    async def scenario(service, received, client):
+        await serve_empty_list(service, 0.6)
         await trio.sleep(5.0)
-        assert named(heard) == [1, 1]
+        assert listed_server_counts(received) == [1, 1]
 
-    play(monkeypatch, 2.0, scene)
+    run_scenario(monkeypatch, 2.0, scenario)
 
 
 @pytest.mark.parametrize("grace", [0.0, 0.05, 0.25, 1.0])
-def test_a_longer_one_is_believed_within_the_grace_and_over_soon_after(monkeypatch, grace):
-    async def scene(service, heard, client):
-        began = await fault(service, 4.0)
+def test_a_longer_empty_list_is_accepted_within_the_grace_and_replaced_soon_after_it_ends(monkeypatch, grace):
+    async def scenario(service, received, client):
+        began = await serve_empty_list(service, 4.0)
         ended = trio.current_time()
         await trio.sleep(10.0)
-        assert 0 in named(heard) and named(heard)[-1] == 1
-        at = next(at for at, update in heard if not update.targets and update.complete)
+        assert 0 in listed_server_counts(received) and listed_server_counts(received)[-1] == 1
+        at = next(at for at, update in received if not update.targets and update.complete)
         assert at <= began + grace
-        back = next(at for at, update in heard if update.targets and at > ended)
-        assert back - ended < 2.5
+        restored_at = next(at for at, update in received if update.targets and at > ended)
+        assert restored_at - ended < 2.5
 
-    play(monkeypatch, grace, scene)
+    run_scenario(monkeypatch, grace, scenario)
 
 
-def test_an_empty_list_that_stays_is_asked_for_at_a_slow_pace(monkeypatch):
-    async def scene(service, heard, client):
-        await fault(service, 60.0)
+def test_an_empty_list_that_persists_is_polled_at_a_slow_rate(monkeypatch):
+    async def scenario(service, received, client):
+        await serve_empty_list(service, 60.0)
         calls = [at for at in service.whole_calls if at > 31.0]
         assert 10 <= len(calls) <= 15  # in 30 s
 
-    play(monkeypatch, 1.0, scene)
+    run_scenario(monkeypatch, 1.0, scenario)
 
 
-def test_servers_that_are_said_to_be_gone_one_by_one_are_believed_at_once(monkeypatch):
-    async def scene(service, heard, client):
+def test_servers_listed_as_gone_are_accepted_at_once(monkeypatch):
+    async def scenario(service, received, client):
         await trio.sleep(1.0)
 
-        async def told(target, time_limit):
+        async def poll(target, time_limit):
             await trio.sleep(0.05)
             return EndpointListUpdate(9, False, GONE)
 
-        service.poll = told
+        service.poll = poll
         await trio.sleep(3.0)
-        assert any(update.targets == GONE for _, update in heard)
+        assert any(update.targets == GONE for _, update in received)
 
-    play(monkeypatch, 2.0, scene)
+    run_scenario(monkeypatch, 2.0, scenario)
 
 
-def test_a_first_list_that_names_nobody_is_taken_at_once(monkeypatch):
+def test_a_first_list_without_servers_is_accepted_at_once(monkeypatch):
     """There is no list before: the router is ready by it, and rejects."""
 
-    async def scene(service, heard, client):
-        service.targets = NOBODY
+    async def scenario(service, received, client):
+        service.targets = NO_SERVERS
         await trio.sleep(0.1)
-        assert named(heard)[0] == 0
+        assert listed_server_counts(received)[0] == 0
 
-    play(monkeypatch, 2.0, scene, version=None)
+    run_scenario(monkeypatch, 2.0, scenario, version=None)
 
 
-def test_a_list_of_the_former_discovery_that_is_doubted_is_dropped_as_that_moves(monkeypatch):
-    async def scene(service, heard, client):
+def test_an_unconfirmed_list_of_the_former_discovery_is_discarded_when_discovery_moves(monkeypatch):
+    async def scenario(service, received, client):
         await trio.sleep(1.0)
-        service.change(NOBODY)
+        service.change(NO_SERVERS)
         await trio.sleep(2.5)
         client.move(("127.0.0.1", 2))
         await trio.sleep(5.0)
-        assert 0 not in named(heard)
+        assert 0 not in listed_server_counts(received)
 
-    play(monkeypatch, 6.0, scene)
+    run_scenario(monkeypatch, 6.0, scenario)
 
 
-def test_both_are_said_in_the_log(monkeypatch):
-    found = []
-    handler = logger.add(lambda message: found.append(str(message)), level="WARNING")
+def test_holding_and_accepting_an_empty_list_are_logged(monkeypatch):
+    messages = []
+    handler = logger.add(lambda message: messages.append(str(message)), level="WARNING")
 
-    async def scene(service, heard, client):
-        await fault(service, 10.0)
+    async def scenario(service, received, client):
+        await serve_empty_list(service, 10.0)
 
-    play(monkeypatch, 1.0, scene)
+    run_scenario(monkeypatch, 1.0, scenario)
     logger.remove(handler)
-    assert sum("asked again for 0.80 s" in each for each in found) == 1
-    assert sum("none is used" in each for each in found) == 1
+    assert sum("asked again for 0.80 s" in each for each in messages) == 1
+    assert sum("none is used" in each for each in messages) == 1
 
 
 def test_the_grace_is_read_from_the_settings():
@@ -198,18 +198,18 @@
     listed = [b""]
     settings = {**SETTINGS, "rules": {**SETTINGS["rules"], "drainGraceUs": 1_000_000}}
 
-    async def scene():
-        async with fleet(tmp_path, [Cache()], discovery=discovery, settings=settings) as made:
+    async def scenario():
+        async with fleet(tmp_path, [Cache()], discovery=discovery, settings=settings) as running:
             import json
 
-            listed[0] = json.dumps({"rev": 2, "all": True, "targets": made.targets}).encode()
-            client = await made.client()
+            listed[0] = json.dumps({"rev": 2, "all": True, "targets": running.targets}).encode()
+            client = await running.client()
             assert await client.get() == b"$5\r\nof k1\r\n"
             empty_until[0] = trio.current_time() + 0.4
-            made.service.discovery.version = None
+            running.service.discovery.version = None
             end = trio.current_time() + 1.5
             while trio.current_time() < end:
                 assert await client.get() == b"$5\r\nof k1\r\n"
                 await trio.sleep(0.02)
 
-    trio.run(scene)
+    trio.run(scenario)
