--- a/gaugehinge/net/discovery.py
+++ b/gaugehinge/net/discovery.py
@@ -1,7 +1,7 @@
-"""The client of discovery: keeps one watch at a time on the endpoint list and passes updates on.
+"""Discovery client: keeps one watch at a time on the endpoint list and passes updates on.
 
-Its polls' times, with the worst case until a change is known, are in `discovery_schedule`; the HTTP calls are
-in `discovery_watch`.
+The timing of polls, with the worst case until a change is known, is in `discovery_schedule`; the HTTP calls
+are in `discovery_watch`.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 class WatchEnd(NamedTuple):
     """How a series of polls ended."""
 
-    timed_out: bool  # the last poll got no answer; else it failed
+    timed_out: bool  # the last poll got no answer in time; otherwise it failed
     answered: bool  # whether any poll before it was answered
 
 
 class DiscoveryClient:
-    """Follows the endpoint list by one watch at a time."""
+    """Follows the endpoint list with one watch at a time."""
 
     def __init__(
         self,
@@ -47,36 +47,39 @@
         local_agent: bool = False,
         drain_grace: float = 0.0,
     ) -> None:
-        """`version`: of the list that is known already, None to poll the whole list first.
+        """Create a client; `start_watch` starts polling.
 
-        `on_failure` is called when a watch has ended; `start_watch` begins the next one. `local_agent`: the
-        list is pushed to an agent on this machine, which is polled again at once, whatever it answers.
-        `drain_grace`: seconds for which servers that have left the list may still be used.
+        `version` is that of the list that is already known; None polls the whole list first. `on_failure` is
+        called when a watch has ended; `start_watch` begins the next one. `local_agent`: the list is pushed to
+        an agent on this machine, which is polled again at once, whatever it answers. `drain_grace`: seconds
+        for which servers that have left the list may still be used.
         """
         self.nursery = nursery
         self.timers = timers
         self.address = address
-        self.version = version  # from which changes are asked for; None: the whole list is
+        self.version = version  # changes since it are polled; None: the whole list is
         self.on_update = on_update
         self.on_failure = on_failure
         self.local_agent = local_agent
         self.agent_unreachable = False
-        self.moved = False  # to an address that has not answered yet: it may count versions in its own way
-        self.newest_version = version  # of the lists that were taken over
-        self._older_full_list_seen = False  # since the last list that was taken over
+        self.moved = False  # to an address that has not answered yet; its version numbers may be unrelated
+        self.newest_version = version  # of the lists that were accepted
+        self._older_full_list_seen = False  # since the last list that was accepted
         self._schedule = DiscoverySchedule(seed, local_agent)
         self._drain_grace = drain_grace
-        self._list_has_servers = version is not None  # whether the list that is followed does
-        self._empty_list_timer: Timer | None = None  # when a list that names nobody is believed
+        self._list_has_servers = version is not None  # of the accepted list
+        self._empty_list_timer: Timer | None = None  # fires when a list without servers is accepted
         self._watch_scope: trio.CancelScope | None = None
 
     def move(self, address: Address) -> None:
-        """Discovery is at another address, and may count its versions anew.
+        """Follow discovery at another address, where version numbers may start anew.
 
-        It is polled by the known version, and for the whole list only once it shows another count, or later.
-        Polled by all routers at once, whole lists took longer than a change may take to be known, and calls
-        were rejected: routers went on for 12 s by the former list, and forwarded to draining servers.
-        The former watch ends now: a list that it still brought would undo what the new one tells.
+        The new address is polled for changes since the known version. The whole list is polled once the
+        address turns out to count versions differently, or else after a delay. When all routers polled whole
+        lists at once, that took longer than a change may take to be known, and polls were rejected: routers
+        used the former list for 12 s and forwarded to draining servers.
+        The current watch is cancelled: a list that it still delivered would revert newer information from
+        the new address.
         """
         self.address, self.moved = address, True
         self._discard_unconfirmed_list()
@@ -87,7 +90,7 @@
             self._watch_scope.cancel()
 
     def start_watch(self) -> None:
-        """Begin a watch, in place of the current one if that has not ended."""
+        """Start a watch; it replaces the current one if that has not ended."""
         if self._watch_scope is not None:
             self._watch_scope.cancel()
         self._watch_scope = trio.CancelScope()
@@ -108,7 +111,10 @@
             watch.close()
 
     async def _watch_and_reconnect(self, watch: Watch, scope: trio.CancelScope) -> None:
-        """Poll and reconnect, for as long as it is the connection that fails and not the service."""
+        """Poll and reconnect for as long as the connection fails and not the service.
+
+        A local agent is polled again after any failure.
+        """
         timing, failures = self._schedule.initial(), 0
         while not scope.cancel_called:
             end = await self._poll_until_failure(watch, scope, timing)
@@ -116,8 +122,8 @@
                 return
             failures = 1 if end.answered else failures + 1
             if end.timed_out and (failures <= MAX_RECONNECTS or self.local_agent):
-                # At once: all that the silent connection missed counts as notified soon, and a backoff of the
-                # decision module, as after a refusal, took up to 1.5 s of the 6.
+                # Reconnect at once: changes that the silent connection missed soon count as notified. The
+                # backoff of the decision module, used after a refusal, took up to 1.5 s of the 6 s allowed.
                 if failures == 1:
                     logger.info("discovery watch timed out at version {}: reconnecting", self.version)
                 await trio.sleep(self._schedule.reconnect_delay())
@@ -148,7 +154,7 @@
                 if not scope.cancel_called:
                     self._on_poll_error(error)
                 return WatchEnd(isinstance(error, PollTimeoutError), answered)
-            if scope.cancel_called:  # the list may have come just as the watch was cancelled
+            if scope.cancel_called:  # the list may have arrived just as the watch was cancelled
                 return WatchEnd(timed_out=False, answered=answered)
             answered = True
             if self._is_stale(update):
@@ -160,14 +166,14 @@
                 continue
             self._accept(update)
             if self.timers.clock() - polled_at < MIN_POLL_INTERVAL:
-                await trio.sleep(MIN_POLL_INTERVAL)  # a service that answers at once, whatever the wait
+                await trio.sleep(MIN_POLL_INTERVAL)  # the service answers at once, whatever the wait
             timing = self._schedule.subsequent()
 
     async def _poll(self, watch: Watch, timing: PollTiming) -> EndpointListUpdate:
-        """A poll for changes, or for the whole list where that is wanted, which is not waited for."""
+        """Poll for changes, or for the whole list if that is due, which is answered without a wait."""
         now = self.timers.clock()
         if self.version is None or now >= self._schedule.full_poll_at:
-            self._schedule.postpone_full_poll(now)  # should this poll fail
+            self._schedule.postpone_full_poll(now)  # in case this poll fails
             return await watch.poll(ENDPOINTS_PATH, timing.grace)
         wait = timing.wait
         if not self._list_has_servers:
@@ -178,14 +184,15 @@
     def _on_poll_error(self, error: PollError | SettingsError) -> None:
         if isinstance(error, SettingsError):
             logger.warning("invalid endpoint list: {}", error)
-            self.version = None  # changes on top of a list that was not understood would not add up
+            self.version = None  # changes cannot be applied on top of an invalid list
         elif isinstance(error, PollTimeoutError) and self.moved:
-            self.version = None  # a service with another count may wait for a version that is far away
+            self.version = None  # its numbers may differ: it may be waiting for a version far ahead
 
     def _is_unconfirmed_empty_list(self, update: EndpointListUpdate) -> bool:
-        """Whether a list names nobody, and the one before is still used while the whole list is polled again.
+        """Whether to keep the former list, since this one has no server, and poll the whole list again.
 
-        Believed at once, an empty answer of one moment stood until the version of the list changed.
+        When an empty list was accepted at once, a momentary empty answer stayed in effect until the version
+        of the list changed.
         """
         if not update.complete or _has_servers(update) or not self._list_has_servers:
             return False
@@ -194,7 +201,7 @@
             return False
         if self._empty_list_timer is None:
             logger.warning(
-                "discovery lists no server at version {}: asked again for {:.2f} s", update.rev, hold
+                "discovery lists no server at version {}: polling again for {:.2f} s", update.rev, hold
             )
             accept_at = self.timers.clock() + hold
             self._empty_list_timer = self.timers.call_at(accept_at, self._accept, update)
@@ -207,13 +214,13 @@
             self._empty_list_timer = None
 
     def _accept(self, update: EndpointListUpdate) -> None:
-        """Take a list over and pass it on."""
+        """Accept a list and pass it on."""
         self._discard_unconfirmed_list()
         had_servers = self._list_has_servers
         self._list_has_servers = _has_servers(update) or (had_servers and not update.complete)
         if update.complete and not self._list_has_servers:
             if had_servers or self.newest_version is None:
-                logger.warning("discovery lists no server at version {}: none is used", update.rev)
+                logger.warning("discovery lists no server at version {}: using none", update.rev)
             self._schedule.schedule_empty_list_recheck(self.timers.clock())
         elif update.complete:
             self._schedule.cancel_full_poll()
@@ -224,14 +231,16 @@
             self.agent_unreachable = False
             logger.info("discovery agent reachable again at version {}", update.rev)
         self.on_update(update)
-        self.version = self.newest_version = update.rev  # only now: what could not be used must come again
+        self.version = self.newest_version = (
+            update.rev
+        )  # set last: an update that could not be used is sent again
 
     def _is_stale(self, update: EndpointListUpdate) -> bool:
-        """Whether a list is not to be taken over, and the whole one to be polled on a new connection.
+        """Whether to discard a list and poll the whole list on a new connection.
 
-        An older list, from a replica of the service that lags, would undo what a newer one told: a draining
-        server came back by it. A service that counts its versions anew sends the same again, and is believed
-        then. What an agent has counts as told whatever its version.
+        An older list from a lagging replica of the service would revert a newer one: this made a draining
+        server available again. A service that restarted its version numbers sends the older whole list a
+        second time, and it is accepted then. A list from an agent counts as notified whatever its version.
         """
         if self.newest_version is None or update.rev >= self.newest_version or self.local_agent:
             self._older_full_list_seen = False
@@ -244,5 +253,5 @@
 
 
 def _has_servers(update: EndpointListUpdate) -> bool:
-    """Whether a list names a server that has not gone."""
+    """Whether a list contains a server that is not gone."""
     return any(target.address is not None for target in update.targets)
--- a/gaugehinge/net/discovery_watch.py
+++ b/gaugehinge/net/discovery_watch.py
@@ -1,4 +1,4 @@
-"""A watch on discovery's endpoint list: polls over HTTP, on one connection for as long as that lasts."""
+"""A watch on discovery's endpoint list: polls over one persistent HTTP connection."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
 
 
 class PollError(Exception):
-    """A poll failed: it was refused or reset, or answered with an error."""
+    """A poll failed: the connection was refused or reset, or the response was an error."""
 
 
 class PollTimeoutError(PollError):
-    """A poll got no answer within its time."""
+    """A poll got no answer within its time limit."""
 
 
 class Watch:
-    """One watch and its connection, which is opened by the first poll."""
+    """One watch and its connection, which the first poll opens."""
 
     def __init__(self, address: Address, timers: TimerQueue) -> None:
-        """A watch on the discovery service at `address`."""
+        """Create a watch on the discovery service at `address`."""
         self.address = address
         self.timers = timers
         self._sock: socket.socket | None = None
         self._exchange = HttpExchange(MAX_LIST_BYTES)
-        self._newest_version = NO_VERSION  # of the lists that came on this connection
-        self.drops_late_copies = False  # where one process answers, and not any replica of a service
+        self._newest_version = NO_VERSION  # of the lists received on this connection
+        self.drops_late_copies = False  # set if one process answers, not any replica of a service
 
     async def poll(self, target: str, time_limit: float) -> EndpointListUpdate:
-        """The list that a GET of `target` brings within `time_limit` seconds.
+        """Return the list that a GET of `target` returns within `time_limit` seconds.
 
         Raises:
             PollError: the poll failed; the connection is closed.
-            SettingsError: the answer is no endpoint list; the connection stays.
+            SettingsError: the answer is no endpoint list; the connection stays open.
         """
         update: EndpointListUpdate | None = None
         with self.timers.timeout_scope(time_limit) as scope:
@@ -56,9 +56,10 @@
         return update
 
     async def _get_list(self, target: str) -> EndpointListUpdate:
-        """The list that a GET brings; made again on a new connection where it is a late copy of an older one.
+        """Return the list that a GET returns; repeat the GET on a new connection after a late copy.
 
-        One process counts its versions up: a lower one than came before on a connection is a copy.
+        A single process only increases its version: a list with a lower version than an earlier one on the
+        same connection is a late copy of an older list.
         """
         while True:
             body = await self._get_body(target)
@@ -78,7 +79,7 @@
         return response.body
 
     async def _get_with_retry(self, target: str) -> HttpResponse:
-        """A GET, once more on a new connection if the one of the last poll has been closed since then."""
+        """Make a GET; if the connection of an earlier poll fails, make it again on a new connection."""
         while True:
             new_connection = self._sock is None
             try:
@@ -109,7 +110,7 @@
 
 
 def _read_list(body: bytes) -> EndpointListUpdate:
-    """Raises SettingsError."""
+    """Decode a response body. Raises SettingsError if it is no endpoint list."""
     try:
         return read_endpoint_list(parse_json(body.decode()))
     except UnicodeDecodeError as error:
--- a/gaugehinge/net/endpoint_list.py
+++ b/gaugehinge/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list in discovery's JSON: all servers, or what changed."""
+"""Decoding of discovery's JSON endpoint list: all servers, or only the changes."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from .configuration import Address, address
 
 ENDPOINT_STATES = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
-MILLISECONDS_PER_SECOND = 1000.0  # a second
-NO_CELL = -1  # the least number of a `pod_group`
+MILLISECONDS_PER_SECOND = 1000.0
+NO_CELL = -1  # lowest valid `pod_group`
 
 
 class EndpointTarget(NamedTuple):
-    """One server of the list and where it is reached."""
+    """One server of the list and its address."""
 
     entry: EndpointEntry
     uid: str
@@ -26,17 +26,17 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointListUpdate:
-    """The endpoint list, or what changed of it."""
+    """The endpoint list, or the changes to it."""
 
     rev: int  # discovery's version of the list
-    complete: bool  # whether servers that are not named are gone
+    complete: bool  # whether servers that are not listed are gone
     targets: tuple[EndpointTarget, ...]
 
 
 def read_endpoint_list(value: Any) -> EndpointListUpdate:
-    """An update from discovery's decoded JSON.
+    """Return the update in discovery's decoded JSON.
 
-    Raises SettingsError: one bad entry rejects the whole update, as a failed poll would.
+    Raises SettingsError: one invalid entry invalidates the whole update, which then counts as a failed poll.
     """
     reader = SettingsReader(value)
     return EndpointListUpdate(
@@ -47,11 +47,11 @@
 
 
 def _read_target(reader: SettingsReader) -> EndpointTarget:
-    # A state that is not known may mean anything: nothing new is sent there.
+    # An unknown state may mean anything, so the server counts as draining: nothing new is sent to it.
     state = ENDPOINT_STATES.get(reader.text("state", "ready"), EndpointState.DRAINING)
     gone = state is EndpointState.GONE
     target_address = None if gone else address(reader.text("endpoint"), f"{reader.path}.endpoint")
-    # The hash ring must be the same at all routers: only the `uid` is.
+    # The hash ring must be the same on all routers, and only the `uid` is the same on all of them.
     uid = reader.text("uid")
     endpoint_id = xxh64_intdigest(uid.encode())
     started = reader.number("boot_ms", 0) / MILLISECONDS_PER_SECOND
@@ -63,6 +63,6 @@
 
 
 def _read_weight(reader: SettingsReader) -> float:
-    """The capacity hint; 0 where there is none, or none that makes sense."""
+    """Return the capacity hint; 0 if it is missing or invalid."""
     hint = reader.values.get("capacity_hint")
     return 0.0 if isinstance(hint, bool) else parse_non_negative(str(hint)) or 0.0
--- a/gaugehinge/net/extensions.py
+++ b/gaugehinge/net/extensions.py
@@ -1,10 +1,10 @@
-"""Extension points of the router: how a subsystem takes part in the way of a request or of an endpoint list.
+"""Extension points of the router: how a subsystem takes part in handling requests and endpoint lists.
 
 A subsystem implements one or more of the protocols below. `Service` is given a function that builds the
-subsystems and returns one `Extensions`; each of its tuples is called in the order in which it is written. An
-extension that has nothing to do at the moment says so in its answer; extensions are never exchanged while
-the router runs. The order of each program stands in one place: `gaugehinge.subsystems` for the installed
-command. The platform's router runs with `Extensions()`: none.
+subsystems and returns one `Extensions`; the members of each of its tuples are called in order. The set of
+extensions never changes while the router runs: an extension with nothing to do says so by its return value.
+Each program defines its order in one place: `gaugehinge.subsystems` for the installed command. The platform's
+router runs without extensions: `Extensions()`.
 """
 
 from __future__ import annotations
@@ -27,87 +27,94 @@
 
 
 class RequestInterceptor(Protocol):
-    """Sees each request before the dispatcher takes it."""
+    """Called for each request before the dispatcher handles it."""
 
     def intercept(
         self, operation: Operation, payload: RequestPayload, reply_callback: ReplyCallback
     ) -> ReplyCallback | None:
-        """Return what takes the reply: `reply_callback` itself, or a function that calls it in the end.
+        """Return the callback for the reply: `reply_callback` itself, or a function that finally calls it.
 
-        None says that the request has been answered here: `operation.finished` is set and the reply given.
+        None: the interceptor has answered the request; it has set `operation.finished` and given the reply.
         """
 
 
 class RoutingConstraint(Protocol):
-    """Limits the servers that may serve an operation, once the dispatcher has taken it."""
+    """Limits the servers that may serve an operation, once the dispatcher has accepted it."""
 
     def constrain(self, operation: Operation) -> bytes | None:
-        """Write the limits into `operation`; return the final reply where nothing may serve it now."""
+        """Write the limits into `operation`; return the final reply if no server may serve it now."""
 
 
 class AttemptPolicy(Protocol):
-    """Has a say before any byte of an attempt goes out."""
+    """Decides whether bytes of an attempt may be sent."""
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether the next bytes may go. The policy may have rejected the operation before it says no."""
+        """Return whether the next bytes may be sent.
+
+        Before it returns False, the policy may have rejected the operation.
+        """
 
 
 class RedirectObserver(Protocol):
-    """Is shown what servers say of where a key is served."""
+    """Observes server replies that say where a key is served."""
 
     def on_redirect(self, attempt: Attempt, outcome: Outcome, message: bytes) -> None:
-        """An attempt ended with `outcome`, no success, and the server's words `message`."""
+        """Called when an attempt ended without success; `message` is the text of the server's reply."""
 
 
 class ReplyObserver(Protocol):
-    """Is shown each final reply."""
+    """Observes each final reply."""
 
     def on_reply(self, reply: bytes) -> None:
-        """A client was sent `reply`."""
+        """Called when `reply` was sent to a client."""
 
 
 class EndpointListTransformer(Protocol):
-    """Sees and may change each endpoint list, or changes of it, on its way to the routing decisions."""
+    """Sees, and may change, each endpoint list update before the routing decisions use it."""
 
     def transform(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate | None:
-        """Return the update as the next transformer is to see it.
+        """Return the update to pass to the next transformer.
 
-        None holds it back; the transformer passes it on later by `Dispatcher.on_endpoints_changed` with
-        `after=self`. `cached`: the list was kept from before, discovery has not said it.
+        None holds the update back; the transformer passes it on later by calling
+        `Dispatcher.on_endpoints_changed` with `after=self`. `cached`: the list is one that was kept from
+        before and does not come from discovery.
         """
 
 
 class GossipListener(Protocol):
-    """Sees each gossip message of a peer before the routing decisions do."""
+    """Receives each gossip message of a peer before the routing decisions do."""
 
     def on_gossip(self, peer: int, payload: bytes) -> bool:
-        """Whether the message is this listener's own; nobody else is shown it then."""
+        """Return whether the message is meant for this listener; if so, nothing else receives it."""
 
 
 class PollPolicy(Protocol):
-    """Has a say on when discovery is polled."""
+    """Limits when discovery is polled."""
 
     def earliest_poll(self) -> float:
-        """The time, by the router's clock in seconds, before which discovery is not polled."""
+        """Return the time before which discovery is not polled, in seconds of the router's clock."""
 
 
 class ConnectionObserver(Protocol):
-    """Is shown connections to servers that end."""
+    """Observes the end of connections to servers."""
 
     def on_connection_lost(self, connection: Connection, pending: PendingAttempt | None) -> None:
-        """The server ended a connection, or it did not come up; `pending` is the attempt that it carried."""
+        """Called when the server ended a connection, or connecting to it failed.
+
+        `pending` is the attempt that the connection carried.
+        """
 
 
 class ShutdownHook(Protocol):
-    """Has something to do once every request is answered, before the router exits."""
+    """Runs once every request is answered, before the router exits."""
 
     async def before_exit(self) -> None:
-        """Called once, hook after hook."""
+        """Called once; the hooks run one after another."""
 
 
 @dataclass(slots=True, frozen=True)
 class Extensions:
-    """All extensions of one router. Each tuple is called from its first to its last element."""
+    """All extensions of one router. The members of each tuple are called from first to last."""
 
     request_interceptors: tuple[RequestInterceptor, ...] = ()
     routing_constraints: tuple[RoutingConstraint, ...] = ()
@@ -119,12 +126,12 @@
     poll_policies: tuple[PollPolicy, ...] = ()
     connection_observers: tuple[ConnectionObserver, ...] = ()
     shutdown_hooks: tuple[ShutdownHook, ...] = ()
-    connection_budget: ConnectionBudget | None = None  # how many connections each server may be sent
-    server_codec: Codec | None = None  # spoken to cache servers; None: the platform's protocol
+    connection_budget: ConnectionBudget | None = None  # how many connections may be opened to each server
+    server_codec: Codec | None = None  # protocol used with cache servers; None: the platform's protocol
 
 
 class ExtensionBuilder(Protocol):
     """Builds the subsystems of a router while it starts."""
 
     def __call__(self, service: Service, nursery: trio.Nursery) -> Extensions:
-        """Called once, when all parts of `service` exist and none has begun to work."""
+        """Called once, when all parts of `service` exist and none has started."""
--- a/gaugehinge/net/front.py
+++ b/gaugehinge/net/front.py
@@ -1,4 +1,4 @@
-"""A listener and the server of the clients that it accepts."""
+"""A listening socket and the server for the clients that it accepts."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from .client_server import ClientServer
 
-BACKLOG = 512  # connections that the machine keeps until they are accepted
+BACKLOG = 512  # connections that the kernel queues until they are accepted
 
 
 @dataclass(slots=True, frozen=True)
 class Front:
-    """One place at which clients come, with the protocol that is spoken there."""
+    """A listening socket for clients, with the server for the protocol used on it."""
 
     clients: ClientServer
     listening: socket.socket
--- a/gaugehinge/net/lifecycle.py
+++ b/gaugehinge/net/lifecycle.py
@@ -1,4 +1,4 @@
-"""The phases of a router, from its start to its exit, in one place."""
+"""The phases of a router, from its start to its exit."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class Phase(Enum):
-    """Where a router is between its start and its exit."""
+    """Phase of a router between its start and its exit."""
 
-    STARTING = auto()  # no list yet: connections are taken, PING is not answered with PONG
-    RECOVERING = auto()  # with gaugehinge.recovery: clients are rejected with a time to come back
+    STARTING = auto()  # no endpoint list yet: accepts connections, does not answer PING with PONG
+    RECOVERING = auto()  # with gaugehinge.recovery: rejects clients with a time after which to retry
     READY = auto()
-    LEAVING = auto()  # ordered to end: it serves on, since clients use what is open for as long as it is
-    CLOSING = auto()  # requests are still taken, idle connections are closed
+    LEAVING = auto()  # told to shut down; keeps serving, since clients use connections while they are open
+    CLOSING = auto()  # still accepts requests, closes idle connections
     ENDED = auto()
 
 
 class Lifecycle:
-    """Holds the current phase."""
+    """The current phase of a router."""
 
     def __init__(self) -> None:
-        """Begin as STARTING."""
+        """Start in the phase STARTING."""
         self.phase = Phase.STARTING
 
     def enter(self, phase: Phase, in_flight: int) -> None:
-        """Enter a phase and log it, with the number of operations in flight."""
+        """Enter a phase and log it with the number of operations in flight."""
         self.phase = phase
         logger.info("{}: {} operations in flight", phase.name.lower(), in_flight)
