--- a/tests/test_copied_lists.py
+++ b/tests/test_copied_lists.py
@@ -1,4 +1,4 @@
-"""Copies of responses of discovery and of the control plane: what of them is followed."""
+"""Repeated responses of discovery and of the control plane must not hide or revert changes."""
 
 import json
 import re
@@ -20,7 +20,7 @@
 
 NEWEST = 3
 PAUSE = 0.02  # seconds between calls of the control plane
-GAP = 0.05  # seconds, over which the network holds up what follows a cut
+GAP = 0.05  # seconds for which the network delays what follows a cut
 REMAINING_BYTES = [1, 6, 14]
 
 
@@ -35,7 +35,7 @@
 
 
 class Discovery:
-    """Long polls on a list whose one server drains with each even version; one response is tampered with."""
+    """Serves long polls on a list whose one server drains in even versions; tampers with one response."""
 
     def __init__(self, tamper, at_version: int) -> None:
         self.tamper, self.at_version = tamper, at_version
@@ -50,7 +50,7 @@
         return json.dumps({"rev": self.version, "all": index is None, "targets": targets}).encode() + b"\n"
 
     async def serve(self, stream) -> None:
-        """Until the client resets the connection."""
+        """Answer requests until the client resets the connection."""
         with suppress(trio.BrokenResourceError):
             await self.answer_all(stream)
 
@@ -85,23 +85,23 @@
 
 
 def copy_within(remaining: int, together: bool, response: bytes, copy: bytes) -> list[bytes]:
-    """A copy within the last bytes; the network cuts where it has filled the response."""
+    """Insert a copy before the last bytes; the network cuts where the copy has filled the response."""
     first, rest = response[:-remaining] + copy[:remaining], copy[remaining:] + response[-remaining:]
     return [first + rest] if together else [first, rest]
 
 
 def cut(remaining: int, response: bytes, copy: bytes) -> list[bytes]:
-    """Nothing follows a cut list."""
+    """Cut the list short; nothing follows."""
     return [response[:-remaining]]
 
 
 def cut_and_copy(remaining: int, response: bytes, copy: bytes) -> list[bytes]:
-    """A whole copy follows a cut list."""
+    """Cut the list short; a whole copy follows."""
     return [response[:-remaining], copy]
 
 
 async def follow(discovery: Discovery, local_agent: bool = False) -> list[ReceivedState]:
-    """What a client hears until the newest version, and for three seconds after that."""
+    """Return what a client receives until the newest version and for three seconds after it."""
     received: list[ReceivedState] = []
 
     def on_update(update) -> None:
@@ -180,7 +180,7 @@
 
 @pytest.mark.parametrize("local_agent", [False, True], ids=["service", "agent"])
 def test_a_late_copy_of_an_older_list_reverts_no_change(local_agent):
-    """The copy of the first list answers a poll by the second or the third version."""
+    """A copy of the first list answers a poll for changes since the second or third version."""
     results = trio.run(follow_all, [("at 2", "older", 2), ("at 3", "older", 3)], local_agent)
     for name, (received, discovery) in results.items():
         versions = [each.rev for each in received]
@@ -189,10 +189,10 @@
 
 
 class ControlPlane:
-    """Tells two tenants at revision 5; tenant b is gone by revision 6. Sends a copy behind one answer."""
+    """Lists two tenants at revision 5; tenant b is gone in revision 6. Sends one response a second time."""
 
     def __init__(self, place: str) -> None:
-        """`place` of the copy of the first answer beside the second or the third one."""
+        """`place`: where the copy of the first answer goes, relative to the second or the third answer."""
         self.place, self.revision = place, 5
         self.sent: list[bytes] = []
 
@@ -204,7 +204,7 @@
         return msgspec.json.encode(Feed("s", self.revision, False, [], gone))
 
     async def serve(self, stream) -> None:
-        """Until the client resets the connection."""
+        """Answer requests until the client resets the connection."""
         with suppress(trio.BrokenResourceError):
             await self.answer_all(stream)
 
@@ -240,7 +240,7 @@
 
 
 async def follow_feeds(place: str) -> list[tuple[int, list[int]]]:
-    """What a registry holds after each of eight calls."""
+    """Return the revision and tenants that a registry holds after each of eight calls."""
     control_plane, registry, held = ControlPlane(place), TenantRegistry(), []
     async with trio.open_nursery() as nursery:
         [listener] = await nursery.start(partial(trio.serve_tcp, control_plane.serve, 0, host="127.0.0.1"))
@@ -261,6 +261,6 @@
 
 @pytest.mark.parametrize("place", ["none", "behind", "idle", "next"])
 def test_a_copy_of_the_whole_feed_restores_no_removed_tenant(place):
-    """The tenant is gone by the second answer; the first one comes once more behind that."""
+    """The second answer removes the tenant; after it the first answer arrives again."""
     held = trio.run(follow_feeds, place)
     assert held[1:] == [(6, [1])] * 7
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Silence of discovery: by when what it missed has to be known, on a played clock and on sockets."""
+"""Discovery falls silent: a missed change arrives in time, on a simulated clock and on sockets."""
 
 from __future__ import annotations
 
@@ -20,17 +20,23 @@
 from gaugehinge.settings import read_settings
 from tests.helper import SETTINGS, fleet
 
-NOTIFIED_AFTER, NOTIFIED_AFTER_WAIT = 6.0, 2.0  # the operators' clock for silence
+NOTIFIED_AFTER, NOTIFIED_AFTER_WAIT = (
+    6.0,
+    2.0,
+)  # seconds until a change missed by a silent watch counts as notified
 
 
 class FakeDiscovery:
-    """A played discovery: the whole list has version `rev`; `silent(at)` says whether a call that comes then
-    (or stands open then) ever gets an answer, `refused(at)` whether it fails at once."""
+    """A simulated discovery, whose whole list has version `rev`.
+
+    From `silent_from` on, `silent_calls` polls that arrive or are open get no answer. While `refused` is set,
+    polls fail at once.
+    """
 
     def __init__(self, clock) -> None:
         self.clock = clock
         self.rev, self.changed = 1, trio.Event()
-        self.calls: list[tuple[float, float]] = []  # when, and the wait that was asked for
+        self.calls: list[tuple[float, float]] = []  # time, and requested wait
         self.silent_from, self.silent_calls, self.refused = float("inf"), 0, False
 
     def change(self) -> None:
@@ -61,7 +67,7 @@
 
 
 def run_scenario(scenario, monkeypatch, seed: int = 1, local_agent: bool = False):
-    """A discovery that heard its first list, before a played service, on a clock that jumps."""
+    """Run a client that has its first list against a simulated service, on a clock that jumps."""
 
     async def main():
         service = FakeDiscovery(trio.current_time)
@@ -92,7 +98,7 @@
         async def scenario(service, received, failures, seed=seed):
             await trio.sleep(5.0 + seed * 0.13)
             last, wait = service.calls[-1]
-            # Falls silent now, with its next call, or amid this one: news of then is missed.
+            # Falls silent now, within the open poll, or when its wait ends: a change after that is missed.
             service.silent_from = silent_from = [trio.current_time(), last + wait][seed % 2]
             service.silent_calls = times
             await trio.sleep_until(silent_from + 0.001)
@@ -112,7 +118,7 @@
 
         async def scenario(service, received, failures):
             await trio.sleep(1.0)
-            service.change()  # wakes all of a fleet: from here on their calls go out together
+            service.change()  # wakes the whole fleet: from here on its polls are sent together
             service.silent_from, service.silent_calls = trio.current_time() + 0.1, 1
             before = len(service.calls) + 1
             await trio.sleep(8.0)
@@ -160,7 +166,7 @@
 
 
 def test_discovery_on_sockets_silent_at_connect_after_the_request_and_within_the_body(tmp_path, monkeypatch):
-    """Each call of a kind is silent in its way once, then the list comes, indented and in pieces."""
+    """Discovery is silent once at each of these points; then the list comes, indented and in pieces."""
     monkeypatch.setattr(discovery_schedule, "INITIAL_GRACE", 0.3)
     monkeypatch.setattr(discovery_schedule, "RECONNECT_GRACE", 0.3)
     endpoint_list = {
@@ -214,7 +220,7 @@
             with trio.fail_after(60):
                 while not received:
                     await trio.sleep(0.01)
-            assert len(failures) == 1  # after as many silences in a row as are not the module's matter
+            assert len(failures) == 1  # only after more timeouts in a row than the client reconnects for
             assert received[0].rev == 5
             assert received[0].targets[0].uid == "s-9"
             assert len(calls) == 4
@@ -251,7 +257,7 @@
             reply = await client.get()
             while running.service.lifecycle.phase is not Phase.READY:
                 await trio.sleep(0.01)
-            # The list kept from before has it ready: by that one, the drain would have been broken.
+            # The cached list has the server as ready: using it would have violated the drain.
             assert reply.startswith(b"-BUSY")
             assert not running.caches[0].commands
             assert (await client.get("k2", "j2")).startswith(b"-BUSY")
--- a/tests/test_empty_lists.py
+++ b/tests/test_empty_lists.py
@@ -1,10 +1,10 @@
-"""A whole list of discovery that names nobody.
+"""A whole list from discovery that has no servers.
 
-In a rehearsal (`rehearsals/chaos.toml`) a call fell into 0.6 s in which discovery's list had no server. The
-router believed it, and waited for the version of the list to change, which it did not: 442 of 2,301 requests
-were served. By the protocol page a server that is not listed is gone, and nothing may be sent there past the
-grace of drains. So the list before is used for as long as that allows, while the whole list is asked for
-again; and once an empty list is believed, it is asked for again until somebody is named.
+In a rehearsal (`rehearsals/chaos.toml`) a poll fell into 0.6 s in which discovery's list was empty. The
+router accepted it and waited for a new version of the list, which did not come: 442 of 2,301 requests were
+served. By the protocol page a server that is not listed is gone, and nothing may be sent to it after the
+drain grace. So the former list is used for as long as that allows while the whole list is polled again; an
+accepted empty list is polled again until it has a server.
 """
 
 import pytest
@@ -26,7 +26,7 @@
 
 
 class FakeDiscovery:
-    """A played discovery: answers whole lists, and changes only once the version is another one."""
+    """A simulated discovery that sends whole lists; a poll for changes waits for a new version."""
 
     def __init__(self) -> None:
         self.rev, self.targets = 7, SERVER
@@ -80,12 +80,15 @@
 
 
 def listed_server_counts(received) -> list[int]:
-    """How many servers each list named that was passed on."""
+    """Return the number of servers in each whole list that was passed on."""
     return [len(update.targets) for _, update in received if update.complete]
 
 
 async def serve_empty_list(service: FakeDiscovery, seconds: float) -> float:
-    """A new version, and an empty answer for so long; when it began. The version stays."""
+    """Serve an empty list under a new version for `seconds`; return when it began.
+
+    The version stays the same when the servers are listed again.
+    """
     await trio.sleep(1.0)
     service.change(NO_SERVERS)
     began = trio.current_time()
@@ -143,7 +146,7 @@
 
 
 def test_a_first_list_without_servers_is_accepted_at_once(monkeypatch):
-    """There is no list before: the router is ready by it, and rejects."""
+    """There is no former list: the router becomes ready with this one, and rejects requests."""
 
     async def scenario(service, received, client):
         service.targets = NO_SERVERS
@@ -185,7 +188,7 @@
 
 
 def test_a_router_serves_through_an_empty_answer_of_its_discovery(tmp_path):
-    """On sockets: the list's answers name nobody for 0.4 s, with a grace of 1 s for drains."""
+    """On sockets: the list is empty for 0.4 s, with a drain grace of 1 s."""
     empty_until = [0.0]
 
     def discovery(method, target, headers, body):
--- a/tests/test_list_moves.py
+++ b/tests/test_list_moves.py
@@ -1,4 +1,4 @@
-"""Discovery that is found elsewhere (SIGHUP): what a whole fleet asks of it, and what a router then knows."""
+"""Discovery moves to another address (SIGHUP): the polls of a whole fleet, and the lists a router accepts."""
 
 from __future__ import annotations
 
@@ -25,8 +25,11 @@
 
 
 class FakeDiscovery:
-    """One service behind both addresses. A call costs it work in lines and waits for a turn; what would wait
-    for over a second is turned away at once. A watch that goes on costs the lines that it tells."""
+    """One service behind both addresses.
+
+    Each poll costs it work, counted in lines, and waits for its turn; one that would wait for over a second
+    is rejected at once. A poll that continues a watch costs only the lines of its answer.
+    """
 
     def __init__(self, servers: int, lines_per_s: float, call_lines: float) -> None:
         self.servers, self.lines_per_s, self.call_lines = servers, lines_per_s, call_lines
@@ -79,8 +82,11 @@
 
 
 def test_a_fleet_whose_discovery_moves_receives_each_change_before_it_counts_as_notified(monkeypatch):
-    """As on the operators' day of restarts: 190 routers moved one after the other within 5 s, 130 servers.
-    Whole lists for all take this service 11 s, and some were turned away for longer than that."""
+    """190 routers move one after the other within 5 s, with 130 servers.
+
+    This repeats the operators' day of restarts. Whole lists for all routers take this service 11 s, and some
+    routers were rejected for longer than that.
+    """
     received: list[list[tuple[float, int]]] = []
     changes: list[float] = []
 
@@ -132,12 +138,12 @@
         assert max(delays) < NOTIFIED_AFTER - 0.5, (number, max(delays))
 
 
-# One that names nobody is asked for again by itself.
+# A list without servers would be polled again by itself.
 SERVERS = (EndpointTarget(row(1), "s-1", ("127.0.0.1", 1)),)
 
 
 class ScriptedDiscovery:
-    """Answers each call by the next of what a test says; keeps the targets."""
+    """Answers each poll with the next of the given answers and records the targets."""
 
     def __init__(self, answers: list) -> None:
         self.answers, self.targets = answers, []
@@ -161,7 +167,7 @@
 def poll_after_move(
     monkeypatch, answers: list, duration: float, local_agent: bool = False
 ) -> tuple[list, list]:
-    """What a router at version 41 asks of a discovery that it is sent to, and what it takes over."""
+    """Return the polls of a router at version 41 to a new address, and the lists that it accepts."""
     received: list[EndpointListUpdate] = []
     service = ScriptedDiscovery(answers)
 
@@ -207,7 +213,7 @@
 
 
 def test_changes_of_an_older_version_are_ignored_where_the_service_is_the_same(monkeypatch):
-    """One that came back with an older state, or an answer that was late."""
+    """A service that came back with an older state, or a late answer, sends older changes."""
     newer, older, whole = (
         EndpointListUpdate(44, False, ()),
         EndpointListUpdate(43, False, ()),
--- a/tests/test_list_outages.py
+++ b/tests/test_list_outages.py
@@ -1,7 +1,7 @@
-"""An outage of discovery, however its calls failed: by when a change that it then has must be known.
+"""An outage of discovery: a change made during it must be known in time, however the polls failed.
 
-What decides the waits is played whole, on a clock that jumps: the module's errand, the dispatch that asks
-about it, and the watch; the calls themselves are a played service's.
+All code that decides on waits runs for real, on a clock that jumps: the decision module's polling, the
+dispatcher and the discovery client. Only the polls themselves are answered by a simulated service.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 from tests.helper import SETTINGS
 
 NOTIFIED_AFTER = 6.0  # seconds after discovery had a change and could be reached, whatever failed before
-MARGIN = 0.5  # for the list's own way, of that
+MARGIN = 0.5  # of that, for the transfer of the list
 NO_POOL = SimpleNamespace(on_endpoints_changed=lambda update: None, pending=())
 
 
 class Outage:
-    """A discovery of all routers that is down from one time to another, and fails calls in a stated way.
+    """A discovery service that all routers use, down for a period; `mode` says how polls fail then.
 
-    `ends_after_calls`: it comes back in the instant after so many calls of the outage went out, which is
-    the worst one.
+    `ends_after_calls`: the outage ends right after this many polls were sent during it, which is the worst
+    moment.
     """
 
     def __init__(
@@ -43,21 +43,21 @@
         self.start, self.end, self.mode, self.capacity = start, end, mode, capacity
         self.ends_after_calls, self.failed = ends_after_calls, 0
         self.rev, self.changed = 1, trio.Event()
-        self.queue: deque[trio.Event] = deque()  # calls that wait for their turn, where capacity is limited
+        self.queue: deque[trio.Event] = deque()  # polls that wait for their turn if capacity is limited
         self.calls: list[float] = []
 
     def down(self) -> bool:
         return self.start <= trio.current_time() < self.end
 
     async def change(self) -> None:
-        """Amid the outage something changes."""
+        """Change the list during the outage."""
         await trio.sleep_until(self.start + 0.01)
         self.rev += 1
         self.changed.set()
         self.changed = trio.Event()
 
     async def wait_for_turn(self) -> bool:
-        """Wait for this call's turn, for a second at most; False: discovery is over capacity."""
+        """Wait at most 1 s for this poll's turn; False: discovery is over capacity."""
         turn = trio.Event()
         self.queue.append(turn)
         with trio.move_on_after(1.0):
@@ -67,7 +67,7 @@
         return False
 
     async def serve_queue(self) -> None:
-        """Take calls in turn, so many a second."""
+        """Serve the queued polls in order, `capacity` a second."""
         while True:
             await trio.sleep(1.0 / self.capacity)
             if self.queue:
@@ -75,11 +75,11 @@
 
 
 class FakeWatch:
-    """What stands for one router's connection to it."""
+    """Stands in for one router's connection to the service."""
 
     def __init__(self, service: Outage) -> None:
         self.service = service
-        self.open_until = -1.0  # until when a further call goes on with this watch: it costs little
+        self.open_until = -1.0  # a poll until then continues this watch, at little cost
 
     async def poll(self, target: str, time_limit: float) -> EndpointListUpdate:
         service, began = self.service, trio.current_time()
@@ -100,7 +100,7 @@
                 self.open_until = trio.current_time() + 0.2
                 return EndpointListUpdate(service.rev, False, ())
             if service.mode == "refused":
-                raise PollError  # what stood open is reset
+                raise PollError  # the open poll is reset
             await trio.sleep_forever()
         raise PollTimeoutError
 
@@ -121,7 +121,7 @@
 
 
 def run_outage(service: Outage, routers: int, monkeypatch, poll_deadline: float, seed: int) -> list[float]:
-    """When each of the routers heard of the change."""
+    """Return, for each router, how long after the outage it received the change, in seconds."""
     received_at: dict[int, float] = {}
     all_received = trio.Event()
 
@@ -175,6 +175,6 @@
 def test_two_hundred_routers_reconnect_spread_out_and_all_receive_the_change_in_time(monkeypatch, mode):
     outage = Outage(2.0, 8.0, mode, capacity=60.0)
     delays = run_outage(outage, 200, monkeypatch, 10.0, 1)
-    assert max(delays) < NOTIFIED_AFTER  # one call for each takes discovery 3.3 s as it is
+    assert max(delays) < NOTIFIED_AFTER  # one poll of each router alone takes discovery 3.3 s
     reconnects = sorted(at for at in outage.calls if at >= outage.end)
     assert max(sum(at <= each < at + 0.05 for each in reconnects) for at in reconnects[:400]) <= 60
