--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -71,7 +71,7 @@
 
     async def main():
         service = FakeDiscovery(trio.current_time)
-        monkeypatch.setattr(discovery_module, "Watch", lambda where, timers: service)
+        monkeypatch.setattr(discovery_module, "Watch", lambda address, timers: service)
         received, failures = [], []
         async with trio.open_nursery() as nursery:
             client = DiscoveryClient(
--- a/tests/test_empty_lists.py
+++ b/tests/test_empty_lists.py
@@ -59,7 +59,7 @@
 def run_scenario(monkeypatch, grace: float, scenario, version: int | None = 6) -> None:
     async def main():
         service, received = FakeDiscovery(), []
-        monkeypatch.setattr(discovery_module, "Watch", lambda where, timers: service)
+        monkeypatch.setattr(discovery_module, "Watch", lambda address, timers: service)
         async with trio.open_nursery() as nursery:
             timers = TimerQueue(trio.current_time)
             nursery.start_soon(timers.run)
--- a/tests/test_list_moves.py
+++ b/tests/test_list_moves.py
@@ -92,7 +92,7 @@
 
     async def main() -> None:
         service = FakeDiscovery(130, 3100.0, 50.0)
-        monkeypatch.setattr(discovery_module, "Watch", lambda where, timers: FakeWatch(service))
+        monkeypatch.setattr(discovery_module, "Watch", lambda address, timers: FakeWatch(service))
 
         def start(number: int) -> tuple[DiscoveryClient, Dispatcher]:
             deployment = read_settings(number, SETTINGS).deployment
@@ -172,7 +172,7 @@
     service = ScriptedDiscovery(answers)
 
     async def main() -> None:
-        monkeypatch.setattr(discovery_module, "Watch", lambda where, timers: service)
+        monkeypatch.setattr(discovery_module, "Watch", lambda address, timers: service)
         async with trio.open_nursery() as nursery:
             timers = TimerQueue(trio.current_time)
             client = DiscoveryClient(
--- a/tests/test_list_outages.py
+++ b/tests/test_list_outages.py
@@ -146,7 +146,7 @@
         nursery.start_soon(timers.run)
 
     async def main() -> None:
-        monkeypatch.setattr(discovery_module, "Watch", lambda where, timers: FakeWatch(service))
+        monkeypatch.setattr(discovery_module, "Watch", lambda address, timers: FakeWatch(service))
         async with trio.open_nursery() as nursery:
             if service.capacity:
                 nursery.start_soon(service.serve_queue)
