--- a/gaugehinge/net/discovery.py
+++ b/gaugehinge/net/discovery.py
@@ -67,7 +67,7 @@
         self._older_full_list_seen = False  # since the last list that was accepted
         self._schedule = DiscoverySchedule(seed, local_agent)
         self._drain_grace = drain_grace
-        self._list_has_servers = version is not None  # of the accepted list
+        self._list_has_servers = version is not None  # whether the list in use names any
         self._empty_list_timer: Timer | None = None  # fires when a list without servers is accepted
         self._watch_scope: trio.CancelScope | None = None
 
--- a/gaugehinge/net/discovery_schedule.py
+++ b/gaugehinge/net/discovery_schedule.py
@@ -46,11 +46,11 @@
 # RECONNECT_JITTER is added.
 EMPTY_LIST_RECHECK_DELAY = 0.5
 MAX_EMPTY_LIST_RECHECK_DELAY = 2.0
-MAX_STALL = 0.2  # stall of the router that is allowed for within the drain grace
+MAX_STALL = 0.2  # stall of the router that the drain grace has to cover as well
 MIN_POLL_INTERVAL = 0.05  # after a poll that is answered at once; discovery keeps a watch for 0.2 s
 
 MAX_DOUBLINGS = 8  # bounds the exponent; the delay has reached its maximum by then
-CRC32_RANGE = 1 << 32  # of crc32
+CRC32_RANGE = 1 << 32
 
 
 class PollTiming(NamedTuple):
