--- a/gaugehinge/drains/connection_budget.py
+++ b/gaugehinge/drains/connection_budget.py
@@ -88,7 +88,7 @@
         upstream.open += 1
         upstream.note_demand(len(connection.endpoint.idle))
 
-    def rested(self, connection: Connection) -> None:
+    def became_idle(self, connection: Connection) -> None:
         """Close a connection that became idle where it is above what may be open."""
         endpoint = connection.endpoint
         upstream = self._upstream(endpoint)
--- a/gaugehinge/net/connection_pool.py
+++ b/gaugehinge/net/connection_pool.py
@@ -58,7 +58,7 @@
     def opened(self, connection: Connection) -> None:
         """A connection is about to be opened."""
 
-    def rested(self, connection: Connection) -> None:
+    def became_idle(self, connection: Connection) -> None:
         """A connection's attempt ended, and it is idle."""
 
     def closed(self, connection: Connection) -> None:
@@ -464,7 +464,7 @@
         connection.idle_since = now
         connection.endpoint.idle.append(connection)
         if self.connection_budget is not None:
-            self.connection_budget.rested(connection)
+            self.connection_budget.became_idle(connection)
 
     def _close_idle(self, endpoint: ServerPool) -> None:
         while endpoint.idle:
