--- a/gaugehinge/net/codec.py
+++ b/gaugehinge/net/codec.py
@@ -30,11 +30,13 @@
 class DoubtfulReply(MalformedReply):
     """The reply may be a late copy of an earlier one on its connection: the attempt may have run or not."""
 
-    def __init__(self, cause: DoubtCause, concerns_all: bool) -> None:
-        """`concerns_all`: its server's next replies on used connections are likely to be in doubt as well."""
+    def __init__(self, cause: DoubtCause, affects_all_connections: bool) -> None:
+        """`affects_all_connections`: its server's next replies on used connections are likely to be in doubt,
+        too.
+        """
         super().__init__(cause.value)
         self.cause = cause
-        self.concerns_all = concerns_all
+        self.affects_all_connections = affects_all_connections
 
 
 @dataclass(slots=True, frozen=True)
--- a/gaugehinge/net/connection.py
+++ b/gaugehinge/net/connection.py
@@ -24,7 +24,7 @@
     trailing_bytes: int = 0  # of what the codec encoded last, behind the request's own bytes
     unsent_fence: bytes = b""  # what the codec wants written behind the request, before it takes the reply
     request_sent: bool = False  # whether the last byte of the request has been written
-    is_begun: bool = False  # whether its task has asked the system to connect it
+    connect_started: bool = False  # whether its task has asked the system to connect it
     is_up: bool = False  # whether it was connected, as its task found
     closed: bool = False
 
@@ -39,7 +39,7 @@
     started: float  # Unix time; a process that was started later is another ServerPool
     idle: list[Connection] = field(default_factory=list)  # in the order of `idle_since`
     repeats_replies: bool = False  # whether two of its replies on one connection had the same content
-    has_ambiguous_receipts: bool = False  # whether one to a write was in doubt for how it ends
+    has_ambiguous_write_replies: bool = False  # whether one to a write was in doubt for how it ends
     doubted_until: float = 0.0  # by the pool's clock, behind a reply that was in doubt; 0: none was
 
 
--- a/gaugehinge/net/connection_pool.py
+++ b/gaugehinge/net/connection_pool.py
@@ -172,7 +172,7 @@
             connection = pending.connection
         if pending.attempt not in self.pending:
             return
-        not_sent = Outcome.NOT_SENT if _had_no_turn(connection) else Outcome.CONNECT_FAILED
+        not_sent = Outcome.NOT_SENT if _connect_not_observed(connection) else Outcome.CONNECT_FAILED
         sent = self._abandon(pending)
         self._end(pending, Outcome.TIMED_OUT if sent else not_sent)
 
@@ -370,7 +370,7 @@
         with trio.CancelScope() as scope:
             due = self.clock() + self.connect_timeout
             timer = self.timers.call_at(due, self._on_connect_timeout, connection, scope)
-            connection.is_begun = True
+            connection.connect_started = True
             if connection.pending is not None:  # nothing of its time so far was its server's
                 connection.pending.own_lag = self.clock() - connection.pending.attempt.sent_at
             try:
@@ -436,7 +436,7 @@
         if isinstance(failure, DoubtfulReply):
             attempt = connection.pending.attempt if connection.pending is not None else None
             on_doubtful_reply(connection.endpoint, attempt, failure.cause, self.clock())
-            if failure.concerns_all:
+            if failure.affects_all_connections:
                 self._close_idle(connection.endpoint)
         elif failure is not None and not _is_expected(failure):
             logger.opt(exception=failure).error("connection to server {} failed", connection.endpoint.uid)
@@ -497,11 +497,11 @@
     return connection.request_sent and not connection.closed and not silent(connection.sock)
 
 
-def _had_no_turn(connection: Connection | None) -> bool:
+def _connect_not_observed(connection: Connection | None) -> bool:
     """Whether a connection was not begun, or has come up, without its task having run since."""
     if connection is None or connection.is_up:
         return False
-    return not connection.is_begun or is_connected(connection.sock)
+    return not connection.connect_started or is_connected(connection.sock)
 
 
 def _send_fence(connection: Connection) -> None:
--- a/gaugehinge/net/connection_reuse.py
+++ b/gaugehinge/net/connection_reuse.py
@@ -17,7 +17,7 @@
     endpoint.doubted_until = now + DOUBT_TIME
     endpoint.repeats_replies |= cause is DoubtCause.REPEATED
     if cause is DoubtCause.ENDING and attempt is not None:
-        endpoint.has_ambiguous_receipts |= attempt.operation.is_write
+        endpoint.has_ambiguous_write_replies |= attempt.operation.is_write
 
 
 def may_reuse(endpoint: ServerPool, attempt: Attempt, now: float) -> bool:
@@ -29,7 +29,7 @@
     if not endpoint.doubted_until:
         return True
     is_once_only = attempt.operation.traffic_type.effect is Effect.NON_IDEMPOTENT
-    if is_once_only and (endpoint.repeats_replies or endpoint.has_ambiguous_receipts):
+    if is_once_only and (endpoint.repeats_replies or endpoint.has_ambiguous_write_replies):
         return False
     if now >= endpoint.doubted_until:
         return True
--- a/gaugehinge/net/dispatcher.py
+++ b/gaugehinge/net/dispatcher.py
@@ -27,7 +27,7 @@
 FAILED_REPLY = b"-ERR failed\r\n"
 BUSY_REPLY = b"-BUSY\r\n"
 NO_HANDLE = -1  # of a request that an interceptor answered: nothing of it is pending
-SUCCESSOR_TIME = 0.5  # seconds by which a router that ends has a successor
+SUCCESSOR_START_TIME = 0.5  # seconds by which a router that ends has a successor
 OVERDUE_GRACE = 0.005  # seconds behind the deadline that the decisions keep, still before the client's own
 FAILED_TASK_WAIT = 1.0  # seconds until a background task that failed is run again
 MIN_TASK_WAIT = 0.001
@@ -184,7 +184,7 @@
 
         What never went out may be retried elsewhere: failed, its client would not know that, nor when.
         """
-        retry_after = min(SUCCESSOR_TIME, self.router.deployment.max_retry_after)
+        retry_after = min(SUCCESSOR_START_TIME, self.router.deployment.max_retry_after)
         for pending in self.pending_operations:
             if not pending.answered:
                 operation = pending.operation
--- a/gaugehinge/net/origin_codec.py
+++ b/gaugehinge/net/origin_codec.py
@@ -71,7 +71,7 @@
         if cause is not None:
             self.doubts.record(cause)
             is_repeated = cause is DoubtCause.REPEATED
-            raise DoubtfulReply(cause, concerns_all=is_repeated or self.endings.are_ambiguous)
+            raise DoubtfulReply(cause, affects_all_connections=is_repeated or self.endings.are_ambiguous)
         if response.status != HTTPStatus.OK:
             return ServerReply(outcome_of(response), reusable=False)
         reusable = response.reusable and not (state.responses.is_full() or self.endings.are_ambiguous)
--- a/gaugehinge/net/resp_codec.py
+++ b/gaugehinge/net/resp_codec.py
@@ -22,8 +22,8 @@
 FENCE_COMMAND = b"*2\r\n$6\r\nSELECT\r\n$1\r\n%d\r\n" % DATABASE
 FENCE_STATUS = b"OK"
 REPLY_HEAD = b"*3\r\n"  # of every reply that is no error
-SECOND_REPLY = re.compile(rb"-[A-Z]|\*3")  # within a line that is a cut reply and the next one
-NEVER_LOAD_REPORTS = (ARRAY, ERROR, STATUS)
+EMBEDDED_REPLY_START = re.compile(rb"-[A-Z]|\*3")  # within a line that is a cut reply and the next one
+NON_LOAD_REPORT_KINDS = (ARRAY, ERROR, STATUS)
 
 
 class RespConnectionState:
@@ -117,16 +117,16 @@
     """Take a reply as the request's own."""
     has_more = len(state.parser) > 0
     if has_more:
-        _check_what_follows(message, state.parser.unparsed())
+        _check_trailing_bytes(message, state.parser.unparsed())
     if state.is_reused:
-        _check_for_reply_within(message)
+        _check_for_embedded_reply(message)
     reply = read_reply(message)
     if has_more or state.fence.is_armed or state.replies.is_full():
         return reply._replace(reusable=False)
     return reply
 
 
-def _check_what_follows(message: Message, rest: bytes) -> None:
+def _check_trailing_bytes(message: Message, rest: bytes) -> None:
     """Reject a reply that is followed by bytes of another one.
 
     Unrequested bytes after a reply belong to no attempt: the next one would take them for its own reply. And
@@ -140,7 +140,7 @@
     raise MalformedReply("a reply followed by bytes of another one")
 
 
-def _check_for_reply_within(message: Message) -> None:
+def _check_for_embedded_reply(message: Message) -> None:
     """Reject a reply on a reused connection that has another one, or its head, within it.
 
     It may be the cut half of an earlier reply, which the request's own reply completed to the byte. A stored
@@ -148,7 +148,7 @@
     """
     parts = message.top.body
     last = parts[-1].body if isinstance(parts, list) and parts else None
-    ends_in_reply = isinstance(last, bytes) and SECOND_REPLY.search(last)
+    ends_in_reply = isinstance(last, bytes) and EMBEDDED_REPLY_START.search(last)
     if ends_in_reply or message.raw.find(REPLY_HEAD, 1) >= 0:
         raise ConnectionLost("a reply within another one")
 
@@ -178,7 +178,7 @@
     """
     code, _, rest = text.partition(b" ")
     if code == b"BUSY":
-        if SECOND_REPLY.search(rest):
+        if EMBEDDED_REPLY_START.search(rest):
             raise MalformedReply("a reply within an error")
         return ServerReply(Outcome.REJECTED)
     if code != b"ERR":
@@ -192,6 +192,6 @@
     Raises:
         MalformedReply: another reply stands in its place, so that the value before it is of an earlier one.
     """
-    if frame.kind in NEVER_LOAD_REPORTS or (isinstance(frame.body, bytes) and CRLF in frame.body):
+    if frame.kind in NON_LOAD_REPORT_KINDS or (isinstance(frame.body, bytes) and CRLF in frame.body):
         raise MalformedReply("a reply in place of a load report")
     return frame.body if frame.kind == BULK and isinstance(frame.body, bytes) else b""
--- a/gaugehinge/net/response_memory.py
+++ b/gaugehinge/net/response_memory.py
@@ -14,10 +14,10 @@
 from .reply_memory import ReplyMemory
 
 MAX_RESPONSES = 128  # with more the memory takes too many new responses for earlier ones: the connection ends
-MAX_FILL = (
+MAX_UNRECOGNISED_BYTES = (
     6  # bytes of another response's start that are not recognised as such: all but one of RESPONSE_START
 )
-PARTS_OF_START = (b"H", b"HT", b"HTT", b"HTTP", b"HTTP/", b"HTTP/1")  # of RESPONSE_START
+RESPONSE_START_PREFIXES = (b"H", b"HT", b"HTT", b"HTTP", b"HTTP/", b"HTTP/1")  # of RESPONSE_START
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] (\d{3})[^\r\n]*")
 # A name, as RFC 9110 has it, and a value; or the rest of a folded line.
 HEADER_LINE = re.compile(rb"(?:[!#$%&'*+.^`|~\w-]+:|[ \t])[^\n]*")
@@ -58,7 +58,9 @@
         self._count += 1
         body, shape = response.body, _Shape(response.status, len(response.body))
         is_repeated = self._remembered.add(b"%d %b" % (response.status, body))
-        is_mixed = response.is_mixed or (RESPONSE_START in body and self._holds_another(shape, body))
+        is_mixed = response.is_mixed or (
+            RESPONSE_START in body and self._contains_other_response(shape, body)
+        )
         self._remembered.add(shape.key())
         if not is_reused:
             return None
@@ -72,7 +74,7 @@
         """Whether no further response should be remembered."""
         return self._count >= MAX_RESPONSES
 
-    def _holds_another(self, shape: _Shape, body: bytes) -> bool:
+    def _contains_other_response(self, shape: _Shape, body: bytes) -> bool:
         """Whether a body has another response's head within it, and either is of an earlier response's shape.
 
         A stored value may have such a head, too. Where that is cut, or tells no length, it counts.
@@ -110,4 +112,4 @@
 
 def ends_in_response_start(body: bytes) -> bool:
     """Whether the last bytes of a body may be the first ones of another response."""
-    return body.endswith(PARTS_OF_START)
+    return body.endswith(RESPONSE_START_PREFIXES)
--- a/tests/test_ambiguous_endings.py
+++ b/tests/test_ambiguous_endings.py
@@ -9,7 +9,7 @@
 from gaugehinge.net.response_endings import ResponseEndings
 from tests.helper import Cache, Web, fleet
 from tests.test_late_replies import KINDS, ask
-from tests.test_late_responses import http, let_rest
+from tests.test_late_responses import age_idle_connections, http
 
 FAILED = b"-ERR failed\r\n"
 
@@ -19,7 +19,7 @@
     return b"%b's own value" % ident.encode()
 
 
-class Interrupted(Web):
+class InterleavingOrigin(Web):
     """Sends its first response once more within the last bytes of the second one on its connection.
 
     What follows the bytes that complete the second one's value comes later.
@@ -48,21 +48,21 @@
 def test_a_copy_within_the_last_bytes_gives_no_wrong_value_on_sockets(
     tmp_path, monkeypatch, kind, left, delay_ms, rest_is_behind_next
 ):
-    monkeypatch.setattr(Interrupted, "left", left)
-    monkeypatch.setattr(Interrupted, "delay", delay_ms / 1000)
+    monkeypatch.setattr(InterleavingOrigin, "left", left)
+    monkeypatch.setattr(InterleavingOrigin, "delay", delay_ms / 1000)
 
     async def main():
         async with fleet(tmp_path, [Cache("miss")]) as made:
-            made.origin.__class__ = Interrupted
+            made.origin.__class__ = InterleavingOrigin
             made.origin.reply = lambda method, target, headers, body: (200, "", value_for(headers["x-txn"]))
             client = await made.client()
             assert await ask(client, kind, "i1") == bulk(value_for("i1"))
-            let_rest(made)
+            age_idle_connections(made)
             answer = await ask(client, kind, "i2")
             assert answer in [bulk(value_for("i2"))] + [FAILED] * (kind == "once")
             if not rest_is_behind_next:
                 await trio.sleep(made.origin.delay + 0.02)
-            let_rest(made)
+            age_idle_connections(made)
             assert await ask(client, kind, "i3") == bulk(value_for("i3"))
             ids = [headers["x-txn"] for _, _, headers, _ in made.origin.seen]
             assert ids.count("i2") == (1 if kind == "once" else 2)
@@ -71,9 +71,7 @@
 
 
 @pytest.mark.parametrize("kind", list(KINDS))
-def test_an_origin_all_of_whose_values_end_like_a_response_runs_each_request_once_more_at_most_at_first(
-    tmp_path, kind
-):
+def test_an_origin_whose_values_all_end_like_a_response_start_gets_few_repeated_requests(tmp_path, kind):
     """Three connections carry requests as the first doubt comes; from then on each carries one."""
     clients, rounds = 3, 12
 
@@ -91,7 +89,7 @@
                     labels = KINDS[kind].format(ident)
                     words = ("KV.GET", name, ident, labels), ("KV.SET", name, ident, labels, "new")
                     answer = await client.ask(*words[kind != "read"])
-                    let_rest(made)
+                    age_idle_connections(made)
                     if answer == FAILED and kind == "once":
                         failures.append(ident)
                     else:
--- a/tests/test_late_responses.py
+++ b/tests/test_late_responses.py
@@ -12,7 +12,7 @@
 from gaugehinge.net.discovery import DiscoveryClient
 from gaugehinge.net.origin_codec import OriginCodec
 from gaugehinge.net.resp import bulk
-from gaugehinge.net.response_memory import MAX_FILL
+from gaugehinge.net.response_memory import MAX_UNRECOGNISED_BYTES
 from gaugehinge.net.timer_queue import TimerQueue
 from gaugehinge.routing.types import EndpointState, Outcome
 from tests.helper import Cache, Web, fleet
@@ -39,13 +39,13 @@
     "no content": b"HTTP/1.1 204 X\r\n\r\n",
 }
 # After any other one the connection ends.
-EARLIER = {
+EARLIER_RESPONSES = {
     name: RESPONSES[name].replace(b"k2", b"k1")
     for name in ("value", "report behind", "other header behind", "empty", "short", "chunked", "continued")
 } | {"long": http(200, b"value of k1" + b"v" * 70)}
 
 
-def reused(codec: OriginCodec, earlier: bytes) -> Connection:
+def reused_connection(codec: OriginCodec, earlier: bytes) -> Connection:
     """A connection that has carried a request, with its response, and on which the next one was written."""
     connection = Connection(None, ServerPool(1, "o", ("127.0.0.1", 1), 0.0), codec.new_state(), None)
     payload = RequestPayload(b"i", b"k", (b"d=", b""), b"d=1", b"", b"", None)
@@ -58,7 +58,7 @@
 def outcome_of(earlier: bytes, data: bytes, piece: int):
     """What the codec makes of the bytes behind a request on a reused connection, fed in pieces."""
     codec = OriginCodec()
-    connection = reused(codec, earlier)
+    connection = reused_connection(codec, earlier)
     try:
         for start in range(0, len(data), piece):
             reply = codec.decode(connection, data[start : start + piece])
@@ -71,10 +71,10 @@
 
 @pytest.mark.parametrize("piece", [1, 7, 1000])
 @pytest.mark.parametrize("later", list(RESPONSES))
-@pytest.mark.parametrize("earlier", list(EARLIER))
+@pytest.mark.parametrize("earlier", list(EARLIER_RESPONSES))
 def test_a_cut_copy_before_a_response_gives_no_other_response(earlier, later, piece):
     """Wrong: a value that nobody gave for this request, and "never ran" for one that may have run."""
-    copy, own = EARLIER[earlier], RESPONSES[later]
+    copy, own = EARLIER_RESPONSES[earlier], RESPONSES[later]
     allowed = {"lost", "waits", outcome_of(copy, own, 1000), (Outcome.SERVER_ERROR, None)}
     wrong = []
     for cut in range(1, len(copy) + 1):
@@ -87,10 +87,10 @@
 
 
 @pytest.mark.parametrize("piece", [1, 2, 3, 7, 13, 1000])
-@pytest.mark.parametrize("later", [*EARLIER, "rejected", "failed"])
-@pytest.mark.parametrize("earlier", list(EARLIER))
+@pytest.mark.parametrize("later", [*EARLIER_RESPONSES, "rejected", "failed"])
+@pytest.mark.parametrize("earlier", list(EARLIER_RESPONSES))
 def test_a_copy_within_a_response_gives_no_other_response(earlier, later, piece):
-    copy, own = EARLIER[earlier], RESPONSES.get(later, http(200, b"of k2" + b"w" * 90))
+    copy, own = EARLIER_RESPONSES[earlier], RESPONSES.get(later, http(200, b"of k2" + b"w" * 90))
     allowed = {"lost", "waits", outcome_of(copy, own, 1000), (Outcome.SERVER_ERROR, None)}
     wrong = []
     for cut in range(1, len(own)):
@@ -121,15 +121,18 @@
 @pytest.mark.parametrize("piece", [1, 1000], ids=["apart", "together"])
 def test_a_copy_within_the_last_bytes_of_a_response_gives_no_other_response(piece):
     """The first bytes of the copy complete the value, before more of it has come."""
-    copy, own = EARLIER["value"], http(200, b"another value of k2")
+    copy, own = EARLIER_RESPONSES["value"], http(200, b"another value of k2")
     allowed = {"lost", "waits", outcome_of(copy, own, 1000)}
-    found = {outcome_of(copy, own[:-left] + copy + own[-left:], piece) for left in range(1, MAX_FILL + 1)}
+    found = {
+        outcome_of(copy, own[:-left] + copy + own[-left:], piece)
+        for left in range(1, MAX_UNRECOGNISED_BYTES + 1)
+    }
     assert found <= allowed
 
 
 def test_a_copy_that_breaks_off_behind_its_first_bytes_within_a_response_gives_no_other_value():
     """The response's own bytes go on behind it, and its last ones come later."""
-    copy, own = EARLIER["value"], http(200, b"another value of k2")
+    copy, own = EARLIER_RESPONSES["value"], http(200, b"another value of k2")
     data = own[:-9] + copy[:3] + own[-9:]
     assert outcome_of(copy, data, len(own)) in ("lost", outcome_of(copy, own, 1000))
 
@@ -140,15 +143,15 @@
 def test_a_value_that_holds_a_response_is_taken(text):
     """Where neither it nor the one within it is like an earlier one."""
     value = b"a value with " + text + b"\0 and more"
-    assert outcome_of(EARLIER["value"], http(200, value), 1000) == (Outcome.SUCCEEDED, bulk(value))
+    assert outcome_of(EARLIER_RESPONSES["value"], http(200, value), 1000) == (Outcome.SUCCEEDED, bulk(value))
 
 
 @pytest.mark.parametrize("later", ["value", "chunked", "continued", "short"])
 def test_a_response_with_another_content_is_taken(later):
-    assert outcome_of(EARLIER["value"], RESPONSES[later], 1000)[0] is Outcome.SUCCEEDED
+    assert outcome_of(EARLIER_RESPONSES["value"], RESPONSES[later], 1000)[0] is Outcome.SUCCEEDED
 
 
-class Copying(Web):
+class DuplicatingOrigin(Web):
     """Sends its first response on a connection once more, beside the response to the second request there."""
 
     place = "before"
@@ -168,12 +171,12 @@
         await stream.send_all(both.get(self.place, own) if len(sent) == 2 else own)
 
 
-def play(tmp_path, scene, reply, place="before") -> list[bytes]:
+def run_with_router(tmp_path, scene, reply, place="before") -> list[bytes]:
     """Run a scene with a client at a router whose cache server misses; the ids that the origin got."""
 
     async def run():
         async with fleet(tmp_path, [Cache("miss")]) as made:
-            made.origin.__class__ = Copying
+            made.origin.__class__ = DuplicatingOrigin
             made.origin.place, made.origin.reply = place, reply
             client = await made.client()
             await scene(made, client)
@@ -182,7 +185,7 @@
     return trio.run(run)
 
 
-def let_rest(made) -> None:
+def age_idle_connections(made) -> None:
     """Make the idle connections old enough to be used again."""
     for server in made.service.pool.endpoints.values():
         for connection in server.idle:
@@ -198,17 +201,17 @@
 def test_a_copy_beside_the_response_to_the_next_request(tmp_path, kind, place):
     async def scene(made, client):
         assert await ask(client, kind, "i1") == bulk(b"receipt of i1")
-        let_rest(made)
+        age_idle_connections(made)
         answer = await ask(client, kind, "i2")
         allowed = [bulk(b"receipt of i2")] + [b"-ERR failed\r\n"] * (kind == "once")
         assert answer in allowed
         assert await ask(client, kind, "i3") == bulk(b"receipt of i3")
 
-    ids = play(tmp_path, scene, receipt, place)
+    ids = run_with_router(tmp_path, scene, receipt, place)
     assert ids.count(b"i2") == 1 or kind != "once"
 
 
-def test_a_copied_rejection_does_not_call_a_write_harmless_that_ran(tmp_path):
+def test_a_copied_rejection_is_not_taken_for_the_reply_to_a_write_that_ran(tmp_path):
     """It came before the receipt on the reused connection: its client sent the write again."""
 
     def reply(method, target, headers, body):
@@ -217,10 +220,10 @@
 
     async def scene(made, client):
         assert (await ask(client, "once", "i1")).startswith(b"-BUSY")
-        let_rest(made)
+        age_idle_connections(made)
         assert await ask(client, "once", "i2") == bulk(b"receipt of i2")
 
-    play(tmp_path, scene, reply)
+    run_with_router(tmp_path, scene, reply)
 
 
 @pytest.mark.parametrize("kind", list(KINDS))
@@ -231,14 +234,14 @@
         answers = []
         for number in range(12):
             answers.append(await ask(client, kind, f"i{number}"))
-            let_rest(made)
+            age_idle_connections(made)
             if number == 6:
                 for server in made.service.pool.endpoints.values():
                     server.doubted_until = min(server.doubted_until, 0.001)
         failures = [answer for answer in answers if answer != bulk(b"stored")]
         assert failures == [b"-ERR failed\r\n"] * (kind == "once")
 
-    ids = play(tmp_path, scene, lambda *call: (200, "", b"stored"), "none")
+    ids = run_with_router(tmp_path, scene, lambda *call: (200, "", b"stored"), "none")
     assert all(ids.count(each) == 1 for each in ids) or kind != "once"
 
 
@@ -252,15 +255,15 @@
     async def scene(made, client):
         for number in range(6):
             await ask(client, "mark", f"i{number}")
-            let_rest(made)
+            age_idle_connections(made)
             for server in made.service.pool.endpoints.values():
                 server.doubted_until = min(server.doubted_until, 0.001)
         for number in range(6, 9):
             assert await ask(client, "once", f"i{number}") == bulk(b"receipt of i%d" % number)
-            let_rest(made)
+            age_idle_connections(made)
         streams.extend(made.origin.sent.values())
 
-    play(tmp_path, scene, reply, "none")
+    run_with_router(tmp_path, scene, reply, "none")
     assert sorted(map(len, streams)) == [3, 7]  # up to the doubt; the keyed write again, and all behind it
 
 
@@ -270,10 +273,10 @@
     async def scene(made, client):
         for number in range(5):
             assert await ask(client, "once", f"i{number}") == bulk(b"receipt of i%d" % number)
-            let_rest(made)
+            age_idle_connections(made)
         streams.update(made.origin.sent)
 
-    play(tmp_path, scene, receipt, "none")
+    run_with_router(tmp_path, scene, receipt, "none")
     assert len(streams) == 1
 
 
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -6,8 +6,8 @@
 from gaugehinge.net.resp import bulk
 from tests.helper import SETTINGS, Cache, fleet
 
-BY = 5.0  # seconds; an operation here waits for five minutes
-PATIENT = {**SETTINGS["trafficTypes"][0], "promisedTimeUs": 300_000_000}
+WAIT_LIMIT = 5.0  # seconds; an operation here waits for five minutes
+LONG_TRAFFIC_TYPE = {**SETTINGS["trafficTypes"][0], "promisedTimeUs": 300_000_000}
 
 
 def command(number):
@@ -15,12 +15,12 @@
     return b"*4\r\n" + b"".join(map(bulk, words))
 
 
-def test_one_that_goes_with_more_sent_than_may_be_in_hand_leaves_nothing_behind(tmp_path):
+def test_a_client_that_disconnects_with_a_full_pipeline_leaves_nothing_pending(tmp_path):
     """Paused, its connection was not read on, and its end was seen only once an answer was due: what waited
     was sent on for nobody, and so was what stood unread behind it."""
 
     async def scene():
-        settings = {**SETTINGS, "trafficTypes": [PATIENT]}
+        settings = {**SETTINGS, "trafficTypes": [LONG_TRAFFIC_TYPE]}
         async with fleet(tmp_path, [Cache("stall")], settings=settings) as made:
             client = await made.client()
             pending_operations, connections = (
@@ -28,11 +28,11 @@
                 made.service.clients.connections,
             )
             await client.stream.send_all(b"".join(map(command, range(MAX_PIPELINED_REQUESTS + 8))))
-            with trio.fail_after(BY):
+            with trio.fail_after(WAIT_LIMIT):
                 while not any(each.paused for each in connections):
                     await trio.sleep(0.01)
             await client.stream.aclose()
-            with trio.move_on_after(BY):
+            with trio.move_on_after(WAIT_LIMIT):
                 while len(pending_operations) or len(connections):
                     await trio.sleep(0.01)
             assert not len(pending_operations) and not len(connections)
--- a/tests/test_own_lag.py
+++ b/tests/test_own_lag.py
@@ -21,7 +21,7 @@
 THROUGH = {**SETTINGS, "domain": {"mode": "through", "originKind": 1}}
 
 
-def play(scene) -> None:
+def run_with_pool(scene) -> None:
     """Run a scene with a pool, a function that sends an attempt, and the outcomes."""
 
     async def main():
@@ -56,13 +56,13 @@
     time.sleep(seconds)
 
 
-async def until(holds) -> None:
+async def wait_until(holds) -> None:
     while not holds():
         await trio.sleep(0.002)
 
 
 @pytest.mark.parametrize("late", [0.01, 0.3, 1.0])
-def test_a_reply_that_stood_there_in_time_is_taken_after_a_stall(late):
+def test_a_reply_received_in_time_is_accepted_after_a_stall(late):
     async def scene(nursery, pool, send, ended):
         async def serve(stream):
             await stream.receive_some()
@@ -72,13 +72,13 @@
 
         listeners = await nursery.start(trio.serve_tcp, serve, 0)
         send(listeners[0], TIMEOUT)
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         assert ended == [Outcome.SUCCEEDED]
 
-    play(scene)
+    run_with_pool(scene)
 
 
-def test_a_reply_that_goes_on_in_pieces_is_waited_for_no_longer_than_once():
+def test_a_reply_that_arrives_in_pieces_does_not_extend_the_timeout():
     async def scene(nursery, pool, send, ended):
         async def serve(stream):
             await stream.receive_some()
@@ -89,74 +89,74 @@
         listeners = await nursery.start(trio.serve_tcp, serve, 0)
         began = trio.current_time()
         send(listeners[0], TIMEOUT)
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         assert ended == [Outcome.TIMED_OUT] and trio.current_time() - began < TIMEOUT + 0.2
 
-    play(scene)
+    run_with_pool(scene)
 
 
-def test_a_server_that_is_silent_is_blamed():
+def test_a_silent_server_causes_a_timeout():
     async def scene(nursery, pool, send, ended):
         listeners = await nursery.start(trio.serve_tcp, Cache("stall").serve, 0)
         send(listeners[0], TIMEOUT)
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         assert ended == [Outcome.TIMED_OUT]
 
-    play(scene)
+    run_with_pool(scene)
 
 
 @pytest.mark.parametrize("timeout", [TIMEOUT, 4 * TIMEOUT], ids=["the attempt's", "the connection's"])
-def test_a_connection_that_came_up_while_its_task_got_no_turn_is_no_failed_one(monkeypatch, timeout):
+def test_a_connection_established_before_its_task_ran_is_not_a_connect_failure(monkeypatch, timeout):
     """By the attempt's own time nothing was sent, and its server is not blamed. Where only the connection's
     time is over, the attempt goes on."""
-    turn = trio.Event()
+    task_may_run = trio.Event()
 
-    async def unseen(sock, address):
+    async def connect_unobserved(sock, address):
         await sockets.connect(sock, address)
-        await turn.wait()
+        await task_may_run.wait()
 
     async def scene(nursery, pool, send, ended):
-        monkeypatch.setattr(connection_pool, "connect", unseen)
+        monkeypatch.setattr(connection_pool, "connect", connect_unobserved)
         listeners = await nursery.start(trio.serve_tcp, Cache().serve, 0)
         send(listeners[0], timeout)
         await trio.sleep(1.5 * TIMEOUT)
-        turn.set()
-        await until(lambda: ended)
+        task_may_run.set()
+        await wait_until(lambda: ended)
         assert ended == [Outcome.NOT_SENT if timeout == TIMEOUT else Outcome.SUCCEEDED]
 
-    play(scene)
+    run_with_pool(scene)
 
 
-def test_a_connection_that_was_never_begun_is_no_failed_one():
+def test_a_connect_that_was_never_started_is_not_a_connect_failure():
     """The loop stands from the send until the attempt's time is over."""
 
     async def scene(nursery, pool, send, ended):
         listeners = await nursery.start(trio.serve_tcp, Cache().serve, 0)
         send(listeners[0], TIMEOUT)
         stall(2 * TIMEOUT)
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         assert ended in ([Outcome.NOT_SENT], [Outcome.SUCCEEDED])
 
     for _ in range(10):  # timers and tasks come in either order
-        play(scene)
+        run_with_pool(scene)
 
 
-def test_a_server_that_does_not_take_connections_is_blamed(monkeypatch):
-    async def never(sock, address):
+def test_a_server_that_accepts_no_connections_causes_a_connect_failure(monkeypatch):
+    async def never_connect(sock, address):
         await trio.sleep_forever()
 
     async def scene(nursery, pool, send, ended):
-        monkeypatch.setattr(connection_pool, "connect", never)
+        monkeypatch.setattr(connection_pool, "connect", never_connect)
         listeners = await nursery.start(trio.serve_tcp, Cache().serve, 0)
         send(listeners[0], TIMEOUT)
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         assert ended == [Outcome.CONNECT_FAILED]
 
-    play(scene)
+    run_with_pool(scene)
 
 
 @pytest.mark.parametrize("labels", ["c=read,t=acme,d=200", "c=mark,t=acme,d=200,k=m1"])
-def test_a_reply_that_stands_unread_as_its_operation_falls_due_is_passed_on(tmp_path, labels):
+def test_an_unread_reply_is_forwarded_when_its_operation_is_due(tmp_path, labels):
     """After a stall past the client's deadline, which no other answer keeps either."""
 
     class Stalling(Cache):
@@ -241,7 +241,7 @@
 
 
 @pytest.mark.parametrize("step", ["the decision", "the connection"])
-def test_a_stall_before_the_request_is_written_is_no_latency_of_its_server(tmp_path, monkeypatch, step):
+def test_a_stall_before_the_request_is_written_is_not_counted_as_server_latency(tmp_path, monkeypatch, step):
     """It stands behind the decision, or as the connection comes up."""
     durations = []
 
@@ -250,7 +250,7 @@
             client, pool = await made.client(), made.service.pool
             ended, send = pool.on_attempt_ended, pool.send
 
-            def note(attempt, outcome, elapsed, *rest):
+            def record_elapsed(attempt, outcome, elapsed, *rest):
                 durations.append(elapsed)
                 ended(attempt, outcome, elapsed, *rest)
 
@@ -262,7 +262,7 @@
                 await sockets.connect(sock, address)
                 stall(0.3)
 
-            monkeypatch.setattr(pool, "on_attempt_ended", note)
+            monkeypatch.setattr(pool, "on_attempt_ended", record_elapsed)
             if step == "the decision":
                 monkeypatch.setattr(pool, "send", send_late)
             else:
@@ -274,12 +274,12 @@
 
 
 @pytest.mark.parametrize("rest", [REPLY, REPLY[:-4]], ids=["whole", "a part"])
-def test_a_reply_that_stands_unread_is_taken_at_the_deadline_though_its_task_gets_no_turn(monkeypatch, rest):
-    sent, turn = trio.Event(), trio.Event()
+def test_an_unread_reply_is_accepted_at_the_deadline_although_its_task_has_not_run(monkeypatch, rest):
+    sent, task_may_run = trio.Event(), trio.Event()
 
-    async def hold_up(sock):
+    async def delayed_receive(sock):
         await sent.wait()
-        await turn.wait()
+        await task_may_run.wait()
         return await sockets.receive(sock)
 
     async def serve(stream):
@@ -289,11 +289,11 @@
         await trio.sleep_forever()
 
     async def scene(nursery, pool, send, ended):
-        monkeypatch.setattr(connection_pool, "receive", hold_up)
+        monkeypatch.setattr(connection_pool, "receive", delayed_receive)
         listeners = await nursery.start(trio.serve_tcp, serve, 0)
         send(listeners[0], TIMEOUT)
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         assert ended == [Outcome.SUCCEEDED if rest == REPLY else Outcome.TIMED_OUT]
-        turn.set()
+        task_may_run.set()
 
-    play(scene)
+    run_with_pool(scene)
