--- a/gaugehinge/net/connection_pool.py
+++ b/gaugehinge/net/connection_pool.py
@@ -1,7 +1,7 @@
-"""Connections to servers within limits, and the attempts on them: one attempt at a time on a connection.
+"""A pool of connections to servers. Each connection carries one attempt at a time.
 
-The outcome of an attempt follows from how far it had come when it ended: before its last byte was written it
-never ran, after that it may have. Nothing is retried from here.
+The outcome of an attempt depends on how much of it was written when it ended: before its last byte was
+written it cannot have run, afterwards it may have. The pool retries nothing.
 """
 
 from __future__ import annotations
@@ -33,40 +33,41 @@
 )
 from .timer_queue import MIN_LATENESS, TimerQueue
 
-# Of the time after which a server closes an idle connection. A request written just then may be lost.
+# The pool closes an idle connection after this fraction of the time after which the server would close it. A
+# request written just as the server closes the connection may be lost.
 IDLE_TIMEOUT_FRACTION = 0.7
-# Seconds for which a connection is not used again after a reply: its end, or a second copy of the reply, may
-# follow.
+# Seconds for which a connection is not reused after a reply: the end of the stream, or a second copy of the
+# reply, may follow.
 REUSE_DELAY = 0.01
-# Seconds for an attempt's last byte to reach its server, before the time by which it has to be there.
+# Seconds allowed for an attempt's last byte to reach its server before the retry deadline.
 RETRY_DEADLINE_MARGIN = 0.05
-SWEEP_INTERVAL = 0.5  # seconds between two looks for connections that have been idle for too long
+SWEEP_INTERVAL = 0.5  # seconds between two checks for connections that have been idle too long
 
 
 class ConnectionBudget(Protocol):
-    """Says how many connections may be open to each server, where not this router alone decides that."""
+    """Limits the open connections to each server where this router does not set that limit alone."""
 
     def may_open(self, endpoint: ServerPool) -> bool:
-        """Whether one more may be opened now."""
+        """Whether one more connection may be opened now."""
 
     def may_use(self, connection: Connection) -> bool:
-        """Whether a connection that was idle may carry an attempt now; else it is closed."""
+        """Whether an idle connection may carry an attempt now; if not, the pool closes it."""
 
     def wait(self, endpoint: ServerPool, pending: PendingAttempt) -> bool:
-        """Keep an attempt for which no connection may be opened; False: it is not kept."""
+        """Queue an attempt for which no connection may be opened; False if it was not queued."""
 
     def opened(self, connection: Connection) -> None:
-        """A connection is about to be opened."""
+        """Called when a connection is about to be opened."""
 
     def became_idle(self, connection: Connection) -> None:
-        """A connection's attempt ended, and it is idle."""
+        """Called when a connection's attempt has ended and the connection is idle."""
 
     def closed(self, connection: Connection) -> None:
-        """The pool is about to close a connection's socket."""
+        """Called when the pool is about to close a connection's socket."""
 
 
 class ConnectionPool:
-    """Connections to all servers, within a limit, and the attempts that have not ended."""
+    """Keeps connections to all servers within a limit, and the attempts that have not ended."""
 
     def __init__(
         self,
@@ -77,10 +78,11 @@
         server_idle_timeout: float,
         on_attempt_ended: Callable[[Attempt, Outcome, float, bytes | None, bytes, float], None],
     ) -> None:
-        """Times are in seconds; a server closes connections that were idle for `server_idle_timeout`.
+        """Times are in seconds. Servers close connections that were idle for `server_idle_timeout`.
 
-        `on_attempt_ended` gets each attempt once, with its outcome, the seconds that it took, the value, the
-        server's load report, and the seconds for which its reply stood unread since the loop was late.
+        `on_attempt_ended` is called once for each attempt, with its outcome, its duration in seconds, the
+        value, the server's load report, and the seconds, not in the duration, by which this router itself
+        delayed it, for instance by leaving its reply unread while the event loop was late.
         """
         self.nursery = nursery
         self.timers = timers
@@ -89,15 +91,15 @@
         self.connect_timeout = connect_timeout
         self.max_idle_time = IDLE_TIMEOUT_FRACTION * server_idle_timeout
         self.on_attempt_ended = on_attempt_ended
-        self.endpoints: dict[int, ServerPool] = {}  # as discovery lists them
+        self.endpoints: dict[int, ServerPool] = {}  # by endpoint number, as discovery lists them
         self.pending: dict[Attempt, PendingAttempt] = {}  # until the attempt has ended
         self.open_connections = 0
-        self.exhausted = False  # whether an attempt found no connection within the limit, as last logged
+        self.exhausted = False  # whether no connection was available within the limit, as last logged
         self.install(Extensions())
         self._sweep()
 
     def install(self, extensions: Extensions) -> None:
-        """Take the extensions that attempts and connections concern, before the first attempt."""
+        """Install the extensions for attempts and connections. Called before the first attempt."""
         self.attempt_policies = extensions.attempt_policies
         self.connection_observers = extensions.connection_observers
         self.connection_budget = extensions.connection_budget
@@ -105,18 +107,18 @@
     # -- the servers
 
     def on_endpoints_changed(self, update: EndpointListUpdate) -> None:
-        """Follow the endpoint list. A server that restarted or moved gets a new pool of connections."""
+        """Apply an endpoint list. A server that restarted or moved gets a new pool of connections."""
         for entry, uid, address in update.targets:
             ident = entry.ident
             endpoint = self.endpoints.get(ident)
             if address is None:
                 self._remove_endpoint(ident)
             elif endpoint is not None and entry.started < endpoint.started:
-                continue  # of its former process, and perhaps at an address that is another server's now
+                continue  # an entry of its former process, whose address may be another server's now
             elif endpoint is None or (endpoint.address, endpoint.started) != (address, entry.started):
                 self._remove_endpoint(ident)
                 self.endpoints[ident] = ServerPool(ident, uid, address, entry.started)
-                logger.info("server {} at {}:{} is endpoint {}", uid, *address, ident)
+                logger.info("added server {} at {}:{} as endpoint {}", uid, *address, ident)
         if update.complete:
             listed = {target.entry.ident for target in update.targets}
             for ident in [ident for ident in self.endpoints if ident not in listed]:
@@ -131,9 +133,10 @@
     # -- attempts
 
     def send(self, attempt: Attempt, payload: RequestPayload, timeout: float, codec: Codec) -> None:
-        """Start an attempt that may take `timeout` seconds. It never ends before this returns.
+        """Start an attempt that may take `timeout` seconds. It never ends before this method returns.
 
-        It ends by its operation's deadline: the decision for it may lie some time back.
+        It ends no later than its operation's deadline, since the decision for it may have been made some
+        time ago.
         """
         now = self.clock()
         deadline = min(now + timeout, attempt.operation.deadline)
@@ -154,17 +157,17 @@
             self._open(endpoint, pending)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up, if it has not ended: its connection closes."""
+        """Abandon an attempt that has not ended and close its connection."""
         pending = self.pending.get(attempt)
         if pending is not None:
             sent = self._abandon(pending)
             self._end_soon(pending, Outcome.CANCELLED if sent else Outcome.NOT_SENT)
 
     def _on_timeout(self, pending: PendingAttempt) -> None:
-        """End an attempt whose time is over, without blaming its server for this router's own lag.
+        """End an attempt at its deadline, without blaming its server for this router's own lag.
 
-        After a stall, timers run before the tasks that read: a reply that has stood there in time was thrown
-        away, and sound servers were ejected.
+        After a stall of the event loop, timers run before the tasks that read. Replies that had arrived in
+        time were discarded, and healthy servers were ejected.
         """
         connection = pending.connection
         while connection is not None and _has_unread_reply(connection):
@@ -177,9 +180,9 @@
         self._end(pending, Outcome.TIMED_OUT if sent else not_sent)
 
     def _abandon(self, pending: PendingAttempt) -> bool:
-        """Close an attempt's connection; whether the attempt had been sent.
+        """Close an attempt's connection; returns whether the attempt had been sent.
 
-        Left open, the connection would give the late reply to the next attempt.
+        If the connection stayed open, the late reply would be given to the next attempt.
         """
         connection, pending.connection = pending.connection, None
         if connection is None:
@@ -189,10 +192,10 @@
         return connection.request_sent
 
     def _start(self, connection: Connection, pending: PendingAttempt) -> None:
-        """Write an attempt on a connection that is up."""
+        """Write an attempt to a connection that is established."""
         if not self._may_start(connection, pending):
-            # The connection is no longer this attempt's own: an attempt that was cancelled after this closed
-            # it under the next one.
+            # The attempt must give up the connection: when it was cancelled after this point, it closed the
+            # connection while the next attempt was using it.
             pending.connection = None
             self._release(connection)
             self._end_soon(pending, Outcome.NOT_SENT)
@@ -202,7 +205,7 @@
             data = pending.codec.encode(connection, pending.payload, pending.deadline - self.clock())
             sent = send_some(connection.sock, data)
         except Exception as error:
-            if not isinstance(error, OSError):  # a defect fails this attempt alone
+            if not isinstance(error, OSError):  # a defect fails this attempt only
                 logger.exception("failed to send an attempt of operation {}", pending.payload.ident)
             self._abandon(pending)
             self._end_soon(pending, Outcome.CONNECT_FAILED)
@@ -212,11 +215,12 @@
             self.nursery.start_soon(self._send_rest, connection, pending, data[sent:])
 
     def _may_start(self, connection: Connection, pending: PendingAttempt) -> bool:
-        """Whether an attempt may still begin on a connection that has come up.
+        """Whether an attempt may still start on a connection that is now established.
 
-        Meanwhile its operation may have finished, its time passed, and the endpoint list changed. A draining
-        server must not get the first byte, and what listens at a server's former address may be somebody
-        else's. Its client may have gone, with that still unread: nothing may begin for a client that left.
+        In the meantime its operation may have finished, its deadline may have passed, and the endpoint list
+        may have changed. A draining server must not get the first byte, and a different server may listen at
+        a server's former address. The client may have disconnected without this having been read yet; no
+        attempt may start for a client that left.
         """
         attempt, endpoint = pending.attempt, connection.endpoint
         if attempt.operation.finished or attempt.endpoint.state is not EndpointState.UP:
@@ -226,24 +230,24 @@
         return self._may_send(pending) and pending.payload.client_is_waiting()
 
     def _may_send(self, pending: PendingAttempt) -> bool:
-        """Whether the next byte of an attempt may be written: with the last one its server acts.
+        """Whether the next byte of an attempt may be written. The server acts on the last byte.
 
-        A connection that came up late, or a server that read slowly, held a retry up until its server had
-        forgotten the first attempt: the operation took effect a second time.
+        A connection that was established late, or a server that read slowly, delayed a retry until its
+        server had forgotten the first attempt, and the operation took effect a second time.
         """
         attempt, now = pending.attempt, self.clock()
         if now >= pending.deadline or now > attempt.operation.retry_deadline - RETRY_DEADLINE_MARGIN:
             return False
-        for policy in self.attempt_policies:  # noqa: SIM110 - a generator would cost each byte's way more
+        for policy in self.attempt_policies:  # noqa: SIM110 - a generator is slower, and this is a hot path
             if not policy.may_send(attempt):
                 return False
         return True
 
     async def _send_rest(self, connection: Connection, pending: PendingAttempt, rest: bytes) -> None:
-        """Write what could not be written at once. The connection's reader notices its end."""
+        """Write the bytes that did not fit at once. The connection's reader notices when it ends."""
         try:
             while rest:
-                if not connection.closed:  # by its reader or a timeout, before this task began
+                if not connection.closed:  # its reader or a timeout may have closed it before this task ran
                     await wait_writable(connection.sock)
                 if connection.pending is not pending:
                     return
@@ -255,13 +259,13 @@
                 connection.request_sent = len(rest) <= connection.trailing_bytes
         except (OSError, trio.ClosedResourceError):
             pass
-        except Exception:  # a defect fails this attempt alone
+        except Exception:  # a defect fails this attempt only
             logger.exception("failed to write to server {}", connection.endpoint.uid)
 
     def _end_soon(self, pending: PendingAttempt, outcome: Outcome) -> None:
-        """End an attempt by a timer, by its deadline: the caller that started or cancelled it is not done.
+        """End an attempt from a timer, by its deadline, after the caller of `send` or `cancel` is done.
 
-        Called from within `send` or `cancel`, `on_attempt_ended` would find the caller's state half changed.
+        Called from within `send` or `cancel`, `on_attempt_ended` would see the caller's state half changed.
         """
         self.timers.cancel(pending.timer)
         self.timers.call_at(min(self.clock(), pending.deadline), self._end, pending, outcome)
@@ -279,19 +283,20 @@
         elapsed = max(self.clock() - pending.attempt.sent_at - pending.own_lag, 0.0)
         try:
             self.on_attempt_ended(pending.attempt, outcome, elapsed, value, reported_load, pending.own_lag)
-        except Exception:  # a defect fails this attempt alone
+        except Exception:  # a defect fails this attempt only
             ident = pending.payload.ident
             logger.exception("failed to handle the outcome of an attempt of operation {}", ident)
 
     # -- connections
 
     def take_idle(self, endpoint: ServerPool, attempt: Attempt) -> Connection | None:
-        """The connection that was used last, if it may be used again and the server has not closed it.
+        """Take the most recently used connection that may be reused and that the server has not closed.
 
-        Used again at once, it gave bytes that followed one attempt's reply to the next attempt.
+        Connections are not reused before REUSE_DELAY has passed: reused at once, one delivered bytes that
+        followed one attempt's reply to the next attempt.
         """
         if not may_reuse(endpoint, attempt, self.clock()):
-            if endpoint.idle:  # the connection that is opened in its place may be one too many
+            if endpoint.idle:  # the connection opened instead could exceed the limit
                 self._close(endpoint.idle.pop(0))
             return None
         now = self.clock()
@@ -309,14 +314,15 @@
         return None
 
     def set_limit(self, max_connections: int) -> None:
-        """Change how many connections may be open. Idle ones over the limit are closed at once."""
+        """Change how many connections may be open. Idle ones above the limit are closed at once."""
         self.max_connections = max_connections
         while self.open_connections > max_connections and self._close_longest_idle():
             pass
 
     def _make_room(self) -> bool:
-        """Whether one more connection may be opened; closes those that were idle for longest if need be."""
-        # Not only one of them: while more are open than a lowered limit allows, one for one would keep it so.
+        """Whether one more connection may be opened; closes those idle for longest if necessary."""
+        # Closes as many as needed, not just one: after the limit was lowered, closing one connection for each
+        # one opened would leave the number above the limit.
         while self.open_connections >= self.max_connections:
             found = self._close_longest_idle()
             if found is self.exhausted:
@@ -328,7 +334,7 @@
         return True
 
     def _close_longest_idle(self) -> bool:
-        """Close the connection that has been idle for longest; False: none is idle."""
+        """Close the connection that has been idle for longest; False if none is idle."""
         idle = [endpoint.idle[0] for endpoint in self.endpoints.values() if endpoint.idle]
         if not idle:
             return False
@@ -338,7 +344,7 @@
         return True
 
     def _open(self, endpoint: ServerPool, pending: PendingAttempt) -> None:
-        """Open a connection for an attempt, which is written as soon as it is up."""
+        """Open a connection for an attempt, which is written once the connection is established."""
         try:
             sock = tcp(endpoint.address)
         except OSError as error:
@@ -352,10 +358,10 @@
         self.nursery.start_soon(self._run, pending.connection)
 
     async def _run(self, connection: Connection) -> None:
-        """A connection's task: connect, write the attempt that it was opened for, read until it ends."""
+        """Task of a connection: connect, write the attempt that it was opened for, read until it ends."""
         try:
             await self._connect(connection)
-            if connection.is_up and connection.pending is not None:  # no local may keep the attempt alive
+            if connection.is_up and connection.pending is not None:  # a local would keep the attempt alive
                 if self._is_loop_late():
                     connection.pending.own_lag += acknowledgement_age(connection.sock)
                 self._start(connection, connection.pending)
@@ -366,12 +372,12 @@
             self._on_connection_ended(connection, None)
 
     async def _connect(self, connection: Connection) -> None:
-        """Wait until a connection is up, or its time is over. Raises OSError."""
+        """Wait until a connection is established or the connect timeout is over. Raises OSError."""
         with trio.CancelScope() as scope:
             due = self.clock() + self.connect_timeout
             timer = self.timers.call_at(due, self._on_connect_timeout, connection, scope)
             connection.connect_started = True
-            if connection.pending is not None:  # nothing of its time so far was its server's
+            if connection.pending is not None:  # the server used none of the time so far
                 connection.pending.own_lag = self.clock() - connection.pending.attempt.sent_at
             try:
                 await connect(connection.sock, connection.endpoint.address)
@@ -380,7 +386,7 @@
         connection.is_up = not scope.cancelled_caught and not connection.closed
 
     def _on_connect_timeout(self, connection: Connection, scope: trio.CancelScope) -> None:
-        if not is_connected(connection.sock):  # else only its task has not run since it came up
+        if not is_connected(connection.sock):  # else it is established and its task has yet to run
             scope.cancel()
 
     async def _read(self, connection: Connection) -> None:
@@ -391,7 +397,7 @@
                 break
 
     def _receive_now(self, connection: Connection) -> None:
-        """Take what stands unread on a connection before its task has its turn."""
+        """Read what has arrived on a connection, without waiting for its task to run."""
         try:
             data = receive_now(connection.sock)
             self._on_data(connection, data)
@@ -399,14 +405,14 @@
             self._on_connection_ended(connection, error)
 
     def _on_data(self, connection: Connection, data: bytes) -> None:
-        """Take bytes that were received, or b"" at the end of the stream. Raises ConnectionLost."""
+        """Handle received bytes, or b"" at the end of the stream. Raises ConnectionLost."""
         pending = connection.pending
         if pending is None:
-            raise ConnectionLost("end of stream, or bytes that no attempt asked for")
+            raise ConnectionLost("end of stream or unsolicited bytes on an idle connection")
         if data and not connection.request_sent:
-            # Not the reply to this request, which has not been written whole: a late copy of the reply before
-            # it, which would have called it done.
-            raise ConnectionLost("a reply before the request was sent")
+            # The request has not been written completely, so this is not its reply but a late copy of the
+            # previous one. Accepting it would report the request as done.
+            raise ConnectionLost("reply received before the request was sent")
         reply = pending.codec.decode(connection, data)
         if reply is None:
             _send_fence(connection)
@@ -421,17 +427,19 @@
         self._end(pending, reply.outcome, reply.value, reply.reported_load)
 
     def _is_loop_late(self) -> bool:
-        """Whether the system is to be asked for how long something stood there before it was looked at.
+        """Whether the event loop is so late that the kernel is asked how long data waited to be read.
 
-        Counted as a server's, that time made a sound one look slow: attempts behind a stall waited longer.
+        Counted as server latency, that time made a healthy server look slow, and attempts after a stall
+        waited longer.
         """
         return self.timers.lateness(self.clock()) >= MIN_LATENESS
 
     def _on_connection_ended(self, connection: Connection, failure: Exception | None) -> None:
-        """End the attempt on a connection that ended, by how far the attempt had come.
+        """End the attempt on a connection that ended; its outcome depends on how much was written.
 
-        A server that sends a malformed reply now and then is up: taken for lost connections, two such replies
-        in a row ejected a sound server, and the others were overloaded. A second call does nothing.
+        A server that sends an occasional malformed reply is up. When malformed replies counted as lost
+        connections, two in a row ejected a healthy server and the others were overloaded. A second call does
+        nothing.
         """
         if isinstance(failure, DoubtfulReply):
             attempt = connection.pending.attempt if connection.pending is not None else None
@@ -455,7 +463,7 @@
                 observer.on_connection_lost(connection, pending)
 
     def _release(self, connection: Connection) -> None:
-        """Make a connection idle, or close it if it is not to be reused."""
+        """Make a connection idle, or close it if it must not be reused."""
         connection.pending = None
         now, endpoint = self.clock(), connection.endpoint
         if not may_keep(endpoint, now) or self.endpoints.get(endpoint.ident) is not endpoint:
@@ -479,7 +487,7 @@
             shut(connection.sock)
 
     def _sweep(self) -> None:
-        """Close idle connections before their servers do, each SWEEP_INTERVAL."""
+        """Close idle connections before their servers do; runs every SWEEP_INTERVAL seconds."""
         oldest = self.clock() - self.max_idle_time
         for endpoint in self.endpoints.values():
             while endpoint.idle and endpoint.idle[0].idle_since <= oldest:
@@ -488,24 +496,24 @@
 
 
 def _is_expected(failure: Exception) -> bool:
-    """Whether a connection may end with this error without a defect of the router."""
+    """Whether a connection may end with this error although the router has no defect."""
     return isinstance(failure, (OSError, ConnectionLost, MalformedReply, trio.ClosedResourceError))
 
 
 def _has_unread_reply(connection: Connection) -> bool:
-    """Whether bytes, or the end of the stream, stand unread behind a request that was written."""
+    """Whether bytes, or the end of the stream, are unread after a request that was written."""
     return connection.request_sent and not connection.closed and not silent(connection.sock)
 
 
 def _connect_not_observed(connection: Connection | None) -> bool:
-    """Whether a connection was not begun, or has come up, without its task having run since."""
+    """Whether connecting has not started, or has succeeded, and the task has not run since."""
     if connection is None or connection.is_up:
         return False
     return not connection.connect_started or is_connected(connection.sock)
 
 
 def _send_fence(connection: Connection) -> None:
-    """Write what the codec wants behind the request. Raises OSError, or ConnectionLost: it does not fit."""
+    """Write the fence that the codec asked for. Raises OSError, or ConnectionLost if it does not fit."""
     fence, connection.unsent_fence = connection.unsent_fence, b""
     if fence and send_some(connection.sock, fence) < len(fence):
-        raise ConnectionLost("no room to ask whose a reply is")
+        raise ConnectionLost("fence command does not fit into the send buffer")
--- a/gaugehinge/net/dispatcher.py
+++ b/gaugehinge/net/dispatcher.py
@@ -1,7 +1,8 @@
-"""Sole caller of the routing decisions: reports events to them and carries out what they decide.
+"""The only caller of the routing decisions: reports events to them and carries out their decisions.
 
-The way of a request: interceptors, then a handle and a place in `pending_operations`, then routing
-constraints, then `Router.route` and whatever it decides then and on finished attempts, until one final reply.
+A request passes the interceptors, gets a handle and an entry in `pending_operations`, passes the routing
+constraints, and is given to `Router.route`. Decisions made then and after each finished attempt are carried
+out until the request has its one final reply.
 """
 
 from __future__ import annotations
@@ -26,15 +27,15 @@
 
 FAILED_REPLY = b"-ERR failed\r\n"
 BUSY_REPLY = b"-BUSY\r\n"
-NO_HANDLE = -1  # of a request that an interceptor answered: nothing of it is pending
-SUCCESSOR_START_TIME = 0.5  # seconds by which a router that ends has a successor
-OVERDUE_GRACE = 0.005  # seconds behind the deadline that the decisions keep, still before the client's own
-FAILED_TASK_WAIT = 1.0  # seconds until a background task that failed is run again
-MIN_TASK_WAIT = 0.001
+NO_HANDLE = -1  # for a request that an interceptor answered: nothing is pending for it
+SUCCESSOR_START_TIME = 0.5  # seconds within which a router that shuts down has a successor
+OVERDUE_GRACE = 0.005  # seconds after the deadline that the decisions keep; still before the client's own
+FAILED_TASK_WAIT = 1.0  # seconds until a background task that raised an exception runs again
+MIN_TASK_WAIT = 0.001  # seconds
 
 
 def busy_reply(retry_after: float) -> bytes:
-    """A rejection; with the time to come back where that is told (seconds, 0: it is not)."""
+    """Return a rejection that names the time until a retry, given in seconds; 0 leaves it out."""
     return b"-BUSY %d\r\n" % max(retry_after * 1000, 1) if retry_after else BUSY_REPLY
 
 
@@ -45,23 +46,23 @@
     operation: Operation
     payload: RequestPayload
     reply_callback: ReplyCallback
-    recheck_timer: Timer | None = None  # when the decisions want to be asked again
+    recheck_timer: Timer | None = None  # when the decisions have to be asked again
     overdue_timer: Timer | None = None
     answered: bool = False
-    on_released: Callable[[], None] | None = None  # where its client left before the reply
+    on_released: Callable[[], None] | None = None  # set if the client left before the reply
 
 
 class Dispatcher:
-    """Operations in flight by handle, and all calls of the routing decisions."""
+    """Keeps the operations in flight by handle and makes all calls of the routing decisions."""
 
     def __init__(self, deployment: Deployment, timers: TimerQueue, reports_load: bool = False) -> None:
-        """`reports_load`: replies of cache servers carry how many operations they have in flight."""
+        """`reports_load`: replies of cache servers state how many operations the server has in flight."""
         self.reports_load = reports_load
         self.timers = timers
         self.clock = timers.clock
         self.router = Router(deployment, self.clock())
-        # An entry stays until it is answered and all its attempts have ended. The handle is written into
-        # `Operation.ident`, which the simulator's operations have as text: hence the ignored types below.
+        # An entry stays until it is answered and all its attempts have ended. The handle is stored in
+        # `Operation.ident`. The simulator stores text there, hence the ignored types below.
         self.pending_operations: HandleTable[PendingOperation] = HandleTable()
         self.server_codec: Codec = RespCodec()
         self.origin_codec = OriginCodec()
@@ -76,17 +77,17 @@
         watch_endpoints: Callable[[], None],
         send_gossip: Callable[[tuple[int, ...], bytes], None],
     ) -> None:
-        """Name what decisions are carried out by, before the first event.
+        """Set the components that carry out decisions. Called before the first event.
 
-        These parts report to this object, and are made after it for that reason. `watch_endpoints` begins a
-        watch of discovery; `send_gossip` sends a payload to peers by their numbers.
+        They are created after this object because they report to it. `watch_endpoints` starts a watch of
+        discovery; `send_gossip` sends a payload to the peers with the given numbers.
         """
         self.pool = pool
         self.watch_endpoints = watch_endpoints
         self.send_gossip = send_gossip
 
     def install(self, extensions: Extensions) -> None:
-        """Take the extensions, once, before the first request."""
+        """Install the extensions. Called once, before the first request."""
         self.request_interceptors = extensions.request_interceptors
         self.routing_constraints = extensions.routing_constraints
         self.redirect_observers = extensions.redirect_observers
@@ -98,16 +99,16 @@
             self.server_codec = extensions.server_codec
 
     def start_background_tasks(self) -> None:
-        """Run each background task of the decisions, from now on whenever it is due."""
+        """Run each background task of the decisions now, and from then on whenever it is due."""
         for task in self.router.background_tasks:
             self._run_background_task(task)
 
     # -- operations
 
     def submit(self, operation: Operation, payload: RequestPayload, reply_callback: ReplyCallback) -> int:
-        """Take an operation; `reply_callback` gets its one final reply, perhaps at once.
+        """Start an operation. `reply_callback` gets its one final reply, possibly before this returns.
 
-        Returns its handle, NO_HANDLE where an interceptor answered it.
+        Returns its handle, or NO_HANDLE if an interceptor answered it.
         """
         for interceptor in self.request_interceptors:
             intercepted = interceptor.intercept(operation, payload, reply_callback)
@@ -128,14 +129,14 @@
         return handle
 
     def reject(self, operation: Operation, reply: bytes) -> None:
-        """Give a pending operation its final reply, past the routing decisions."""
+        """Give a pending operation its final reply, bypassing the routing decisions."""
         pending = self.pending_operations.get(operation.ident)  # type: ignore[arg-type]
         if pending is not None and not pending.answered:
             self._reply(pending, reply)
             self._release(pending)
 
     def client_gone(self, handle: int, on_released: Callable[[], None] | None = None) -> None:
-        """Nobody waits for the reply any more; `on_released` is called once no attempt is out."""
+        """Cancel an operation whose client left; `on_released` is called once no attempt is in flight."""
         pending = self.pending_operations.get(handle)
         if pending is not None and not pending.answered:
             pending.answered, pending.on_released = True, on_released
@@ -152,9 +153,10 @@
         load_report: bytes = b"",
         own_lag: float = 0.0,
     ) -> None:
-        """Take an attempt's outcome; the first value ends its operation.
+        """Handle an attempt's outcome; the first value ends its operation.
 
-        It took `elapsed` seconds; its reply stood unread for `own_lag` seconds more.
+        The attempt took `elapsed` seconds, without the `own_lag` seconds by which this router itself
+        delayed it, for instance by leaving its reply unread.
         """
         pending = self.pending_operations.get(attempt.operation.ident)  # type: ignore[arg-type]
         if value is not None and outcome is not Outcome.SUCCEEDED:
@@ -170,7 +172,7 @@
                 attempt, outcome, elapsed, over, self.clock(), load, own_lag
             )
         except Exception:
-            logger.exception("routing an attempt's outcome failed")
+            logger.exception("failed to route an attempt's outcome")
             attempt.in_flight = False
             steps = [Step(attempt.operation, Decision(Action.FAIL))]
         for operation, decision in steps:
@@ -180,9 +182,11 @@
         self._flush_log()
 
     def fail_rest(self) -> None:
-        """Answer all pending operations, as the router ends: those with an attempt out may have run.
+        """Answer all pending operations when the router shuts down.
 
-        What never went out may be retried elsewhere: failed, its client would not know that, nor when.
+        Operations that may have run, such as those with an attempt in flight, are failed. Those that were
+        never sent are rejected, as they may be retried elsewhere: a failure would tell the client neither
+        that nor when to retry.
         """
         retry_after = min(SUCCESSOR_START_TIME, self.router.deployment.max_retry_after)
         for pending in self.pending_operations:
@@ -202,14 +206,14 @@
     def _route(self, pending: PendingOperation) -> None:
         try:
             decision = self.router.route(pending.operation, self.clock())
-        except Exception:  # it fails this operation, not the router
-            logger.exception("routing an operation failed")
+        except Exception:  # fails this operation only, not the router
+            logger.exception("failed to route an operation")
             decision = Decision(Action.FAIL)
         self._carry_out(pending, decision)
         self._flush_log()
 
     def _on_overdue(self, handle: int) -> None:
-        """Its time is over with no reply given: a mistake, which must not also become a lost operation."""
+        """Fail an operation without a reply after its deadline: a defect, but no operation may be lost."""
         pending = self.pending_operations.get(handle)
         if pending is None or pending.answered:
             return
@@ -222,7 +226,7 @@
             for attempt in self.router.cancel(pending.operation):
                 self.pool.cancel(attempt)
         except Exception:
-            logger.exception("cancelling an operation failed")
+            logger.exception("failed to cancel an operation")
             pending.operation.finished = True
         self._release(pending)
 
@@ -258,13 +262,14 @@
             observer.on_reply(reply)
 
     def _release(self, pending: PendingOperation) -> None:
-        """Forget an operation that is finished and has no attempt out."""
+        """Remove an operation that is finished and has no attempt in flight."""
         operation = pending.operation
         if not operation.finished or any(attempt in self.pool.pending for attempt in operation.attempts):
             return
         if self.pending_operations.remove(operation.ident) is None:  # type: ignore[arg-type]
             return
-        # Operation and attempts know each other: left so, they stay until the collector's rare full pass.
+        # Operation and attempts reference each other. Unless this cycle is broken, they stay in memory until
+        # the garbage collector makes one of its rare full collections.
         operation.attempts.clear()
         for timer in (pending.recheck_timer, pending.overdue_timer):
             if timer is not None:
@@ -280,9 +285,10 @@
         cached: bool = False,
         after: EndpointListTransformer | None = None,
     ) -> None:
-        """Pass an endpoint list, or changes of it, through the transformers and follow what comes of it.
+        """Pass an endpoint list, or changes to it, through the transformers and apply the result.
 
-        `cached`: it was kept from before. `after`: only the transformers behind this one see it.
+        `cached`: the list was kept from an earlier time. `after`: only the transformers that come after this
+        one are applied.
         """
         transformers = self.endpoint_list_transformers
         if after is not None:
@@ -295,31 +301,31 @@
         self.follow_endpoints(update, cached)
 
     def follow_endpoints(self, update: EndpointListUpdate, cached: bool = False) -> None:
-        """Follow an endpoint list as it is, past all transformers."""
+        """Apply an endpoint list unchanged, bypassing all transformers."""
         self.pool.on_endpoints_changed(update)
         entries = [target.entry for target in update.targets]
         self.router.on_endpoints_changed(entries, update.complete, cached, self.clock())
         self._flush_log()
 
     def on_poll_failed(self) -> None:
-        """The watch of discovery has ended with a failure."""
+        """Tell the decisions that the watch of discovery has failed."""
         self.router.on_poll_failed(self.clock())
         self._flush_log()
 
     def on_discovery_changed(self) -> None:
-        """Discovery is at another address from now on."""
+        """Tell the decisions that discovery has moved to another address."""
         self.router.on_discovery_changed(self.clock())
         self._flush_log()
 
     def on_gossip(self, peer: int, payload: bytes) -> None:
-        """Take a peer's message, unless it is a listener's own."""
+        """Pass a peer's message to the decisions, unless a listener handles it."""
         for listener in self.gossip_listeners:
             if listener.on_gossip(peer, payload):
                 return
         self.router.on_gossip(peer, payload, self.clock())
 
     def _run_background_task(self, task: BackgroundTask) -> None:
-        wait = FAILED_TASK_WAIT  # the task must not end with a mistake
+        wait = FAILED_TASK_WAIT  # an exception must not end the task for good
         try:
             decision = self.router.route(task, self.clock())
             if decision.action is Action.POLL:
@@ -328,7 +334,7 @@
                 self.send_gossip(decision.peers, decision.payload)
             wait = self.router.time_until_recheck(task, self.clock())
         except Exception:
-            logger.exception("a background task failed")
+            logger.exception("background task failed")
         self.timers.call_at(self.clock() + max(wait, MIN_TASK_WAIT), self._run_background_task, task)
         self._flush_log()
 
