--- a/gaugehinge/net/codec.py
+++ b/gaugehinge/net/codec.py
@@ -1,7 +1,7 @@
-"""Codecs: how an attempt becomes bytes for one kind of server, and bytes become its reply. No I/O.
+"""Codecs: encode attempts for one kind of server and decode its replies. No I/O.
 
-`resp_codec` speaks to cache servers, `origin_codec` to the origin, `gaugehinge.cluster.attempts` to servers
-in cluster mode.
+`resp_codec` is for cache servers, `origin_codec` for the origin, `gaugehinge.cluster.attempts` for servers in
+cluster mode.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from .connection import Connection
 
-MIN_REMAINING_MS = 1  # a request with no time left is still sent with a valid figure
+MIN_REMAINING_MS = 1  # a request with no time left is still sent with a valid number
 
 
 class ConnectionLost(Exception):
@@ -28,12 +28,10 @@
 
 
 class DoubtfulReply(MalformedReply):
-    """The reply may be a late copy of an earlier one on its connection: the attempt may have run or not."""
+    """The reply may be a late copy of an earlier one on the connection; the attempt may have run or not."""
 
     def __init__(self, cause: DoubtCause, affects_all_connections: bool) -> None:
-        """`affects_all_connections`: its server's next replies on used connections are likely to be in doubt,
-        too.
-        """
+        """`affects_all_connections`: the server's next replies on reused connections are likely doubtful."""
         super().__init__(cause.value)
         self.cause = cause
         self.affects_all_connections = affects_all_connections
@@ -45,7 +43,7 @@
 
     ident: bytes
     key: bytes
-    label_parts: tuple[bytes, bytes]  # the labels before and after the figure of `d`, the remaining time
+    label_parts: tuple[bytes, bytes]  # the labels before and after the value of `d`, the remaining time
     labels: bytes  # as the client sent them
     command_head: bytes  # the command up to its labels
     command_tail: bytes  # the command after its labels
@@ -56,8 +54,8 @@
     def labels_with(self, remaining_time: float) -> bytes:
         """The labels with the remaining time, in seconds, written into label `d` in milliseconds.
 
-        The client's own figure would let a server work on after the client has given up: earlier attempts
-        have used up part of that time.
+        With the value that the client sent, a server could keep working after the client has given up,
+        since earlier attempts have used up part of that time.
         """
         before, after = self.label_parts
         return b"%b%d%b" % (before, max(int(remaining_time * 1000), MIN_REMAINING_MS), after)
@@ -67,30 +65,30 @@
     """A server's complete reply to one attempt."""
 
     outcome: Outcome
-    value: bytes | None = None  # as the client gets it; for a redirection, the words of the redirection
+    value: bytes | None = None  # as sent to the client; for a redirection, its words
     reusable: bool = True  # whether the connection can carry another attempt
-    reported_load: bytes = b""  # the server's load report, or what stands in its place
+    reported_load: bytes = b""  # the server's load report, or whatever the server sent in its place
 
 
 class Codec(Protocol):
-    """The protocol of one kind of server. It keeps its state for each connection in `codec_state`."""
+    """The protocol of one kind of server. Per-connection state is kept in `codec_state`."""
 
     def new_state(self) -> Any:
-        """The state for a new connection."""
+        """Return the state for a new connection."""
 
     def encode(self, connection: Connection, payload: RequestPayload, remaining_time: float) -> bytes:
-        """All bytes of an attempt, which has `remaining_time` seconds left.
+        """Return all bytes of an attempt, which has `remaining_time` seconds left.
 
-        Sets `connection.trailing_bytes` where bytes follow the request: it runs without them.
+        Sets `connection.trailing_bytes` if bytes follow the request that the server does not need to run it.
         """
 
     def decode(self, connection: Connection, data: bytes) -> ServerReply | None:
-        """Take bytes that were received, or b"" at the end of the stream; the reply once it is complete.
+        """Take received bytes, or b"" at the end of the stream; return the reply once it is complete.
 
-        Sets `connection.unsent_fence` where it has to write something before it can tell whose a reply is.
+        Sets `connection.unsent_fence` if a fence has to be written to find out which request a reply is for.
 
         Raises:
             ConnectionLost: the stream ended before the reply was complete.
-            MalformedReply: what was received is no reply of this protocol.
-            DoubtfulReply: the reply may be an earlier one's copy, and nothing can be asked to tell.
+            MalformedReply: the received bytes are not a reply of this protocol.
+            DoubtfulReply: the reply may be a copy of an earlier one, and no fence can settle it.
         """
--- a/gaugehinge/net/connection_reuse.py
+++ b/gaugehinge/net/connection_reuse.py
@@ -1,6 +1,6 @@
-"""Which attempts may go on a used connection, one that has carried another attempt. No I/O.
+"""Decides which attempts may use a connection that has carried another attempt. No I/O.
 
-A reply that is in doubt on a used connection is in none on a new one.
+A reply that is doubtful on a reused connection would not be doubtful on a new one.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from .connection import ServerPool
 from .reply_doubts import DoubtCause
 
-DOUBT_TIME = 1.0  # seconds for which a retry must not meet the same doubt on a used connection
+DOUBT_TIME = 1.0  # seconds for which retries avoid reused connections, where they could meet the same doubt
 
 
 def on_doubtful_reply(endpoint: ServerPool, attempt: Attempt | None, cause: DoubtCause, now: float) -> None:
-    """Let retries go on new connections for DOUBT_TIME, and all attempts where replies are alike."""
+    """Make retries use new connections for DOUBT_TIME, and all attempts if replies are identical."""
     endpoint.doubted_until = now + DOUBT_TIME
     endpoint.repeats_replies |= cause is DoubtCause.REPEATED
     if cause is DoubtCause.ENDING and attempt is not None:
@@ -21,10 +21,10 @@
 
 
 def may_reuse(endpoint: ServerPool, attempt: Attempt, now: float) -> bool:
-    """Whether an attempt may go on a used connection.
+    """Whether an attempt may use a connection that has carried another attempt.
 
-    Where replies are alike, or those to writes end as others begin, a write that may not be repeated could
-    only be called failed.
+    If a server's replies are identical, or its replies to writes end like the start of another reply, a
+    write that must not be repeated could only be answered as failed.
     """
     if not endpoint.doubted_until:
         return True
--- a/gaugehinge/net/http_exchange.py
+++ b/gaugehinge/net/http_exchange.py
@@ -1,4 +1,4 @@
-"""The client's side of HTTP/1.1 over h11, for the origin's codec and for discovery. No I/O."""
+"""Client side of HTTP/1.1 based on h11, for the origin's codec and for discovery. No I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 class HttpResponse(NamedTuple):
     """A complete HTTP response.
 
-    `is_mixed`: its head has another one within it, or bytes follow that are no start of another one.
+    `is_mixed`: its head contains another head, or it is followed by bytes that do not start another response.
     """
 
     status: int
@@ -29,10 +29,10 @@
 
 
 class HttpExchange:
-    """One HTTP connection: a request, its response, the next request, with no I/O."""
+    """The requests and responses of one HTTP connection, one exchange after the other. No I/O."""
 
     def __init__(self, max_body_bytes: int) -> None:
-        """A response with a longer body counts as malformed."""
+        """A response with a body longer than `max_body_bytes` counts as malformed."""
         self.max_body_bytes = max_body_bytes
         self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._head: h11.Response | None = None
@@ -47,7 +47,7 @@
         headers: list[tuple[bytes, bytes]],
         body: bytes | None = None,
     ) -> bytes:
-        """The bytes of one request. Raises h11.LocalProtocolError where none can be sent now."""
+        """Return the bytes of a request. Raises h11.LocalProtocolError if none can be sent now."""
         if body is not None:
             headers = [*headers, (b"Content-Length", b"%d" % len(body))]
         data = self._state.send(h11.Request(method=method, target=target, headers=headers))
@@ -56,14 +56,14 @@
         return data + self._state.send(h11.EndOfMessage())
 
     def receive(self, data: bytes) -> HttpResponse | None:
-        """Take bytes that were received, or b"" at the end of the stream; the response once it is complete.
+        """Take received bytes, or b"" at the end of the stream; return the response once it is complete.
 
-        h11 gets each head complete and without its load report: a report that h11 cannot parse would spoil a
-        good response.
+        Each head is passed to h11 complete and without its load report, because a report that h11 cannot
+        parse would make a good response unusable.
 
         Raises:
             ConnectionLost: the stream ended before the response was complete.
-            MalformedReply: what was received is no HTTP response, or one that is too long.
+            MalformedReply: the received bytes are not an HTTP response, or it is too long.
         """
         if self._head is not None or not data:
             return self._parse(data)
@@ -91,7 +91,7 @@
             raise kind(str(error)) from error
 
     def _next_response(self) -> HttpResponse | None:
-        """Work off what h11 has parsed, up to the end of a response."""
+        """Process the events that h11 has parsed, up to the end of a response."""
         while True:
             event = self._state.next_event()
             if event is h11.NEED_DATA:
@@ -101,20 +101,20 @@
             elif isinstance(event, h11.Data):
                 self._body += event.data
                 if len(self._body) > self.max_body_bytes:
-                    raise MalformedReply("response too long")
+                    raise MalformedReply("response body is too long")
             elif isinstance(event, h11.EndOfMessage):
                 return self._complete()
             elif isinstance(event, h11.ConnectionClosed):
                 raise ConnectionLost("end of stream")
 
     def _complete(self) -> HttpResponse:
-        """The response that just ended; the exchange is ready for the next request if it is reusable."""
+        """Return the response that just ended, and prepare for the next request if it is reusable."""
         head, body = self._head, bytes(self._body)
-        assert head is not None  # h11 gives no end of a message without its head
+        assert head is not None  # h11 reports no end of a message without its head
         self._head = None
         self._body.clear()
         reusable = self._state.our_state is h11.DONE and self._state.their_state is h11.DONE
-        # Nothing may follow the response, neither bytes nor the end of the stream.
+        # Neither bytes nor the end of the stream may follow the response.
         trailing, _ = trailing_data = self._state.trailing_data
         reusable = reusable and trailing_data == (b"", False)
         if reusable:
@@ -124,5 +124,5 @@
 
 
 def _starts_response(data: bytes) -> bool:
-    """Whether the bytes behind a response are the start of another one, as far as they go."""
+    """Whether the bytes after a response are the start of another one, as far as they were received."""
     return data.startswith(RESPONSE_START[: len(data)])
--- a/gaugehinge/net/origin_codec.py
+++ b/gaugehinge/net/origin_codec.py
@@ -1,8 +1,8 @@
-"""The codec of the origin: attempts as HTTP requests.
+"""Codec for the origin: sends attempts as HTTP requests.
 
 HTTP/1.1 responses carry no id, and the origin may send a second copy of a response at any later time.
-`response_memory` tells which responses may be copies; they are not taken for the last request's. Only a 200
-leaves the connection open, so that no copy of a failure is met.
+`response_memory` detects responses that may be copies; they are not accepted as the response to the last
+request. Only a 200 leaves the connection open, so that a copy of a failure is never received.
 """
 
 from __future__ import annotations
@@ -19,35 +19,35 @@
 from .response_endings import ResponseEndings
 from .response_memory import ResponseMemory
 
-REJECTED_HEADER = b"x-turned-away"  # "1": the origin says that it did not run the request
+REJECTED_HEADER = b"x-turned-away"  # "1": the origin did not run the request
 REJECTING_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
 
 class OriginConnectionState:
-    """What the codec keeps of one connection."""
+    """The codec's state of one connection."""
 
     __slots__ = ("exchange", "responses")
 
     def __init__(self) -> None:
-        """Of a new connection."""
+        """Create the state of a new connection."""
         self.exchange = HttpExchange(MAX_REPLY_BYTES)
         self.responses = ResponseMemory()
 
 
 class OriginCodec:
-    """Speaks to the origin."""
+    """Encodes attempts for the origin and decodes its responses."""
 
     def __init__(self) -> None:
-        """For all connections of a router."""
+        """Create the codec for all connections of a router."""
         self.doubts = ReplyDoubts("the origin")
         self.endings = ResponseEndings()
 
     def new_state(self) -> OriginConnectionState:
-        """The state of a new connection."""
+        """Return the state of a new connection."""
         return OriginConnectionState()
 
     def encode(self, connection: Connection, payload: RequestPayload, remaining_time: float) -> bytes:
-        """A GET for a read, a PUT for a write, with the operation's id and labels as headers."""
+        """Return a GET for a read or a PUT for a write, with the operation's id and labels as headers."""
         host, port = connection.endpoint.address
         headers = [
             (b"Host", f"{host}:{port}".encode()),
@@ -60,7 +60,7 @@
         return state.exchange.request(method, target, headers, payload.value)
 
     def decode(self, connection: Connection, data: bytes) -> ServerReply | None:
-        """The reply once it is complete. Raises ConnectionLost or DoubtfulReply, see `Codec.decode`."""
+        """Return the reply once complete. Raises ConnectionLost or DoubtfulReply, see `Codec.decode`."""
         state: OriginConnectionState = connection.codec_state
         response = state.exchange.receive(data)
         if response is None:
@@ -79,7 +79,7 @@
 
 
 def outcome_of(response: HttpResponse) -> Outcome:
-    """What a response means: a request may have run unless the origin says that it did not."""
+    """What a response means: the request may have run unless the origin says that it did not."""
     if response.status == HTTPStatus.OK:
         return Outcome.SUCCEEDED
     if response.status in REJECTING_STATUSES and response.headers.get(REJECTED_HEADER) == b"1":
--- a/gaugehinge/net/response_memory.py
+++ b/gaugehinge/net/response_memory.py
@@ -1,6 +1,6 @@
-"""What one HTTP connection remembers of its responses, to know late copies of them, whole or cut. No I/O.
+"""Remembers the responses of one HTTP connection to detect late copies, whole or truncated. No I/O.
 
-Headers are left out of what is remembered: a copy may come with a date or a load report of its own.
+Headers are not remembered, because a copy may have a date or a load report of its own.
 """
 
 from __future__ import annotations
@@ -13,22 +13,21 @@
 from .reply_doubts import DoubtCause
 from .reply_memory import ReplyMemory
 
-MAX_RESPONSES = 128  # with more the memory takes too many new responses for earlier ones: the connection ends
-MAX_UNRECOGNISED_BYTES = (
-    6  # bytes of another response's start that are not recognised as such: all but one of RESPONSE_START
-)
-RESPONSE_START_PREFIXES = (b"H", b"HT", b"HTT", b"HTTP", b"HTTP/", b"HTTP/1")  # of RESPONSE_START
+MAX_RESPONSES = 128  # with more, too many new responses match earlier ones; the connection is closed
+# At most this many leading bytes of another response go unrecognised: all but one of RESPONSE_START.
+MAX_UNRECOGNISED_BYTES = 6
+RESPONSE_START_PREFIXES = (b"H", b"HT", b"HTT", b"HTTP", b"HTTP/", b"HTTP/1")
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] (\d{3})[^\r\n]*")
-# A name, as RFC 9110 has it, and a value; or the rest of a folded line.
+# A name as defined by RFC 9110 and a value, or the continuation of a folded line.
 HEADER_LINE = re.compile(rb"(?:[!#$%&'*+.^`|~\w-]+:|[ \t])[^\n]*")
 CUT_HEADER_LINE = re.compile(rb"[!#$%&'*+.^`|~\w-]*(?::[^\n]*)?|[ \t][^\n]*")
-CUT_STATUS_LINE = re.compile(rb"HTTP/1\.[01] \d{3} [\t -~\x80-\xff]*")  # cut within its reason
+CUT_STATUS_LINE = re.compile(rb"HTTP/1\.[01] \d{3} [\t -~\x80-\xff]*")  # truncated within its reason phrase
 LENGTH_LINE = re.compile(rb"(?i)\r?\ncontent-length:[ \t]*(\d+)")
 PRINTABLE = re.compile(rb"[\t -~]*")
 
 
 class _Shape(NamedTuple):
-    """What a response says of itself before its body."""
+    """Status and body length of a response."""
 
     status: int
     length: int
@@ -38,21 +37,22 @@
 
 
 class ResponseMemory:
-    """The responses of one connection."""
+    """The remembered responses of one connection."""
 
     __slots__ = ("_count", "_remembered")
 
     def __init__(self) -> None:
-        """None so far."""
+        """Start with no responses."""
         self._remembered = ReplyMemory()
         self._count = 0
 
     def add(self, response: HttpResponse) -> DoubtCause | None:
-        """Remember a response; why it may not be the one to the last request, None: it is that one.
+        """Remember a response; return why it may not answer the last request, or None if it does.
 
-        A copy that lacks its end is completed by the next response's first bytes, and one that is sent within
-        a response takes the place of that one's last bytes. Where these are too few to be recognised, what
-        follows them may come at any later time: each body with such an ending is in doubt.
+        A copy that lacks its end is completed by the first bytes of the next response. A copy that is sent
+        within a response takes the place of that response's last bytes. If so few bytes of the copy complete
+        the body that they are not recognised, the bytes after them may arrive at any later time, so each body
+        with such an ending is doubtful.
         """
         is_reused = self._count > 0
         self._count += 1
@@ -75,9 +75,10 @@
         return self._count >= MAX_RESPONSES
 
     def _contains_other_response(self, shape: _Shape, body: bytes) -> bool:
-        """Whether a body has another response's head within it, and either is of an earlier response's shape.
+        """Whether a body contains another response's head, and either has the shape of an earlier response.
 
-        A stored value may have such a head, too. Where that is cut, or tells no length, it counts.
+        A stored value may contain such a head, too. A head that is truncated, or states no length, counts as
+        having the shape of an earlier response.
         """
         is_known = self._remembered.has(shape.key())
         return any(
@@ -86,7 +87,7 @@
 
 
 def _shapes_within(body: bytes) -> Iterator[_Shape | None]:
-    """The shapes of the heads within a body; None for one that is cut, or tells no length."""
+    """Yield the shapes of the heads within a body; None for one that is truncated or has no length."""
     start = body.find(RESPONSE_START)
     while start >= 0:
         end = END_OF_HEAD.search(body, start)
@@ -98,7 +99,7 @@
 
 
 def _is_head(data: bytes, is_whole: bool) -> bool:
-    """Whether bytes are a response's head, or the beginning of one where it is cut."""
+    """Whether bytes are a response's head, or, if it is not whole, the beginning of one."""
     lines = [line.removesuffix(b"\r") for line in data.split(b"\n")]
     if not is_whole:
         cut_line = lines.pop()
@@ -111,5 +112,5 @@
 
 
 def ends_in_response_start(body: bytes) -> bool:
-    """Whether the last bytes of a body may be the first ones of another response."""
+    """Whether the last bytes of a body may be the first bytes of another response."""
     return body.endswith(RESPONSE_START_PREFIXES)
