--- a/tests/test_ambiguous_endings.py
+++ b/tests/test_ambiguous_endings.py
@@ -1,4 +1,4 @@
-"""A response that ends as a copy of another one would begin is made again, and not at every request."""
+"""Requests whose response ends like the start of another one are repeated, but not all of them."""
 
 import random
 
@@ -15,14 +15,14 @@
 
 
 def value_for(ident: str) -> bytes:
-    """Different from the first byte on: one that begins as another of its length did is in doubt anyway."""
+    """A value unique from its first byte: one that begins like another of its length is always doubtful."""
     return b"%b's own value" % ident.encode()
 
 
 class InterleavingOrigin(Web):
-    """Sends its first response once more within the last bytes of the second one on its connection.
+    """Repeats its first response within the last bytes of the second one on its connection.
 
-    What follows the bytes that complete the second one's value comes later.
+    The bytes after those that complete the second response's value arrive later.
     """
 
     left, delay = 1, 0.0
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("kind", list(KINDS))
 def test_an_origin_whose_values_all_end_like_a_response_start_gets_few_repeated_requests(tmp_path, kind):
-    """Three connections carry requests as the first doubt comes; from then on each carries one."""
+    """Three connections are in use at the first doubtful response; from then on each carries one request."""
     clients, rounds = 3, 12
 
     def reply(method, target, headers, body):
@@ -96,7 +96,8 @@
                         assert answer == bulk(value_for(ident) + b"HTTP")
 
             connected = {f"c{number}": await made.client() for number in range(clients)}
-            for name, client in connected.items():  # one by one: a server that has answered nothing takes few
+            # One by one: a server that has answered nothing yet accepts few.
+            for name, client in connected.items():
                 await use(client, name, [0])
             async with trio.open_nursery() as nursery:
                 for name, client in connected.items():
@@ -110,7 +111,10 @@
 
 @pytest.mark.parametrize("share", [1 / 256, 1 / 16, 1 / 4, 1.0])
 def test_few_requests_are_made_again_at_any_share_of_such_endings(share):
-    """At a share p, with q = 1 - (1 - p)^16, p (1 - q^2): at most 0.0371. Drawn, so with four deviations."""
+    """With a share p of such endings and q = 1 - (1 - p)^16, p (1 - q^2) are repeated: at most 0.0371.
+
+    The endings are drawn at random, so the bound allows four standard deviations.
+    """
     draws, endings, doubts, requests = random.Random(7), ResponseEndings(), 0, 20_000
     for _ in range(requests):
         body = b"value H" if draws.random() < share else b"value"
--- a/tests/test_late_responses.py
+++ b/tests/test_late_responses.py
@@ -1,4 +1,4 @@
-"""A late copy of a response of the origin, whole or cut, is never taken for the next request's."""
+"""A late copy of an origin response, whole or truncated, is never accepted for the next request."""
 
 import itertools
 import json
@@ -38,7 +38,7 @@
     "failed": http(500, b"failed"),
     "no content": b"HTTP/1.1 204 X\r\n\r\n",
 }
-# After any other one the connection ends.
+# Responses after which the connection is reused; after any other one it is closed.
 EARLIER_RESPONSES = {
     name: RESPONSES[name].replace(b"k2", b"k1")
     for name in ("value", "report behind", "other header behind", "empty", "short", "chunked", "continued")
@@ -46,7 +46,7 @@
 
 
 def reused_connection(codec: OriginCodec, earlier: bytes) -> Connection:
-    """A connection that has carried a request, with its response, and on which the next one was written."""
+    """A connection that has carried a request and its response; the next request has been written."""
     connection = Connection(None, ServerPool(1, "o", ("127.0.0.1", 1), 0.0), codec.new_state(), None)
     payload = RequestPayload(b"i", b"k", (b"d=", b""), b"d=1", b"", b"", None)
     codec.encode(connection, payload, 1.0)
@@ -56,7 +56,7 @@
 
 
 def outcome_of(earlier: bytes, data: bytes, piece: int):
-    """What the codec makes of the bytes behind a request on a reused connection, fed in pieces."""
+    """What the codec makes of the bytes after a request on a reused connection, fed in pieces."""
     codec = OriginCodec()
     connection = reused_connection(codec, earlier)
     try:
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("later", list(RESPONSES))
 @pytest.mark.parametrize("earlier", list(EARLIER_RESPONSES))
 def test_a_cut_copy_before_a_response_gives_no_other_response(earlier, later, piece):
-    """Wrong: a value that nobody gave for this request, and "never ran" for one that may have run."""
+    """Wrong are a value that was not sent for this request, and "rejected" for one that may have run."""
     copy, own = EARLIER_RESPONSES[earlier], RESPONSES[later]
     allowed = {"lost", "waits", outcome_of(copy, own, 1000), (Outcome.SERVER_ERROR, None)}
     wrong = []
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("piece", [1, 1000], ids=["apart", "together"])
 def test_a_copy_within_the_last_bytes_of_a_response_gives_no_other_response(piece):
-    """The first bytes of the copy complete the value, before more of it has come."""
+    """The first bytes of the copy complete the value before more of it has arrived."""
     copy, own = EARLIER_RESPONSES["value"], http(200, b"another value of k2")
     allowed = {"lost", "waits", outcome_of(copy, own, 1000)}
     found = {
@@ -131,7 +131,7 @@
 
 
 def test_a_copy_that_breaks_off_behind_its_first_bytes_within_a_response_gives_no_other_value():
-    """The response's own bytes go on behind it, and its last ones come later."""
+    """The response's own bytes continue after the partial copy, and its last bytes arrive later."""
     copy, own = EARLIER_RESPONSES["value"], http(200, b"another value of k2")
     data = own[:-9] + copy[:3] + own[-9:]
     assert outcome_of(copy, data, len(own)) in ("lost", outcome_of(copy, own, 1000))
@@ -141,7 +141,7 @@
     "text", [b"HTTP/1.1 200 OK", b"HTTP/1.1 200 OK\r\n\x05", http(200, b"v" * 77), b"GTTP/1.H"]
 )
 def test_a_value_that_holds_a_response_is_taken(text):
-    """Where neither it nor the one within it is like an earlier one."""
+    """Neither the response nor the one within its value resembles an earlier response."""
     value = b"a value with " + text + b"\0 and more"
     assert outcome_of(EARLIER_RESPONSES["value"], http(200, value), 1000) == (Outcome.SUCCEEDED, bulk(value))
 
@@ -152,7 +152,7 @@
 
 
 class DuplicatingOrigin(Web):
-    """Sends its first response on a connection once more, beside the response to the second request there."""
+    """Repeats its first response on a connection next to the response to the second request there."""
 
     place = "before"
 
@@ -172,7 +172,10 @@
 
 
 def run_with_router(tmp_path, scene, reply, place="before") -> list[bytes]:
-    """Run a scene with a client at a router whose cache server misses; the ids that the origin got."""
+    """Run a scene with a client and a router whose cache server always misses.
+
+    Returns the request ids that the origin received.
+    """
 
     async def run():
         async with fleet(tmp_path, [Cache("miss")]) as made:
@@ -186,7 +189,7 @@
 
 
 def age_idle_connections(made) -> None:
-    """Make the idle connections old enough to be used again."""
+    """Make the idle connections old enough to be reused."""
     for server in made.service.pool.endpoints.values():
         for connection in server.idle:
             connection.idle_since -= 0.025
@@ -212,7 +215,10 @@
 
 
 def test_a_copied_rejection_is_not_taken_for_the_reply_to_a_write_that_ran(tmp_path):
-    """It came before the receipt on the reused connection: its client sent the write again."""
+    """The copy arrived before the write's own response on the reused connection.
+
+    Taken for that response, it made the client send the write again.
+    """
 
     def reply(method, target, headers, body):
         first = headers["x-txn"] == "i1"
@@ -228,7 +234,7 @@
 
 @pytest.mark.parametrize("kind", list(KINDS))
 def test_an_origin_whose_responses_are_all_alike_is_used_nonetheless(tmp_path, kind):
-    """Reads and keyed writes are made again; of the writes that may not be repeated one at most fails."""
+    """Reads and keyed writes are repeated; of the writes that must not be repeated, at most one fails."""
 
     async def scene(made, client):
         answers = []
@@ -264,7 +270,8 @@
         streams.extend(made.origin.sent.values())
 
     run_with_router(tmp_path, scene, reply, "none")
-    assert sorted(map(len, streams)) == [3, 7]  # up to the doubt; the keyed write again, and all behind it
+    # Up to the doubtful response; then the repeated keyed write and all that follow.
+    assert sorted(map(len, streams)) == [3, 7]
 
 
 def test_a_connection_to_the_origin_is_used_again_for_other_responses(tmp_path):
@@ -282,7 +289,7 @@
 
 @pytest.mark.parametrize("rest", [b"", b"\n", b"}"], ids=["whole", "one byte short", "cut"])
 def test_a_copy_of_a_list_of_discovery_neither_hides_a_change_nor_undoes_one(rest):
-    """Each list comes behind a copy of the one before on its connection: its version tells them apart."""
+    """Each list follows a copy of the previous one on its connection; the version tells them apart."""
     heard, versions_sent = [], itertools.count(1)
 
     def list_of(version: int) -> bytes:
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -1,4 +1,4 @@
-"""A client that sends more at once than a connection may have in hand, and goes."""
+"""A client sends more requests at once than a connection may have pending, and disconnects."""
 
 import trio
 
@@ -6,7 +6,7 @@
 from gaugehinge.net.resp import bulk
 from tests.helper import SETTINGS, Cache, fleet
 
-WAIT_LIMIT = 5.0  # seconds; an operation here waits for five minutes
+WAIT_LIMIT = 5.0  # seconds; operations in this test wait for up to five minutes
 LONG_TRAFFIC_TYPE = {**SETTINGS["trafficTypes"][0], "promisedTimeUs": 300_000_000}
 
 
@@ -16,8 +16,10 @@
 
 
 def test_a_client_that_disconnects_with_a_full_pipeline_leaves_nothing_pending(tmp_path):
-    """Paused, its connection was not read on, and its end was seen only once an answer was due: what waited
-    was sent on for nobody, and so was what stood unread behind it."""
+    """A paused connection was not read, so its end was noticed only once an answer was due.
+
+    The pending requests were sent on although no client waited for them, and so were the unread ones.
+    """
 
     async def scene():
         settings = {**SETTINGS, "trafficTypes": [LONG_TRAFFIC_TYPE]}
--- a/tests/test_own_lag.py
+++ b/tests/test_own_lag.py
@@ -1,4 +1,4 @@
-"""A router that was held up does not blame its servers, nor drop what they sent in time."""
+"""A router that stalled neither blames its servers nor drops replies that they sent in time."""
 
 import time
 
@@ -22,7 +22,7 @@
 
 
 def run_with_pool(scene) -> None:
-    """Run a scene with a pool, a function that sends an attempt, and the outcomes."""
+    """Run a scene with a pool, a function that sends an attempt, and the list of outcomes."""
 
     async def main():
         bench, ended = Bench(1), []
@@ -52,7 +52,7 @@
 
 
 def stall(seconds: float) -> None:
-    """Take the loop for so long, as a machine that gives the process no time does."""
+    """Block the event loop for this time, like a machine that gives the process no CPU time."""
     time.sleep(seconds)
 
 
@@ -67,7 +67,7 @@
         async def serve(stream):
             await stream.receive_some()
             stream.socket._sock.send(REPLY)
-            stall(TIMEOUT + late)  # the router's loop too: in this process there is one
+            stall(TIMEOUT + late)  # also stalls the router: this process has one event loop
             await trio.sleep_forever()
 
         listeners = await nursery.start(trio.serve_tcp, serve, 0)
@@ -107,8 +107,10 @@
 
 @pytest.mark.parametrize("timeout", [TIMEOUT, 4 * TIMEOUT], ids=["the attempt's", "the connection's"])
 def test_a_connection_established_before_its_task_ran_is_not_a_connect_failure(monkeypatch, timeout):
-    """By the attempt's own time nothing was sent, and its server is not blamed. Where only the connection's
-    time is over, the attempt goes on."""
+    """At the attempt's own timeout nothing was sent, and its server is not blamed.
+
+    If only the connect timeout has passed, the attempt continues.
+    """
     task_may_run = trio.Event()
 
     async def connect_unobserved(sock, address):
@@ -128,7 +130,7 @@
 
 
 def test_a_connect_that_was_never_started_is_not_a_connect_failure():
-    """The loop stands from the send until the attempt's time is over."""
+    """The event loop is blocked from the send until the attempt has timed out."""
 
     async def scene(nursery, pool, send, ended):
         listeners = await nursery.start(trio.serve_tcp, Cache().serve, 0)
@@ -137,7 +139,7 @@
         await wait_until(lambda: ended)
         assert ended in ([Outcome.NOT_SENT], [Outcome.SUCCEEDED])
 
-    for _ in range(10):  # timers and tasks come in either order
+    for _ in range(10):  # timers and tasks run in either order
         run_with_pool(scene)
 
 
@@ -157,7 +159,7 @@
 
 @pytest.mark.parametrize("labels", ["c=read,t=acme,d=200", "c=mark,t=acme,d=200,k=m1"])
 def test_an_unread_reply_is_forwarded_when_its_operation_is_due(tmp_path, labels):
-    """After a stall past the client's deadline, which no other answer keeps either."""
+    """The loop stalls past the client's deadline, so no other answer would be in time either."""
 
     class Stalling(Cache):
         async def answer(self, stream, command):
@@ -169,7 +171,7 @@
             client = await made.client()
             words = ("KV.GET", "k1") if "read" in labels else ("KV.SET", "k1")
             value = () if "read" in labels else ("new",)
-            for number in range(10):  # timers and tasks come in either order
+            for number in range(10):  # timers and tasks run in either order
                 assert await client.ask(*words, f"i{number}", labels, *value) == bulk(b"i%d" % number)
 
     logged = []
@@ -185,7 +187,7 @@
 def test_a_stall_between_decision_and_send_leaves_no_operation_overdue(
     tmp_path, monkeypatch, labels, server, held_up
 ):
-    """Nothing answers: the attempt's end is what its operation is answered by."""
+    """No server replies, so the end of the attempt is what gets the operation answered."""
     send = ConnectionPool.send
 
     def send_late(pool, attempt, payload, timeout, codec):
@@ -212,7 +214,7 @@
 
 @pytest.mark.parametrize("stalled", ["mark", "read"])
 def test_a_stall_within_one_attempt_does_not_make_the_next_one_wait_for_a_silent_server(tmp_path, stalled):
-    """Taken for its server's latency, the time for which a reply stood unread left none for a retry."""
+    """Counted as server latency, the time for which a reply was unread left no time for a retry."""
 
     class Server(Cache):
         silent = ()  # commands that get no reply
@@ -242,7 +244,7 @@
 
 @pytest.mark.parametrize("step", ["the decision", "the connection"])
 def test_a_stall_before_the_request_is_written_is_not_counted_as_server_latency(tmp_path, monkeypatch, step):
-    """It stands behind the decision, or as the connection comes up."""
+    """The loop stalls after the decision, or when the connection is established."""
     durations = []
 
     async def scene():
