--- a/gaugehinge/net/origin_codec.py
+++ b/gaugehinge/net/origin_codec.py
@@ -19,7 +19,7 @@
 from .response_endings import ResponseEndings
 from .response_memory import ResponseMemory
 
-REJECTED_HEADER = b"x-turned-away"  # "1": the origin did not run the request
+REJECTED_HEADER = b"x-turned-away"  # "1": the origin states that it did not run the request
 REJECTING_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
 
--- a/gaugehinge/net/resp_codec.py
+++ b/gaugehinge/net/resp_codec.py
@@ -44,9 +44,9 @@
     def doubt(self, message: Message) -> DoubtCause | None:
         """Remember a reply; return why it may be a copy of an earlier one, or None to accept it.
 
-        A possible copy is accepted if it does no harm: after a copied miss, error or rejection of a read the
-        read goes to another server and yields no value. But the read's own reply may still arrive, as the
-        first one after the next request, so the connection is marked as suspect.
+        A possible copy is accepted if it does no harm: a copied miss, error or rejection of a read gives no
+        value, and the read goes to another server. But the read's own reply may still arrive, as the first
+        one after the next request, so the connection is marked as suspect.
         """
         may_be_copy = self.replies.add(message.raw)
         if not (may_be_copy or self.is_suspect):
