--- a/gaugehinge/drains/connection_budget.py
+++ b/gaugehinge/drains/connection_budget.py
@@ -94,7 +94,7 @@
         upstream.open += 1
         upstream.note_demand(len(connection.endpoint.idle))
 
-    def rested(self, connection: Connection) -> None:
+    def became_idle(self, connection: Connection) -> None:
         """Handle a connection that became idle: close it if more are open than allowed."""
         endpoint = connection.endpoint
         upstream = self._upstream(endpoint)
