--- a/gaugehinge/store/async_store.py
+++ b/gaugehinge/store/async_store.py
@@ -1,7 +1,7 @@
-"""The store for an event loop: calls run in order on a thread of their own, watchers see every change.
+"""The store for use on an event loop: calls run in order on a dedicated thread, watchers get every change.
 
-A call that waits for the disk delays only the calls queued behind it, and the queue is bounded: with a stuck
-disk the control plane rejects calls, while everything else on the event loop goes on.
+A call that waits for the disk delays only the calls queued behind it, and the queue is bounded: if the disk
+hangs, the control plane rejects calls while everything else on the event loop continues.
 """
 
 from __future__ import annotations
@@ -23,33 +23,37 @@
 from .store import Store
 
 T = TypeVar("T")
-Planner = Callable[[Store, float], list[Mutation]]  # decides on mutations, given the store and the time
+Planner = Callable[
+    [Store, float], list[Mutation]
+]  # returns the mutations to apply, given the store and the Unix time
 
 SNAPSHOT_INTERVAL = 3600.0  # seconds; no snapshot is taken if nothing changed
 MAX_SNAPSHOTS = 5
-MAX_LOG_ROWS = 100_000  # after a snapshot older rows are removed; a watcher further behind reads everything
+MAX_LOG_ROWS = (
+    100_000  # older rows are removed after a snapshot; a watcher further behind reads the full state
+)
 
 
 class AsyncStore:
-    """A store and the thread that uses it."""
+    """A store and the thread on which all its calls run."""
 
     def __init__(self, path: str | Path, clock: Callable[[], float] = time.time) -> None:
-        """Open and verify the file; `clock` gives the Unix time of changes.
+        """Open and verify the file; `clock` returns the Unix time for the timestamps of changes.
 
-        Raises StoreUnusableError: a damaged file is never served from.
+        Raises StoreUnusableError, so that data from a damaged file is never served.
         """
         self.path = Path(path)
         self.clock = clock
         self.store = Store(path)
         self.store.verify()
-        self.revision = self.store.revision  # the newest one that watchers know of
+        self.revision = self.store.revision  # the newest one of which watchers were notified
         self._watchers: set[trio.Event] = set()
         self._executor = SerialExecutor("store")
-        self._snapshot_revision = -1  # of the last snapshot that this object took
+        self._snapshot_revision = -1  # of the last snapshot taken by this object; -1: none yet
 
     @property
     def queue_length(self) -> int:
-        """The number of calls that wait for the disk."""
+        """The number of calls that have not been started."""
         return self._executor.queue_length
 
     async def run_sync(self, function: Callable[..., T], *args: Any) -> T:
@@ -72,7 +76,7 @@
     async def apply_planned(
         self, plan: Planner, actor: str, idempotency: IdempotencyRecord | None = None
     ) -> list[Change]:
-        """Apply mutations that `plan` decides on from the current state, on the store's thread.
+        """Apply the mutations that `plan` returns for the current state; both run on the store's thread.
 
         Raises as `Store.apply` and the planner do.
         """
@@ -82,7 +86,8 @@
             now = self.clock()
             changes = self.store.apply(plan(self.store, now), actor, now, idempotency)
             if changes:
-                # Notified from here, as the calling task may have been cancelled though the change is made.
+                # Watchers are notified from here because the calling task may have been cancelled although
+                # the change is committed.
                 with suppress(trio.RunFinishedError):
                     token.run_sync_soon(self._notify_watchers, changes[-1].revision)
             return changes
@@ -97,7 +102,8 @@
     async def changes(self, after_revision: int, limit: int, wait: float) -> list[Change] | None:
         """Return the changes after a revision, waiting up to `wait` seconds if there are none yet.
 
-        None means that the log cannot tell: it no longer goes back so far, or never had that revision.
+        None means that the log cannot answer: the changes after that revision were compacted, or the store
+        never had that revision.
         """
         if after_revision > self.revision:
             return None
@@ -120,13 +126,13 @@
             self._watchers.discard(changed)
 
     async def run_maintenance(self) -> None:
-        """Take snapshots and bound the length of the log, until cancelled."""
+        """Take snapshots and limit the length of the log until cancelled."""
         while True:
             await trio.sleep(SNAPSHOT_INTERVAL)
             try:
                 await self.take_snapshot()
             except (OSError, StoreUnusableError, DiskFullError, StoreOverloadedError) as error:
-                logger.error("no snapshot: {}", error)
+                logger.error("store snapshot failed: {}", error)
 
     async def take_snapshot(self) -> Path | None:
         """Write a snapshot beside the file and remove old snapshots and log rows.
@@ -142,7 +148,7 @@
         remove_old_snapshots(self.path, keep=MAX_SNAPSHOTS)
         if revision > MAX_LOG_ROWS:
             await self.run_sync(self.store.compact, revision - MAX_LOG_ROWS)
-        logger.info("store snapshot: revision {}", revision)
+        logger.info("wrote store snapshot at revision {}", revision)
         return target
 
     def close(self) -> None:
--- a/gaugehinge/store/atomic_file.py
+++ b/gaugehinge/store/atomic_file.py
@@ -1,7 +1,8 @@
-"""A file that is replaced whole or not at all, also by several processes. Blocking.
+"""A file that is replaced atomically, also by several processes. All methods block.
 
-Its content is written to a part beside it, which takes its place. The writer holds a lock on its part until
-then. The system frees it when the process ends: so an abandoned part is told from one that is being written.
+The new content is written to a partial file in the same directory, which is then renamed over the target. The
+writer holds a lock on its partial file until then. The operating system releases the lock when the process
+ends, so an abandoned partial file can be distinguished from one that is still being written.
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
     """One process's access to the file."""
 
     def __init__(self, path: str) -> None:
-        """`path`: the file; parts of it are written beside it."""
+        """`path`: the target file; partial files are written to the same directory."""
         self.path = Path(path)
-        # A name of its own: the process before may be amid the same, and both would write into one file.
+        # The name is unique: the previous process may still be writing, and both would write to one file.
         self._part = self.path.with_name(f"{self.path.name}.{secrets.token_hex(4)}.part")
 
     def replace(self, content: bytes) -> None:
@@ -33,39 +34,39 @@
             self._part.replace(self.path)
 
     def _open_part(self) -> int:
-        """The descriptor of an empty part that this process has locked."""
+        """Return the descriptor of an empty partial file that this process has locked."""
         while True:
             descriptor = os.open(self._part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, OWNER_ONLY)
             try:
-                with suppress(OSError):  # a file system that knows no locks
+                with suppress(OSError):  # the file system does not support locks
                     fcntl.flock(descriptor, fcntl.LOCK_EX)
                 if _is_still(descriptor, self._part):
                     return descriptor
             except BaseException:
                 os.close(descriptor)
                 raise
-            os.close(descriptor)  # removed as abandoned before it was locked
+            os.close(descriptor)  # another process removed it as abandoned before it was locked
 
     def remove_abandoned_parts(self) -> None:
-        """Remove the parts of processes that ended amid writing them."""
+        """Remove the partial files of processes that ended while writing them."""
         for part in self.path.parent.glob(f"{self.path.name}.*.part"):
             with suppress(OSError):
                 _remove_unless_locked(part)
 
 
 def _remove_unless_locked(part: Path) -> None:
-    """Raises OSError: it is being written, or has gone."""
+    """Raise OSError if the file is still being written or no longer exists."""
     descriptor = os.open(part, os.O_RDWR)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        if _is_still(descriptor, part):  # else its writer has finished it, and may have begun the next one
+        if _is_still(descriptor, part):  # otherwise its writer renamed it and may be writing the next one
             part.unlink()
     finally:
         os.close(descriptor)
 
 
 def _is_still(descriptor: int, path: Path) -> bool:
-    """Whether a path leads to the file that is open."""
+    """Whether a path still refers to the open file."""
     with suppress(FileNotFoundError):
         return os.path.samestat(os.fstat(descriptor), path.stat())
     return False
--- a/gaugehinge/store/connection.py
+++ b/gaugehinge/store/connection.py
@@ -13,14 +13,14 @@
 from .sqlite_errors import is_disk_full, is_temporary, unavailable_error
 
 BUSY_TIMEOUT = 2.0  # seconds to wait for another connection's lock
-OPEN_TIMEOUT = 15.0  # seconds to retry opening: copying a file left behind by a crash locks all of it
+OPEN_TIMEOUT = 15.0  # seconds to retry opening: the file is fully locked while one left by a crash is copied
 RETRY_DELAY = 0.05  # seconds between two attempts to open
 
 
 def open_connection(path: Path, read_only: bool = False) -> sqlite3.Connection:
     """Open a store file and migrate it to the current schema version.
 
-    A file that is locked, or whose disk is full, is tried again for `OPEN_TIMEOUT` seconds. A read-only
+    A file that is locked, or whose disk is full, is retried for `OPEN_TIMEOUT` seconds. A read-only
     connection migrates nothing.
 
     Raises:
@@ -34,8 +34,8 @@
         try:
             return _open_once(path, read_only)
         except sqlite3.DatabaseError as error:
-            # A full disk cannot take what SQLite writes to open a file. Were it reported as corruption, an
-            # operator would replace an intact file by an older copy.
+            # SQLite writes when it opens a file, which fails on a full disk. If that were reported as
+            # corruption, an operator would replace an intact file with an older copy.
             if not is_temporary(error):
                 raise IntegrityCheckError(str(error)) from error
             if time.monotonic() > deadline:
@@ -67,7 +67,7 @@
     if table_count and application_id != APPLICATION_ID:
         raise IncompatibleStoreError(path, "not a store of this program")
     if version > SCHEMA_VERSION:
-        reason = f"of version {version}, this build knows {SCHEMA_VERSION}: take the newer build"
+        reason = f"schema version {version}, this build supports up to {SCHEMA_VERSION}: use a newer build"
         raise IncompatibleStoreError(path, reason)
     return version
 
@@ -98,7 +98,7 @@
         yield
         connection.execute("COMMIT")
     except BaseException as error:
-        # In some cases SQLite has ended the transaction by itself when the disk was full.
+        # In some cases SQLite has already rolled back the transaction itself because the disk was full.
         with suppress(sqlite3.OperationalError):
             connection.execute("ROLLBACK")
         if isinstance(error, sqlite3.OperationalError) and is_disk_full(error):
--- a/gaugehinge/store/crash_test.py
+++ b/gaugehinge/store/crash_test.py
@@ -1,4 +1,4 @@
-"""Crash test of the store: a writer process killed at a random moment, and a check of the file it left.
+"""Crash test of the store: kills a writer process at a random moment and checks the file it left.
 
 `python -m gaugehinge.store.crash_test FILE SEED` writes until it is killed. After each transaction is
 acknowledged it prints the newest revision and the number of changes.
@@ -25,14 +25,14 @@
 
 
 class CrashResult(NamedTuple):
-    """What one crash left behind."""
+    """The last revision acknowledged before a crash, and the revision found in the file after it."""
 
     acknowledged_revision: int
     found_revision: int
 
 
 def write_forever(path: str, seed: int) -> None:
-    """Write random items, remove some, and compact the log now and then."""
+    """Write random items, remove some, and compact the log every `COMPACTION_INTERVAL` transactions."""
     store = Store(path)
     generator = random.Random(seed)
     batch_number = 0
@@ -61,7 +61,7 @@
     """Kill a writer during the transaction after the given number of them, and check the file.
 
     Raises StoreUnusableError if the file is damaged, AssertionError if an acknowledged change is missing or
-    a transaction is there in part.
+    more changes follow it than one transaction may hold.
     """
     acknowledged = _acknowledged_revision(_run_and_kill(path, seed, transactions))
     with closing(Store(path)) as store:
@@ -69,7 +69,7 @@
         found = store.revision
     assert found >= acknowledged, f"acknowledged {acknowledged}, found {found}"
     assert found <= acknowledged + MAX_BATCH_SIZE, (
-        f"acknowledged {acknowledged}, found {found}: over one change more"
+        f"acknowledged {acknowledged}, found {found}: more than one unacknowledged transaction"
     )
     return CrashResult(acknowledged, found)
 
@@ -87,7 +87,7 @@
         lines = [process.stdout.readline() for _ in range(transactions + 1)]
     finally:
         process.kill()
-        # Not by `communicate`, which loses what `readline` has buffered.
+        # `communicate` would lose what `readline` has buffered.
         lines += process.stdout.read().splitlines()
         process.stdout.close()
         process.wait()
--- a/gaugehinge/store/errors.py
+++ b/gaugehinge/store/errors.py
@@ -10,7 +10,7 @@
 
 
 class StoreUnusableError(StoreError):
-    """The store file cannot be served from. The message is one line that names the file and the reason."""
+    """The store file cannot be used. The message is one line that names the file and the reason."""
 
     def __init__(self, path: Path, reason: str) -> None:
         """Build the message from the file and the reason."""
@@ -26,9 +26,9 @@
 
 
 class StoreUnavailableError(StoreUnusableError):
-    """Another process holds the file, or its disk accepts no writes.
+    """Another process has locked the file, or its disk accepts no writes.
 
-    Nothing is known to be wrong with the contents, so nothing should be restored.
+    This does not indicate damaged contents, so nothing should be restored.
     """
 
 
@@ -54,19 +54,19 @@
 
 
 class CompactionError(StoreError, ValueError):
-    """The log cannot be compacted up to the requested revision: its newest row has to stay."""
+    """The log cannot be compacted up to the requested revision: its newest row must be kept."""
 
     def __init__(self) -> None:
         """Build the fixed message."""
-        super().__init__("the newest row stays")
+        super().__init__("the newest log row cannot be removed")
 
 
 class DiskFullError(StoreError):
-    """The disk accepted no more data; nothing of the transaction was kept."""
+    """The disk accepted no more data; the transaction was rolled back."""
 
 
 class StoreOverloadedError(StoreError):
-    """Too many calls are waiting for the disk; nothing was done."""
+    """Too many calls are queued; the call was rejected before it ran."""
 
     def __init__(self) -> None:
         """Build the fixed message."""
--- a/gaugehinge/store/log_chain.py
+++ b/gaugehinge/store/log_chain.py
@@ -1,7 +1,7 @@
 """The chain of digests over the change log.
 
-Each row carries a digest over itself and the digest of the row before it, so that a log which lost, gained or
-changed a row is detected, even if the file is sound to SQLite.
+Each row carries a digest over itself and the digest of the row before it, so that lost, added or changed
+rows are detected even if SQLite finds the file intact.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from .records import Change
 
-EMPTY_LOG_DIGEST = b"\0" * 16  # stands for the digest before the first row
+EMPTY_LOG_DIGEST = b"\0" * 16  # the digest that the first row is chained to if nothing was compacted
 
 
 def chain_digest(previous: bytes, change: Change) -> bytes:
@@ -23,7 +23,7 @@
 
 
 def read_base_digest(connection: sqlite3.Connection) -> bytes:
-    """Return the digest that the log's first row is chained to: of the last row removed by compaction."""
+    """Return the digest that the first row is chained to: that of the last row removed by compaction."""
     row = connection.execute("SELECT value FROM mark WHERE name='base'").fetchone()
     return row[0] if row else EMPTY_LOG_DIGEST
 
--- a/gaugehinge/store/records.py
+++ b/gaugehinge/store/records.py
@@ -1,4 +1,4 @@
-"""Plain values that go into and come out of the store."""
+"""Value types that are passed to and returned by the store."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     kind: str
     item_id: str
     body: bytes | None  # None: remove the item
-    expected_revision: int | None = None  # 0: the item must not exist; None: any revision will do
+    expected_revision: int | None = None  # 0: the item must not exist; None: any revision is accepted
 
 
 class Item(NamedTuple):
@@ -48,10 +48,10 @@
 
 @dataclass(slots=True, frozen=True)
 class IdempotencyRecord:
-    """What to remember of a call with an idempotency key, so that a retry gets the same response."""
+    """What is stored about a call with an idempotency key, so that a retry gets the same response."""
 
     key: str
-    request: bytes  # a digest that tells a retry from another call with the same key
+    request: bytes  # a digest that distinguishes a retry from a different call with the same key
     build_response: Callable[[list[Change]], bytes]  # called with the changes, before they are committed
 
 
--- a/gaugehinge/store/schema.py
+++ b/gaugehinge/store/schema.py
@@ -1,16 +1,16 @@
-"""The tables of the store file by schema version, and the migrations between versions. No I/O of its own.
+"""The tables of the store file by schema version, and the migrations between versions. Does no I/O.
 
-A file of a newer version is refused: data that this version does not know would be lost with the next change.
+A file of a newer version is refused: the next change would lose data that this version does not know.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-APPLICATION_ID = 0x67617567  # `PRAGMA application_id`: marks the file as one of this program
+APPLICATION_ID = 0x67617567  # `PRAGMA application_id`: identifies the file as a store of this program
 SCHEMA_VERSION = 2  # `PRAGMA user_version`
 
-# The statements that bring a file from the version before to this one.
+# By target version: the statements that migrate a file from the previous version.
 MIGRATIONS: dict[int, tuple[str, ...]] = {
     1: (
         # The log: rows are never changed, and removed only by compaction.
--- a/gaugehinge/store/serial_executor.py
+++ b/gaugehinge/store/serial_executor.py
@@ -28,17 +28,17 @@
         self._error: BaseException | None = None
 
     def run(self) -> None:
-        """Run on the executor's thread."""
+        """Run the function; called on the executor's thread."""
         try:
             self._value = self._function()
-        except BaseException as error:  # whatever it is, it is raised in the calling task
+        except BaseException as error:  # every exception is re-raised in the calling task
             self._error = error
         # The event loop may have ended while the call was waiting.
         with suppress(trio.RunFinishedError):
             self._token.run_sync_soon(self._finished.set)
 
     async def result(self) -> T:
-        """Wait for the call in the event loop; raise what it raised."""
+        """Wait on the event loop until the call has run; return its value or raise its exception."""
         await self._finished.wait()
         if self._error is not None:
             raise self._error
@@ -46,7 +46,7 @@
 
 
 class SerialExecutor:
-    """One thread that runs calls in the order in which they came."""
+    """A single thread that runs calls in the order in which they were queued."""
 
     def __init__(self, name: str) -> None:
         """Start the thread, with a name for debuggers."""
@@ -66,7 +66,7 @@
     async def run(self, function: Callable[[], T]) -> T:
         """Run a function on the thread and return its result.
 
-        If the caller is cancelled while it waits, the function is run all the same. Raises
+        If the caller is cancelled while it waits, the function still runs. Raises
         StoreOverloadedError if the queue is full, else what the function raises.
         """
         call = _Call(function)
--- a/gaugehinge/store/snapshots.py
+++ b/gaugehinge/store/snapshots.py
@@ -14,9 +14,9 @@
 from .verification import verify_connection
 
 PARTIAL_SUFFIX = ".part"  # of a copy that is still being written
-REPLACED_SUFFIX = ".replaced"  # of a file that a restored snapshot took the place of
+REPLACED_SUFFIX = ".replaced"  # of a file that was replaced by a restored snapshot
 SQLITE_FILE_SUFFIXES = ("", "-wal", "-shm")  # the files that make up one SQLite database
-BACKUP_PAGES_PER_STEP = 256  # between two steps other connections can write
+BACKUP_PAGES_PER_STEP = 256  # other connections can write between two steps
 
 
 class IntactSnapshot(NamedTuple):
@@ -32,12 +32,12 @@
 
 
 def list_snapshots(store_path: Path) -> list[Path]:
-    """Return the snapshots beside a store, newest first by name. Partial ones are included."""
+    """Return the snapshots beside a store, newest first by name. Partially written ones are included."""
     return sorted(store_path.parent.glob(f"{store_path.name}.snapshot-*"), reverse=True)
 
 
 def remove_old_snapshots(store_path: Path, keep: int) -> None:
-    """Remove all snapshots beside a store but the newest ones."""
+    """Remove all snapshots beside a store except the `keep` newest."""
     for path in list_snapshots(store_path)[keep:]:
         path.unlink(missing_ok=True)
 
@@ -58,7 +58,7 @@
     if newest is None:
         remedy = "there is no snapshot"
     else:
-        remedy = f"the newest good snapshot is {newest.path}, revision {newest.revision}"
+        remedy = f"the newest intact snapshot is {newest.path}, revision {newest.revision}"
     return StoreCorruptedError(path, f"damaged ({error}); {remedy}")
 
 
@@ -87,7 +87,8 @@
             copy.execute("PRAGMA journal_mode=DELETE")
             revision = read_revision(copy)
     except sqlite3.OperationalError as error:
-        # Reported like any other failed write: a service whose hourly snapshot finds no room goes on.
+        # Reported like any other failed write, so that a service keeps running if its hourly snapshot
+        # finds the disk full.
         if not is_disk_full(error):
             raise
         partial.unlink(missing_ok=True)
@@ -97,9 +98,9 @@
 
 
 def restore(snapshot: str | Path, target: str | Path) -> int:
-    """Put a snapshot in the place of a store that nothing uses; return its revision.
+    """Replace a store that no process uses with a snapshot; return its revision.
 
-    The file that was there is kept with the suffix `.replaced`. Raises StoreUnusableError if the snapshot
+    The replaced file is kept with the suffix `.replaced`. Raises StoreUnusableError if the snapshot
     fails verification.
     """
     snapshot, target = Path(snapshot), Path(target)
--- a/gaugehinge/store/sqlite_errors.py
+++ b/gaugehinge/store/sqlite_errors.py
@@ -8,7 +8,7 @@
 from .errors import StoreUnavailableError
 
 PRIMARY_CODE_MASK = 0xFF  # the low byte of an extended result code is the primary one
-WRITE_REFUSED_CODES = (  # a write was refused; none of these says that stored data is wrong
+WRITE_REFUSED_CODES = (  # a write was refused; none of these means that stored data is damaged
     sqlite3.SQLITE_FULL,
     sqlite3.SQLITE_IOERR_WRITE,
     sqlite3.SQLITE_IOERR_FSYNC,
@@ -32,7 +32,7 @@
 
 
 def is_write_refused(error: sqlite3.Error) -> bool:
-    """Whether the disk accepted no write, which says nothing about the data already there."""
+    """Whether the disk refused a write, which does not indicate damage to data already stored."""
     return _extended_code(error) in WRITE_REFUSED_CODES
 
 
@@ -47,6 +47,6 @@
 
 
 def unavailable_error(path: Path, error: sqlite3.Error) -> StoreUnavailableError:
-    """Describe a temporary error (see `is_temporary`) that lasted for too long."""
-    reason = "in use by another process" if is_busy(error) else "its disk takes nothing more"
+    """Describe a temporary error (see `is_temporary`) that persisted until the retries ended."""
+    reason = "in use by another process" if is_busy(error) else "its disk accepts no writes"
     return StoreUnavailableError(path, f"{reason} ({error})")
--- a/gaugehinge/store/store.py
+++ b/gaugehinge/store/store.py
@@ -1,7 +1,7 @@
 """The durable store: each change is appended to a log and applied to the state in one transaction.
 
 SQLite runs in WAL mode with `synchronous=FULL`, so an acknowledged change is on the disk. All methods block;
-an event loop uses `async_store.AsyncStore` instead.
+code on an event loop uses `async_store.AsyncStore` instead.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from .snapshots import corrupted_error, read_revision, write_backup
 from .verification import verify_connection
 
-MAX_BODY_SIZE = 256 * 1024  # bytes of one item
-UNLIMITED = -1  # as a LIMIT of SQLite
+MAX_BODY_SIZE = 256 * 1024  # bytes; limit for the body of one item
+UNLIMITED = -1  # SQLite reads a negative LIMIT as no limit
 RESPONSE_RETENTION = 24 * 3600.0  # seconds for which responses to calls with an idempotency key are kept
 
 
 class Store:
-    """A store file. Not to be used by several threads at once; other processes may read while one writes."""
+    """An open store file. Not safe for concurrent threads; other processes may read while one writes."""
 
     def __init__(self, path: str | Path, read_only: bool = False) -> None:
-        """Open the file and migrate it to the current version, waiting if it is locked or its disk is full.
+        """Open the file and migrate it to the current version; retry if it is locked or its disk is full.
 
         Raises StoreUnusableError, or one of its subclasses.
         """
@@ -36,7 +36,7 @@
             raise corrupted_error(self.path, error) from error
 
     def close(self) -> None:
-        """Close the file; everything that was acknowledged is in it."""
+        """Close the file. Every acknowledged change has already been written to it."""
         self.connection.close()
 
     # Reading
@@ -48,14 +48,14 @@
 
     @property
     def oldest_revision(self) -> int:
-        """The first revision that is still in the log; the effect of earlier ones is only in the state."""
+        """The first revision still in the log; of earlier ones only their effect on the state remains."""
         return self.connection.execute("SELECT coalesce(min(rev), 1) FROM change").fetchone()[0]
 
     def revision_digest(self, revision: int) -> str:
         """Return the hexadecimal digest of a log row, empty if the log has no such row.
 
-        It tells a revision from one of the same number in another history: a store restored from an older
-        copy counts on from that copy's revision.
+        The digest distinguishes revisions of the same number in different histories: a store restored from
+        an older copy continues counting from that copy's revision.
         """
         row = self.connection.execute("SELECT digest FROM change WHERE rev=?", (revision,)).fetchone()
         return row[0].hex() if row else ""
@@ -70,7 +70,7 @@
     def items(self, kind: str, after: str = "", limit: int = UNLIMITED) -> list[Item]:
         """Return items of a kind in the order of their ids, starting after the given id.
 
-        All of them, unless the caller names a limit: a default limit cut the state off without a word.
+        Without a limit all of them are returned: a default limit used to truncate the state silently.
         """
         rows = self.connection.execute(
             "SELECT kind, ident, rev, body FROM state WHERE kind=? AND ident>? ORDER BY ident LIMIT ?",
@@ -107,7 +107,7 @@
             self.connection.execute("COMMIT")
 
     def recorded_response(self, actor: str, idempotency_key: str) -> RecordedResponse | None:
-        """Return what was recorded of an earlier call with this key, None if there was none."""
+        """Return the recorded request and response of the actor's earlier call with this key, or None."""
         row = self.connection.execute(
             "SELECT request, answer FROM answered WHERE who=? AND key=?", (actor, idempotency_key)
         ).fetchone()
@@ -126,7 +126,7 @@
 
         Raises:
             RevisionConflictError: an item is not at its expected revision.
-            ItemTooLargeError: a body is over `MAX_BODY_SIZE` bytes.
+            ItemTooLargeError: a body is larger than `MAX_BODY_SIZE`.
             DiskFullError: the disk accepted no more data.
             sqlite3.IntegrityError: a response is already recorded for this actor and key.
 
@@ -194,9 +194,9 @@
         )
 
     def compact(self, first_kept_revision: int) -> int:
-        """Remove the log rows before a revision, but not their effect; return how many were removed.
+        """Remove the log rows before a revision, but not their effect on the state; return the number removed.
 
-        Raises CompactionError if nothing would be left: the last row says which revision is the newest.
+        Raises CompactionError if no row would be left: the last row defines the newest revision.
         """
         with transaction(self.connection):
             row = self.connection.execute(
@@ -209,12 +209,13 @@
             write_base_digest(self.connection, row[0])
             return self.connection.execute("DELETE FROM change WHERE rev<?", (first_kept_revision,)).rowcount
 
-    # The file as a whole
+    # Operations on the whole file
 
     def verify(self) -> None:
         """Check every page, row and digest.
 
-        Raises StoreCorruptedError if something is wrong, StoreUnavailableError if it cannot be checked now.
+        Raises StoreCorruptedError if the contents are damaged, StoreUnavailableError if the file cannot be
+        checked now.
         """
         try:
             verify_connection(self.connection, self.path)
--- a/gaugehinge/store/verification.py
+++ b/gaugehinge/store/verification.py
@@ -11,7 +11,7 @@
 from .records import Change
 from .sqlite_errors import is_temporary, unavailable_error
 
-MAX_REPORTED_PROBLEMS = 5  # of `PRAGMA integrity_check`
+MAX_REPORTED_PROBLEMS = 5  # limit passed to `PRAGMA integrity_check`
 
 
 class _LogSummary(NamedTuple):
@@ -63,18 +63,18 @@
 
 
 def _check_state(connection: sqlite3.Connection, log: _LogSummary) -> None:
-    """Check that the state is what the log adds up to, as far back as the log goes."""
+    """Check that the state matches the result of the log, as far back as the log goes."""
     for change in log.newest_changes:
         row = connection.execute(
             "SELECT rev, body FROM state WHERE kind=? AND ident=?", (change.kind, change.item_id)
         ).fetchone()
         expected = None if change.body is None else (change.revision, change.body)
         if row != expected:
-            problem = f"{change.kind} {change.item_id} is not what the log says"
+            problem = f"{change.kind} {change.item_id} does not match the log"
             raise IntegrityCheckError(problem)
     newer_count = connection.execute(
         "SELECT count(*) FROM state WHERE rev>?", (log.last_revision,)
     ).fetchone()[0]
     if newer_count:
-        problem = f"{newer_count} things are newer than the log"
+        problem = f"{newer_count} items are newer than the log"
         raise IntegrityCheckError(problem)
--- a/tests/test_store_files.py
+++ b/tests/test_store_files.py
@@ -39,8 +39,8 @@
     [
         ("DELETE FROM change WHERE rev=7", "broken at revision 8"),
         ("UPDATE change SET body=x'00' WHERE rev=3", "broken at revision 3"),
-        ("UPDATE state SET body=x'00' WHERE ident='t1'", "tenant t1 is not what the log says"),
-        ("DELETE FROM state WHERE ident='t2'", "tenant t2 is not what the log says"),
+        ("UPDATE state SET body=x'00' WHERE ident='t1'", "tenant t1 does not match the log"),
+        ("DELETE FROM state WHERE ident='t2'", "tenant t2 does not match the log"),
         ("INSERT INTO state VALUES ('tenant', 'x', 99, x'00')", "newer than the log"),
     ],
 )
@@ -112,7 +112,7 @@
     store.apply([Mutation("tenant", "a", b"1")], "root", 1.0, recorded)
     store.connection.execute(f"PRAGMA user_version={schema.SCHEMA_VERSION + 1}")
     store.close()
-    with pytest.raises(IncompatibleStoreError, match="take the newer build"):
+    with pytest.raises(IncompatibleStoreError, match="use a newer build"):
         Store(path)
     other = sqlite3.connect(tmp_path / "o.db")
     other.execute("CREATE TABLE x (y)")
