--- a/gaugehinge/store/store.py
+++ b/gaugehinge/store/store.py
@@ -194,7 +194,7 @@
         )
 
     def compact(self, first_kept_revision: int) -> int:
-        """Remove the log rows before a revision, but not their effect on the state; return the number removed.
+        """Remove the log rows before a revision, but not their effect on the state; return how many.
 
         Raises CompactionError if no row would be left: the last row defines the newest revision.
         """
--- a/gaugehinge/tenancy/__init__.py
+++ b/gaugehinge/tenancy/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants that come and go while traffic flows: lifecycle, key spaces, credentials, and leases of routers."""
+"""Tenants added and removed under live traffic: lifecycle, key spaces, credentials, and router leases."""
--- a/gaugehinge/tenancy/attempt_limiter.py
+++ b/gaugehinge/tenancy/attempt_limiter.py
@@ -1,4 +1,4 @@
-"""Limits on checks of secrets: by source, by name and in total. No I/O, fixed memory.
+"""Limits on checks of secrets: by source, by name and in total. Does no I/O; memory use is fixed.
 
 Only failures count against a source and a name, so that a client which opens many connections is not locked
 out. Every check counts against the total.
@@ -8,15 +8,15 @@
 
 from xxhash import xxh64_intdigest
 
-COUNTER_COUNT = 4096  # sources and names share this many counters, so that no number of them uses more memory
-FAILURE_BURST = 10.0  # failures in a row
-FAILURE_REFILL_RATE = 0.1  # further failures a second
-CHECK_BURST = 100.0  # checks in a row of all sources together: each occupies a thread
-CHECK_REFILL_RATE = 20.0  # further checks a second
+COUNTER_COUNT = 4096  # shared by all sources and names, so that memory use does not grow with their number
+FAILURE_BURST = 10.0  # failures allowed in a row
+FAILURE_REFILL_RATE = 0.1  # failures a second allowed after the burst
+CHECK_BURST = 100.0  # checks in a row allowed for all sources together: each occupies a thread
+CHECK_REFILL_RATE = 20.0  # checks a second allowed after the burst
 
 
 class _LeakyCounters:
-    """Counts that decrease with time. A clock that is set back does not decrease them."""
+    """Counters that decrease over time. Setting the clock back does not decrease them."""
 
     def __init__(self, size: int, leak_rate: float, now: float) -> None:
         self._leak_rate = leak_rate  # a second
@@ -24,7 +24,7 @@
         self._updated_at = [now] * size
 
     def value(self, index: int, now: float) -> float:
-        """Return a count as of a time in seconds."""
+        """Return the count of a counter at the time `now` in seconds."""
         elapsed = max(now - self._updated_at[index], 0.0)
         self._counts[index] = max(self._counts[index] - self._leak_rate * elapsed, 0.0)
         self._updated_at[index] = max(now, self._updated_at[index])
@@ -36,7 +36,7 @@
 
 
 class AttemptLimiter:
-    """Decides whether a secret is checked at all."""
+    """Decides whether a secret may be checked."""
 
     def __init__(self, seed: int, now: float) -> None:
         """Start with no failures counted. The seed makes it unpredictable which names share a counter."""
@@ -62,7 +62,7 @@
         return 0.0
 
     def failure_wait(self, source: str, name: str, now: float) -> float:
-        """Return the seconds for which earlier failures keep a source or a name out; 0.0: they do not."""
+        """Return the seconds for which earlier failures block a source or a name; 0.0: not blocked."""
         failures = max(self._failures.value(index, now) for index in self._counter_indexes(source, name))
         return max(failures + 1.0 - FAILURE_BURST, 0.0) / FAILURE_REFILL_RATE
 
--- a/gaugehinge/tenancy/credentials.py
+++ b/gaugehinge/tenancy/credentials.py
@@ -1,8 +1,8 @@
 """Credentials of tenants and operators: secrets shown once, stored as argon2 hashes, rotated with an overlap.
 
-A failed check reveals neither by its answer nor by its duration whether the named account exists: an unknown
-credential is checked against a hash of its own. A check costs tens of milliseconds and as many MiB, so it is
-run on a thread, and `attempt_limiter.AttemptLimiter` decides beforehand whether it is run at all.
+A failed check reveals neither by its answer nor by its duration whether the named account exists: a secret of
+an unknown credential is checked against a dummy hash. A check costs tens of milliseconds and as many MiB, so
+it runs on a thread, and `attempt_limiter.AttemptLimiter` decides beforehand whether it runs at all.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from argon2 import PasswordHasher
 from argon2.exceptions import InvalidHashError, VerificationError
 
-MAX_VALID_CREDENTIALS = 2  # the one in use and the one that replaces it
-SECRET_PREFIX = "gh"  # lets a secret that leaked into a log or a page be searched for
-SECRET_BYTES = 24  # of randomness in a secret
+MAX_VALID_CREDENTIALS = 2  # the one in use and its replacement
+SECRET_PREFIX = "gh"  # makes secrets that leaked into logs or pages searchable
+SECRET_BYTES = 24  # random bytes in a secret
 CREDENTIAL_ID_BYTES = 4
-MAX_SECRET_LENGTH = 200  # characters; a longer secret is wrong without being read
+MAX_SECRET_LENGTH = 200  # characters; a longer secret never matches and is not parsed
 DEFAULT_TIME_COST = 2  # argon2 passes over the memory
 DEFAULT_MEMORY_KIB = 19 * 1024
 
@@ -61,7 +61,7 @@
         self._unknown_account_hash = self._hasher.hash(secrets.token_urlsafe(SECRET_BYTES))
 
     def issue(self, now: float) -> IssuedCredential:
-        """Generate a secret and its credential. Blocks for the time of a hash."""
+        """Generate a secret and its credential. Blocks for the duration of one hash."""
         credential_id = secrets.token_hex(CREDENTIAL_ID_BYTES)
         secret = f"{SECRET_PREFIX}_{credential_id}_{secrets.token_urlsafe(SECRET_BYTES)}"
         return IssuedCredential(secret, Credential(credential_id, self._hasher.hash(secret), now))
@@ -69,7 +69,7 @@
     def find_match(self, secret: str, credentials: Sequence[Credential], now: float) -> str | None:
         """Return the id of the valid credential that a secret belongs to, or None.
 
-        Blocks for the time of a hash, whether or not the secret names one of the credentials.
+        Blocks for the duration of one hash, whether or not the secret names one of the credentials.
         """
         credential_id = _credential_id_of(secret)
         candidate = next(
@@ -84,7 +84,7 @@
 
 
 def _credential_id_of(secret: str) -> str:
-    """Return the credential id in a secret, empty if it is not of the form of a secret."""
+    """Return the credential id in a secret, empty if the secret is malformed."""
     parts = secret.split("_", 2)
     if len(secret) > MAX_SECRET_LENGTH or len(parts) != 3 or parts[0] != SECRET_PREFIX:
         return ""
@@ -104,7 +104,7 @@
 
 
 def revoke(credentials: Sequence[Credential], credential_id: str) -> tuple[Credential, ...]:
-    """Remove a credential at once. Raises UnknownCredentialError if there is none with that id."""
+    """Remove a credential immediately. Raises UnknownCredentialError if there is none with that id."""
     remaining = tuple(each for each in credentials if each.credential_id != credential_id)
     if len(remaining) == len(credentials):
         raise UnknownCredentialError(credential_id)
--- a/gaugehinge/tenancy/keyspace.py
+++ b/gaugehinge/tenancy/keyspace.py
@@ -1,6 +1,6 @@
 """Key spaces of tenants: two incarnations never share a key or an idempotency key.
 
-Cache servers and the origin see keys and idempotency keys with the tenant's incarnation before them.
+Cache servers and the origin see keys and idempotency keys prefixed with the tenant's incarnation.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 
 
 class InvalidTenantKeyError(ValueError):
-    """A key is in no tenant's space."""
+    """A key does not belong to any tenant's key space."""
 
 
 def tenant_key(tenant: TenantIncarnation, key: bytes) -> bytes:
     """Return a client's key in the tenant's space.
 
-    A hash tag in the client's key keeps its effect, as the incarnation stands outside the braces.
+    A hash tag in the client's key keeps its effect, because the prefix is outside the braces.
     """
     return b"%x/%b" % (tenant.incarnation, key)
 
--- a/gaugehinge/tenancy/lease.py
+++ b/gaugehinge/tenancy/lease.py
@@ -1,9 +1,10 @@
-"""Leases: what a router may do for a stated time after it asked, and when that time has certainly ended.
+"""Leases: permission for a router to act for a limited time, and when that time has certainly ended.
 
-No I/O, no clock of its own. A router counts a lease from when it *sent* the request that was answered with
-the lease, by its own monotonic clock. The control plane counts it from when it *answered*, by its own. The
-answer came after the request, and the rates of two clocks differ by no more than `MAX_CLOCK_DRIFT`, so the
-router has always stopped before the control plane acts. Nothing here depends on the time of day.
+Does no I/O and reads no clock. A router counts a lease from when it *sent* the request that was answered with
+the lease, by its own monotonic clock. The control plane counts it from when it *answered*, by its own
+monotonic clock. The answer came after the request, and the rates of two clocks differ by no more than
+`MAX_CLOCK_DRIFT`, so the router has always stopped before the control plane acts. Nothing here depends on the
+time of day.
 """
 
 from __future__ import annotations
@@ -11,9 +12,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MAX_CLOCK_DRIFT = 0.01  # by which the rates of two machines' monotonic clocks may differ
-EXPIRY_MARGIN = 0.25  # seconds between a lease's end at a router and the last thing that it does under it
-MAX_RUNS = 4096  # router runs that a lease table remembers; a further one is granted no lease
+MAX_CLOCK_DRIFT = 0.01  # maximum relative difference between the rates of two machines' monotonic clocks
+EXPIRY_MARGIN = 0.25  # seconds before a lease's end at which a router stops starting actions under it
+MAX_RUNS = 4096  # router runs in a lease table; a run beyond this limit is granted no lease
 
 
 @dataclass(slots=True)
@@ -23,17 +24,17 @@
     expires_at: float = 0.0  # by the router's monotonic clock; 0: none was ever granted
 
     def renew(self, requested_at: float, duration: float) -> None:
-        """Take over a lease of `duration` seconds that answers a request sent at `requested_at`.
+        """Adopt a lease of `duration` seconds, granted in response to a request sent at `requested_at`.
 
         An answer to an older request never shortens what a newer one granted.
         """
         self.expires_at = max(self.expires_at, requested_at + duration * (1.0 - MAX_CLOCK_DRIFT))
 
     def is_valid(self, now: float) -> bool:
-        """Whether something that needs the lease may be started now.
+        """Whether an action that needs the lease may be started now.
 
-        To be asked before each such thing, with a clock that is read at that moment: a process that was
-        stopped for a while must not act on an older reading.
+        Call this before each such action with a fresh clock reading: a process that was stopped for a while
+        must not act on an older reading.
         """
         return now < self.expires_at - EXPIRY_MARGIN
 
@@ -60,10 +61,10 @@
 
 @dataclass(slots=True)
 class LeaseTable:
-    """The leases that one run of the control plane granted. Expired entries leave by `remove_expired`.
+    """The leases that one run of the control plane granted. `remove_expired` removes expired entries.
 
-    A control plane that has just started does not know which leases its former run granted: until
-    `max_duration` seconds (with drift) after its start these may still be valid.
+    A control plane that has just started does not know which leases its previous run granted: they may
+    still be valid until `max_duration` seconds (plus clock drift) after its start.
     """
 
     started_at: float  # of this run of the control plane, by its monotonic clock
@@ -74,8 +75,8 @@
     def grant(self, router: str, run: str, revision: int, duration: float, now: float) -> float:
         """Record a lease that is about to be sent; return its duration.
 
-        It is 0.0 if the table has no room to remember the lease, and longer than requested where an earlier
-        lease of this run ends later: what was granted is not taken back.
+        The duration is 0.0 if the table has no room for the lease, and longer than requested if an earlier
+        lease of this run ends later: a granted lease is never shortened.
         """
         router_run = RouterRun(router, run)
         if router_run not in self.granted and not self._has_room(now):
@@ -96,16 +97,16 @@
         return len(self.granted) < MAX_RUNS
 
     def former_leases_expired(self, now: float) -> bool:
-        """Whether everything that a former run of the control plane granted has expired."""
+        """Whether all leases granted by previous runs of the control plane have expired."""
         longest = self.max_duration * (1.0 + MAX_CLOCK_DRIFT)
         return now >= self.started_at + longest + EXPIRY_MARGIN + self.in_flight_grace
 
     def active_before(self, revision: int, now: float) -> list[RouterRun]:
         """Return the router runs that may still act on a state older than `revision`.
 
-        With an empty list, and `former_leases_expired`, every router that acts follows that revision.
+        If it is empty and `former_leases_expired` holds, every router that acts follows that revision.
         """
-        # Copied in one step, as another thread may be asking.
+        # Copied in one step, because another thread may use the table at the same time.
         granted = list(self.granted.items())
         return [
             RouterRun(*router_run)
@@ -114,7 +115,7 @@
         ]
 
     def remove_expired(self, now: float) -> None:
-        """Forget the leases that have expired."""
+        """Remove the expired leases from the table."""
         expired = [
             router_run
             for router_run, lease in self.granted.items()
--- a/gaugehinge/tenancy/lifecycle.py
+++ b/gaugehinge/tenancy/lifecycle.py
@@ -1,12 +1,12 @@
-"""The lifecycle of a tenant. No I/O, no clock of its own.
+"""The lifecycle of a tenant. Does no I/O and reads no clock.
 
     created -> active <-> suspended
         any of these -> leaving -> gone
 
 A leaving tenant accepts no new operations. It is gone once no router has an operation of it in flight and
 none of its idempotency keys is remembered anywhere. Until then its incarnation remains as a tombstone, so
-that a retry of one of its writes cannot be taken for a first attempt. A new tenant of the same name is
-another incarnation with a key space of its own, and may be created as soon as the old one is leaving.
+that a retry of one of its writes cannot be mistaken for a first attempt. A new tenant of the same name is
+another incarnation with a separate key space, and may be created as soon as the old one is leaving.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-MAX_CLOCK_SKEW = 2.0  # seconds between the clocks of two machines; idempotency keys are kept so much longer
-ROUTER_TIMEOUT = 30.0  # seconds of silence after which a router, with all it had in flight, counts as ended
+MAX_CLOCK_SKEW = 2.0  # seconds between the clocks of two machines; added to the deduplication window
+ROUTER_TIMEOUT = 30.0  # seconds without a report after which a router and its operations count as ended
 
 
 class TenantStage(Enum):
@@ -50,7 +50,7 @@
     (TenantStage.ACTIVE, TenantAction.REMOVE): TenantStage.LEAVING,
     (TenantStage.SUSPENDED, TenantAction.REMOVE): TenantStage.LEAVING,
 }
-STAGES_AFTER = {  # stages in which an action has nothing left to do
+STAGES_AFTER = {  # stages in which an action changes nothing because it has been done
     TenantAction.ACTIVATE: (TenantStage.ACTIVE,),
     TenantAction.SUSPEND: (TenantStage.SUSPENDED,),
     TenantAction.REMOVE: (TenantStage.LEAVING, TenantStage.GONE),
@@ -58,7 +58,7 @@
 
 
 class LifecycleError(Exception):
-    """A request makes no sense for a tenant in its stage."""
+    """A request is not valid in the current stage of the tenant."""
 
 
 class InvalidTransitionError(LifecycleError):
@@ -85,8 +85,8 @@
     incarnation: int  # never used twice, whatever the name
     stage: TenantStage
     stage_since: float
-    deduplication_until: float = 0.0  # until then one of its idempotency keys may be remembered somewhere
-    drained: bool = False  # while leaving: by the last reports no router accepts or holds operations of it
+    deduplication_until: float = 0.0  # until then any of its idempotency keys may still be remembered
+    drained: bool = False  # while leaving: per the last reports no router accepts or holds its operations
 
     @property
     def accepts_operations(self) -> bool:
@@ -100,7 +100,7 @@
 
     received_at: float  # Unix time
     in_flight: int  # operations
-    revision: int  # of the store, up to which the router follows changes
+    revision: int  # of the store; the router has applied all changes up to it
 
 
 def apply_action(
@@ -116,7 +116,7 @@
     stage = TRANSITIONS.get((tenant.stage, action))
     if stage is None:
         raise InvalidTransitionError(tenant.name, tenant.stage, action)
-    # A clock that was set back must not shorten what an earlier reading promised.
+    # A clock that was set back must not shorten the deadline computed from an earlier reading.
     deduplication_until = tenant.deduplication_until
     if stage is TenantStage.LEAVING:
         deduplication_until = max(deduplication_until, _deduplication_end(deduplication_window, now))
@@ -129,7 +129,7 @@
 
 
 def _deduplication_end(deduplication_window: float, now: float) -> float:
-    """Return the time at which an idempotency key that is used now is forgotten everywhere."""
+    """Return the time from which no component remembers an idempotency key that is used now."""
     return now + deduplication_window + MAX_CLOCK_SKEW
 
 
@@ -140,14 +140,15 @@
     deduplication_window: float,
     now: float,
 ) -> TenantIncarnation:
-    """Return a leaving tenant as gone, once it is; else with what is known of its removal so far.
+    """Return a leaving tenant as gone if its removal is complete, else with its removal progress updated.
 
-    It is gone when every router (`reports`, by name) follows the store up to `removal_revision`, has nothing
-    of it in flight, and its idempotency keys are forgotten.
+    It is gone when every router (`reports`, by name) follows the store up to `removal_revision` and has none
+    of its operations in flight, and its idempotency keys are forgotten.
 
-    A router that does not follow yet goes on accepting its operations. Idempotency keys may be used up to the
-    first check that finds nothing in flight, so the deduplication window is counted from that check: counted
-    from the last one that found something, a key used between the two would outlive its tenant.
+    A router that does not follow that revision yet still accepts operations of the tenant. Idempotency keys
+    may be used up to the first check that finds nothing in flight, so the deduplication window starts at that
+    check. If it started at the last check that found something, a key used between the two checks would be
+    remembered for longer than the tombstone exists.
     """
     if tenant.stage is not TenantStage.LEAVING:
         return tenant
@@ -171,7 +172,7 @@
 
 
 def name_is_available(name: str, existing: Iterable[TenantIncarnation]) -> bool:
-    """Whether no tenant of this name exists, or all that do have been removed."""
+    """Whether every existing tenant of this name, if there is any, has been removed."""
     return all(tenant.name != name or tenant.stage.is_removed for tenant in existing)
 
 
--- a/gaugehinge/tenancy/request_id.py
+++ b/gaugehinge/tenancy/request_id.py
@@ -1,7 +1,7 @@
-"""Numbers of the control plane's HTTP calls, which responses repeat. No I/O.
+"""Request ids of the control plane's HTTP calls, which responses echo. Does no I/O.
 
-HTTP/1.1 says nothing in a response of the request that it answers: a copy of an earlier one, read behind the
-next request, is taken for that one's. A response that repeats its request's number cannot be.
+An HTTP/1.1 response does not say which request it answers: a duplicate of an earlier response, read after the
+next request was sent, is taken for the response to that request. An echoed request id prevents this.
 """
 
 from __future__ import annotations
@@ -10,43 +10,43 @@
 import secrets
 
 REQUEST_ID_HEADER = "X-Request-Id"
-RANDOM_BYTES = 12  # of a number: no other call of any client has the same
+RANDOM_BYTES = 12  # of a request id; enough that no other call of any client has the same
 _VALID = re.compile(r"[A-Za-z0-9._-]{1,64}")
 
 
 def new_request_id() -> str:
-    """A number that no other call has."""
+    """Return a request id that no other call has."""
     return secrets.token_hex(RANDOM_BYTES)
 
 
 def is_request_id(text: str) -> bool:
-    """Whether a header may be repeated as it came."""
+    """Whether a header value is a valid request id, which may be echoed unchanged."""
     return _VALID.fullmatch(text) is not None
 
 
 class ResponseMatcher:
-    """Tells one client which responses are another call's.
+    """Detects, for one client, responses that belong to another call.
 
-    While responses repeat the numbers of their calls, these may share a connection. A control plane of an
-    earlier version repeats none: there each call has a connection of its own, where nothing follows its
-    response.
+    While responses echo the ids of their calls, calls may share a connection. A control plane of an earlier
+    version echoes no id: each call to it gets a separate connection, on which nothing follows its response.
     """
 
     __slots__ = ("_are_repeated",)
 
     def __init__(self) -> None:
-        """No response has come yet."""
-        self._are_repeated = False  # whether the last response had its call's number
+        """Start in the state before the first response, in which calls share no connection."""
+        self._are_repeated = False  # whether the last response had its call's id
 
     def headers(self, request_id: str) -> dict[str, str]:
-        """What a call is sent with."""
+        """Return the HTTP headers to send with a call."""
         connection = {} if self._are_repeated else {"Connection": "close"}
         return {REQUEST_ID_HEADER: request_id, **connection}
 
     def matches(self, request_id: str, repeated: str | None) -> bool:
-        """Whether a response may be the one to this call; `repeated`: its header, None without one.
+        """Whether a response may belong to this call; `repeated`: the id in its header, None if it has none.
 
-        The connection of one that is not has to end, unread: the call's own response comes behind it.
+        If not, the caller has to close the connection without reading further: the response to its call
+        comes after this one.
         """
         if repeated is not None and repeated != request_id:
             return False
