--- a/gaugehinge/hosted/feed_snapshot.py
+++ b/gaugehinge/hosted/feed_snapshot.py
@@ -27,7 +27,7 @@
 
     def load(self) -> Feed | None:
         """Read the file; None where there is none. Raises FeedError where it is not whole."""
-        self._file.remove_abandoned_parts()
+        self._file.remove_abandoned_partial_files()
         try:
             digest, _, body = self.path.read_bytes().partition(b"\n")
             if digest.decode() != xxh3_128_hexdigest(body):
--- a/gaugehinge/recovery/snapshot.py
+++ b/gaugehinge/recovery/snapshot.py
@@ -127,7 +127,7 @@
     def load(self) -> tuple[Kept | None, str]:
         """The snapshot, or None and why there is none: a file that cannot be used is set aside under
         another name, and the text says which."""
-        self._file.remove_abandoned_parts()
+        self._file.remove_abandoned_partial_files()
         try:
             with self.path.open("rb") as file:
                 data = file.read(MOST_BYTES + 1)
--- a/gaugehinge/store/atomic_file.py
+++ b/gaugehinge/store/atomic_file.py
@@ -23,49 +23,50 @@
         """`path`: the target file; partial files are written to the same directory."""
         self.path = Path(path)
         # The name is unique: the previous process may still be writing, and both would write to one file.
-        self._part = self.path.with_name(f"{self.path.name}.{secrets.token_hex(4)}.part")
+        self._partial_path = self.path.with_name(f"{self.path.name}.{secrets.token_hex(4)}.part")
 
     def replace(self, content: bytes) -> None:
         """Replace the file; its content is on the disk when this returns. Raises OSError."""
-        with os.fdopen(self._open_part(), "wb") as part:
-            part.write(content)
-            part.flush()
-            os.fsync(part.fileno())
-            self._part.replace(self.path)
+        with os.fdopen(self._open_partial_file(), "wb") as partial_file:
+            partial_file.write(content)
+            partial_file.flush()
+            os.fsync(partial_file.fileno())
+            self._partial_path.replace(self.path)
 
-    def _open_part(self) -> int:
+    def _open_partial_file(self) -> int:
         """Return the descriptor of an empty partial file that this process has locked."""
         while True:
-            descriptor = os.open(self._part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, OWNER_ONLY)
+            descriptor = os.open(self._partial_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, OWNER_ONLY)
             try:
                 with suppress(OSError):  # the file system does not support locks
                     fcntl.flock(descriptor, fcntl.LOCK_EX)
-                if _is_still(descriptor, self._part):
+                if _is_same_file(descriptor, self._partial_path):
                     return descriptor
             except BaseException:
                 os.close(descriptor)
                 raise
             os.close(descriptor)  # another process removed it as abandoned before it was locked
 
-    def remove_abandoned_parts(self) -> None:
+    def remove_abandoned_partial_files(self) -> None:
         """Remove the partial files of processes that ended while writing them."""
-        for part in self.path.parent.glob(f"{self.path.name}.*.part"):
+        for partial_path in self.path.parent.glob(f"{self.path.name}.*.part"):
             with suppress(OSError):
-                _remove_unless_locked(part)
+                _remove_unless_locked(partial_path)
 
 
-def _remove_unless_locked(part: Path) -> None:
+def _remove_unless_locked(partial_path: Path) -> None:
     """Raise OSError if the file is still being written or no longer exists."""
-    descriptor = os.open(part, os.O_RDWR)
+    descriptor = os.open(partial_path, os.O_RDWR)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        if _is_still(descriptor, part):  # otherwise its writer renamed it and may be writing the next one
-            part.unlink()
+        # If it is another file, the writer renamed its own and may be writing the next one.
+        if _is_same_file(descriptor, partial_path):
+            partial_path.unlink()
     finally:
         os.close(descriptor)
 
 
-def _is_still(descriptor: int, path: Path) -> bool:
+def _is_same_file(descriptor: int, path: Path) -> bool:
     """Whether a path still refers to the open file."""
     with suppress(FileNotFoundError):
         return os.path.samestat(os.fstat(descriptor), path.stat())
--- a/gaugehinge/store/store.py
+++ b/gaugehinge/store/store.py
@@ -142,15 +142,15 @@
         revision = self.revision
         digest = read_last_digest(self.connection)
         for mutation in mutations:
-            self._check(mutation)
+            self._check_mutation(mutation)
             revision += 1
             change = Change(revision, timestamp, actor, mutation.kind, mutation.item_id, mutation.body)
             digest = chain_digest(digest, change)
-            self._write(change, digest)
+            self._write_change(change, digest)
             changes.append(change)
         return changes
 
-    def _check(self, mutation: Mutation) -> None:
+    def _check_mutation(self, mutation: Mutation) -> None:
         if mutation.expected_revision is not None:
             item = self.get(mutation.kind, mutation.item_id)
             current_revision = item.revision if item else 0
@@ -159,7 +159,7 @@
         if mutation.body is not None and len(mutation.body) > MAX_BODY_SIZE:
             raise ItemTooLargeError(mutation.kind, mutation.item_id, MAX_BODY_SIZE)
 
-    def _write(self, change: Change, digest: bytes) -> None:
+    def _write_change(self, change: Change, digest: bytes) -> None:
         self.connection.execute(
             "INSERT INTO change VALUES (?, ?, ?, ?, ?, ?, ?)",
             (
--- a/gaugehinge/tenancy/lifecycle.py
+++ b/gaugehinge/tenancy/lifecycle.py
@@ -50,7 +50,7 @@
     (TenantStage.ACTIVE, TenantAction.REMOVE): TenantStage.LEAVING,
     (TenantStage.SUSPENDED, TenantAction.REMOVE): TenantStage.LEAVING,
 }
-STAGES_AFTER = {  # stages in which an action changes nothing because it has been done
+NO_OP_STAGES = {  # stages in which an action changes nothing because it has been done
     TenantAction.ACTIVATE: (TenantStage.ACTIVE,),
     TenantAction.SUSPEND: (TenantStage.SUSPENDED,),
     TenantAction.REMOVE: (TenantStage.LEAVING, TenantStage.GONE),
@@ -111,7 +111,7 @@
     `deduplication_window` is the longest time in seconds for which idempotency keys of the tenant are
     remembered. Raises InvalidTransitionError.
     """
-    if tenant.stage in STAGES_AFTER[action]:
+    if tenant.stage in NO_OP_STAGES[action]:
         return tenant
     stage = TRANSITIONS.get((tenant.stage, action))
     if stage is None:
--- a/gaugehinge/tenancy/request_id.py
+++ b/gaugehinge/tenancy/request_id.py
@@ -31,24 +31,24 @@
     version echoes no id: each call to it gets a separate connection, on which nothing follows its response.
     """
 
-    __slots__ = ("_are_repeated",)
+    __slots__ = ("_ids_are_echoed",)
 
     def __init__(self) -> None:
         """Start in the state before the first response, in which calls share no connection."""
-        self._are_repeated = False  # whether the last response had its call's id
+        self._ids_are_echoed = False  # whether the last response had its call's id
 
     def headers(self, request_id: str) -> dict[str, str]:
         """Return the HTTP headers to send with a call."""
-        connection = {} if self._are_repeated else {"Connection": "close"}
+        connection = {} if self._ids_are_echoed else {"Connection": "close"}
         return {REQUEST_ID_HEADER: request_id, **connection}
 
-    def matches(self, request_id: str, repeated: str | None) -> bool:
-        """Whether a response may belong to this call; `repeated`: the id in its header, None if it has none.
+    def matches(self, request_id: str, echoed_id: str | None) -> bool:
+        """Whether a response may belong to this call; `echoed_id`: the id in its header, None if it has none.
 
         If not, the caller has to close the connection without reading further: the response to its call
         comes after this one.
         """
-        if repeated is not None and repeated != request_id:
+        if echoed_id is not None and echoed_id != request_id:
             return False
-        self._are_repeated = repeated is not None
+        self._ids_are_echoed = echoed_id is not None
         return True
--- a/tests/test_credentials.py
+++ b/tests/test_credentials.py
@@ -17,15 +17,15 @@
     rotate,
 )
 
-CHEAP = SecretHasher(time_cost=1, memory_kib=64)
+HASHER = SecretHasher(time_cost=1, memory_kib=64)
 
 
 def test_secret_matches_only_its_own_hash_and_is_not_stored():
-    secret, credential = CHEAP.issue(1.0)
-    other_secret, other = CHEAP.issue(1.0)
+    secret, credential = HASHER.issue(1.0)
+    other_secret, other = HASHER.issue(1.0)
     credential_id = credential.credential_id
-    assert CHEAP.find_match(secret, [credential, other], 2.0) == credential_id != other.credential_id
-    assert CHEAP.find_match(other_secret, [credential], 2.0) is None
+    assert HASHER.find_match(secret, [credential, other], 2.0) == credential_id != other.credential_id
+    assert HASHER.find_match(other_secret, [credential], 2.0) is None
     assert secret.split("_", 2)[2] not in repr(credential)
     assert credential.secret_hash.startswith("$argon2id$")
     for wrong in (
@@ -37,33 +37,33 @@
         secret.replace("gh_", "gx_"),
         f"gh_{credential_id}_",
     ):
-        assert CHEAP.find_match(wrong, [credential, other], 2.0) is None
-    assert CHEAP.find_match(secret, [Credential(credential_id, "no hash", 1.0)], 2.0) is None
+        assert HASHER.find_match(wrong, [credential, other], 2.0) is None
+    assert HASHER.find_match(secret, [Credential(credential_id, "no hash", 1.0)], 2.0) is None
 
 
 def test_unknown_secret_costs_the_check_of_a_hash_as_well(monkeypatch):
     checked = []
-    verify = CHEAP._hasher.verify
-    monkeypatch.setattr(type(CHEAP._hasher), "verify", lambda self, h, s: checked.append(h) or verify(h, s))
-    secret, credential = CHEAP.issue(1.0)
-    CHEAP.find_match(secret, [], 2.0)
-    CHEAP.find_match("rubbish", [credential], 2.0)
-    CHEAP.find_match(secret, [credential], 2.0)
+    verify = HASHER._hasher.verify
+    monkeypatch.setattr(type(HASHER._hasher), "verify", lambda self, h, s: checked.append(h) or verify(h, s))
+    secret, credential = HASHER.issue(1.0)
+    HASHER.find_match(secret, [], 2.0)
+    HASHER.find_match("rubbish", [credential], 2.0)
+    HASHER.find_match(secret, [credential], 2.0)
     assert len(checked) == 3 and checked[0] == checked[1] != checked[2] == credential.secret_hash
 
 
 def test_two_credentials_are_valid_during_a_rotation():
-    (old, first), (new, second), (newest, third) = (CHEAP.issue(float(number)) for number in range(3))
+    (old, first), (new, second), (newest, third) = (HASHER.issue(float(number)) for number in range(3))
     credentials = rotate([], first, 60.0, 0.0)
     assert credentials == (first,)
     credentials = rotate(credentials, second, 60.0, 100.0)
-    assert CHEAP.find_match(old, credentials, 159.0) and CHEAP.find_match(new, credentials, 159.0)
-    assert CHEAP.find_match(old, credentials, 160.0) is None and CHEAP.find_match(new, credentials, 160.0)
+    assert HASHER.find_match(old, credentials, 159.0) and HASHER.find_match(new, credentials, 159.0)
+    assert HASHER.find_match(old, credentials, 160.0) is None and HASHER.find_match(new, credentials, 160.0)
     credentials = rotate(credentials, third, 60.0, 110.0)  # again, before the first one expired
-    assert len(credentials) == MAX_VALID_CREDENTIALS and CHEAP.find_match(old, credentials, 111.0) is None
-    assert CHEAP.find_match(new, credentials, 111.0) and CHEAP.find_match(newest, credentials, 111.0)
+    assert len(credentials) == MAX_VALID_CREDENTIALS and HASHER.find_match(old, credentials, 111.0) is None
+    assert HASHER.find_match(new, credentials, 111.0) and HASHER.find_match(newest, credentials, 111.0)
     credentials = revoke(credentials, second.credential_id)
-    assert CHEAP.find_match(new, credentials, 111.0) is None and CHEAP.find_match(newest, credentials, 1e9)
+    assert HASHER.find_match(new, credentials, 111.0) is None and HASHER.find_match(newest, credentials, 1e9)
     with pytest.raises(UnknownCredentialError):
         revoke(credentials, second.credential_id)
 
--- a/tests/test_new_store.py
+++ b/tests/test_new_store.py
@@ -20,43 +20,43 @@
 from gaugehinge.tenancy.feed import Feed, TenantRow
 
 
-def numbers_given(path, now: list[float], names: list[str], config: ControlPlaneConfig) -> list[int]:
+def allocate_incarnations(path, now: list[float], names: list[str], config: ControlPlaneConfig) -> list[int]:
     """Start a control plane on a store as its process does, create tenants, and end."""
 
-    async def scene() -> list[int]:
+    async def scenario() -> list[int]:
         store_writer = AsyncStore(path, lambda: now[0])
         control_plane = await _prepare(config, store_writer, CHEAP_HASHER, ())
         made = [await control_plane.tenants.create(NewTenant(name), "test") for name in names]
         store_writer.close()
         return [tenant.incarnation for tenant in made]
 
-    return trio.run(scene)
+    return trio.run(scenario)
 
 
-def test_a_new_store_gives_no_number_of_the_lost_one(tmp_path):
+def test_new_store_reuses_no_incarnation_of_the_lost_one(tmp_path):
     config = ControlPlaneConfig(store="unused", listen="127.0.0.1:1")
     now = [1_800_000_000.0]
-    first = numbers_given(tmp_path / "first.db", now, ["acme", "bolt", "cord"], config)
+    first = allocate_incarnations(tmp_path / "first.db", now, ["acme", "bolt", "cord"], config)
     now[0] += 60.0
-    second = numbers_given(tmp_path / "second.db", now, ["acme", "bolt", "cord"], config)
+    second = allocate_incarnations(tmp_path / "second.db", now, ["acme", "bolt", "cord"], config)
     assert len(set(first + second)) == 6
 
 
-def test_a_restored_copy_gives_no_number_that_was_given_since(tmp_path):
+def test_restored_copy_reuses_no_incarnation_allocated_since(tmp_path):
     config = ControlPlaneConfig(store="unused", listen="127.0.0.1:1")
     now, path = [1_800_000_000.0], tmp_path / "s.db"
-    first = numbers_given(path, now, ["acme"], config)
+    first = allocate_incarnations(path, now, ["acme"], config)
     shutil.copy(path, tmp_path / "copy.db")
     now[0] += 60.0
-    since = numbers_given(path, now, ["bolt"], config)
+    since = allocate_incarnations(path, now, ["bolt"], config)
     now[0] += 60.0
-    again = numbers_given(tmp_path / "copy.db", now, ["bolt"], config)
+    again = allocate_incarnations(tmp_path / "copy.db", now, ["bolt"], config)
     assert len(set(first + since + again)) == 3
 
 
-def test_a_floor_in_the_configuration_that_is_higher_counts(tmp_path):
+def test_higher_minimum_incarnation_in_the_configuration_is_used(tmp_path):
     config = ControlPlaneConfig(store="unused", listen="127.0.0.1:1", numbers_above=1 << 39)
-    assert numbers_given(tmp_path / "s.db", [1_800_000_000.0], ["acme"], config) == [(1 << 39) + 1]
+    assert allocate_incarnations(tmp_path / "s.db", [1_800_000_000.0], ["acme"], config) == [(1 << 39) + 1]
 
 
 def feed(store: str, secret_hash: str, credential_id: str = "c1") -> Feed:
@@ -65,7 +65,7 @@
     return Feed(store, 5, True, [row])
 
 
-def test_a_router_takes_the_same_name_and_number_of_another_store_for_another_tenant():
+def test_router_treats_same_name_and_incarnation_from_another_store_as_another_tenant():
     registry = TenantRegistry()
     registry.follow(feed("lost", "hash of the former"))
     former = registry.by_incarnation[1]
@@ -75,7 +75,7 @@
     assert change.reset_indexes == {0}, "what the tables know is of the former tenant"
 
 
-def test_a_tenant_that_was_carried_over_with_its_credential_goes_on():
+def test_tenant_carried_over_with_its_credential_is_kept():
     registry = TenantRegistry()
     registry.follow(feed("lost", "one hash"))
     former = registry.by_incarnation[1]
--- a/tests/test_request_ids.py
+++ b/tests/test_request_ids.py
@@ -20,11 +20,11 @@
 LEASE = 30.0  # seconds
 
 
-class CopyingServer:
+class DuplicatingServer:
     """Answers each call with its count; behind the second response its copy follows in the same segment."""
 
-    def __init__(self, numbered: bool) -> None:
-        self.numbered, self.calls, self.connections = numbered, 0, 0
+    def __init__(self, echoes_ids: bool) -> None:
+        self.echoes_ids, self.calls, self.connections = echoes_ids, 0, 0
 
     async def serve(self, stream) -> None:
         """Until the client ends the connection."""
@@ -40,17 +40,17 @@
                 buffer = b""
                 self.calls += 1
                 number = re.search(rb"(?im)^x-request-id: [^\r\n]*", head)
-                response = self.response(number[0] + b"\r\n" if number and self.numbered else b"")
+                response = self.response(number[0] + b"\r\n" if number and self.echoes_ids else b"")
                 await stream.send_all(response * (2 if self.calls == 2 else 1))
 
-    def response(self, number_line: bytes) -> bytes:
+    def response(self, id_header_line: bytes) -> bytes:
         """A feed and a tenant at once: each reader takes its own fields."""
         feed = msgspec.to_builtins(Feed("s", 5, False, [], lease_duration=LEASE + self.calls))
         body = msgspec.json.encode({**feed, "call": self.calls})
-        return b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n%b\r\n%b" % (len(body), number_line, body)
+        return b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n%b\r\n%b" % (len(body), id_header_line, body)
 
 
-async def call_each(server: CopyingServer, call, times: int) -> list:
+async def collect_results(server: DuplicatingServer, call, times: int) -> list:
     """What `call`, with the address of the server, returned each time; None for a failure."""
     async with trio.open_nursery() as nursery:
         [listener] = await nursery.start(partial(trio.serve_tcp, server.serve, 0, host="127.0.0.1"))
@@ -73,21 +73,21 @@
     return found
 
 
-def test_a_copied_feed_without_changes_renews_no_lease():
+def test_duplicated_feed_without_changes_renews_no_lease():
     """It fits the state of the router: only its number tells that it answers an earlier report."""
-    server = CopyingServer(numbered=True)
-    assert trio.run(call_each, server, fetch_leases, 5) == [1, 2, None, 4, 5]
+    server = DuplicatingServer(echoes_ids=True)
+    assert trio.run(collect_results, server, fetch_leases, 5) == [1, 2, None, 4, 5]
     assert server.connections == 3  # the first one, one that ends with the copy, and the next
 
 
-def test_where_no_number_is_repeated_each_call_has_a_connection():
-    server = CopyingServer(numbered=False)
-    assert trio.run(call_each, server, fetch_leases, 5) == [1, 2, 3, 4, 5]
+def test_each_call_has_its_own_connection_if_the_server_echoes_no_ids():
+    server = DuplicatingServer(echoes_ids=False)
+    assert trio.run(collect_results, server, fetch_leases, 5) == [1, 2, 3, 4, 5]
     assert server.connections == 5
 
 
-@pytest.mark.parametrize("numbered", [True, False])
-def test_a_client_of_the_api_takes_no_copy_for_the_next_tenant(numbered):
+@pytest.mark.parametrize("echoes_ids", [True, False])
+def test_api_client_does_not_take_a_duplicate_for_the_next_response(echoes_ids):
     """With numbers the copy costs a second try of the third read, without them each has a connection."""
 
     async def read_tenants(address, times):
@@ -98,14 +98,14 @@
         client.close()
         return found
 
-    server = CopyingServer(numbered)
-    expected = [1, 2, 4, 5] if numbered else [1, 2, 3, 4]
-    assert trio.run(call_each, server, read_tenants, 4) == expected
-    assert server.connections == (3 if numbered else 4)
+    server = DuplicatingServer(echoes_ids)
+    expected = [1, 2, 4, 5] if echoes_ids else [1, 2, 3, 4]
+    assert trio.run(collect_results, server, read_tenants, 4) == expected
+    assert server.connections == (3 if echoes_ids else 4)
 
 
-def test_each_response_of_the_api_repeats_a_number_that_is_one(tmp_path):
-    async def scene():
+def test_each_api_response_echoes_a_valid_request_id(tmp_path):
+    async def scenario():
         async with serve_api(tmp_path) as root:
             for path in ("/v1/tenants", "/v1/tenants/nobody", "/no/such"):
                 for number, expected in (("a-1", "a-1"), ("a b", None), ("x" * 65, None)):
@@ -113,11 +113,11 @@
                     assert response.headers.get(REQUEST_ID_HEADER) == expected
             assert REQUEST_ID_HEADER not in (await root("GET", "/v1/tenants")).headers
 
-    run_in_trio(scene)
+    run_in_trio(scenario)
 
 
 @pytest.mark.parametrize("from_snapshot", [False, True])
-def test_an_older_state_is_followed_from_another_run_of_the_control_plane_alone(from_snapshot):
+def test_older_state_is_followed_only_from_another_run_of_the_control_plane(from_snapshot):
     """A store is restored between two runs; after a start by its snapshot a router knows of no run."""
     followed = Feed("s", 6, True, [], control_plane_run="one")
     older = msgspec.structs.replace(followed, revision=5)
--- a/tests/test_store_files.py
+++ b/tests/test_store_files.py
@@ -203,7 +203,7 @@
 
 @pytest.mark.parametrize("kind", ["feed", "recovery"])
 @pytest.mark.parametrize("step", ["written, not synced", "opened, not locked"])
-def test_a_reader_amid_the_writing_of_a_snapshot_leaves_it(tmp_path, monkeypatch, kind, step):
+def test_reader_keeps_a_partial_snapshot_that_is_being_written(tmp_path, monkeypatch, kind, step):
     """It removed the part that was just being written, and no snapshot followed until the next change."""
     path = str(tmp_path / "snapshot")
     if kind == "feed":
@@ -228,10 +228,10 @@
     assert [file.name for file in tmp_path.iterdir()] == ["snapshot"]
 
 
-def test_a_reader_that_waits_for_a_parts_lock_leaves_the_next_one_of_that_name(tmp_path, monkeypatch):
+def test_reader_that_waited_for_a_lock_keeps_the_next_partial_file_of_that_name(tmp_path, monkeypatch):
     """Its writer finished the first part, and is amid the second one, as the reader gets the lock."""
     writer, reader = AtomicFile(str(tmp_path / "file")), AtomicFile(str(tmp_path / "file"))
-    part, real = writer._part, fcntl.flock
+    part, real = writer._partial_path, fcntl.flock
 
     def write_next(*arguments):
         monkeypatch.undo()
@@ -241,11 +241,11 @@
 
     part.write_bytes(b"the first")
     monkeypatch.setattr(fcntl, "flock", write_next)
-    reader.remove_abandoned_parts()
+    reader.remove_abandoned_partial_files()
     assert part.read_bytes() == b"the second"
 
 
-def test_a_file_is_replaced_where_the_file_system_knows_no_locks(tmp_path, monkeypatch):
+def test_file_is_replaced_on_a_file_system_without_locks(tmp_path, monkeypatch):
     def refuse(*arguments):
         raise OSError(errno.ENOLCK, "no locks")
 
@@ -254,7 +254,7 @@
     assert (tmp_path / "file").read_bytes() == b"content"
 
 
-def test_a_part_whose_writer_was_killed_is_removed(tmp_path):
+def test_partial_file_of_a_killed_writer_is_removed(tmp_path):
     part = tmp_path / "snapshot.0123abcd.part"
     part.write_bytes(b"half")
     assert FeedSnapshot(str(tmp_path / "snapshot")).load() is None
