--- a/tests/store_data.py
+++ b/tests/store_data.py
@@ -7,7 +7,7 @@
 
 
 def filled_store(path: Path, count: int = 20) -> Store:
-    """Return a store with changes of seven items, each in a transaction of its own."""
+    """Return a store with `count` changes of seven items, each in a separate transaction."""
     store = Store(path)
     for number in range(count):
         mutation = Mutation("tenant", f"t{number % 7}", encode({"n": number}))
--- a/tests/test_async_store.py
+++ b/tests/test_async_store.py
@@ -1,4 +1,4 @@
-"""The store behind an event loop: watchers, a stuck disk, cancelled callers."""
+"""The store on an event loop: watchers, a hanging disk, cancelled callers."""
 
 import threading
 
@@ -31,7 +31,7 @@
         for changes in found:
             assert [change.revision for change in changes] == list(range(1, 61))
         assert await store.changes(60, 7, 0.0) == []
-        assert await store.changes(99, 7, 0.0) is None  # of another history
+        assert await store.changes(99, 7, 0.0) is None  # a revision of another history
         await store.run_sync(store.store.compact, 50)
         assert await store.changes(10, 7, 0.0) is None and len(await store.changes(49, 70, 0.0)) == 11
         snapshot = await store.take_snapshot()
@@ -63,7 +63,7 @@
             await trio.testing.wait_all_tasks_blocked()
             assert len(rejected) == 10
             with trio.fail_after(1.0):
-                await trio.sleep(0.01)  # the loop goes on
+                await trio.sleep(0.01)  # the event loop is not blocked
             disk_released.set()
         assert store.revision == MAX_QUEUED_CALLS
         store.close()
--- a/tests/test_new_store.py
+++ b/tests/test_new_store.py
@@ -1,9 +1,9 @@
-"""A tenant of a new or restored store never meets what a tenant of the lost one left under its number.
+"""Tenants of a new or restored store never get data or connections of a tenant of the lost store.
 
-Keys at cache servers and the origin begin with the tenant's number (`3f/key`). A store that was made anew
-counted from 1 again, and a restored copy gave the numbers once more that were given since the copy. A tenant
-of the same name and number was then served by routers as the former one: it read the former tenant's values,
-and connections that had come in by the former one's secret stayed let in.
+Keys at cache servers and the origin begin with the tenant's incarnation number (`3f/key`). A new store used
+to count from 1 again, and a restored copy allocated the numbers again that had been allocated since the copy.
+Routers then took a tenant of the same name and number for the earlier one: it read the earlier tenant's
+values, and connections authenticated with the earlier tenant's secret stayed authenticated.
 """
 
 import shutil
@@ -21,7 +21,7 @@
 
 
 def allocate_incarnations(path, now: list[float], names: list[str], config: ControlPlaneConfig) -> list[int]:
-    """Start a control plane on a store as its process does, create tenants, and end."""
+    """Start a control plane on a store as its process does, create tenants and return their incarnations."""
 
     async def scenario() -> list[int]:
         store_writer = AsyncStore(path, lambda: now[0])
@@ -72,7 +72,7 @@
     change = registry.follow(feed("new", "hash of the new one", "c2"))
     assert former.removed and former.rejection_reason("c1", 2.0) == "authentication required"
     assert registry.by_incarnation[1] is not former
-    assert change.reset_indexes == {0}, "what the tables know is of the former tenant"
+    assert change.reset_indexes == {0}, "the tables hold data of the former tenant"
 
 
 def test_tenant_carried_over_with_its_credential_is_kept():
--- a/tests/test_request_ids.py
+++ b/tests/test_request_ids.py
@@ -1,4 +1,4 @@
-"""Responses of the control plane repeat their call's number: a copy is not the next call's response."""
+"""Control plane responses echo the request id, so that a duplicate is not taken for the next response."""
 
 import re
 from contextlib import suppress
@@ -21,13 +21,13 @@
 
 
 class DuplicatingServer:
-    """Answers each call with its count; behind the second response its copy follows in the same segment."""
+    """Responds to each call with the call count and sends the second response twice in the same segment."""
 
     def __init__(self, echoes_ids: bool) -> None:
         self.echoes_ids, self.calls, self.connections = echoes_ids, 0, 0
 
     async def serve(self, stream) -> None:
-        """Until the client ends the connection."""
+        """Serve calls until the client closes the connection."""
         self.connections += 1
         buffer = b""
         with suppress(trio.BrokenResourceError):
@@ -44,14 +44,14 @@
                 await stream.send_all(response * (2 if self.calls == 2 else 1))
 
     def response(self, id_header_line: bytes) -> bytes:
-        """A feed and a tenant at once: each reader takes its own fields."""
+        """Return a response that is both a feed and a tenant: each client reads its own fields."""
         feed = msgspec.to_builtins(Feed("s", 5, False, [], lease_duration=LEASE + self.calls))
         body = msgspec.json.encode({**feed, "call": self.calls})
         return b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n%b\r\n%b" % (len(body), id_header_line, body)
 
 
 async def collect_results(server: DuplicatingServer, call, times: int) -> list:
-    """What `call`, with the address of the server, returned each time; None for a failure."""
+    """Run `call` against a running server; return its result of each call, None for a failed one."""
     async with trio.open_nursery() as nursery:
         [listener] = await nursery.start(partial(trio.serve_tcp, server.serve, 0, host="127.0.0.1"))
         address = f"http://127.0.0.1:{listener.socket.getsockname()[1]}"
@@ -74,10 +74,10 @@
 
 
 def test_duplicated_feed_without_changes_renews_no_lease():
-    """It fits the state of the router: only its number tells that it answers an earlier report."""
+    """It fits the state of the router: only the request id shows that it answers an earlier report."""
     server = DuplicatingServer(echoes_ids=True)
     assert trio.run(collect_results, server, fetch_leases, 5) == [1, 2, None, 4, 5]
-    assert server.connections == 3  # the first one, one that ends with the copy, and the next
+    assert server.connections == 3  # the first, the one closed because of the duplicate, and the one after it
 
 
 def test_each_call_has_its_own_connection_if_the_server_echoes_no_ids():
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("echoes_ids", [True, False])
 def test_api_client_does_not_take_a_duplicate_for_the_next_response(echoes_ids):
-    """With numbers the copy costs a second try of the third read, without them each has a connection."""
+    """With ids the duplicate costs a retry of the third read; without, each call has its own connection."""
 
     async def read_tenants(address, times):
         client = Client(address, "secret")
@@ -118,7 +118,7 @@
 
 @pytest.mark.parametrize("from_snapshot", [False, True])
 def test_older_state_is_followed_only_from_another_run_of_the_control_plane(from_snapshot):
-    """A store is restored between two runs; after a start by its snapshot a router knows of no run."""
+    """A store is restored between two runs; a router that started from its snapshot knows of no run."""
     followed = Feed("s", 6, True, [], control_plane_run="one")
     older = msgspec.structs.replace(followed, revision=5)
     registry = TenantRegistry()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -52,7 +52,7 @@
     assert store.recorded_response("bob", "k") is None
     with pytest.raises(sqlite3.IntegrityError):
         store.apply([Mutation("tenant", "b", b"1")], "ann", 1.0, recorded("k", b"again"))
-    assert store.get("tenant", "b") is None, "the change and its response are one transaction"
+    assert store.get("tenant", "b") is None, "the change and its response are written in one transaction"
     store.apply([Mutation("tenant", "c", b"1")], "ann", 90_000.0, recorded("k2", b"made"))
     assert store.recorded_response("ann", "k") is None
 
@@ -85,7 +85,7 @@
 
 
 class StoreComparison(RuleBasedStateMachine):
-    """The store beside a dict for its state and a list for its log."""
+    """Compares the store with a dict as model of its state and a list as model of its log."""
 
     revisions = Bundle("revisions")
 
--- a/tests/test_store_files.py
+++ b/tests/test_store_files.py
@@ -1,4 +1,4 @@
-"""Store files: verification, corruption, snapshots, locks, other versions, full disks, kills, commands."""
+"""Store files: verification, corruption, snapshots, locks, versions, full disks, crashes, CLI commands."""
 
 import errno
 import fcntl
@@ -141,7 +141,7 @@
 connection.OPEN_TIMEOUT = 0.2
 path, after_opening = sys.argv[1], sys.argv[2] == "after"
 opened = async_store.AsyncStore(path) if after_opening else None
-resource.setrlimit(resource.RLIMIT_FSIZE, (0, -1))  # each write is refused: as on a full disk
+resource.setrlimit(resource.RLIMIT_FSIZE, (0, -1))  # refuses every write, as a full disk does
 try:
     if after_opening:
         async_store.SNAPSHOT_INTERVAL = 0.01
@@ -204,7 +204,7 @@
 @pytest.mark.parametrize("kind", ["feed", "recovery"])
 @pytest.mark.parametrize("step", ["written, not synced", "opened, not locked"])
 def test_reader_keeps_a_partial_snapshot_that_is_being_written(tmp_path, monkeypatch, kind, step):
-    """It removed the part that was just being written, and no snapshot followed until the next change."""
+    """A reader removed the partial file being written; no snapshot was saved until the next change."""
     path = str(tmp_path / "snapshot")
     if kind == "feed":
         writer, reader, content = FeedSnapshot(path), FeedSnapshot(path), Feed("s", 5, True, [], [])
@@ -229,7 +229,7 @@
 
 
 def test_reader_that_waited_for_a_lock_keeps_the_next_partial_file_of_that_name(tmp_path, monkeypatch):
-    """Its writer finished the first part, and is amid the second one, as the reader gets the lock."""
+    """When the reader gets the lock, the writer has finished the first file and is writing the second."""
     writer, reader = AtomicFile(str(tmp_path / "file")), AtomicFile(str(tmp_path / "file"))
     part, real = writer._partial_path, fcntl.flock
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Store files and messages of an earlier version are read completely, see `data/README.md`."""
+"""Store files and messages of an earlier version are read completely; see `data/README.md`."""
 
 import json
 import shutil
@@ -47,7 +47,7 @@
 
 @pytest.fixture(params=FILES)
 def written(request, tmp_path):
-    """The contents that the earlier version wrote and read, and a copy of the file."""
+    """Return the contents that the earlier version wrote and read, and the path of a copy of its file."""
     path = tmp_path / "store.db"
     shutil.copyfile(FILES[request.param], path)
     return WRITTEN[request.param], path
@@ -81,7 +81,9 @@
         ]
         for change in changes
     ]
-    assert found == expected["changes"] and any(row[-1] is None for row in found), "a removal is among them"
+    assert found == expected["changes"] and any(row[-1] is None for row in found), (
+        "the changes include a removal"
+    )
     assert digests == expected["digests"]
 
 
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -1,4 +1,4 @@
-"""The tenant lifecycle in virtual time: tombstones, reused names, routers behind, clocks set back."""
+"""The tenant lifecycle in virtual time: tombstones, reused names, lagging routers, clocks set back."""
 
 from contextlib import suppress
 
@@ -58,7 +58,7 @@
         return
     assert act(after, action, 6.0) == after, "repeating an action changes nothing"
     if stage in REMOVED:
-        assert after == tenant, "a removed tenant does not return"
+        assert after == tenant, "a removed tenant is never reactivated"
     assert after.accepts_operations is (after.stage is TenantStage.ACTIVE)
 
 
@@ -123,17 +123,17 @@
 
 
 class TenantLifecycles(RuleBasedStateMachine):
-    """Tenants of two names; two routers that follow late; idempotency keys used while a router accepts."""
+    """Tenants of two names, two lagging routers, idempotency keys used while a router accepts operations."""
 
     @initialize()
     def start(self):
         self.now, self.revision, self.last_incarnation = 0.0, 0, 0
         self.tenants: dict[int, TenantIncarnation] = {}
-        self.stage_revisions: dict[int, int] = {}  # at which the stage of each last changed
-        self.accepting = {router: {} for router in ROUTERS}  # as each router knows it, by incarnation
+        self.stage_revisions: dict[int, int] = {}  # revision of each tenant's last change of stage
+        self.accepting = {router: {} for router in ROUTERS}  # whether each accepts, by incarnation
         self.followed = dict.fromkeys(ROUTERS, 0)  # revisions
         self.in_flight: dict = {}  # by router and incarnation
-        self.remembered_until: dict[int, float] = {}  # when the last idempotency key is forgotten
+        self.remembered_until: dict[int, float] = {}  # by incarnation: end of its last idempotency key
 
     def _store(self, tenant):
         before = self.tenants.get(tenant.incarnation)
