--- a/gaugehinge/store/connection.py
+++ b/gaugehinge/store/connection.py
@@ -13,7 +13,7 @@
 from .sqlite_errors import is_disk_full, is_temporary, unavailable_error
 
 BUSY_TIMEOUT = 2.0  # seconds to wait for another connection's lock
-OPEN_TIMEOUT = 15.0  # seconds to retry opening: the file is fully locked while one left by a crash is copied
+OPEN_TIMEOUT = 15.0  # seconds to retry opening: copying a file that a crash left behind locks the whole file
 RETRY_DELAY = 0.05  # seconds between two attempts to open
 
 
