--- a/gaugehinge/recovery/snapshot.py
+++ b/gaugehinge/recovery/snapshot.py
@@ -142,7 +142,7 @@
 
         An unusable file is renamed, and the reason includes the new name.
         """
-        self._file.remove_abandoned_parts()
+        self._file.remove_abandoned_partial_files()
         try:
             with self.path.open("rb") as file:
                 data = file.read(MAX_SNAPSHOT_BYTES + 1)
--- a/tests/test_store_files.py
+++ b/tests/test_store_files.py
@@ -1,4 +1,4 @@
-"""Store files: verification, corruption, snapshots, locks, other versions, full disks, kills, commands."""
+"""Store files: verification, corruption, snapshots, locks, versions, full disks, crashes, CLI commands."""
 
 import errno
 import fcntl
@@ -39,8 +39,8 @@
     [
         ("DELETE FROM change WHERE rev=7", "broken at revision 8"),
         ("UPDATE change SET body=x'00' WHERE rev=3", "broken at revision 3"),
-        ("UPDATE state SET body=x'00' WHERE ident='t1'", "tenant t1 is not what the log says"),
-        ("DELETE FROM state WHERE ident='t2'", "tenant t2 is not what the log says"),
+        ("UPDATE state SET body=x'00' WHERE ident='t1'", "tenant t1 does not match the log"),
+        ("DELETE FROM state WHERE ident='t2'", "tenant t2 does not match the log"),
         ("INSERT INTO state VALUES ('tenant', 'x', 99, x'00')", "newer than the log"),
     ],
 )
@@ -112,7 +112,7 @@
     store.apply([Mutation("tenant", "a", b"1")], "root", 1.0, recorded)
     store.connection.execute(f"PRAGMA user_version={schema.SCHEMA_VERSION + 1}")
     store.close()
-    with pytest.raises(IncompatibleStoreError, match="take the newer build"):
+    with pytest.raises(IncompatibleStoreError, match="use a newer build"):
         Store(path)
     other = sqlite3.connect(tmp_path / "o.db")
     other.execute("CREATE TABLE x (y)")
@@ -141,7 +141,7 @@
 connection.OPEN_TIMEOUT = 0.2
 path, after_opening = sys.argv[1], sys.argv[2] == "after"
 opened = async_store.AsyncStore(path) if after_opening else None
-resource.setrlimit(resource.RLIMIT_FSIZE, (0, -1))  # each write is refused: as on a full disk
+resource.setrlimit(resource.RLIMIT_FSIZE, (0, -1))  # refuses every write, as a full disk does
 try:
     if after_opening:
         async_store.SNAPSHOT_INTERVAL = 0.01
@@ -203,8 +203,8 @@
 
 @pytest.mark.parametrize("kind", ["feed", "recovery"])
 @pytest.mark.parametrize("step", ["written, not synced", "opened, not locked"])
-def test_a_reader_amid_the_writing_of_a_snapshot_leaves_it(tmp_path, monkeypatch, kind, step):
-    """It removed the part that was just being written, and no snapshot followed until the next change."""
+def test_reader_keeps_a_partial_snapshot_that_is_being_written(tmp_path, monkeypatch, kind, step):
+    """A reader removed the partial file being written; no snapshot was saved until the next change."""
     path = str(tmp_path / "snapshot")
     if kind == "feed":
         writer, reader, content = FeedSnapshot(path), FeedSnapshot(path), Feed("s", 5, True, [], [])
@@ -228,10 +228,10 @@
     assert [file.name for file in tmp_path.iterdir()] == ["snapshot"]
 
 
-def test_a_reader_that_waits_for_a_parts_lock_leaves_the_next_one_of_that_name(tmp_path, monkeypatch):
-    """Its writer finished the first part, and is amid the second one, as the reader gets the lock."""
+def test_reader_that_waited_for_a_lock_keeps_the_next_partial_file_of_that_name(tmp_path, monkeypatch):
+    """When the reader gets the lock, the writer has finished the first file and is writing the second."""
     writer, reader = AtomicFile(str(tmp_path / "file")), AtomicFile(str(tmp_path / "file"))
-    part, real = writer._part, fcntl.flock
+    part, real = writer._partial_path, fcntl.flock
 
     def write_next(*arguments):
         monkeypatch.undo()
@@ -241,11 +241,11 @@
 
     part.write_bytes(b"the first")
     monkeypatch.setattr(fcntl, "flock", write_next)
-    reader.remove_abandoned_parts()
+    reader.remove_abandoned_partial_files()
     assert part.read_bytes() == b"the second"
 
 
-def test_a_file_is_replaced_where_the_file_system_knows_no_locks(tmp_path, monkeypatch):
+def test_file_is_replaced_on_a_file_system_without_locks(tmp_path, monkeypatch):
     def refuse(*arguments):
         raise OSError(errno.ENOLCK, "no locks")
 
@@ -254,7 +254,7 @@
     assert (tmp_path / "file").read_bytes() == b"content"
 
 
-def test_a_part_whose_writer_was_killed_is_removed(tmp_path):
+def test_partial_file_of_a_killed_writer_is_removed(tmp_path):
     part = tmp_path / "snapshot.0123abcd.part"
     part.write_bytes(b"half")
     assert FeedSnapshot(str(tmp_path / "snapshot")).load() is None
