--- a/gaugehinge/admin/control_plane.py
+++ b/gaugehinge/admin/control_plane.py
@@ -75,7 +75,7 @@
 
 
 def _plan_preparation(store: Store, now: float) -> list[Mutation]:
-    wanted = plan_missing_places(store, now)
+    mutations = plan_missing_places(store, now)
     if store.get(COUNTER_KIND, STORE_ID_COUNTER) is None:
-        wanted.insert(0, Mutation(COUNTER_KIND, STORE_ID_COUNTER, encode(secrets.token_hex(8)), 0))
-    return wanted
+        mutations.insert(0, Mutation(COUNTER_KIND, STORE_ID_COUNTER, encode(secrets.token_hex(8)), 0))
+    return mutations
--- a/gaugehinge/admin/feed.py
+++ b/gaugehinge/admin/feed.py
@@ -19,8 +19,8 @@
     TOMBSTONE_KIND,
     UNPLACED,
     TenantRecord,
+    all_tenant_records,
     decode_tenant,
-    standing_tenants,
 )
 from .revision_digests import RevisionDigests
 from .routers import RouterRegistry
@@ -138,7 +138,7 @@
     def _full_state(self) -> Feed:
         store = self._store_writer.store
         # Routers refuse a feed with a tenant that has no place; it would take all others with it.
-        rows = [_row_of(record) for record in standing_tenants(store) if record.place != UNPLACED]
+        rows = [_row_of(record) for record in all_tenant_records(store) if record.place != UNPLACED]
         return Feed(self._identity.store_id, store.revision, True, rows, [], draining_servers(store))
 
 
--- a/gaugehinge/admin/operators.py
+++ b/gaugehinge/admin/operators.py
@@ -48,11 +48,12 @@
             return None
         return (await self.create(FIRST_OPERATOR, "operator", "", STARTUP_ACTOR)).secret
 
-    async def with_credential(self, ident: str) -> OperatorRecord | None:
+    async def with_credential(self, credential_id: str) -> OperatorRecord | None:
         """The operator that has a credential of this identifier, whether or not a secret fits it."""
         store = self._store_writer.store
         items = await self._store_writer.run_sync(lambda: store.items(OPERATOR_KIND))
         records = [msgspec.json.decode(item.body, type=OperatorRecord) for item in items]
         return next(
-            (each for each in records if any(c.credential_id == ident for c in each.credentials)), None
+            (each for each in records if any(c.credential_id == credential_id for c in each.credentials)),
+            None,
         )
--- a/gaugehinge/admin/places.py
+++ b/gaugehinge/admin/places.py
@@ -9,7 +9,7 @@
 from ..store.store import Store
 from ..tenancy.feed import MAX_TENANTS
 from .errors import ResourceConflictError
-from .records import TENANT_KIND, TOMBSTONE_KIND, UNPLACED, decode_tenant, standing_tenants
+from .records import TENANT_KIND, TOMBSTONE_KIND, UNPLACED, all_tenant_records, decode_tenant
 
 
 def allocate_place(store: Store) -> int:
@@ -29,7 +29,7 @@
 
     Where it read only part of the tenants, it gave places twice: the first of the two keeps it.
     """
-    wanted, displaced = [], []
+    mutations, displaced = [], []
     taken: set[int] = set()
     for kind in (TENANT_KIND, TOMBSTONE_KIND):
         for item in store.items(kind):
@@ -44,16 +44,18 @@
         place = next(free, UNPLACED)
         if place != record.place:
             record = msgspec.structs.replace(record, place=place)
-            wanted.append(Mutation(item.kind, item.item_id, encode(record), item.revision))
-    left_out = len(displaced) + len(taken) - MAX_TENANTS
-    if left_out > 0:
-        logger.error("{} tenants have no place and are not served: routers have {}", left_out, MAX_TENANTS)
-    return wanted
+            mutations.append(Mutation(item.kind, item.item_id, encode(record), item.revision))
+    unplaced_count = len(displaced) + len(taken) - MAX_TENANTS
+    if unplaced_count > 0:
+        logger.error(
+            "{} tenants have no place and are not served: routers have {}", unplaced_count, MAX_TENANTS
+        )
+    return mutations
 
 
 def _taken_places(store: Store) -> set[int]:
     """Places that are taken, also those of tombstones: a router may still hold operations of them."""
-    return {record.place for record in standing_tenants(store)} - {UNPLACED}
+    return {record.place for record in all_tenant_records(store)} - {UNPLACED}
 
 
 def _lowest_free(taken: set[int]) -> int:
--- a/gaugehinge/admin/records.py
+++ b/gaugehinge/admin/records.py
@@ -96,6 +96,6 @@
     return item
 
 
-def standing_tenants(store: Store) -> list[TenantRecord]:
+def all_tenant_records(store: Store) -> list[TenantRecord]:
     """All tenants, then all tombstones: a router may still hold operations of either."""
     return [decode_tenant(item) for kind in (TENANT_KIND, TOMBSTONE_KIND) for item in store.items(kind)]
--- a/gaugehinge/admin/routers.py
+++ b/gaugehinge/admin/routers.py
@@ -8,7 +8,7 @@
 from ..store.async_store import AsyncStore
 from ..tenancy.feed import Report
 from ..tenancy.lifecycle import ROUTER_TIMEOUT, RouterReport
-from .records import standing_tenants
+from .records import all_tenant_records
 from .types import RouterShown
 
 MAX_ROUTERS = 1024  # remembered at a time; the one that reported longest ago goes first
@@ -54,7 +54,7 @@
     async def list_all(self) -> list[RouterShown]:
         """Routers that reported lately, by name, each with its operations in flight by tenant."""
         store = self._store_writer.store
-        tenants = await self._store_writer.run_sync(lambda: standing_tenants(store))
+        tenants = await self._store_writer.run_sync(lambda: all_tenant_records(store))
         tenant_names = {tenant.incarnation: tenant.name for tenant in tenants}
         now = time.monotonic()
         return [
--- a/gaugehinge/admin/tenants.py
+++ b/gaugehinge/admin/tenants.py
@@ -37,7 +37,7 @@
 from .transactions import IdempotencyKey, commit, no_response
 from .types import NewTenant, Page, Secret, Tenant, TenantChange, tenant_resource
 
-Alteration = Callable[[TenantRecord, float], TenantRecord]
+RecordUpdate = Callable[[TenantRecord, float], TenantRecord]
 """Makes the new record of a tenant from the old one and the wall-clock time in seconds."""
 
 
@@ -78,8 +78,8 @@
             current = store.get(TENANT_KIND, new.name)
             counter = store.get(COUNTER_KIND, INCARNATION_COUNTER)
             # A number that a lost store gave is a key space that still has values of the one that bore it.
-            last = max(int(counter.body) if counter else 0, self.incarnation_floor)
-            tenancy = _new_tenancy(new.name, current, last, now)
+            last_incarnation = max(int(counter.body) if counter else 0, self.incarnation_floor)
+            tenancy = _new_tenancy(new.name, current, last_incarnation, now)
             record = _new_record(new, tenancy, allocate_place(store), now)
             return [
                 Mutation(TENANT_KIND, new.name, encode(record), current.revision if current else 0),
@@ -106,7 +106,7 @@
             for field, value in msgspec.structs.asdict(change).items()
             if value is not msgspec.UNSET
         }
-        return await self._alter(
+        return await self._update_record(
             name, if_match, actor, lambda record, now: msgspec.structs.replace(record, **fields)
         )
 
@@ -119,13 +119,13 @@
             ResourceConflictError: Its stage does not allow that.
         """
 
-        def alter(record: TenantRecord, now: float) -> TenantRecord:
+        def update_record(record: TenantRecord, now: float) -> TenantRecord:
             try:
                 return record.with_tenancy(apply_action(record.tenancy, action, record.memory, now))
             except LifecycleError as error:
                 raise ResourceConflictError(str(error)) from error
 
-        return await self._alter(name, if_match, actor, alter)
+        return await self._update_record(name, if_match, actor, update_record)
 
     async def remove(self, name: str, if_match: int, actor: str) -> None:
         """Remove a tenant: its name is free at once, and a tombstone takes its place.
@@ -175,26 +175,30 @@
         await commit(self._store_writer, plan, actor, idempotency, no_response)
         return Secret(credential.credential_id, secret)
 
-    async def revoke_credential(self, name: str, ident: str, actor: str) -> None:
+    async def revoke_credential(self, name: str, credential_id: str, actor: str) -> None:
         """End a credential at once.
 
         Raises:
             NotFoundError: There is no such tenant, or it has no such credential.
         """
 
-        def alter(record: TenantRecord, now: float) -> TenantRecord:
+        def update_record(record: TenantRecord, now: float) -> TenantRecord:
             try:
-                credentials = list(revoke(record.credentials, ident))
+                credentials = list(revoke(record.credentials, credential_id))
             except KeyError as error:
-                raise NotFoundError(f"no credential {ident}") from error
+                raise NotFoundError(f"no credential {credential_id}") from error
             return msgspec.structs.replace(record, credentials=credentials)
 
-        await self._alter(name, None, actor, alter)
+        await self._update_record(name, None, actor, update_record)
 
-    async def _alter(self, name: str, if_match: int | None, actor: str, alter: Alteration) -> Tenant:
+    async def _update_record(
+        self, name: str, if_match: int | None, actor: str, update_record: RecordUpdate
+    ) -> Tenant:
         def plan(store: Store, now: float) -> list[Mutation]:
             item = tenant_item(store, name, if_match)
-            return [Mutation(TENANT_KIND, name, encode(alter(decode_tenant(item), now)), item.revision)]
+            return [
+                Mutation(TENANT_KIND, name, encode(update_record(decode_tenant(item), now)), item.revision)
+            ]
 
         changes = await commit(self._store_writer, plan, actor)
         return _resource_of(changes[0])
