--- a/gaugehinge/admin/control_plane.py
+++ b/gaugehinge/admin/control_plane.py
@@ -1,4 +1,4 @@
-"""The control plane on one store: its parts, put together."""
+"""The control plane: builds the components that share one store."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class ControlPlane:
-    """What the administration API serves, without HTTP. Each call is one transaction of the store."""
+    """The operations behind the administration API, without HTTP. Each call is one store transaction."""
 
     def __init__(self, store_writer: AsyncStore, hasher: SecretHasher, attempts: AttemptLimiter) -> None:
         self.store_writer = store_writer
-        self.extensions: list[Extension] = []  # complete before the API is served
+        self.extensions: list[Extension] = []  # all registered before the API is served
         self.operators = Operators(store_writer, hasher)
         self.authenticator = Authenticator(store_writer, self.operators, hasher, attempts)
         self.tenants = Tenants(store_writer, hasher)
@@ -43,16 +43,19 @@
 
     @property
     def store_id(self) -> str:
-        """The random name of the store; empty before `prepare`."""
+        """The random identifier of the store; empty before `prepare`."""
         return self._identity.store_id
 
     @property
     def run_id(self) -> str:
-        """A random name of this run of the control plane."""
+        """The random identifier of this run of the control plane."""
         return self._identity.run_id
 
     async def prepare(self) -> None:
-        """Name the store and place every tenant, where that was not done; called before the first router."""
+        """Assign the store an identifier and every tenant a place, where these are missing.
+
+        Called before the first router is answered.
+        """
         await self.store_writer.apply_planned(_plan_preparation, STARTUP_ACTOR)
         self._identity.store_id = await self.store_writer.run_sync(_read_store_id, self.store_writer.store)
 
@@ -63,14 +66,14 @@
         idempotency: IdempotencyKey | None = None,
         encode_response: ResponseEncoder = no_response,
     ) -> list[Change]:
-        """Change the store, as `transactions.commit` does."""
+        """Apply a plan to the store; see `transactions.commit`."""
         return await commit(self.store_writer, plan, actor, idempotency, encode_response)
 
 
 def _read_store_id(store: Store) -> str:
     item = store.get(COUNTER_KIND, STORE_ID_COUNTER)
     if item is None:
-        raise LookupError("the store has no name yet")
+        raise LookupError("the store has no identifier yet: prepare() has not run")
     return msgspec.json.decode(item.body, type=str)
 
 
--- a/gaugehinge/admin/feed.py
+++ b/gaugehinge/admin/feed.py
@@ -1,4 +1,4 @@
-"""The feed that routers poll: what changed since the revision they know, in return for their reports."""
+"""The feed that routers poll: each poll carries a report and returns the changes since a revision."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 from .routers import RouterRegistry
 from .servers import draining_servers
 
-MAX_CHANGES = 500  # sent one by one; a router that is further behind gets the full state
+MAX_CHANGES = 500  # sent incrementally; a router that is further behind gets the full state
 
 
 @dataclass(slots=True)
 class Identity:
-    """Which store and which run of the control plane answers."""
+    """Identifies the store and the run of the control plane that answer a router."""
 
     store_id: str = ""  # set once the store is prepared
     run_id: str = field(default_factory=lambda: secrets.token_hex(8))
 
 
 class RouterFeed:
-    """Answers the calls of routers."""
+    """Answers the polls of routers."""
 
     def __init__(
         self,
@@ -56,10 +56,10 @@
         self.digests = RevisionDigests(store_writer)
 
     async def poll(self, report: Report) -> Feed:
-        """The changes that a router does not know yet; waits for one as long as the router asked.
+        """Return the changes that a router does not know yet; wait for one up to the report's `max_wait`.
 
         Raises:
-            ApiError: An extension's section of the report makes no sense.
+            ApiError: An extension's section of the report is invalid.
         """
         self._record(report)
         if await self._has_diverged(report):
@@ -70,9 +70,10 @@
         wait = report.max_wait if since else 0.0
         changes = await self._store_writer.changes(since, MAX_CHANGES + 1, wait)
         if report.router in self._routers.last_reports:
-            self._record(report)  # the call was open until now, so the router is alive
+            self._record(report)  # its call stayed open during the wait, so the router is alive
         feed = await self._store_writer.run_sync(self._compose, report, self._content(since, changes))
-        # Here a lease counts from the response, at the router from its earlier request: it ends there first.
+        # The control plane counts a lease from its response, the router from its own earlier request, so the
+        # lease ends at the router first.
         lease = self._leases.grant(report.router, report.run, since)
         return msgspec.structs.replace(feed, lease_duration=lease)
 
@@ -80,13 +81,14 @@
         self._routers.record(report, self._known_revision(report))
 
     def _known_revision(self, report: Report) -> int:
-        """The revision that a router follows, 0 if it is another store's."""
+        """Return the revision that a router follows, or 0 if it belongs to another store."""
         return report.known_revision if report.store_id == self._identity.store_id else 0
 
     async def _has_diverged(self, report: Report) -> bool:
         """Whether a router follows a revision that this copy of the store never had.
 
-        Its number says nothing here then, though the store has gone on past it since it was restored.
+        The revision number is then meaningless for this copy, even if the copy has passed that number since
+        it was restored.
         """
         if (
             not report.known_revision
@@ -103,13 +105,13 @@
         )
 
     def _content(self, since: int, changes: list[Change] | None) -> Callable[[], Feed]:
-        """What to send: the changes, or the full state if they are too many or no longer in the log."""
+        """Choose the changes, or the full state if these are too many or no longer in the log."""
         if not since or changes is None or len(changes) > MAX_CHANGES:
             return self._full_state
         return lambda: self._incremental(since, changes)
 
     def _compose(self, report: Report, content: Callable[[], Feed]) -> Feed:
-        """The feed with all sections, read on the store's thread so that they belong to one revision."""
+        """Build the feed with all sections, on the store's thread so that all belong to one revision."""
         feed = content()
         digest = self.digests.issue(feed.revision)
         store = self._store_writer.store
@@ -137,7 +139,8 @@
 
     def _full_state(self) -> Feed:
         store = self._store_writer.store
-        # Routers refuse a feed with a tenant that has no place; it would take all others with it.
+        # Tenants without a place are left out: routers refuse the whole feed, with all other tenants, if it
+        # holds one.
         rows = [_row_of(record) for record in all_tenant_records(store) if record.place != UNPLACED]
         return Feed(self._identity.store_id, store.revision, True, rows, [], draining_servers(store))
 
--- a/gaugehinge/admin/operators.py
+++ b/gaugehinge/admin/operators.py
@@ -1,4 +1,4 @@
-"""Operators: who may call the administration API, each by a secret of its own."""
+"""Operators: the callers of the administration API, each with its own secret."""
 
 from __future__ import annotations
 
@@ -15,22 +15,23 @@
 from .types import Secret
 
 FIRST_OPERATOR = "root"
-STARTUP_ACTOR = "start"  # the actor of changes that the control plane makes by itself when it starts
+STARTUP_ACTOR = "start"  # actor of changes that the control plane makes on its own at startup
 
 
 class Operators:
-    """The operators in the store."""
+    """Reads and creates the operators in the store."""
 
     def __init__(self, store_writer: AsyncStore, hasher: SecretHasher) -> None:
         self._store_writer = store_writer
         self._hasher = hasher
-        self.generation = 0  # rises with each change: what was authenticated before is checked again
+        # Incremented by each change, after which cached authentications are checked again.
+        self.generation = 0
 
     async def create(self, name: str, role: Role, tenant: str, actor: str) -> Secret:
-        """Add an operator and return its secret, which is not kept.
+        """Add an operator and return its secret, which is not stored.
 
         Raises:
-            ResourceConflictError: There is an operator of that name.
+            ResourceConflictError: An operator of that name exists.
         """
         secret, credential = await trio.to_thread.run_sync(self._hasher.issue, self._store_writer.clock())
         record = OperatorRecord(name, role, tenant, [credential])
@@ -42,14 +43,14 @@
         return Secret(credential.credential_id, secret)
 
     async def create_first(self) -> str | None:
-        """On a store without operators, create the first one and return its secret; else None."""
+        """Create the first operator and return its secret; return None if the store has operators."""
         store = self._store_writer.store
         if await self._store_writer.run_sync(lambda: store.items(OPERATOR_KIND, limit=1)):
             return None
         return (await self.create(FIRST_OPERATOR, "operator", "", STARTUP_ACTOR)).secret
 
     async def with_credential(self, credential_id: str) -> OperatorRecord | None:
-        """The operator that has a credential of this identifier, whether or not a secret fits it."""
+        """Return the operator that has a credential with this identifier; no secret is checked."""
         store = self._store_writer.store
         items = await self._store_writer.run_sync(lambda: store.items(OPERATOR_KIND))
         records = [msgspec.json.decode(item.body, type=OperatorRecord) for item in items]
--- a/gaugehinge/admin/places.py
+++ b/gaugehinge/admin/places.py
@@ -1,4 +1,7 @@
-"""Places of tenants in the routers' tables: the same at all routers, free once a tombstone is deleted."""
+"""Places (indexes) of tenants in the routers' tenant tables.
+
+A tenant's place is the same at all routers, and is freed when its tombstone is deleted.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 def allocate_place(store: Store) -> int:
-    """The lowest place that is free.
+    """Return the lowest free place.
 
     Raises:
         ResourceConflictError: All places are taken.
@@ -25,9 +28,10 @@
 
 
 def plan_missing_places(store: Store, now: float) -> list[Mutation]:
-    """Give a place of its own to each tenant and tombstone that an older version stored without one.
+    """Return mutations that give a place of its own to each tenant and tombstone that lacks one.
 
-    Where it read only part of the tenants, it gave places twice: the first of the two keeps it.
+    Older versions stored tenants without a place. Where they read only part of the tenants, they assigned
+    some places twice: the first holder found keeps the place, others get a new one.
     """
     mutations, displaced = [], []
     taken: set[int] = set()
@@ -48,13 +52,15 @@
     unplaced_count = len(displaced) + len(taken) - MAX_TENANTS
     if unplaced_count > 0:
         logger.error(
-            "{} tenants have no place and are not served: routers have {}", unplaced_count, MAX_TENANTS
+            "{} tenants have no place and are not served: routers have {} places",
+            unplaced_count,
+            MAX_TENANTS,
         )
     return mutations
 
 
 def _taken_places(store: Store) -> set[int]:
-    """Places that are taken, also those of tombstones: a router may still hold operations of them."""
+    """Return the places in use, including those of tombstones, whose operations routers may still hold."""
     return {record.place for record in all_tenant_records(store)} - {UNPLACED}
 
 
--- a/gaugehinge/admin/records.py
+++ b/gaugehinge/admin/records.py
@@ -1,6 +1,6 @@
-"""What the control plane keeps in the durable store: the kinds of its items, and their bodies.
+"""Items that the control plane keeps in the durable store: their kinds and the records in their bodies.
 
-Kinds, identifiers and the names of the fields are on disk in every installation: they do not change.
+Kinds, identifiers and field names are on disk in every installation and must not change.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 from ..tenancy.lifecycle import TenantIncarnation, TenantStage
 from .errors import NotFoundError, PreconditionFailedError
 
-TENANT_KIND = "tenant"  # by name
-TOMBSTONE_KIND = "tombstone"  # removed tenants, by name and incarnation
-SERVER_ORDER_KIND = "server"  # by the server's name
-OPERATOR_KIND = "operator"  # by name
+TENANT_KIND = "tenant"  # identified by name
+TOMBSTONE_KIND = "tombstone"  # removed tenants; identified by `name#incarnation`
+SERVER_ORDER_KIND = "server"  # orders to drain; identified by the cache server's name
+OPERATOR_KIND = "operator"  # identified by name
 COUNTER_KIND = "counter"
 
-INCARNATION_COUNTER = "incarnation"  # the highest incarnation that was given to a tenant
-STORE_ID_COUNTER = "life"  # the random name of the store
+INCARNATION_COUNTER = "incarnation"  # the highest incarnation assigned to a tenant so far
+STORE_ID_COUNTER = "life"  # the random identifier of the store
 
-UNPLACED = -1  # the place of a tenant that has none yet
+UNPLACED = -1  # `TenantRecord.place` of a tenant without a place
 
 
 class OperatorRecord(msgspec.Struct, frozen=True):
-    """A caller that the API knows."""
+    """A caller of the administration API."""
 
     name: str
-    role: str  # a `caller.Role`; not checked here, so that a store of a newer version can be read
-    tenant: str = ""  # of role `tenant`: the only one that it may see
+    role: str  # a `caller.Role`; not validated here, so that a store written by a newer version can be read
+    tenant: str = ""  # for role `tenant`: the only tenant that the caller may see
     credentials: list[Credential] = []
 
 
 class TenantRecord(msgspec.Struct, frozen=True):
-    """A tenant, or the tombstone of one that was removed. Times are seconds by the store's wall clock."""
+    """A tenant, or the tombstone of a removed one. Times are in seconds by the store's wall clock."""
 
     name: str
     incarnation: int
@@ -47,21 +47,21 @@
     allowance: float
     memory: float
     credentials: list[Credential] = []
-    place: int = UNPLACED  # in the routers' tables; given when it is created, or at the next start
+    place: int = UNPLACED  # index in the routers' tables; assigned at creation, or else at the next start
     traffic: dict[str, str] = {}
     longest_wait: float = 0.0
     most_value: int = 0
-    left_at: int = 0  # the revision of its tombstone's first row, where that is not its last one
+    left_at: int = 0  # revision of the tombstone's first row; 0 while that row is also its last
 
     @property
     def tenancy(self) -> TenantIncarnation:
-        """Its lifecycle."""
+        """The lifecycle state of the tenant."""
         return TenantIncarnation(
             self.name, self.incarnation, TenantStage(self.stage), self.since, self.marks_until, self.clear
         )
 
     def with_tenancy(self, tenancy: TenantIncarnation) -> TenantRecord:
-        """The same record at another point of its lifecycle."""
+        """Return a copy of the record with another lifecycle state."""
         return msgspec.structs.replace(
             self,
             stage=tenancy.stage.value,
@@ -72,21 +72,21 @@
 
 
 def decode_tenant(item: Item | Change) -> TenantRecord:
-    """The body of a tenant or tombstone."""
+    """Decode the body of a tenant's or tombstone's item."""
     return msgspec.json.decode(item.body or b"", type=TenantRecord)
 
 
 def tenant_item(store: Store, name: str, if_match: int | None = None) -> Item:
-    """A tenant's item.
+    """Return a tenant's item.
 
     Args:
-        store: Where it is read from, on the store's thread.
+        store: The store to read from; called on the store's thread.
         name: The tenant.
-        if_match: The revision that the caller read; None: any will do.
+        if_match: The revision that the item must have; None: any revision.
 
     Raises:
         NotFoundError: There is no such tenant.
-        PreconditionFailedError: It is at another revision.
+        PreconditionFailedError: The item has another revision.
     """
     item = store.get(TENANT_KIND, name)
     if item is None:
@@ -97,5 +97,5 @@
 
 
 def all_tenant_records(store: Store) -> list[TenantRecord]:
-    """All tenants, then all tombstones: a router may still hold operations of either."""
+    """Return all tenants, then all tombstones: routers may still hold operations of either."""
     return [decode_tenant(item) for kind in (TENANT_KIND, TOMBSTONE_KIND) for item in store.items(kind)]
--- a/gaugehinge/admin/routers.py
+++ b/gaugehinge/admin/routers.py
@@ -1,4 +1,4 @@
-"""Routers that follow the control plane: what each reported last."""
+"""Routers that follow the control plane, and the last report of each."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from .records import all_tenant_records
 from .types import RouterShown
 
-MAX_ROUTERS = 1024  # remembered at a time; the one that reported longest ago goes first
+MAX_ROUTERS = 1024  # kept in memory; the one that reported least recently is evicted first
 
 
 @dataclass(slots=True, frozen=True)
 class RouterStatus:
-    """What a router reported last."""
+    """The last report of a router."""
 
-    received_at: float  # seconds, by the monotonic clock
-    run: str  # new with each start of the router
-    revision: int  # that it follows
-    in_flight: dict[int, int]  # operations by the tenant's incarnation
+    received_at: float  # seconds by the monotonic clock
+    run: str  # identifier of the router's run; new at each start
+    revision: int  # of the store, that the router follows; 0: of another store
+    in_flight: dict[int, int]  # number of operations by tenant incarnation
 
 
 class RouterRegistry:
-    """The last report of each router, in memory: a control plane that starts anew waits for new ones."""
+    """The last report of each router, in memory only: a restarted control plane waits for new reports."""
 
     def __init__(self, store_writer: AsyncStore) -> None:
         self._store_writer = store_writer
-        self.last_reports: dict[str, RouterStatus] = {}  # by name
+        self.last_reports: dict[str, RouterStatus] = {}  # by router name
 
     def record(self, report: Report, revision: int) -> None:
-        """Note a report of a router that follows a revision of this store (0: of another one)."""
+        """Record a router's report; `revision` is the one that it follows, 0 if of another store."""
         reports = self.last_reports
         if report.router not in reports and len(reports) >= MAX_ROUTERS:
             del reports[min(reports, key=lambda name: reports[name].received_at)]
@@ -40,7 +40,10 @@
         reports[report.router] = RouterStatus(time.monotonic(), report.run, revision, in_flight)
 
     def reports_on(self, incarnation: int, now: float) -> dict[str, RouterReport]:
-        """What routers reported last of one incarnation of a tenant; `now`: by the store's clock."""
+        """Return the last reports, by router name, on one incarnation of a tenant.
+
+        `now` and the times returned are in seconds by the store's wall clock.
+        """
         monotonic_now = time.monotonic()
         return {
             name: RouterReport(
@@ -52,7 +55,10 @@
         }
 
     async def list_all(self) -> list[RouterShown]:
-        """Routers that reported lately, by name, each with its operations in flight by tenant."""
+        """Return the routers that reported within `ROUTER_TIMEOUT` seconds, sorted by name.
+
+        Each comes with its operations in flight by tenant.
+        """
         store = self._store_writer.store
         tenants = await self._store_writer.run_sync(lambda: all_tenant_records(store))
         tenant_names = {tenant.incarnation: tenant.name for tenant in tenants}
--- a/gaugehinge/admin/servers.py
+++ b/gaugehinge/admin/servers.py
@@ -1,4 +1,4 @@
-"""Operators' orders to drain cache servers, beside what discovery says of them."""
+"""Operators' orders to drain cache servers, independent of what discovery reports about them."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from .types import ServerOrder
 
 MAX_SERVER_NAME = 200  # characters
-DRAIN, NO_ORDER = "drain", "none"  # as the API shows an order
+DRAIN, NO_ORDER = "drain", "none"  # values of an order in the API
 
 
 class ServerOrders:
-    """The orders in the store."""
+    """Reads and changes the drain orders in the store."""
 
     def __init__(self, store_writer: AsyncStore) -> None:
         self._store_writer = store_writer
 
     async def list_all(self) -> list[ServerOrder]:
-        """All orders that stand, by server name."""
+        """Return all current orders, sorted by server name."""
         store = self._store_writer.store
         items = await self._store_writer.run_sync(lambda: store.items(SERVER_ORDER_KIND))
         return [ServerOrder(item.item_id, DRAIN, item.revision) for item in items]
 
     async def set_draining(self, name: str, draining: bool, actor: str) -> ServerOrder:
-        """Order a server to drain, or take the order back. Repeating an order changes nothing.
+        """Order a cache server to drain, or withdraw the order. Repeating either changes nothing.
 
-        An order stands until it is taken back, also when the server ends and returns: what an operator took
-        out for a reason is not put in by a restart.
+        An order remains until it is withdrawn, even if the server stops and returns: a restart must not put
+        a server back into service that an operator took out for a reason.
 
         Raises:
             InvalidRequestError: The name is empty or too long.
@@ -54,5 +54,5 @@
 
 
 def draining_servers(store: Store) -> list[str]:
-    """The servers that operators ordered to drain, by name; called on the store's thread."""
+    """Return the names of the servers ordered to drain, sorted; called on the store's thread."""
     return [item.item_id for item in store.items(SERVER_ORDER_KIND)]
--- a/gaugehinge/admin/tenants.py
+++ b/gaugehinge/admin/tenants.py
@@ -1,8 +1,8 @@
-"""Tenants: creation, figures, lifecycle and credentials.
+"""Tenants: creation, settings, lifecycle and credentials.
 
-A change is made for the revision that the caller read, so that of two concurrent ones the later fails. A
-tenant that is removed leaves its name at once, and stands on as a tombstone until its deduplication marks
-expired.
+A change that names the revision that its caller read fails if the tenant has changed since, so of two
+concurrent changes the later one fails. Removing a tenant frees its name at once; a tombstone remains until
+the tenant's deduplication marks have expired.
 """
 
 from __future__ import annotations
@@ -38,37 +38,38 @@
 from .types import NewTenant, Page, Secret, Tenant, TenantChange, tenant_resource
 
 RecordUpdate = Callable[[TenantRecord, float], TenantRecord]
-"""Makes the new record of a tenant from the old one and the wall-clock time in seconds."""
+"""Returns a tenant's new record, given the old one and the wall-clock time in seconds."""
 
 
 class Tenants:
-    """The tenants in the store."""
+    """Reads and changes the tenants in the store."""
 
     def __init__(self, store_writer: AsyncStore, hasher: SecretHasher) -> None:
         self._store_writer = store_writer
         self._hasher = hasher
-        # New incarnations are above. A new store, or a restored copy, does not know which ones a lost store
-        # gave; above the Unix time of the start it gives none of them, if they were given in earlier seconds.
+        # New incarnations are numbered above this floor. A new store, or one restored from a copy, does not
+        # know which incarnations a lost store assigned. With the floor at the Unix time of the start, it
+        # assigns none of them again, provided that they were assigned in earlier seconds.
         self.incarnation_floor = 0
 
     async def list_page(self, after: str, limit: int) -> Page:
-        """Up to `limit` tenants whose names follow `after`, and where the next page begins."""
+        """Return up to `limit` tenants whose names sort after `after`, and where the next page begins."""
         store = self._store_writer.store
         items = await self._store_writer.run_sync(lambda: store.items(TENANT_KIND, after, limit + 1))
         tenants = [_resource_of(item) for item in items[:limit]]
         return Page(tenants, tenants[-1].name if len(items) > limit else None)
 
     async def get(self, name: str) -> Tenant:
-        """One tenant.
+        """Return one tenant.
 
         Raises:
-            NotFoundError: There is none of that name.
+            NotFoundError: There is no such tenant.
         """
         store = self._store_writer.store
         return _resource_of(await self._store_writer.run_sync(lambda: tenant_item(store, name)))
 
     async def create(self, new: NewTenant, actor: str, idempotency: IdempotencyKey | None = None) -> Tenant:
-        """Create a tenant. The name of one that was removed may be used again, for another incarnation.
+        """Create a tenant. The name of a removed tenant may be reused; the new one is another incarnation.
 
         Raises:
             ResourceConflictError: The name is taken, or there are too many tenants.
@@ -77,7 +78,8 @@
         def plan(store: Store, now: float) -> list[Mutation]:
             current = store.get(TENANT_KIND, new.name)
             counter = store.get(COUNTER_KIND, INCARNATION_COUNTER)
-            # A number that a lost store gave is a key space that still has values of the one that bore it.
+            # An incarnation that a lost store assigned must not be reused: its key space on the cache servers
+            # still holds the former tenant's values.
             last_incarnation = max(int(counter.body) if counter else 0, self.incarnation_floor)
             tenancy = _new_tenancy(new.name, current, last_incarnation, now)
             record = _new_record(new, tenancy, allocate_place(store), now)
@@ -95,11 +97,11 @@
         return _resource_of(changes[0])
 
     async def update(self, name: str, change: TenantChange, if_match: int, actor: str) -> Tenant:
-        """Change figures of a tenant; those that are unset stay.
+        """Change settings of a tenant; unset fields keep their values.
 
         Raises:
             NotFoundError: There is no such tenant.
-            PreconditionFailedError: It changed since the revision `if_match`.
+            PreconditionFailedError: The tenant changed since revision `if_match`.
         """
         fields = {
             field: value
@@ -115,8 +117,8 @@
 
         Raises:
             NotFoundError: There is no such tenant.
-            PreconditionFailedError: It changed since the revision `if_match`.
-            ResourceConflictError: Its stage does not allow that.
+            PreconditionFailedError: The tenant changed since revision `if_match`.
+            ResourceConflictError: The tenant's stage does not allow the action.
         """
 
         def update_record(record: TenantRecord, now: float) -> TenantRecord:
@@ -128,11 +130,11 @@
         return await self._update_record(name, if_match, actor, update_record)
 
     async def remove(self, name: str, if_match: int, actor: str) -> None:
-        """Remove a tenant: its name is free at once, and a tombstone takes its place.
+        """Remove a tenant: free its name and replace its record with a tombstone.
 
         Raises:
             NotFoundError: There is no such tenant.
-            PreconditionFailedError: It changed since the revision `if_match`.
+            PreconditionFailedError: The tenant changed since revision `if_match`.
         """
 
         def plan(store: Store, now: float) -> list[Mutation]:
@@ -141,7 +143,7 @@
             leaving = record.with_tenancy(
                 apply_action(record.tenancy, TenantAction.REMOVE, record.memory, now)
             )
-            tombstone = msgspec.structs.replace(leaving, credentials=[])  # nobody may authenticate any more
+            tombstone = msgspec.structs.replace(leaving, credentials=[])  # no client can authenticate
             return [
                 Mutation(TENANT_KIND, name, None, item.revision),
                 Mutation(TOMBSTONE_KIND, f"{name}#{record.incarnation}", encode(tombstone), 0),
@@ -152,13 +154,13 @@
     async def add_credential(
         self, name: str, overlap: float, actor: str, idempotency: IdempotencyKey | None = None
     ) -> Secret:
-        """Add a credential and return its secret, which is not kept.
+        """Add a credential and return its secret, which is not stored.
 
         Args:
             name: The tenant.
-            overlap: Seconds for which the credential in use stays valid.
-            actor: Who asks for it.
-            idempotency: Given if the call carried an idempotency key.
+            overlap: Seconds for which the current credential stays valid.
+            actor: Who makes the change, as the audit log shows it.
+            idempotency: Set if the call carried an idempotency key.
 
         Raises:
             NotFoundError: There is no such tenant.
@@ -176,7 +178,7 @@
         return Secret(credential.credential_id, secret)
 
     async def revoke_credential(self, name: str, credential_id: str, actor: str) -> None:
-        """End a credential at once.
+        """Revoke a credential with immediate effect.
 
         Raises:
             NotFoundError: There is no such tenant, or it has no such credential.
--- a/gaugehinge/admin/tombstones.py
+++ b/gaugehinge/admin/tombstones.py
@@ -1,4 +1,4 @@
-"""Tombstones of removed tenants, swept once no router holds anything of the tenant any more."""
+"""Tombstones of removed tenants, deleted once no router holds any state of the tenant."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from .records import TOMBSTONE_KIND, TenantRecord, decode_tenant
 
 SWEEP_INTERVAL = 5.0  # seconds
-SWEEP_ACTOR = "keeper"  # as the audit log of every installation names it
+SWEEP_ACTOR = "keeper"  # stored in the audit logs of existing installations
 
 
 async def sweep_tombstones(control_plane: ControlPlane) -> int:
-    """Advance each tombstone by the routers' reports, and delete those that are done; returns how many.
+    """Advance each tombstone by the routers' reports; delete and count those whose removal is complete.
 
     Raises:
-        StoreOverloadedError: Too many calls wait for the store.
+        StoreOverloadedError: Too many calls are waiting for the store.
         DiskFullError: The disk is full.
     """
     store_writer, deleted = control_plane.store_writer, 0
@@ -30,7 +30,8 @@
         after = _advance(control_plane, item, before)
         if after == before:
             continue
-        # Routers know that it leaves from the first row of its tombstone on; later ones only say `clear`.
+        # Routers learn of the removal from the tombstone's first row, whose revision is kept in `left_at`;
+        # later rows only update `clear`.
         after = msgspec.structs.replace(after, left_at=before.left_at or item.revision)
         body = None if after.stage == TenantStage.GONE.value else encode(after)
         try:
@@ -53,8 +54,9 @@
 async def run_tombstone_sweeper(control_plane: ControlPlane) -> None:
     """Sweep tombstones until cancelled.
 
-    The first sweep waits until every router that there may be has had the time to report: a control plane
-    that has just started knows of none, and what a router holds would count as forgotten.
+    The first sweep waits until every running router has had time to report. A control plane that has just
+    started knows of no routers, and without the wait it would treat whatever a router still holds of a tenant
+    as gone.
     """
     await trio.sleep(ROUTER_TIMEOUT)
     while True:
@@ -62,7 +64,7 @@
         try:
             deleted = await sweep_tombstones(control_plane)
         except (StoreOverloadedError, DiskFullError) as error:
-            logger.warning("tombstones not swept: {}", error)
+            logger.warning("tombstone sweep failed; retrying at the next interval: {}", error)
             continue
         if deleted:
-            logger.info("tombstones swept: {}", deleted)
+            logger.info("tombstones deleted: {}", deleted)
--- a/gaugehinge/admin/transactions.py
+++ b/gaugehinge/admin/transactions.py
@@ -1,4 +1,4 @@
-"""Changes of the store on behalf of the API: planned from what stands, and retried on conflicts."""
+"""Changes of the store on behalf of the API: planned from its current state, retried on conflicts."""
 
 from __future__ import annotations
 
@@ -12,25 +12,28 @@
 from ..store.store import Store
 from .errors import BusyError, ResourceConflictError
 
-MAX_ATTEMPTS = 5  # of a change whose preconditions another writer changed, if the caller named no revision
+MAX_ATTEMPTS = 5  # of a change that conflicts with other writers, if its caller named no revision
 
 Plan = Callable[[Store, float], list[Mutation]]
-"""Decides on the store's thread, from the store and the wall-clock time in seconds, what to change."""
+"""Returns the mutations to make, given the store and the wall-clock time in seconds.
+
+Runs on the store's thread.
+"""
 
 ResponseEncoder = Callable[[list[Change]], bytes]
-"""Makes the stored response of a call with an idempotency key from the changes that it made."""
+"""Encodes the response to store for a call with an idempotency key, from the changes that it made."""
 
 
 @dataclass(slots=True, frozen=True)
 class IdempotencyKey:
-    """The idempotency key of a call, and a digest of the request that it stands for."""
+    """The idempotency key of a call, and a digest of the call's request."""
 
     key: str
     request_digest: bytes
 
 
 def no_response(changes: list[Change]) -> bytes:
-    """Store no response: a repeat of the call is answered with a conflict."""
+    """Encode no response: a repeat of the call is then answered with a conflict."""
     return b""
 
 
@@ -41,18 +44,18 @@
     idempotency: IdempotencyKey | None = None,
     encode_response: ResponseEncoder = no_response,
 ) -> list[Change]:
-    """Make the changes that a plan decides on, all or none, with their rows of the audit log.
+    """Apply the mutations of a plan atomically, together with their audit log entries.
 
     Args:
         store_writer: The store.
-        plan: What to change; called again on each attempt.
+        plan: Returns the mutations; called again on each attempt.
         actor: Who makes the changes, as the audit log shows it.
-        idempotency: Given if the call carried an idempotency key: its response is stored with the changes.
-        encode_response: The response to store.
+        idempotency: Set if the call carried an idempotency key; its response is stored with the changes.
+        encode_response: Encodes the response to store.
 
     Raises:
-        ResourceConflictError: Another call with the same idempotency key is under way.
-        BusyError: Other writers came first on every attempt.
+        ResourceConflictError: Another call with the same idempotency key is in progress.
+        BusyError: All `MAX_ATTEMPTS` attempts conflicted with other writers.
     """
     record = None
     if idempotency is not None:
