--- a/tests/test_admin_model.py
+++ b/tests/test_admin_model.py
@@ -60,7 +60,7 @@
     run_in_trio(scenario)
 
 
-JSONS = st.recursive(
+JSON_VALUES = st.recursive(
     st.one_of(st.none(), st.booleans(), st.integers(), st.floats(allow_nan=False), st.text(max_size=8)),
     lambda inner: st.one_of(
         st.lists(inner, max_size=3),
@@ -90,7 +90,7 @@
             "/v1/tenants/%00",
         ]
     ),
-    JSONS,
+    JSON_VALUES,
     HEADERS,
 )
 def test_arbitrary_requests_never_get_a_5xx(tmp_path_factory, method, path, body, headers):
--- a/tests/test_many_tenants.py
+++ b/tests/test_many_tenants.py
@@ -33,18 +33,18 @@
 CONFIG = ControlPlaneConfig(store="unused", listen="127.0.0.1:1")
 
 
-def record(number: int, place: int = UNPLACED, stage: str = "active") -> TenantRecord:
+def tenant_record(number: int, place: int = UNPLACED, stage: str = "active") -> TenantRecord:
     return TenantRecord(f"t{number:05}", number, stage, 1.0, 0.0, False, 1.0, 5.0, 1.0, place=place)
 
 
-def fill(path, records: list[TenantRecord], kind: str = TENANT_KIND) -> None:
+def write_store(path, records: list[TenantRecord], kind: str = TENANT_KIND) -> None:
     """Write tenants as an older version did."""
     store = Store(path)
     store.apply([Mutation(kind, each.name, encode(each), 0) for each in records], "old", 1.0)
     store.close()
 
 
-def started(path, scenario):
+def run_with_control_plane(path, scenario):
     """What a scenario finds of a control plane that starts on a store."""
 
     async def main():
@@ -57,75 +57,79 @@
     return trio.run(main)
 
 
-async def followed(control_plane) -> TenantRegistry:
+async def poll_into_registry(control_plane) -> TenantRegistry:
     """A router's registry behind the first feed, and behind the one from its snapshot."""
-    registry, again = TenantRegistry(), TenantRegistry()
+    registry, restored = TenantRegistry(), TenantRegistry()
     registry.follow(await control_plane.feed.poll(Report("r1", "run")))
-    again.follow(registry.snapshot())
-    assert again.by_incarnation.keys() == registry.by_incarnation.keys()
+    restored.follow(registry.snapshot())
+    assert restored.by_incarnation.keys() == registry.by_incarnation.keys()
     return registry
 
 
 @pytest.mark.parametrize("count", [1000, 1001, 4000])
 @pytest.mark.parametrize("placed", [True, False])
-def test_all_tenants_of_a_store_reach_the_routers_through_a_start(tmp_path, count, placed):
+def test_all_stored_tenants_reach_the_routers_after_a_start(tmp_path, count, placed):
     path = tmp_path / "s.db"
-    fill(path, [record(number, number - 1 if placed else UNPLACED) for number in range(1, count + 1)])
+    write_store(
+        path, [tenant_record(number, number - 1 if placed else UNPLACED) for number in range(1, count + 1)]
+    )
     for _ in range(2):  # the second start finds what the first one wrote
-        registry = started(path, followed)
+        registry = run_with_control_plane(path, poll_into_registry)
         assert len(registry.by_incarnation) == len(registry.by_index) == count
         assert sum(tenant.quota > 0 for tenant in registry.tenants()) == count
 
 
-def test_one_more_gets_a_place_of_its_own(tmp_path):
+def test_tenant_created_after_1501_others_gets_a_free_place(tmp_path):
     path = tmp_path / "s.db"
-    fill(path, [record(number, number - 1) for number in range(1, 1502)])
+    write_store(path, [tenant_record(number, number - 1) for number in range(1, 1502)])
 
     async def scenario(control_plane):
         await control_plane.tenants.create(NewTenant("zz"), "test")
-        return await followed(control_plane)
+        return await poll_into_registry(control_plane)
 
-    registry = started(path, scenario)
+    registry = run_with_control_plane(path, scenario)
     assert len(registry.by_index) == 1502 and registry.by_index[1501].name == "zz"
 
 
-def test_places_that_an_older_version_gave_twice_are_given_anew(tmp_path):
+def test_places_assigned_twice_by_an_older_version_are_reassigned(tmp_path):
     path = tmp_path / "s.db"
-    fill(path, [record(number, (number - 1) % 1000) for number in range(1, 1201)])
-    registry = started(path, followed)
+    write_store(path, [tenant_record(number, (number - 1) % 1000) for number in range(1, 1201)])
+    registry = run_with_control_plane(path, poll_into_registry)
     assert len(registry.by_index) == 1200
     assert [registry.by_incarnation[number].tenant_index for number in (1, 1000)] == [0, 999]
 
 
-def test_past_the_limit_a_tenant_is_refused_and_those_before_are_served(tmp_path):
+def test_creating_a_tenant_beyond_the_limit_fails_and_existing_ones_are_served(tmp_path):
     path = tmp_path / "s.db"
-    fill(path, [record(number, number - 1) for number in range(1, MAX_TENANTS + 1)])
+    write_store(path, [tenant_record(number, number - 1) for number in range(1, MAX_TENANTS + 1)])
 
     async def scenario(control_plane):
         with pytest.raises(ResourceConflictError, match="4096 tenants stand"):
             await control_plane.tenants.create(NewTenant("zz"), "test")
-        return await followed(control_plane)
+        return await poll_into_registry(control_plane)
 
-    assert len(started(path, scenario).by_incarnation) == MAX_TENANTS
+    assert len(run_with_control_plane(path, scenario).by_incarnation) == MAX_TENANTS
 
 
-def test_a_store_with_more_than_the_limit_serves_as_many_as_there_are_places_and_says_so(tmp_path):
+def test_store_with_more_tenants_than_places_serves_those_with_places_and_logs_an_error(tmp_path):
     """5,000, as an older version took them: routers refused the whole feed for a place out of bounds."""
-    path, found = tmp_path / "s.db", []
-    fill(path, [record(number) for number in range(1, 5001)])
-    handler = logger.add(lambda message: found.append(str(message)), level="ERROR")
+    path, logged_errors = tmp_path / "s.db", []
+    write_store(path, [tenant_record(number) for number in range(1, 5001)])
+    handler = logger.add(lambda message: logged_errors.append(str(message)), level="ERROR")
     try:
-        registry = started(path, followed)
+        registry = run_with_control_plane(path, poll_into_registry)
     finally:
         logger.remove(handler)
     assert len(registry.by_incarnation) == MAX_TENANTS
-    assert [each for each in found if "904 tenants have no place" in each]
+    assert [each for each in logged_errors if "904 tenants have no place" in each]
 
 
-def test_tombstones_operators_and_orders_are_read_whole(tmp_path):
+def test_more_than_1000_tombstones_operators_and_server_orders_are_all_read(tmp_path):
     path = tmp_path / "s.db"
     count = 1100
-    fill(path, [record(number, number - 1, "leaving") for number in range(1, count + 1)], TOMBSTONE_KIND)
+    write_store(
+        path, [tenant_record(number, number - 1, "leaving") for number in range(1, count + 1)], TOMBSTONE_KIND
+    )
     store = Store(path)
     for kind in (OPERATOR_KIND, SERVER_ORDER_KIND):
         body = msgspec.json.encode({"name": "x", "role": "reader"})
@@ -136,22 +140,22 @@
         store.apply([Mutation(OPERATOR_KIND, "n00001", b"%d" % number)], "old", 1.0)
     assert len(store.history(OPERATOR_KIND, "n00001")) == 151
     store.close()
-    assert len(started(path, followed).by_incarnation) == count
+    assert len(run_with_control_plane(path, poll_into_registry).by_incarnation) == count
 
 
-def test_the_api_pages_through_all_of_them(tmp_path):
+def test_api_pagination_returns_all_tenants(tmp_path):
     async def scenario():
-        async with serve_api(tmp_path) as root:
-            records = [record(number, number - 1) for number in range(1, 1202)]
+        async with serve_api(tmp_path) as api:
+            records = [tenant_record(number, number - 1) for number in range(1, 1202)]
             mutations = [Mutation(TENANT_KIND, each.name, encode(each), 0) for each in records]
-            await root.store_writer.apply(mutations, "test")
+            await api.store_writer.apply(mutations, "test")
             names, after = [], ""
             while after is not None:
-                page = (await root("GET", f"/v1/tenants?limit=500&after={after}")).json()
+                page = (await api("GET", f"/v1/tenants?limit=500&after={after}")).json()
                 names += [tenant["name"] for tenant in page["tenants"]]
                 after = page["next"]
             assert names == [each.name for each in records]
-            items = root.store_writer.store.items(TENANT_KIND)
+            items = api.store_writer.store.items(TENANT_KIND)
             assert [decode_tenant(item).place for item in items] == list(range(1201))
 
     run_in_trio(scenario)
