--- a/tests/test_admin_model.py
+++ b/tests/test_admin_model.py
@@ -1,4 +1,4 @@
-"""The administration API against a plain model of tenants, and under arbitrary requests."""
+"""Property tests of the administration API: against a model of tenants, and with arbitrary requests."""
 
 import json
 
--- a/tests/test_many_tenants.py
+++ b/tests/test_many_tenants.py
@@ -1,8 +1,9 @@
-"""No more tenants than routers can have is a limit; a thousand is none.
+"""The number of tenants is limited by the routers' places alone, not at 1,000.
 
-`Store.items` gave 1,000 rows unless it was asked for more, and the control plane read all its tenants with
-that: from the 1,001st on, tenants were missing in the routers' feed and in the places that count as taken.
-The second tenant of a place made routers refuse the whole feed (`place 0 told for two`).
+`Store.items` returned at most 1,000 rows by default, and the control plane read its tenants with that
+default. From the 1,001st on, tenants were missing from the routers' feed and from the places in use, so
+places were assigned twice. Two tenants with one place made routers refuse the whole feed
+(`place 0 told for two`).
 """
 
 import msgspec
@@ -38,14 +39,14 @@
 
 
 def write_store(path, records: list[TenantRecord], kind: str = TENANT_KIND) -> None:
-    """Write tenants as an older version did."""
+    """Write tenant records straight to a store, as an older version may have left them."""
     store = Store(path)
     store.apply([Mutation(kind, each.name, encode(each), 0) for each in records], "old", 1.0)
     store.close()
 
 
 def run_with_control_plane(path, scenario):
-    """What a scenario finds of a control plane that starts on a store."""
+    """Start a control plane on a store and return the result of `scenario(control_plane)`."""
 
     async def main():
         store_writer = AsyncStore(path)
@@ -58,7 +59,10 @@
 
 
 async def poll_into_registry(control_plane) -> TenantRegistry:
-    """A router's registry behind the first feed, and behind the one from its snapshot."""
+    """Return a router's registry after its first poll.
+
+    Also checks that a registry restored from its snapshot has the same incarnations.
+    """
     registry, restored = TenantRegistry(), TenantRegistry()
     registry.follow(await control_plane.feed.poll(Report("r1", "run")))
     restored.follow(registry.snapshot())
@@ -73,7 +77,7 @@
     write_store(
         path, [tenant_record(number, number - 1 if placed else UNPLACED) for number in range(1, count + 1)]
     )
-    for _ in range(2):  # the second start finds what the first one wrote
+    for _ in range(2):  # the second start reads what the first one wrote
         registry = run_with_control_plane(path, poll_into_registry)
         assert len(registry.by_incarnation) == len(registry.by_index) == count
         assert sum(tenant.quota > 0 for tenant in registry.tenants()) == count
@@ -112,7 +116,7 @@
 
 
 def test_store_with_more_tenants_than_places_serves_those_with_places_and_logs_an_error(tmp_path):
-    """5,000, as an older version took them: routers refused the whole feed for a place out of bounds."""
+    """An older version accepted 5,000 tenants; routers refused the whole feed: places were out of range."""
     path, logged_errors = tmp_path / "s.db", []
     write_store(path, [tenant_record(number) for number in range(1, 5001)])
     handler = logger.add(lambda message: logged_errors.append(str(message)), level="ERROR")
