--- a/gaugehinge/admin/places.py
+++ b/gaugehinge/admin/places.py
@@ -1,4 +1,7 @@
-"""Places of tenants in the routers' tables: the same at all routers, free once a tombstone is deleted."""
+"""Places (indexes) of tenants in the routers' tenant tables.
+
+A tenant's place is the same at all routers, and is freed when its tombstone is deleted.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +12,11 @@
 from ..store.store import Store
 from ..tenancy.feed import MAX_TENANTS
 from .errors import ResourceConflictError
-from .records import TENANT_KIND, TOMBSTONE_KIND, UNPLACED, decode_tenant, standing_tenants
+from .records import TENANT_KIND, TOMBSTONE_KIND, UNPLACED, all_tenant_records, decode_tenant
 
 
 def allocate_place(store: Store) -> int:
-    """The lowest place that is free.
+    """Return the lowest free place.
 
     Raises:
         ResourceConflictError: All places are taken.
@@ -25,11 +28,12 @@
 
 
 def plan_missing_places(store: Store, now: float) -> list[Mutation]:
-    """Give a place of its own to each tenant and tombstone that an older version stored without one.
+    """Return mutations that give a place of its own to each tenant and tombstone that lacks one.
 
-    Where it read only part of the tenants, it gave places twice: the first of the two keeps it.
+    Older versions stored tenants without a place. Where they read only part of the tenants, they assigned
+    some places twice: the first holder found keeps the place, others get a new one.
     """
-    wanted, displaced = [], []
+    mutations, displaced = [], []
     taken: set[int] = set()
     for kind in (TENANT_KIND, TOMBSTONE_KIND):
         for item in store.items(kind):
@@ -44,16 +48,20 @@
         place = next(free, UNPLACED)
         if place != record.place:
             record = msgspec.structs.replace(record, place=place)
-            wanted.append(Mutation(item.kind, item.item_id, encode(record), item.revision))
-    left_out = len(displaced) + len(taken) - MAX_TENANTS
-    if left_out > 0:
-        logger.error("{} tenants have no place and are not served: routers have {}", left_out, MAX_TENANTS)
-    return wanted
+            mutations.append(Mutation(item.kind, item.item_id, encode(record), item.revision))
+    unplaced_count = len(displaced) + len(taken) - MAX_TENANTS
+    if unplaced_count > 0:
+        logger.error(
+            "{} tenants have no place and are not served: routers have {} places",
+            unplaced_count,
+            MAX_TENANTS,
+        )
+    return mutations
 
 
 def _taken_places(store: Store) -> set[int]:
-    """Places that are taken, also those of tombstones: a router may still hold operations of them."""
-    return {record.place for record in standing_tenants(store)} - {UNPLACED}
+    """Return the places in use, including those of tombstones, whose operations routers may still hold."""
+    return {record.place for record in all_tenant_records(store)} - {UNPLACED}
 
 
 def _lowest_free(taken: set[int]) -> int:
