--- a/gaugehinge/admission/fair_reader.py
+++ b/gaugehinge/admission/fair_reader.py
@@ -18,7 +18,7 @@
 from ..net.client_connection import ClientConnection
 from ..net.client_server import ClientServer
 from ..net.request_reader import MAX_DISCARDED_BYTES
-from ..net.sockets import SPACE
+from ..net.sockets import RECEIVE_BUFFER
 from .read_scheduler import MAX_PASS_TIME, ReadScheduler
 from .request_peek import PeekedRead, peek_read
 from .sampling import ReadSampler
@@ -54,7 +54,7 @@
         self._passes = self._unfinished_passes = 0
         self._reject_time = 0.0  # seconds
         self._watched: dict[int, ClientConnection] = {}  # by descriptor; removed with the connection
-        self._buffer = SPACE[:MAX_READ_BYTES]
+        self._buffer = RECEIVE_BUFFER[:MAX_READ_BYTES]
 
     async def run(self) -> None:
         """Read until cancelled."""
--- a/gaugehinge/installation/build.py
+++ b/gaugehinge/installation/build.py
@@ -92,5 +92,5 @@
         sockets=told.limits.sockets,
         peer_listen=peer_listen,
         peers=tuple(address(peer, f"tier.peers[{i}]") for i, peer in enumerate(told.tier.peers)),
-        known=None,
+        cached_list=None,
     )
--- a/gaugehinge/net/configuration.py
+++ b/gaugehinge/net/configuration.py
@@ -30,7 +30,7 @@
     sockets: int  # descriptors that the process may use
     peer_listen: Address | None  # of gossip; None: there is none
     peers: tuple[Address, ...]
-    known: Any  # the endpoint list of before, in discovery's form, or None
+    cached_list: Any  # the endpoint list of before, in discovery's form, or None
 
 
 def address(text: Any, field: str) -> Address:
@@ -62,22 +62,22 @@
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise SettingsError(f"LB_CONFIG: cannot read {path}: {type(error).__name__}") from error
-    page = SettingsReader(parse_json(text))
-    limits = page.section("limits", {})
-    settings = read_settings(_seed(page), page.section("settings").values, "settings")
+    reader = SettingsReader(parse_json(text))
+    limits = reader.section("limits", {})
+    settings = read_settings(_seed(reader), reader.section("settings").values, "settings")
     # Over HTTP nothing comes unasked, whatever the bench does for this deployment.
     settings = replace(settings, deployment=replace(settings.deployment, must_poll=True))
-    peer_listen = page.text("peer_listen", "")
+    peer_listen = reader.text("peer_listen", "")
     return Configuration(
-        name=page.text("name", environment.get("LB_NAME", "router")),
-        listen=address(page.text("listen", environment.get("LB_LISTEN")), "listen"),
-        discovery=address(page.text("discovery", environment.get("LB_DISCOVERY")), "discovery"),
+        name=reader.text("name", environment.get("LB_NAME", "router")),
+        listen=address(reader.text("listen", environment.get("LB_LISTEN")), "listen"),
+        discovery=address(reader.text("discovery", environment.get("LB_DISCOVERY")), "discovery"),
         settings=settings,
         memory=limits.count("memory_mb", 2048, minimum=MIN_MEMORY_MB) * MEGABYTE,
         sockets=limits.count("sockets", 4096, minimum=MIN_SOCKETS),
         peer_listen=address(peer_listen, "peer_listen") if peer_listen else None,
-        peers=tuple(address(peer, f"peers[{i}]") for i, peer in enumerate(page.array("peers", []))),
-        known=page.values.get("known"),
+        peers=tuple(address(peer, f"peers[{i}]") for i, peer in enumerate(reader.array("peers", []))),
+        cached_list=reader.values.get("known"),
     )
 
 
@@ -95,8 +95,8 @@
     ]
 
 
-def _seed(page: SettingsReader) -> int:
-    text = page.values.get("seed", "0")
+def _seed(reader: SettingsReader) -> int:
+    text = reader.values.get("seed", "0")
     try:
         return int(text, 16) if isinstance(text, str) else int(text)
     except (TypeError, ValueError):
--- a/gaugehinge/net/graceful_shutdown.py
+++ b/gaugehinge/net/graceful_shutdown.py
@@ -33,29 +33,29 @@
         """Its end is counted from now."""
         self.service = service
         self.clock = service.clock
-        self.began = self.clock()
+        self.started_at = self.clock()
         longest_wait = service.configuration.settings.max_client_wait
-        self.end = self.began + min(longest_wait, MAX_COUNTED_WAIT) + KILL_SLACK
+        self.deadline = self.started_at + min(longest_wait, MAX_COUNTED_WAIT) + KILL_SLACK
 
-    async def run(self, accepting: trio.CancelScope) -> None:
-        """Serve on, then answer and close. `accepting`: cancelled once no more connections are taken."""
+    async def run(self, accept_scope: trio.CancelScope) -> None:
+        """Serve on, then answer and close. `accept_scope`: cancelled once no more connections are taken."""
         self.service.enter(Phase.LEAVING)
-        await self._serve_on()
+        await self._keep_serving()
         self.service.enter(Phase.CLOSING)
-        await self._stop_accepting(accepting)
+        await self._stop_accepting(accept_scope)
         await self._close_connections()
-        self._forget_connections()
+        self._close_remaining()
 
-    async def _serve_on(self) -> None:
-        closing = max(self.end - CLOSING_TIME, self.began + ACCEPT_GRACE)
+    async def _keep_serving(self) -> None:
+        closing_at = max(self.deadline - CLOSING_TIME, self.started_at + ACCEPT_GRACE)
         # A poll on purpose: connections end in many places, and an event for the last one would say no more.
-        while self.clock() < closing and (  # noqa: ASYNC110
-            self._connections() or self.clock() < self.began + ACCEPT_GRACE
+        while self.clock() < closing_at and (  # noqa: ASYNC110
+            self._connections() or self.clock() < self.started_at + ACCEPT_GRACE
         ):
             await trio.sleep(CHECK_INTERVAL)
 
-    async def _stop_accepting(self, accepting: trio.CancelScope) -> None:
-        accepting.cancel()
+    async def _stop_accepting(self, accept_scope: trio.CancelScope) -> None:
+        accept_scope.cancel()
         await trio.lowlevel.checkpoint()
         for front in self.service.fronts:
             front.clients.accept_pending(front.listening)  # what the machine has taken already
@@ -63,19 +63,19 @@
 
     async def _close_connections(self) -> None:
         while self._connections():
-            if self.clock() > self.end - FINAL_ANSWER_TIME:
+            if self.clock() > self.deadline - FINAL_ANSWER_TIME:
                 self._answer_all()
                 for front in self.service.fronts:
                     front.clients.enlarge_buffers()
             owed = any(front.clients.has_pending_replies() for front in self.service.fronts)
-            if self.clock() > self.end:
+            if self.clock() > self.deadline:
                 return  # what is left stands within a command that never comes whole, or is not read
             for front in self.service.fronts:
                 front.clients.close_idle(0.0)
             # A client that does not read its answers at once makes room for further ones as it does.
             await trio.sleep(
                 FINAL_CHECK_INTERVAL
-                if owed and self.clock() > self.end - FINAL_ANSWER_TIME
+                if owed and self.clock() > self.deadline - FINAL_ANSWER_TIME
                 else CHECK_INTERVAL
             )
 
@@ -85,17 +85,17 @@
         In one step: some at a time, a router that got no processor time for a while was past its end after
         the first of them, and closed connections with hundreds of requests unanswered.
         """
-        self._answer_rest()
+        self._answer_pending()
         while any([front.clients.resume_paused() for front in self.service.fronts]):
-            self._answer_rest()
+            self._answer_pending()
 
-    def _answer_rest(self) -> None:
+    def _answer_pending(self) -> None:
         for front in self.service.fronts:
             if front.clients.admission_control is not None:
                 front.clients.admission_control.reject_queued()
         self.service.dispatcher.fail_rest()
 
-    def _forget_connections(self) -> None:
+    def _close_remaining(self) -> None:
         for front in self.service.fronts:
             front.clients.close_before_exit()
 
--- a/gaugehinge/net/resource_limits.py
+++ b/gaugehinge/net/resource_limits.py
@@ -16,11 +16,11 @@
 
 def divide_resources(configuration: Configuration, fronts: Sequence[Front], pool: ConnectionPool) -> None:
     """Give each front its part of descriptors and memory, and the pool its part of what is left."""
-    count, left = len(fronts), configuration.sockets - RESERVED_SOCKETS
+    count, remaining = len(fronts), configuration.sockets - RESERVED_SOCKETS
     for front in fronts:
         clients = front.clients
         max_connections = int(configuration.sockets * CLIENT_SHARE) // count
         clients.set_limits(max_connections, configuration.memory // count)
-        left -= clients.limits.max_accepted
-    most = min(int(configuration.sockets * SERVER_SHARE), left)
-    pool.set_limit(max(most, MIN_SERVER_CONNECTIONS))
+        remaining -= clients.limits.max_accepted
+    server_connections = min(int(configuration.sockets * SERVER_SHARE), remaining)
+    pool.set_limit(max(server_connections, MIN_SERVER_CONNECTIONS))
--- a/gaugehinge/net/run.py
+++ b/gaugehinge/net/run.py
@@ -14,8 +14,10 @@
 from .service import AdmissionControlBuilder, Service
 from .signals import EarlyHangup
 
-YOUNG_OBJECTS = 20_000  # until the collector looks: passes over what lives long cost replies their time
-OLDER_PASSES = 20  # passes over younger objects for each over older ones
+YOUNG_GENERATION_THRESHOLD = (
+    20_000  # until the collector looks: passes over what lives long cost replies their time
+)
+OLDER_GENERATION_THRESHOLD = 20  # passes over younger objects for each over older ones
 
 
 def run(
@@ -31,7 +33,7 @@
     The parameters are those of `Service`.
     """
     gc.freeze()
-    gc.set_threshold(YOUNG_OBJECTS, OLDER_PASSES, OLDER_PASSES)
+    gc.set_threshold(YOUNG_GENERATION_THRESHOLD, OLDER_GENERATION_THRESHOLD, OLDER_GENERATION_THRESHOLD)
     service = Service(
         configuration, reread, build_admission_control, early_hangup, build_extensions, client_server_class
     )
--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -98,10 +98,10 @@
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             async with trio.open_nursery() as nursery:
                 self._build_parts(nursery)
-                accepting = self._start(nursery)
+                accept_scope = self._start(nursery)
                 await self._serve(signals)
                 nursery.start_soon(self._on_further_signals, signals)
-                await GracefulShutdown(self).run(accepting)
+                await GracefulShutdown(self).run(accept_scope)
                 for hook in self.extensions.shutdown_hooks:
                     await hook.before_exit()
                 nursery.cancel_scope.cancel()
@@ -115,8 +115,8 @@
         logger.info("router {} at {}:{}", configuration.name, *configuration.listen)
         if configuration.peer_listen:
             # What the figures in messages stand for: peers with other tenants are not listened to.
-            meaning = "\0".join(configuration.settings.tenant_indexes).encode()
-            self.gossip = GossipChannel(configuration.peer_listen, configuration.peers, meaning)
+            tenant_names = "\0".join(configuration.settings.tenant_indexes).encode()
+            self.gossip = GossipChannel(configuration.peer_listen, configuration.peers, tenant_names)
 
     def _build_parts(self, nursery: trio.Nursery) -> None:
         cached = read_cached_list(self.configuration)
@@ -180,10 +180,10 @@
         if self.gossip is not None:
             nursery.start_soon(self.gossip.receive, self.dispatcher.on_gossip)
         divide_resources(self.configuration, self.fronts, self.pool)
-        accepting = trio.CancelScope()
-        nursery.start_soon(self._accept, accepting)
+        accept_scope = trio.CancelScope()
+        nursery.start_soon(self._accept, accept_scope)
         self.startup.begin()
-        return accepting
+        return accept_scope
 
     async def _accept(self, scope: trio.CancelScope) -> None:
         with scope:
@@ -195,7 +195,7 @@
         """Until ordered to end; SIGHUP reloads the configuration."""
         if self.early_hangup.take():
             self.reload()
-        while not self.termination.came and await anext(signals) == signal.SIGHUP:
+        while not self.termination.received and await anext(signals) == signal.SIGHUP:
             self.reload()
 
     async def _on_further_signals(self, signals: Signals) -> None:
--- a/gaugehinge/net/signals.py
+++ b/gaugehinge/net/signals.py
@@ -22,24 +22,24 @@
     never read again, and the router went on with the old discovery.
     """
 
-    __slots__ = ("came",)
+    __slots__ = ("received",)
 
     def __init__(self) -> None:
         """Nothing came yet."""
-        self.came = False
+        self.received = False
 
     def listen(self) -> EarlyHangup:
         """Handle SIGHUP from now on; from the process's main thread, before the configuration is read."""
-        signal.signal(signal.SIGHUP, self._note)
+        signal.signal(signal.SIGHUP, self._on_signal)
         return self
 
     def take(self) -> bool:
         """Whether one came; said once. Asked when signals have a receiver, so that none falls between."""
-        came, self.came = self.came, False
-        return came
+        received, self.received = self.received, False
+        return received
 
-    def _note(self, number: int, frame: object) -> None:
-        self.came = True
+    def _on_signal(self, number: int, frame: object) -> None:
+        self.received = True
 
 
 class TerminationFlag:
@@ -49,21 +49,21 @@
     process by the signal in place of 0.
     """
 
-    __slots__ = ("came",)
+    __slots__ = ("received",)
 
     def __init__(self) -> None:
         """Nothing came yet."""
-        self.came = False
+        self.received = False
 
     @contextmanager
     def handling(self) -> Iterator[None]:
         """Handle the orders to end within the block, and as before behind it."""
-        former = {number: signal.signal(number, self._note) for number in TERMINATION_SIGNALS}
+        previous = {number: signal.signal(number, self._on_signal) for number in TERMINATION_SIGNALS}
         try:
             yield
         finally:
-            for number, handler in former.items():
+            for number, handler in previous.items():
                 signal.signal(number, handler)
 
-    def _note(self, number: int, frame: object) -> None:
-        self.came = True
+    def _on_signal(self, number: int, frame: object) -> None:
+        self.received = True
--- a/gaugehinge/net/sockets.py
+++ b/gaugehinge/net/sockets.py
@@ -24,7 +24,7 @@
 MILLISECONDS = 1000.0
 SIOCOUTQNSD = 0x894B  # linux/sockios.h: asks how much of the send queue has not been sent
 # Long values come in few passes with so much room. One buffer serves all: nothing waits while it is in use.
-SPACE = memoryview(bytearray(256 * 1024))
+RECEIVE_BUFFER = memoryview(bytearray(256 * 1024))
 
 
 def family(address: Address) -> socket.AddressFamily:
@@ -75,7 +75,7 @@
 
 def receive_now(sock: socket.socket) -> bytes:
     """What stands unread; b"" at the end of the stream. Raises OSError: BlockingIOError with nothing."""
-    return bytes(SPACE[: sock.recv_into(SPACE)])
+    return bytes(RECEIVE_BUFFER[: sock.recv_into(RECEIVE_BUFFER)])
 
 
 def send_some(sock: socket.socket, data: bytes | memoryview) -> int:
--- a/gaugehinge/net/startup.py
+++ b/gaugehinge/net/startup.py
@@ -15,15 +15,15 @@
 if TYPE_CHECKING:
     from .service import Service
 
-START_TIME = 2.0  # with no list kept from before, clients are let in after this at the latest (seconds)
+STARTUP_TIMEOUT = 2.0  # with no list kept from before, clients are let in after this at the latest (seconds)
 
 
 def read_cached_list(configuration: Configuration) -> EndpointListUpdate | None:
     """The list that this router had before; a bad one is as none."""
-    if configuration.known is None:
+    if configuration.cached_list is None:
         return None
     try:
-        return read_endpoint_list(configuration.known)
+        return read_endpoint_list(configuration.cached_list)
     except SettingsError as error:
         logger.warning("cached endpoint list not used: {}", error)
         return None
@@ -49,7 +49,7 @@
     def begin(self) -> None:
         """Become ready now where the cached list has a server that is up, else by time at the latest."""
         timers = self.service.timers
-        latest = timers.clock() + START_TIME
+        latest = timers.clock() + STARTUP_TIMEOUT
         if self._endpoints_pushed:
             timers.call_at(latest, self._serve_without_agent)
         elif self._has_server_up() and self.service.lifecycle.phase is Phase.STARTING:
--- a/gaugehinge/net/timer_queue.py
+++ b/gaugehinge/net/timer_queue.py
@@ -113,8 +113,8 @@
         self._next_sample_at = self.clock() + LAG_SAMPLE_INTERVAL
         while True:
             self._earlier_timer = trio.Event()
-            until = min(self._heap[0][0], self._next_sample_at) if self._heap else self._next_sample_at
-            with trio.move_on_after(max(until - self.clock(), 0.0)):
+            wake_at = min(self._heap[0][0], self._next_sample_at) if self._heap else self._next_sample_at
+            with trio.move_on_after(max(wake_at - self.clock(), 0.0)):
                 await self._earlier_timer.wait()
             now = self.clock()
             if now >= self._next_sample_at:
--- a/tests/soak/faulty.py
+++ b/tests/soak/faulty.py
@@ -99,7 +99,7 @@
 
     async def cut(self, accepting):
         accepting.cancel()
-        self._forget_connections()
+        self._close_remaining()
 
     patch.setattr(GracefulShutdown, "run", cut)
 
--- a/tests/test_crossings_generated.py
+++ b/tests/test_crossings_generated.py
@@ -240,7 +240,7 @@
 
     async def held_up(self, *arguments):
         [shutdown] = shutdowns
-        time.sleep(max(0.0, shutdown.end + 0.05 - shutdown.clock()))
+        time.sleep(max(0.0, shutdown.deadline + 0.05 - shutdown.clock()))
         await write_rest(self, *arguments)
 
     monkeypatch.setattr(GracefulShutdown, "__init__", begun)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -698,7 +698,7 @@
     "settings.WEIGHT_MODES": "the operators' words for weights, read only",
     "settings.LOAD_REPORT_SOURCES": "the operators' words for sources of load reports, read only",
     "net.endpoint_list.ENDPOINT_STATES": "discovery's words for states, read only",
-    "net.sockets.SPACE": "filled by recv_into and copied to bytes in one expression, with no wait between",
+    "net.sockets.RECEIVE_BUFFER": "filled by recv_into and copied to bytes in one expression, without a wait",
     "simhost.host.EVENTS": "the wire's names to types and functions of classes, read only",
     "simhost.wire.OUTCOMES": "the wire's words for outcomes, read only",
     "simhost.wire.ENDPOINT_STATES": "the wire's words for states, read only",
@@ -793,7 +793,7 @@
 
 def test_the_tables_of_words_are_read_only():
     """No scanned module writes to a table of the list by its name."""
-    names = {name.rpartition(".")[2] for name in HARMLESS} - {"SPACE"}
+    names = {name.rpartition(".")[2] for name in HARMLESS} - {"RECEIVE_BUFFER"}
     for path in SCANNED:
         for node in ast.walk(ast.parse(path.read_text())):
             whose = getattr(node, "value", None)
@@ -807,17 +807,17 @@
 
 def test_the_shared_space_is_filled_and_copied_in_one_expression():
     source = (ROOT / "gaugehinge/net/sockets.py").read_text()
-    uses = [line.strip() for line in source.splitlines() if re.search(r"\bSPACE\b", line)]
+    uses = [line.strip() for line in source.splitlines() if re.search(r"\bRECEIVE_BUFFER\b", line)]
     assert uses == [
-        "SPACE = memoryview(bytearray(256 * 1024))",
-        "return bytes(SPACE[: sock.recv_into(SPACE)])",
+        "RECEIVE_BUFFER = memoryview(bytearray(256 * 1024))",
+        "return bytes(RECEIVE_BUFFER[: sock.recv_into(RECEIVE_BUFFER)])",
     ]
     # The door's reader has the same space, and copies it in the same step.
     lines = (ROOT / "gaugehinge/admission/fair_reader.py").read_text().splitlines()
-    uses = [line.strip() for line in lines if re.search(r"\bSPACE\b|\b_buffer\b", line)]
+    uses = [line.strip() for line in lines if re.search(r"\bRECEIVE_BUFFER\b|\b_buffer\b", line)]
     assert uses == [
-        "from ..net.sockets import SPACE",
-        "self._buffer = SPACE[:MAX_READ_BYTES]",
+        "from ..net.sockets import RECEIVE_BUFFER",
+        "self._buffer = RECEIVE_BUFFER[:MAX_READ_BYTES]",
         "size = client.sock.recv_into(self._buffer)",
         "if size == len(self._buffer) or descriptor in self._half_closed:",
         "data = bytes(self._buffer[:size])",
@@ -826,7 +826,7 @@
     assert "await" not in between and "async" not in between and "def " not in between
     for path in (ROOT / "gaugehinge").rglob("*.py"):
         if path.name not in ("sockets.py", "fair_reader.py"):
-            assert not re.search(r"sockets(\.| import .*\b)SPACE\b", path.read_text()), path
+            assert not re.search(r"sockets(\.| import .*\b)RECEIVE_BUFFER\b", path.read_text()), path
 
 
 # -- names and figures of a deployment
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -264,7 +264,7 @@
 def test_without_a_word_of_the_agent_the_list_kept_before_serves(tmp_path, monkeypatch):
     from gaugehinge.net import startup
 
-    monkeypatch.setattr(startup, "START_TIME", 0.2)
+    monkeypatch.setattr(startup, "STARTUP_TIMEOUT", 0.2)
 
     async def main():
         async with fleet(tmp_path, settings={**SETTINGS, "discovery": "pushed"}) as made:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -466,7 +466,7 @@
 
 
 def test_where_lists_are_pushed_the_list_kept_never_undoes_the_agents(tmp_path, monkeypatch):
-    monkeypatch.setattr(startup, "START_TIME", 0.2)
+    monkeypatch.setattr(startup, "STARTUP_TIMEOUT", 0.2)
 
     async def scene():
         async with staged(tmp_path, settings=PUSHED) as made:
@@ -487,7 +487,7 @@
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_where_lists_are_pushed_a_late_agent_undoes_the_list_kept(tmp_path, monkeypatch, state):
-    monkeypatch.setattr(startup, "START_TIME", 0.1)
+    monkeypatch.setattr(startup, "STARTUP_TIMEOUT", 0.1)
 
     async def scene():
         async with staged(tmp_path, settings=PUSHED) as made:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -726,7 +726,7 @@
     played, settings = Played(tmp_path, doubt=1000.0), {**SETTINGS, "replicasOfMe": 1}
 
     def build(service, nursery):
-        keep_snapshot(tmp_path, service.configuration.known["targets"])
+        keep_snapshot(tmp_path, service.configuration.cached_list["targets"])
         return played.build(service, nursery)
 
     async with fleet(tmp_path, [Cache()], settings=settings, build_extensions=build) as made:
--- a/tests/test_shutdown_answers.py
+++ b/tests/test_shutdown_answers.py
@@ -56,7 +56,7 @@
 
     async def stalled(shutdown, accepting):
         await stop(shutdown, accepting)
-        shutdown.end = shutdown.clock() - 0.001
+        shutdown.deadline = shutdown.clock() - 0.001
 
     monkeypatch.setattr(GracefulShutdown, "_stop_accepting", stalled)
 
@@ -107,7 +107,7 @@
 @pytest.fixture
 def killed_at_its_end(monkeypatch):
     """The platform kills the router at the earliest moment that it may: it does not come to its last step."""
-    monkeypatch.setattr(GracefulShutdown, "_forget_connections", lambda shutdown: None)
+    monkeypatch.setattr(GracefulShutdown, "_close_remaining", lambda shutdown: None)
 
 
 async def client_with_a_small_buffer(port: int) -> Client:
