--- a/gaugehinge/net/reload.py
+++ b/gaugehinge/net/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: what a running service takes over from its configuration."""
+"""Reload on SIGHUP: which parts of the configuration a running service takes over."""
 
 from __future__ import annotations
 
@@ -16,22 +16,23 @@
 
 
 def reload_configuration(service: Service) -> None:
-    """Take over what can change in service: discovery, peers, memory and descriptors.
+    """Apply what can change without a restart: discovery, peers, memory and descriptors.
 
-    A bad configuration changes nothing and is logged; so is each field that changes at the next start only.
+    An invalid configuration changes nothing and is logged. Each changed field that needs a restart is
+    logged too.
     """
     old = service.configuration
     try:
         new = service.reread()
     except SettingsError as error:
-        logger.warning("configuration not taken: {}", error)
+        logger.warning("configuration not reloaded: {}", error)
         return
     for field in restart_only_changes(old, new):
-        logger.warning("configuration: {} changes at the next start only", field)
+        logger.warning("configuration: the change of {} needs a restart", field)
     service.configuration = replace(
         old, discovery=new.discovery, peers=new.peers, memory=new.memory, sockets=new.sockets
     )
-    logger.info("configuration read again: discovery at {}:{}", *new.discovery)
+    logger.info("configuration reloaded: discovery at {}:{}", *new.discovery)
     divide_resources(new, service.fronts, service.pool)
     if service.gossip is not None:
         service.gossip.set_peers(new.peers)
--- a/gaugehinge/net/run.py
+++ b/gaugehinge/net/run.py
@@ -1,4 +1,4 @@
-"""One router in this process, from a configuration that was read to its exit code."""
+"""Runs one router in this process, from its configuration to its exit code."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from .service import AdmissionControlBuilder, Service
 from .signals import EarlyHangup
 
-YOUNG_GENERATION_THRESHOLD = (
-    20_000  # until the collector looks: passes over what lives long cost replies their time
-)
-OLDER_GENERATION_THRESHOLD = 20  # passes over younger objects for each over older ones
+# Net allocations before the garbage collector runs. Collections that traverse long-lived objects delay
+# replies.
+YOUNG_GENERATION_THRESHOLD = 20_000
+OLDER_GENERATION_THRESHOLD = 20  # collections of a younger generation for each one of the next older
 
 
 def run(
@@ -28,7 +28,7 @@
     build_extensions: ExtensionBuilder | None = None,
     client_server_class: type[ClientServer] = ClientServer,
 ) -> int:
-    """Serve until ordered to end and return the exit code: 1 where an address cannot be had, else 0.
+    """Serve until told to shut down; return 1 if the router cannot listen at an address, else 0.
 
     The parameters are those of `Service`.
     """
@@ -40,6 +40,6 @@
     try:
         trio.run(service.run)
     except OSError as error:
-        print(f"cannot serve at {error.strerror or error}", file=sys.stderr)
+        print(f"cannot listen at {error.strerror or error}", file=sys.stderr)
         return 1
     return 0
--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -1,6 +1,6 @@
-"""One router as a whole: its parts, the nursery that they live in, and the order of its life.
+"""One router as a whole: builds its parts, runs them in one nursery and takes it from start to exit.
 
-Start-up stands in startup.py, what SIGHUP changes in reload.py, the end in graceful_shutdown.py.
+The start is in startup.py, the reload on SIGHUP in reload.py, the shutdown in graceful_shutdown.py.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class Service:
-    """One router. Its parts beyond the dispatcher exist from `run` on."""
+    """One router. All parts but the dispatcher and the timers are built by `run`."""
 
     def __init__(
         self,
@@ -48,10 +48,11 @@
         build_extensions: ExtensionBuilder | None = None,
         client_server_class: type[ClientServer] = ClientServer,
     ) -> None:
-        """Name what `run` is to build.
+        """Store what `run` needs to build the router.
 
-        `reread` returns the configuration as it is then, or raises SettingsError. `build_extensions` is
-        called once all other parts exist. `client_server_class` serves the first front, the platform's.
+        `reread` returns the configuration as it is when called, or raises SettingsError. `build_extensions`
+        is called once all other parts exist. `client_server_class` serves the first front, which is for the
+        platform's clients.
         """
         settings = configuration.settings
         self.configuration = configuration
@@ -66,7 +67,7 @@
         self.timers = TimerQueue(self.clock)
         self.dispatcher = Dispatcher(settings.deployment, self.timers, settings.reports_load)
         self.extensions: Extensions = Extensions()
-        self.fronts: list[Front] = []  # the first is the platform's
+        self.fronts: list[Front] = []  # the first is for the platform's clients
         self.startup: Startup
         self.listening: socket.socket
         self.clients: ClientServer  # of the first front
@@ -75,7 +76,10 @@
         self.gossip: GossipChannel | None = None
 
     async def run(self) -> None:
-        """Serve until ordered to end and all that is in flight is answered. Raises OSError: no address."""
+        """Serve until told to shut down and all requests in flight are answered.
+
+        Raises OSError if it cannot listen at one of its addresses.
+        """
         with self.termination.handling():
             await self._run()
 
@@ -84,17 +88,18 @@
         self.lifecycle.enter(phase, len(self.dispatcher.pending_operations))
 
     def reload(self) -> None:
-        """Take over from the configuration what can change in service; a bad one changes nothing."""
+        """Reload what can change without a restart; an invalid configuration changes nothing."""
         reload_configuration(self)
 
     def on_endpoint_list(self, update: EndpointListUpdate) -> None:
-        """Follow what discovery said, and be ready by it."""
+        """Apply an endpoint list from discovery; the router becomes ready with the first one."""
         self.dispatcher.on_endpoints_changed(update)
         self.startup.become_ready()
 
     async def _run(self) -> None:
         self._open_sockets()
-        # The receiver closes behind its last reader: one that was woken in the same step found nothing there.
+        # The receiver encloses the nursery, so that it closes only after its last reader has ended: a reader
+        # woken in the same scheduler step in which the receiver closed found no signal in it.
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             async with trio.open_nursery() as nursery:
                 self._build_parts(nursery)
@@ -106,7 +111,8 @@
                     await hook.before_exit()
                 nursery.cancel_scope.cancel()
         for _ in range(2):
-            await trio.lowlevel.checkpoint()  # a signal that came as the receiver closed comes once more
+            # A signal that arrived while the receiver closed is delivered again, to TerminationFlag.
+            await trio.lowlevel.checkpoint()
         self.enter(Phase.ENDED)
 
     def _open_sockets(self) -> None:
@@ -114,7 +120,8 @@
         self.listening = listener(configuration.listen, BACKLOG)
         logger.info("router {} at {}:{}", configuration.name, *configuration.listen)
         if configuration.peer_listen:
-            # What the figures in messages stand for: peers with other tenants are not listened to.
+            # The numbers in gossip messages belong to the tenants in this order; messages of peers with
+            # other tenants are ignored.
             tenant_names = "\0".join(configuration.settings.tenant_indexes).encode()
             self.gossip = GossipChannel(configuration.peer_listen, configuration.peers, tenant_names)
 
@@ -175,7 +182,7 @@
         )
 
     def _start(self, nursery: trio.Nursery) -> trio.CancelScope:
-        """Begin to work; returns what ends the accepting of connections."""
+        """Start all background work; return the scope whose cancellation stops accepting connections."""
         self.dispatcher.start_background_tasks()
         if self.gossip is not None:
             nursery.start_soon(self.gossip.receive, self.dispatcher.on_gossip)
@@ -192,22 +199,26 @@
                     nursery.start_soon(front.clients.accept, front.listening)
 
     async def _serve(self, signals: Signals) -> None:
-        """Until ordered to end; SIGHUP reloads the configuration."""
+        """Reload the configuration on SIGHUP, until a termination signal arrives."""
         if self.early_hangup.take():
             self.reload()
         while not self.termination.received and await anext(signals) == signal.SIGHUP:
             self.reload()
 
     async def _on_further_signals(self, signals: Signals) -> None:
-        """While it leaves: one more order, left pending, would end the process by the signal, not with 0."""
+        """Handle signals during shutdown.
+
+        A further termination signal that stayed pending would end the process by the signal instead of with
+        exit code 0.
+        """
         async for number in signals:
             if number == signal.SIGHUP:
-                # It still serves for seconds. Dropped, the order left it with a discovery that had moved, and
-                # it forwarded to servers that were to drain.
+                # The router still serves for seconds. When SIGHUP was ignored here, the router kept the old
+                # address of a discovery that had moved, and sent attempts to servers that were to drain.
                 self.reload()
             else:
-                logger.info("ordered to end once more by signal {}", number)
+                logger.info("another termination signal while shutting down: {}", number)
 
 
 def _send_nothing(peers: tuple[int, ...], payload: bytes) -> None:
-    """Stands in for gossip in a router without peers."""
+    """Send nothing: takes the place of gossip in a router without peers."""
--- a/gaugehinge/net/signals.py
+++ b/gaugehinge/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals that come while no receiver of the service stands: before it, and just behind it."""
+"""Handles signals that arrive before the service's signal receiver opens or after it closes."""
 
 from __future__ import annotations
 
@@ -10,31 +10,37 @@
 
 
 def ignore_while_exiting() -> None:
-    """Ignore orders: the interpreter resets handlers as it ends, and a signal would change its exit code."""
+    """Ignore SIGHUP and termination signals from now on.
+
+    The interpreter resets handlers while it exits, and a signal would then change the exit code.
+    """
     for number in (signal.SIGHUP, *TERMINATION_SIGNALS):
         signal.signal(number, signal.SIG_IGN)
 
 
 class EarlyHangup:
-    """Remembers that a SIGHUP came while nobody received signals yet.
+    """Remembers a SIGHUP that arrived before the service received signals.
 
-    Without a handler it ends the process; ignored, a file that changed after the start had read it was
-    never read again, and the router went on with the old discovery.
+    Without a handler, SIGHUP ends the process. When it was ignored, a configuration file that
+    changed after it had been read was not reloaded, and the router kept the old discovery address.
     """
 
     __slots__ = ("received",)
 
     def __init__(self) -> None:
-        """Nothing came yet."""
+        """Start with no signal received."""
         self.received = False
 
     def listen(self) -> EarlyHangup:
-        """Handle SIGHUP from now on; from the process's main thread, before the configuration is read."""
+        """Handle SIGHUP from now on. Call it in the main thread, before the configuration is read."""
         signal.signal(signal.SIGHUP, self._on_signal)
         return self
 
     def take(self) -> bool:
-        """Whether one came; said once. Asked when signals have a receiver, so that none falls between."""
+        """Return whether SIGHUP arrived, and forget it.
+
+        Call it once the signal receiver is open, so that no signal is missed in between.
+        """
         received, self.received = self.received, False
         return received
 
@@ -43,21 +49,21 @@
 
 
 class TerminationFlag:
-    """Remembers an order to end that came just before signals had their receiver, or behind it.
+    """Remembers a termination signal that arrived just before the receiver opened or after it closed.
 
-    An order to end that was still pending as the receiver closed was delivered once more, and ended the
-    process by the signal in place of 0.
+    A termination signal that was still pending when the receiver closed was delivered again, and ended the
+    process by the signal instead of with exit code 0.
     """
 
     __slots__ = ("received",)
 
     def __init__(self) -> None:
-        """Nothing came yet."""
+        """Start with no signal received."""
         self.received = False
 
     @contextmanager
     def handling(self) -> Iterator[None]:
-        """Handle the orders to end within the block, and as before behind it."""
+        """Handle termination signals within the block and restore the previous handlers after it."""
         previous = {number: signal.signal(number, self._on_signal) for number in TERMINATION_SIGNALS}
         try:
             yield
--- a/gaugehinge/net/startup.py
+++ b/gaugehinge/net/startup.py
@@ -1,4 +1,6 @@
-"""When a router that starts becomes ready: by a list kept from before, discovery's first one, or by time."""
+"""Decides when a starting router becomes ready: with a cached endpoint list, with the first list
+from discovery, or after a timeout.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +17,11 @@
 if TYPE_CHECKING:
     from .service import Service
 
-STARTUP_TIMEOUT = 2.0  # with no list kept from before, clients are let in after this at the latest (seconds)
+STARTUP_TIMEOUT = 2.0  # seconds after which clients are served at the latest, if there is no cached list
 
 
 def read_cached_list(configuration: Configuration) -> EndpointListUpdate | None:
-    """The list that this router had before; a bad one is as none."""
+    """Return the endpoint list cached by an earlier process; None if there is none or it is invalid."""
     if configuration.cached_list is None:
         return None
     try:
@@ -30,24 +32,25 @@
 
 
 class Startup:
-    """Sees a service from STARTING to READY."""
+    """Takes a service from STARTING to READY."""
 
     def __init__(self, service: Service, cached: EndpointListUpdate | None) -> None:
-        """`cached`: the endpoint list kept from before, if there is one."""
+        """`cached` is the endpoint list of an earlier process, if there is one."""
         self.service = service
         self.cached = cached
 
     def use_cached_list(self) -> None:
-        """Follow the list kept from before, unless lists are pushed to an agent here.
+        """Use the cached list, unless lists are pushed to an agent on this machine.
 
-        What the agent has counts as notified from the first moment on: by a list kept from before, attempts
-        went to servers that had been told to drain. Only with the agent away it serves.
+        The router counts as notified of what the agent holds from the start: with the cached list, attempts
+        went to servers that had been told to drain. The cached list is then used only if the agent does not
+        respond.
         """
         if self.cached is not None and not self._endpoints_pushed:
             self.service.dispatcher.follow_endpoints(self.cached, cached=True)
 
     def begin(self) -> None:
-        """Become ready now where the cached list has a server that is up, else by time at the latest."""
+        """Become ready now if the cached list has a server that is up, else after STARTUP_TIMEOUT at most."""
         timers = self.service.timers
         latest = timers.clock() + STARTUP_TIMEOUT
         if self._endpoints_pushed:
@@ -58,13 +61,15 @@
             timers.call_at(latest, self.become_ready)
 
     def become_ready(self) -> None:
-        """Let clients in, where the router is still starting."""
+        """Begin to serve clients, if the router is still starting."""
         if self.service.lifecycle.phase is Phase.STARTING:
             self.service.enter(Phase.READY)
 
     def _serve_without_agent(self) -> None:
         if self.cached is not None and self.service.lifecycle.phase is Phase.STARTING:
-            logger.warning("agent does not answer: serving by the cached list, version {}", self.cached.rev)
+            logger.warning(
+                "agent does not respond: using the cached endpoint list, version {}", self.cached.rev
+            )
             self.service.dispatcher.on_endpoints_changed(self.cached, cached=True)
         self.become_ready()
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -116,7 +116,7 @@
         assert message(process, "router n0") == f"router n0 at 127.0.0.1:{port}"
         file.write_text("[listen]")
         process.send_signal(signal.SIGHUP)
-        assert f"{file}: " in message(process, "configuration not taken")
+        assert f"{file}: " in message(process, "configuration not reloaded")
         process.terminate()
         process.communicate()
         assert process.returncode == 0
@@ -153,7 +153,7 @@
     file, _ = router_file(tmp_path)
     words = ("-c", STARTED_SO, STEPS[step], str(int(signal.SIGHUP)), str(file))
     with children.child(*words, stderr=subprocess.PIPE) as process:
-        assert "discovery at 127.0.0.1:9" in message(process, "configuration read again")
+        assert "discovery at 127.0.0.1:9" in message(process, "configuration reloaded")
         process.terminate()
         process.communicate()
         assert process.returncode == 0
@@ -173,7 +173,7 @@
     with children.child(*words, stderr=subprocess.PIPE) as process:
         message(process, "router n0")
         process.send_signal(signal.SIGHUP)  # answered with a line once signals have their receiver
-        message(process, "configuration read again")
+        message(process, "configuration reloaded")
         process.terminate()
         message(process, "leaving")
         process.terminate()
