--- a/gaugehinge/net/__init__.py
+++ b/gaugehinge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real router: sockets round the decision module. Its parts follow the stages of an operation."""
+"""The router on real sockets, around the decision core. Its parts follow the stages of an operation."""
--- a/gaugehinge/net/configuration.py
+++ b/gaugehinge/net/configuration.py
@@ -1,4 +1,4 @@
-"""A router's addresses, limits and first endpoint list, as the platform's configuration has them."""
+"""A router's addresses, limits and first endpoint list, read from the platform's configuration."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 Address = tuple[str, int]
 
-MIN_SOCKETS = 64  # with fewer there is no room for clients beside the attempts
+MIN_SOCKETS = 64  # with fewer, attempts leave no room for clients
 MIN_MEMORY_MB = 32
 MAX_PORT = 65535
 MEGABYTE = 1 << 20
@@ -20,23 +20,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """One reading of the configuration; SIGHUP brings another."""
+    """The configuration as read once; SIGHUP makes the router read it again."""
 
     name: str
-    listen: Address  # of the platform's clients
+    listen: Address  # for the platform's clients
     discovery: Address
     settings: Settings
-    memory: int  # bytes
+    memory: int  # in bytes
     sockets: int  # descriptors that the process may use
-    peer_listen: Address | None  # of gossip; None: there is none
+    peer_listen: Address | None  # for gossip; None: no gossip
     peers: tuple[Address, ...]
-    cached_list: Any  # the endpoint list of before, in discovery's form, or None
+    cached_list: Any  # the endpoint list of an earlier process, in discovery's format, or None
 
 
 def address(text: Any, field: str) -> Address:
-    """Read `10.0.0.4:6379` or `[::1]:6379`: numbers only, since there is no DNS.
+    """Parse `10.0.0.4:6379` or `[::1]:6379`; only numeric addresses, since there is no DNS.
 
-    Raises SettingsError, which names `field`.
+    Raises SettingsError, whose message names `field`.
     """
     try:
         host, _, port = text.rpartition(":")
@@ -44,16 +44,16 @@
         ipaddress.ip_address(host)
         number = int(port)
     except (AttributeError, ValueError):
-        raise SettingsError(f"{field}: not an address and port") from None
+        raise SettingsError(f"{field}: not an IP address and port") from None
     if not 0 < number <= MAX_PORT:
-        raise SettingsError(f"{field}: no such port")
+        raise SettingsError(f"{field}: port out of range")
     return host, number
 
 
 def read_configuration(environment: Mapping[str, str]) -> Configuration:
     """Read the file that LB_CONFIG names.
 
-    LB_NAME, LB_LISTEN and LB_DISCOVERY stand in for what it leaves out. Raises SettingsError.
+    LB_NAME, LB_LISTEN and LB_DISCOVERY are the defaults for fields that it omits. Raises SettingsError.
     """
     path = environment.get("LB_CONFIG")
     if not path:
@@ -65,7 +65,7 @@
     reader = SettingsReader(parse_json(text))
     limits = reader.section("limits", {})
     settings = read_settings(_seed(reader), reader.section("settings").values, "settings")
-    # Over HTTP nothing comes unasked, whatever the bench does for this deployment.
+    # Discovery over HTTP sends nothing unasked, whatever the bench does for this deployment.
     settings = replace(settings, deployment=replace(settings.deployment, must_poll=True))
     peer_listen = reader.text("peer_listen", "")
     return Configuration(
@@ -82,7 +82,7 @@
 
 
 def restart_only_changes(old: Configuration, new: Configuration) -> list[str]:
-    """Return the names of fields that differ and cannot change in service."""
+    """Return the names of fields that differ and cannot change without a restart."""
     deployment = replace(new.settings.deployment, seed=old.settings.deployment.seed)
     return [
         name
--- a/gaugehinge/net/graceful_shutdown.py
+++ b/gaugehinge/net/graceful_shutdown.py
@@ -1,6 +1,6 @@
-"""Graceful shutdown: serve on for as long as the platform lets us, answer all that is in flight, close.
+"""Graceful shutdown: serve for as long as the platform allows, answer everything in flight, then close.
 
-Some clients know no other router: closed early, all that they ask until the next one is up fails.
+Some clients know no other router: if it closed early, all their requests would fail until the next one is up.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
     from .service import Service
 
 # All in seconds.
-ACCEPT_GRACE = 0.5  # new connections go on coming for less than this after the signal
-# A platform kills a router no sooner than the longest wait of a client and this after the signal.
+ACCEPT_GRACE = 0.5  # new connections still arrive after the signal, for less than this
+# The platform kills a router no earlier than the longest client wait plus this after the signal.
 KILL_SLACK = 0.7
-MAX_COUNTED_WAIT = 3.0  # of the longest wait, the platform counts no more than this
-CLOSING_TIME = 0.9  # the last part of the time before the kill, in which connections are closed
-FINAL_ANSWER_TIME = 0.35  # the last part of the closing time, by the begin of which all is answered
+MAX_COUNTED_WAIT = 3.0  # the platform counts at most this much of the longest client wait
+CLOSING_TIME = 0.9  # the last part of the time before the deadline, in which connections are closed
+FINAL_ANSWER_TIME = 0.35  # the last part of the closing time; all requests are answered when it begins
 CHECK_INTERVAL = 0.02
-FINAL_CHECK_INTERVAL = 0.001  # while answers are still owed in the last part
+FINAL_CHECK_INTERVAL = 0.001  # in the last part, while replies are still pending
 
 
 class GracefulShutdown:
-    """One service's way from READY, or whichever phase it is in, to all connections closed."""
+    """Takes one service from READY, or whichever phase it is in, to all connections closed."""
 
     def __init__(self, service: Service) -> None:
-        """Its end is counted from now."""
+        """Compute the deadline, counted from now."""
         self.service = service
         self.clock = service.clock
         self.started_at = self.clock()
@@ -38,7 +38,7 @@
         self.deadline = self.started_at + min(longest_wait, MAX_COUNTED_WAIT) + KILL_SLACK
 
     async def run(self, accept_scope: trio.CancelScope) -> None:
-        """Serve on, then answer and close. `accept_scope`: cancelled once no more connections are taken."""
+        """Keep serving, then answer and close. Cancels `accept_scope` to stop accepting connections."""
         self.service.enter(Phase.LEAVING)
         await self._keep_serving()
         self.service.enter(Phase.CLOSING)
@@ -48,7 +48,7 @@
 
     async def _keep_serving(self) -> None:
         closing_at = max(self.deadline - CLOSING_TIME, self.started_at + ACCEPT_GRACE)
-        # A poll on purpose: connections end in many places, and an event for the last one would say no more.
+        # Polled on purpose: connections end in many places, and an event for the last one would tell no more.
         while self.clock() < closing_at and (  # noqa: ASYNC110
             self._connections() or self.clock() < self.started_at + ACCEPT_GRACE
         ):
@@ -58,7 +58,7 @@
         accept_scope.cancel()
         await trio.lowlevel.checkpoint()
         for front in self.service.fronts:
-            front.clients.accept_pending(front.listening)  # what the machine has taken already
+            front.clients.accept_pending(front.listening)  # connections in the kernel's backlog
             shut(front.listening)
 
     async def _close_connections(self) -> None:
@@ -69,10 +69,10 @@
                     front.clients.enlarge_buffers()
             owed = any(front.clients.has_pending_replies() for front in self.service.fronts)
             if self.clock() > self.deadline:
-                return  # what is left stands within a command that never comes whole, or is not read
+                return  # the remaining clients have sent an incomplete command or do not read their replies
             for front in self.service.fronts:
                 front.clients.close_idle(0.0)
-            # A client that does not read its answers at once makes room for further ones as it does.
+            # A client that reads its replies slowly makes room for further ones as it reads.
             await trio.sleep(
                 FINAL_CHECK_INTERVAL
                 if owed and self.clock() > self.deadline - FINAL_ANSWER_TIME
@@ -80,10 +80,10 @@
             )
 
     def _answer_all(self) -> None:
-        """Answer whatever was read, also what stands behind those in flight of its connection.
+        """Answer every request that was read, including those queued behind others of their connection.
 
-        In one step: some at a time, a router that got no processor time for a while was past its end after
-        the first of them, and closed connections with hundreds of requests unanswered.
+        This happens in one step. When it was done in parts, a router that got no CPU time for a while was
+        past its deadline after the first part, and closed connections with hundreds of requests unanswered.
         """
         self._answer_pending()
         while any([front.clients.resume_paused() for front in self.service.fronts]):
--- a/gaugehinge/net/resource_limits.py
+++ b/gaugehinge/net/resource_limits.py
@@ -1,4 +1,4 @@
-"""How descriptors and memory of one router are divided among its fronts and its connections to servers."""
+"""Divides the descriptors and memory of one router among its fronts and its connections to servers."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from .connection_pool import ConnectionPool
 from .front import Front
 
-CLIENT_SHARE = 0.4  # of the descriptors, with a quarter of that again to answer BUSY from
-SERVER_SHARE = 0.4  # to servers; the rest is for listeners, discovery, peers and the interpreter,
-RESERVED_SOCKETS = 14  # this many at least: short of them, connections to servers and to discovery fail
+CLIENT_SHARE = 0.4  # of the descriptors; a quarter of that in addition is for clients that are answered BUSY
+SERVER_SHARE = 0.4  # of the descriptors; the rest is for listeners, discovery, peers and the interpreter
+RESERVED_SOCKETS = 14  # minimum of that rest; with fewer, connections to servers and to discovery fail
 MIN_SERVER_CONNECTIONS = 8
 
 
 def divide_resources(configuration: Configuration, fronts: Sequence[Front], pool: ConnectionPool) -> None:
-    """Give each front its part of descriptors and memory, and the pool its part of what is left."""
+    """Divide client descriptors and memory equally among the fronts, and give the pool its share."""
     count, remaining = len(fronts), configuration.sockets - RESERVED_SOCKETS
     for front in fronts:
         clients = front.clients
--- a/gaugehinge/net/sockets.py
+++ b/gaugehinge/net/sockets.py
@@ -1,7 +1,7 @@
-"""Plain non-blocking sockets under trio, by numeric address.
+"""Plain non-blocking sockets under trio, addressed by number.
 
-A send is tried at once and only waited for if it would block: a pass of the scheduler for every send was much
-of what an operation cost. A receive is waited for first: what was there had been read before.
+A send is tried at once and waits only if it would block: a pass of the scheduler for every send was a large
+part of the cost of an operation. A receive waits first, since what had arrived before has been read already.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 
 from .configuration import Address
 
-TCP_INFO_SIZE = 160  # bytes of struct tcp_info of linux/tcp.h up to its counts of segments
-BACKLOG_LENGTH_OFFSET = 24  # in that of a listener: connections not accepted yet
-LAST_ACKNOWLEDGED_OFFSET = 56  # in that: milliseconds since the last acknowledgement came
-LAST_DATA_RECEIVED_OFFSET = 52  # in that: milliseconds since the last data came
-DATA_SEGMENTS_OFFSET = 152  # in that: segments with data that came
-MILLISECONDS = 1000.0
-SIOCOUTQNSD = 0x894B  # linux/sockios.h: asks how much of the send queue has not been sent
-# Long values come in few passes with so much room. One buffer serves all: nothing waits while it is in use.
+TCP_INFO_SIZE = 160  # bytes of struct tcp_info (linux/tcp.h) up to and including its segment counts
+BACKLOG_LENGTH_OFFSET = 24  # in the tcp_info of a listener: connections not accepted yet
+LAST_ACKNOWLEDGED_OFFSET = 56  # in tcp_info: milliseconds since the last acknowledgement arrived
+LAST_DATA_RECEIVED_OFFSET = 52  # in tcp_info: milliseconds since the last data arrived
+DATA_SEGMENTS_OFFSET = 152  # in tcp_info: segments with data that arrived
+MILLISECONDS = 1000.0  # in a second
+SIOCOUTQNSD = 0x894B  # linux/sockios.h: ioctl for the number of bytes in the send queue that are not sent yet
+# A buffer of this size receives long values in few calls. All sockets share it: no task waits while using it.
 RECEIVE_BUFFER = memoryview(bytearray(256 * 1024))
 
 
 def family(address: Address) -> socket.AddressFamily:
-    """The address family of a numeric address."""
+    """Return the address family of a numeric address."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
 def tcp(address: Address) -> socket.socket:
-    """A TCP socket for a connection to an address, not connected yet. Raises OSError."""
+    """Create a TCP socket for a connection to an address, not connected yet. Raises OSError."""
     sock = socket.socket(family(address))
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -41,7 +41,7 @@
 
 
 def listener(address: Address, backlog: int) -> socket.socket:
-    """A listening TCP socket. Raises OSError, with the address in its message."""
+    """Create a listening TCP socket. Raises OSError, with the address in its message."""
     sock = socket.socket(family(address))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setblocking(False)
@@ -55,14 +55,14 @@
 
 
 async def connect(sock: socket.socket, address: Address) -> None:
-    """Connect a socket of `tcp`. Raises OSError."""
+    """Connect a socket that `tcp` created. Raises OSError."""
     await trio.socket.from_stdlib_socket(sock).connect(address)
 
 
 async def receive(sock: socket.socket) -> bytes:
-    """What comes next; b"" at the end of the stream.
+    """Wait for data and return it; b"" at the end of the stream.
 
-    Raises OSError, or trio.ClosedResourceError where the socket was closed on this side.
+    Raises OSError, or trio.ClosedResourceError if the socket was closed on this side.
     """
     while not is_closed(sock):
         await trio.lowlevel.wait_readable(sock)
@@ -74,12 +74,15 @@
 
 
 def receive_now(sock: socket.socket) -> bytes:
-    """What stands unread; b"" at the end of the stream. Raises OSError: BlockingIOError with nothing."""
+    """Return unread data; b"" at the end of the stream.
+
+    Raises OSError; BlockingIOError if there is no data.
+    """
     return bytes(RECEIVE_BUFFER[: sock.recv_into(RECEIVE_BUFFER)])
 
 
 def send_some(sock: socket.socket, data: bytes | memoryview) -> int:
-    """Write what can be written at once; returns how many bytes. Raises OSError."""
+    """Write what can be written without blocking and return the number of bytes. Raises OSError."""
     try:
         return sock.send(data)
     except BlockingIOError:
@@ -87,7 +90,7 @@
 
 
 async def send_all(sock: socket.socket, data: bytes) -> None:
-    """Write all of the data. Raises OSError, or trio.ClosedResourceError."""
+    """Write all of the data. Raises OSError, or trio.ClosedResourceError if closed on this side."""
     rest = memoryview(data)
     while True:
         rest = rest[send_some(sock, rest) :]
@@ -97,37 +100,37 @@
 
 
 def enlarge_send_buffer(sock: socket.socket, size: int) -> None:
-    """Let the system take `size` bytes more than it does, up to its limit (net.core.wmem_max).
+    """Enlarge the kernel's send buffer by `size` bytes, up to the system's limit (net.core.wmem_max).
 
-    What it has taken it delivers also once the process has ended. Raises OSError.
+    The kernel delivers what is in the buffer even after the process has ended. Raises OSError.
     """
     current = sock.getsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, current + size)
 
 
 async def wait_writable(sock: socket.socket) -> None:
-    """Wait until more can be written. Raises trio.ClosedResourceError, also where it is closed already."""
+    """Wait until more can be written. Raises trio.ClosedResourceError, even if already closed."""
     if is_closed(sock):
         raise trio.ClosedResourceError
     await trio.lowlevel.wait_writable(sock)
 
 
 def is_closed(sock: socket.socket) -> bool:
-    """Whether a socket was closed on this side: most calls of the system on it raise ValueError then."""
+    """Whether a socket was closed on this side; most system calls on it then raise ValueError."""
     return sock.fileno() < 0
 
 
 def shut(sock: socket.socket) -> None:
-    """Close a socket, if it is open; tasks that wait for it get ClosedResourceError."""
+    """Close a socket, if it is open; tasks that wait on it get trio.ClosedResourceError."""
     if not is_closed(sock):
         trio.lowlevel.notify_closing(sock)
         sock.close()
 
 
 def hung_up(sock: socket.socket) -> bool:
-    """Whether the peer has ended the connection, though bytes from it may still be unread, or this side has.
+    """Whether the peer or this side has ended the connection; bytes from the peer may still be unread.
 
-    A task that was scheduled before its connection was closed runs after that, and asks.
+    A closed socket is allowed: a task scheduled before its connection was closed calls this afterwards.
     """
     if is_closed(sock):
         return True
@@ -137,7 +140,7 @@
 
 
 def is_connected(sock: socket.socket) -> bool:
-    """Whether a connection has come up, though its task may not have run since."""
+    """Whether a connection is established, even if its task has not run since."""
     try:
         sock.getpeername()
     except OSError:
@@ -146,9 +149,9 @@
 
 
 def unsent(sock: socket.socket) -> int:
-    """How many written bytes the peer has not taken yet; 0 where the system does not tell, or it is closed.
+    """Count the written bytes that the peer has not taken yet; 0 if not reported by the system, or closed.
 
-    A connection that is closed over them, and then written to by the peer, is reset, and they are lost.
+    If the connection is closed while there are some, and the peer then writes, it is reset and they are lost.
     """
     if is_closed(sock):
         return 0
@@ -159,14 +162,14 @@
 
 
 class UnreadInput(NamedTuple):
-    """What the system tells of bytes that stand unread."""
+    """What the system reports about unread bytes."""
 
-    age: float  # seconds since the last of them came; 0 with none, or where it does not tell
-    came_at_once: bool  # in one segment; else the first of them may have come earlier
+    age: float  # seconds since the last of them arrived; 0 if there are none or it is not reported
+    came_at_once: bool  # in one segment; otherwise the first of them may have arrived earlier
 
 
 def unread_input(sock: socket.socket) -> UnreadInput:
-    """What stands unread on a connection of which nothing was read."""
+    """Describe the unread bytes of a connection from which nothing was read yet."""
     if silent(sock):
         return UnreadInput(0.0, came_at_once=True)
     info = _tcp_info(sock)
@@ -174,22 +177,22 @@
 
 
 def input_age(sock: socket.socket) -> float:
-    """Seconds since the last bytes came, read or not; 0 where the system does not tell."""
+    """Seconds since the last bytes arrived, read or not; 0 if the system does not report it."""
     return _input_age(_tcp_info(sock))
 
 
 def acknowledgement_age(sock: socket.socket) -> float:
-    """Seconds since the peer acknowledged something, on a new connection its beginning; 0: not told."""
+    """Seconds since the peer's last acknowledgement, at first since the connection began; 0: not reported."""
     return _field(_tcp_info(sock), LAST_ACKNOWLEDGED_OFFSET) / MILLISECONDS
 
 
 def backlog_length(listening: socket.socket) -> int:
-    """How many connections a listener has not accepted yet; 0 where the system does not tell."""
+    """Count the connections a listener has not accepted yet; 0 if the system does not report it."""
     return _field(_tcp_info(listening), BACKLOG_LENGTH_OFFSET)
 
 
 def _tcp_info(sock: socket.socket) -> bytes:
-    """The system's struct tcp_info of a socket; empty where it does not tell."""
+    """Return the system's struct tcp_info of a socket; empty if it is not available."""
     try:
         return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
     except OSError:
@@ -201,14 +204,14 @@
 
 
 def _field(info: bytes, offset: int) -> int:
-    """A field of 32 bits; 0 where the system's structure is too short for it."""
+    """Return a 32-bit field; 0 if the system's structure is too short to contain it."""
     if len(info) < offset + 4:
         return 0
     return struct.unpack_from("I", info, offset)[0]
 
 
 def silent(sock: socket.socket) -> bool:
-    """Whether a connection is up with nothing to read, as an idle one must be."""
+    """Whether a connection is open with nothing to read, as an idle one must be."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
--- a/gaugehinge/net/timer_queue.py
+++ b/gaugehinge/net/timer_queue.py
@@ -1,6 +1,6 @@
 """Timers of one router in one heap: timeouts of attempts, waits, deadlines, periodic tasks.
 
-The queue also measures the lag of the event loop: how late it gets to what is due.
+The queue also measures the lag of the event loop: how late it runs timers that are due.
 """
 
 from __future__ import annotations
@@ -16,57 +16,60 @@
 import trio
 from loguru import logger
 
-LAG_SAMPLE_INTERVAL = 0.05  # seconds between two measures of the lag, also with nothing due
-MIN_LATENESS = 0.02  # seconds; with less the loop counts as punctual
-LAG_DECAY = 0.99  # for each sample: a long lag is remembered for some seconds
-MAX_LAG = 0.6  # seconds; a longer stall is no measure of the next one
+LAG_SAMPLE_INTERVAL = 0.05  # seconds between two samples of the lag, taken even if no timer is due
+MIN_LATENESS = 0.02  # seconds; a loop that is less late counts as punctual
+LAG_DECAY = 0.99  # factor per sample; a long lag is remembered for some seconds
+MAX_LAG = 0.6  # seconds; a longer stall does not predict the next one
 MIN_CANCELLED_TO_COMPACT = 64  # with fewer cancelled timers the heap is not worth compacting
 
 
 class Clock:
-    """Unix time, read once at the start and monotonic from there.
+    """Unix time, read once at the start and advanced by the monotonic clock.
 
-    Times can be compared with those of other processes, such as a server's `boot_ms`, and steps of the
-    system's clock are not felt.
+    Times can be compared with those of other processes, such as a server's `boot_ms`; later steps of the
+    system's clock have no effect.
     """
 
     def __init__(self) -> None:
-        """Start from the system's clock."""
+        """Take the current time of the system's clock as the base."""
         self._base = time.time() - time.monotonic()
 
     def __call__(self) -> float:
-        """The time in seconds."""
+        """Return the time in seconds."""
         return self._base + time.monotonic()
 
 
 @dataclass(slots=True, eq=False)
 class Timer:
-    """A call at some time."""
+    """One scheduled call."""
 
-    action: Callable[..., Any] | None  # None: it was called or cancelled
+    action: Callable[..., Any] | None  # None once called or cancelled
     args: tuple[Any, ...]
 
 
 class TimerQueue:
-    """A heap of timers. A timer leaves it when due, or once half of the heap is cancelled ones."""
+    """A heap of timers.
+
+    A timer is removed when it is due. Cancelled timers are removed once they are more than half of the heap.
+    """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         """`clock` gives the time in seconds."""
         self.clock = clock
-        self.current_lag = 0.0  # seconds, by the last sample
-        self.lag = 0.0  # seconds, the longest of late, decaying
+        self.current_lag = 0.0  # seconds, at the last sample
+        self.lag = 0.0  # seconds, the longest recent lag, decaying
         self._heap: list[tuple[float, int, Timer]] = []
-        self._counter = 0  # keeps timers of the same time in order
-        self._cancelled = 0  # timers of the heap
-        self._next_sample_at = inf  # by the clock
+        self._counter = 0  # keeps timers for the same time in the order of their creation
+        self._cancelled = 0  # number of cancelled timers in the heap
+        self._next_sample_at = inf  # a time of the clock
         self._earlier_timer = trio.Event()
 
     def __len__(self) -> int:
-        """How many timers the heap holds, cancelled ones among them."""
+        """Count the timers in the heap, including cancelled ones."""
         return len(self._heap)
 
     def call_at(self, when: float, action: Callable[..., Any], *args: Any) -> Timer:
-        """Call `action` at a time by the clock, at the earliest in the next turn of `run`."""
+        """Call `action` at a time of the clock, at the earliest in the next iteration of `run`."""
         timer = Timer(action, args)
         self._counter += 1
         if not self._heap or when < self._heap[0][0]:
@@ -76,7 +79,7 @@
 
     @contextmanager
     def timeout_scope(self, wait: float) -> Iterator[trio.CancelScope]:
-        """A scope that is cancelled after `wait` seconds."""
+        """Open a scope that is cancelled after `wait` seconds."""
         with trio.CancelScope() as scope:
             timer = self.call_at(self.clock() + wait, scope.cancel) if wait < inf else None
             try:
@@ -88,7 +91,7 @@
     def cancel(self, timer: Timer) -> None:
         """Cancel a timer, if it was not called yet.
 
-        Most timeouts never fall due. Left in the heap, cancelled ones would outnumber the others.
+        Most timeouts are cancelled before they are due. Left in the heap, they would outnumber the others.
         """
         if timer.action is None:
             return
@@ -100,11 +103,11 @@
             self._cancelled = 0
 
     def lateness(self, now: float) -> float:
-        """Seconds by which the loop is late, or was at the last sample."""
+        """Return by how many seconds the loop is late or was at the last sample, whichever is more."""
         return max(self.current_lag, now - self._next_sample_at)
 
     def punctual_at(self, now: float) -> float:
-        """The last time at which the loop is known to have been punctual."""
+        """Return the last time at which the loop is known to have been punctual."""
         lateness = self.lateness(now)
         return now if lateness < MIN_LATENESS else now - lateness - LAG_SAMPLE_INTERVAL
 
@@ -133,5 +136,5 @@
             timer.action, timer.args = None, ()
             try:
                 action(*args)
-            except Exception:  # a callback that fails must not take the other timers with it
-                logger.exception("a timer's callback failed")
+            except Exception:  # a failing callback must not stop the other timers
+                logger.exception("timer callback failed")
