--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -1,4 +1,4 @@
-"""Signals that reach a router while it starts, and in its last milliseconds."""
+"""Signals that reach a router while it starts and just before its process exits."""
 
 import os
 import signal
@@ -15,7 +15,7 @@
 from tests.children import run
 from tests.helper import fleet
 
-# Sends the signal as the router imports a package, whichever comes first.
+# Sends SIGHUP when the router imports the first of these packages.
 PROGRAM_WITH_SIGHUP_ON_IMPORT = """
 import os, runpy, signal, sys
 
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("configuration", ["", "{}"], ids=["not JSON", "no field"])
 def test_a_sighup_while_the_router_imports_its_packages_does_not_end_it(tmp_path, configuration):
-    """It goes on to read its configuration, and says what is wrong with that."""
+    """The router goes on to read its configuration and reports what is wrong with it."""
     path = tmp_path / "config.json"
     path.write_text(configuration)
     ended = run("-c", PROGRAM_WITH_SIGHUP_ON_IMPORT, env={**os.environ, "LB_CONFIG": str(path)})
@@ -46,7 +46,7 @@
 
 
 def test_a_sighup_before_the_interpreter_imports_the_router_does_not_end_it(tmp_path):
-    """As the deploy file starts it; the interpreter imports `sitecustomize` before anything of the router."""
+    """Runs the deploy file's command; `sitecustomize` is imported before any module of the router."""
     (tmp_path / "sitecustomize.py").write_text(SIGHUP_AT_START)
     command = tomllib.loads(DEPLOY_FILE.read_text())["run"].replace(".venv/bin/python", sys.executable)
     path = tmp_path / "config.json"
@@ -59,7 +59,7 @@
     assert ended.stderr.startswith(b"bad configuration: ")
 
 
-# Sends the signal as the interpreter clears its modules: the handlers are reset by then.
+# Sends the signal while the interpreter clears its modules, when it has already reset the handlers.
 PROGRAM_WITH_SIGNAL_AT_EXIT = """
 import os, runpy, signal, sys
 
@@ -83,15 +83,15 @@
 
 
 class SignalAsTheReceiverCloses:
-    """A shutdown hook that ends in the step in which its signal wakes the one who waits for signals."""
+    """A shutdown hook that ends in the scheduler step in which its signal wakes the task reading signals."""
 
     def __init__(self, number: int) -> None:
         self.number = number
 
     async def before_exit(self) -> None:
-        os.kill(os.getpid(), self.number)  # trio hands it on in its next step,
+        os.kill(os.getpid(), self.number)  # trio delivers it in its next step,
         delivered = trio.Event()
-        trio.lowlevel.current_trio_token().run_sync_soon(delivered.set)  # and this behind it
+        trio.lowlevel.current_trio_token().run_sync_soon(delivered.set)  # and runs this after it
         await delivered.wait()
 
 
@@ -99,7 +99,7 @@
 def test_a_signal_while_the_receiver_closes_does_not_end_the_router_with_an_error(
     tmp_path, monkeypatch, number
 ):
-    """Which of the two woken tasks runs first is trio's choice by chance: ten times, either comes."""
+    """trio picks at random which of the two woken tasks runs first; ten repeats cover both orders."""
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_GRACE", 0.0)
 
     async def shut_down_router(path):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""A router's hand-over to its next process, and servers that drain, end and start anew, on real sockets."""
+"""A router's handover to its next process, and servers that drain, end and restart, on real sockets."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 LONG_ABANDON_SETTINGS = {
     **SETTINGS,
     "trafficTypes": LONG_ABANDON_TRAFFIC,
-}  # a router that leaves has some time between its phases
+}  # a router that shuts down spends some time in each phase
 PUSHED_SETTINGS = {**SETTINGS, "discovery": "pushed"}
 DIRECT_WRITE_SETTINGS = {**SETTINGS, "domain": {"mode": "", "originKind": 1}}  # writes go to servers
 
 
 async def wait_until(condition, wait: float = 15.0) -> None:
-    """Until something holds that no event tells."""
+    """Poll until a condition holds for which there is no event."""
     with trio.fail_after(wait):
         while not condition():
             await trio.sleep(0.002)
 
 
 class DiscoveryStub:
-    """A discovery that answers a call when told to, and not before."""
+    """A discovery service that answers a call only when the test publishes a list."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -77,12 +77,12 @@
 
 
 class RouterProcess:
-    """One process of a router, as a service of its own in this one."""
+    """Stands for one router process: a service of its own within the test process."""
 
     def __init__(self, service: Service) -> None:
         self.service, self.scope, self.ended = service, trio.CancelScope(), trio.Event()
         self.error: Exception | None = None
-        self.heard: list[int] = []  # revisions of the lists that it took
+        self.heard: list[int] = []  # revisions of the lists that it applied
         take = service.on_endpoint_list
 
         def hear(update) -> None:
@@ -103,13 +103,13 @@
         return Client(await trio.open_tcp_stream(*self.service.configuration.listen))
 
     def server(self, uid: str):
-        """What the decisions know of a server, None where it is not in the list."""
+        """Return the decision core's state of a server, None if it is not in the list."""
         ident = next((p.ident for p in self.service.pool.endpoints.values() if p.uid == uid), None)
         return self.service.dispatcher.router.endpoints.get(ident)
 
 
 class Environment:
-    """Servers, discovery and the processes of a router."""
+    """The servers, the discovery service and the processes of one router."""
 
     def __init__(self, nursery, path, caches, origin) -> None:
         self.nursery, self.path, self.caches, self.origin = nursery, path, caches, origin
@@ -118,7 +118,7 @@
         self.config: dict = {}
 
     async def start_server(self, handler, receive_buffer: int = 0) -> str:
-        """A server of connections, with little room for what it does not read where that is given."""
+        """Start a server and return its address. `receive_buffer`: its size in bytes; 0: the default."""
         listeners = await self.nursery.start(partial(trio.serve_tcp, handler, 0, host="127.0.0.1"))
         if receive_buffer:
             listeners[0].socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -128,7 +128,7 @@
         return {**self.targets[number], **changes}
 
     def list_with(self, number: int, **changes) -> list[dict]:
-        """The whole list with one server changed."""
+        """Return the whole list with one server changed."""
         return [self.entry(i, **changes) if i == number else each for i, each in enumerate(self.targets)]
 
     async def start(self, **changes) -> RouterProcess:
@@ -198,7 +198,7 @@
 
 
 async def shutting_down_router(made: Environment, **changes) -> tuple[RouterProcess, Client]:
-    """A process that was told to end, has shut its listener, and has a request in hand."""
+    """Return a process after SIGTERM, its listener closed, and the client of its request in flight."""
     made.caches[0].mode = made.caches[1].mode = "stall"
     old = await made.start(**changes)
     client = await old.client()
@@ -220,10 +220,10 @@
             new = await made.start()
             assert new.error is None and new.service.lifecycle.phase is Phase.READY
             other = await new.client()
-            # The id that the old one has in hand is free here; what it counted is not known here.
+            # The id in flight at the old process is free here; the old process's counts are not known here.
             assert (await other.get("k0", ident="held-1")).startswith(b"$")
             assert not old.ended.is_set() and len(old.service.dispatcher.pending_operations) == 1
-            assert (await client.answer()).startswith((b"$", b"-"))  # one final answer of the old one's
+            assert (await client.answer()).startswith((b"$", b"-"))  # one final answer from the old process
             assert await client.answer() is None
             await old.ended.wait()
             assert (await other.get("k1")).startswith(b"$") and new.service.dispatcher.router.endpoints
@@ -250,7 +250,7 @@
 
 
 def test_the_new_process_accepts_gossip_from_configured_peers_only(tmp_path):
-    """What a peer tells is a whole table of this deployment's tenants, or nothing."""
+    """A gossip message holds the whole table of this deployment's tenants, or is ignored."""
 
     async def scenario():
         async with environment(tmp_path) as made:
@@ -264,12 +264,12 @@
                 told = {"peer_listen": own, "peers": [own, f"127.0.0.1:{peer.getsockname()[1]}"]}
                 old = await made.start(**told)
                 where = old.service.configuration.peer_listen
-                # They stand in the old one's socket when it ends, unread: nobody is told of them.
+                # This message is unread in the old process's socket when it ends, and is lost.
                 old.scope.cancel()
                 stamp = old.service.gossip.stamp
                 peer.sendto(stamp + struct.pack("<f", 77.0), where)
                 await old.ended.wait()
-                shut(old.service.gossip.sock)  # as the end of its process would
+                shut(old.service.gossip.sock)  # as the exit of its process would
                 shut(old.service.listening)
                 new = await made.start(**told)
                 assert new.error is None, new.error
@@ -287,7 +287,7 @@
                 for payload in bad:
                     peer.sendto(stamp + payload, where)
                 stranger.sendto(stamp + struct.pack("<f", 5.0), where)
-                peer.sendto(stamp + struct.pack("<f", 9.0), where)  # behind the others, in order
+                peer.sendto(stamp + struct.pack("<f", 9.0), where)  # arrives after the others
                 await wait_until(lambda: router.gossip.peers)
                 assert {number: rates for number, (_, rates) in router.gossip.peers.items()} == {1: (9.0,)}
                 assert (await (await new.client()).get("k0")).startswith(b"$")
@@ -296,7 +296,7 @@
 
 
 def test_gossip_of_a_peer_with_another_tenant_order_is_ignored(tmp_path):
-    """The tenants' order differs, their count does not: one's rate must not count as the other's."""
+    """The order of the tenants differs, their number does not: no rate may count for the other tenant."""
 
     def of(names) -> dict:
         parties = [{"name": name, "share": 0.5, "allowancePerS": 50.0} for name in names]
@@ -325,14 +325,14 @@
                 await client.get(f"k{len(told)}", labels="c=read,t=acme,d=900")
                 heard += [rates for _, rates in new.service.dispatcher.router.gossip.peers.values()]
             used = dispatcher.router.quotas.usage
-            assert used[0] == 0.0 and used[1] > 1.0  # nothing of bolt's ever came
-            assert not any(rates[1] for rates in heard), heard[-1]  # and bolt is second here
+            assert used[0] == 0.0 and used[1] > 1.0  # no operation of tenant bolt arrived
+            assert not any(rates[1] for rates in heard), heard[-1]  # and bolt is the second tenant here
 
     run_scenario(scenario)
 
 
 def test_two_processes_that_write_one_snapshot_file_leave_it_whole(tmp_path, monkeypatch):
-    """The old process and the new one of a hosted router write the same file; one is amid it when both do."""
+    """The old and the new process of a hosted router write the same file at the same time."""
     old, new = (FeedSnapshot(str(tmp_path / "tenants.json")) for _ in range(2))
     rows = [TenantRow(f"t{n}", n + 1, n, "active", 1.0, 1.0) for n in range(200)]
     feeds = {"old": Feed("s", 5, True, rows, []), "new": Feed("s", 6, True, rows[:100], [])}
@@ -354,7 +354,7 @@
     def save(snapshot: FeedSnapshot, feed: Feed) -> None:
         try:
             snapshot.save(feed)
-        except OSError as bad:  # the router goes on by it, with a line in its log
+        except OSError as bad:  # the router logs it and continues
             errors.append(bad)
 
     monkeypatch.setattr(os, "open", open_)
@@ -370,7 +370,7 @@
     assert new.load() in feeds.values()
 
 
-# -- the list that was kept
+# -- the cached list
 
 
 @pytest.mark.parametrize("state", ["draining", "gone", "anew"])
@@ -382,7 +382,9 @@
                 "/discovery/hosts?index=1&wait=500"
             ]
             client = await new.client()
-            assert answered(await reads(client)) and all(made.command_counts())  # both, by the list kept
+            assert answered(await reads(client)) and all(
+                made.command_counts()
+            )  # both servers, by the cached list
             changes = {"boot_ms": time.time() * 1000} if state == "anew" else {"state": state}
             made.discovery.publish(2, [made.entry(0, **changes)], whole=False)
             await wait_until(lambda: new.heard == [2])
@@ -392,7 +394,7 @@
             assert after[1] > before[1]
             if state == "anew":
                 assert new.server("s-0").warm_up_share < 0.01  # cold,
-                assert after[0] - before[0] <= 1  # and what goes there is by its budget
+                assert after[0] - before[0] <= 1  # and gets attempts within its warm-up budget only
                 fresh = after[0] - before[0]
                 await wait_until(lambda: made.caches[0].ended == made.caches[0].connections - fresh)
             else:
@@ -409,7 +411,7 @@
             new = await made.start(known=known)
             assert answered(await reads(await new.client()))
             assert made.command_counts()[0] == 0 and made.command_counts()[1] > 0
-            # Discovery has it ready, later: it is used from then on.
+            # Once discovery lists it as ready, it is used.
             made.discovery.publish(8, made.targets)
             await wait_until(lambda: new.heard == [8])
             assert answered(await reads(await new.client(), first=100)) and made.command_counts()[0] > 0
@@ -459,7 +461,7 @@
             client = await new.client()
             assert await client.ask("PING") == b"-ERR starting\r\n"
             assert (await client.get("k0")).startswith(b"-BUSY") and sum(made.command_counts()) == 0
-            # One that could not be read is no ground for changes only: the whole is asked for.
+            # An unreadable list is no base for incremental changes: the whole list is requested.
             asked = "/discovery/hosts" + ("?index=3&wait=500" if known == "empty" else "")
             assert made.discovery.calls == [asked]
             made.discovery.publish(4, made.targets)
@@ -484,7 +486,7 @@
             await wait_until(lambda: new.heard == [5])
             due, passed = new.service.clock() + 0.2, trio.Event()
             new.service.timers.call_at(due, passed.set)
-            await passed.wait()  # by now the list kept would have been taken
+            await passed.wait()  # by now the cached list would have been used
             assert (
                 answered(await reads(client))
                 and made.command_counts()[0] == 0
@@ -504,7 +506,7 @@
             await wait_until(lambda: new.service.lifecycle.phase is Phase.READY)
             client = await new.client()
             assert answered(await reads(client)) and all(made.command_counts())
-            made.discovery.publish(0, made.list_with(0, state=state))  # it counts its versions anew
+            made.discovery.publish(0, made.list_with(0, state=state))  # it starts its versions again from 0
             await wait_until(lambda: new.heard == [0])
             before = made.command_counts()
             assert answered(await reads(client, first=100))
@@ -513,11 +515,11 @@
     run_scenario(scenario)
 
 
-# -- a server that drains, ends, starts anew or moves
+# -- a server that drains, ends, restarts or moves
 
 
 async def change(made: Environment, new: RouterProcess, number: int, how: str, rev: int = 2) -> None:
-    """Tell a change of one server and wait until it was heard."""
+    """Publish a change of one server and wait until the router has applied it."""
     changes = {
         "draining": {"state": "draining"},
         "gone": {"state": "gone"},
@@ -529,7 +531,7 @@
 
 
 async def key_served_by(made: Environment, client: Client, number: int) -> str:
-    """A key that is served by one of the servers."""
+    """Find a key that the given server serves."""
     for n in range(200):
         before = made.command_counts()[number]
         assert (await client.get(f"home{n}")).startswith(b"$")
@@ -563,7 +565,7 @@
             await client.send("KV.GET", key, "slow-1", "c=read,t=acme,d=4000")
             await wait_until(lambda: len(held) == 2)
             await change(made, new, 0, how)
-            held[0] = -1  # further connections come up as they do
+            held[0] = -1  # further connections are not delayed
             released.set()
             reply = await client.answer()
             assert reply.startswith((b"$", b"-BUSY")), reply
@@ -574,7 +576,7 @@
 
 
 class SlowReader:
-    """A server that reads only when told to, from connections with little room."""
+    """A server that reads only once released, over connections with a small receive buffer."""
 
     receive_buffer = 2048
 
@@ -627,7 +629,7 @@
             await wait_until(lambda: slow.connections == 1)
             [pending] = pool.pending.values()
             connection_in_use = pending.connection
-            # Half is out: the rest waits for room.
+            # A part is written: the rest waits until the socket is writable.
             await trio.testing.wait_all_tasks_blocked()
             assert connection_in_use.request_sent is False and pending in pool.pending.values()
             await change(made, new, 0, how)
@@ -640,8 +642,8 @@
             if reply.startswith(b"$"):
                 assert len(whole) == 1
             if reply.startswith(b"-BUSY"):
-                assert not whole  # a client may try again
-            # Nothing further goes to that process: neither on this connection nor on a new one.
+                assert not whole  # rejected: a client may retry
+            # Nothing more is sent to that process, on this connection or a new one.
             count = len(slow.commands)
             again = await client.ask("KV.SET", "k2", "small-1", f"c={kind},t=acme,d=900", b"v")
             if how != "anew":
@@ -682,7 +684,7 @@
     run_scenario(scenario)
 
 
-# -- an older list behind a newer one
+# -- an older list after a newer one
 
 
 @pytest.mark.parametrize("whole", [True, False])
@@ -693,11 +695,11 @@
             new = await made.start()
             made.discovery.publish(9, made.list_with(0, state=state))
             await wait_until(lambda: new.heard == [9])
-            # The same discovery, a copy of it that is behind.
+            # From the same discovery service, by a replica that lags behind.
             made.discovery.publish(5, made.targets if whole else [made.targets[0]], whole)
             await wait_until(
                 lambda: len(made.discovery.calls) == 3
-            )  # it has been read: the next call is made
+            )  # the list has been read, since the next call was made
             assert answered(await reads(await new.client()))
             assert made.command_counts()[0] == 0 and made.command_counts()[1] > 0, made.command_counts()
 
@@ -706,7 +708,7 @@
 
 @pytest.mark.parametrize("when", ["before", "with", "behind"])
 def test_a_list_of_the_former_discovery_does_not_replace_that_of_the_new_one(tmp_path, when):
-    """The old watch is answered before the order is read, in the same step, or behind the new list."""
+    """The old watch is answered before the reload, in the same scheduler step, or after the new list."""
 
     async def scenario():
         async with environment(tmp_path) as made:
@@ -721,7 +723,7 @@
                 old.publish(99, made.targets)
                 await wait_until(lambda: new.heard == [99])
             if when == "with":
-                old.streams[0].socket._sock.send(late)  # on its way, unread, when the order comes
+                old.streams[0].socket._sock.send(late)  # sent but unread when the reload happens
                 new.service.reload()
             else:
                 signal.raise_signal(signal.SIGHUP)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""A real router between stand-ins on loopback, which close, stall, reset and talk nonsense at each stage."""
+"""A real router between fake servers on loopback that close, stall, reset or send garbage at each stage."""
 
 import gc
 import json
@@ -69,7 +69,7 @@
             assert await client.put("cd") == b"$7\r\nfetched\r\n"
             get, put = made.origin.seen
             assert get[:2] == ("GET", "/k%2F7") and get[2]["x-txn"] == "ab"
-            label, _, left = get[2]["x-labels"].rpartition("=")  # what is left, not what the client told
+            label, _, left = get[2]["x-labels"].rpartition("=")  # the remaining time, not the client's value
             assert label == "c=read,d" and 0 < int(left) < 4000
             assert put[:2] == ("PUT", "/k1") and put[3] == b"new value" and len(made.caches[0].commands) == 1
 
@@ -140,7 +140,7 @@
 
             class Late:
                 def start_soon(self, task, *given):
-                    server.close(given[0])  # before the task that writes the rest runs
+                    server.close(given[0])  # before the task that writes the rest has run
                     nursery.start_soon(task, *given)
 
             server, writer = made.service.clients, made.service.clients.reply_writer
@@ -313,7 +313,7 @@
 
             def crossed(raw, data):
                 sent = send(raw, data)
-                client.stream.socket._sock.send(b"*1\r\n$4\r\nPING\r\n")  # in the very moment
+                client.stream.socket._sock.send(b"*1\r\n$4\r\nPING\r\n")  # crosses the reply
                 return sent
 
             monkeypatch.setattr(reply_writer, "send_some", crossed)
@@ -353,7 +353,7 @@
                 assert await client.get(f"k{n}") == b"$5\r\nof k%d\r\n" % n
             endpoint = made.service.dispatcher.pool.endpoints[cache_ident(made)]
             while endpoint.idle:
-                await trio.sleep(0.01)  # noticed also while a connection rests
+                await trio.sleep(0.01)  # also noticed while reuse of a connection is delayed
 
     run(scenario)
 
@@ -421,7 +421,7 @@
             size = 64 << 20 if slow == "server" else 1
             payload = RequestPayload(b"i", b"k", (b"d=", b""), b"d=1", b"x" * size, b"", None)
             made.send(answer.attempt, payload, 5.0, RespCodec())
-            if slow == "server":  # its time is over once a part was written
+            if slow == "server":  # its deadline passes when a part is written
                 connection = made.pending[answer.attempt].connection
                 while not connection.is_up:
                     await trio.sleep(0.01)
@@ -470,7 +470,7 @@
                 await trio.sleep(0.01)
             assert await second.get("k2", "same") == b"-ERR id in use\r\n"
             assert await first.answer() == b"$5\r\nof k1\r\n"
-            assert await second.get("k2", "same") == b"-ERR id in use\r\n"  # its answer may have crossed
+            assert await second.get("k2", "same") == b"-ERR id in use\r\n"  # answer may have crossed
             assert len(made.caches[0].commands) == 1 and await second.get("k2", "new") == b"$5\r\nof k2\r\n"
             await first.send("KV.GET", "k1", "left", "c=read,d=4000")
             while b"left" not in ids.open:
@@ -482,7 +482,7 @@
             for _ in range(2):
                 await second.get("k3")
                 ids.next_rotation = 0.0
-            assert len(ids.closed | ids.closed_before) <= 2  # nothing grows with ids
+            assert len(ids.closed | ids.closed_before) <= 2  # memory does not grow with the number of ids
 
     run(scenario)
 
@@ -541,7 +541,7 @@
 @both
 def test_after_sigterm_requests_in_flight_and_on_new_connections_are_answered(tmp_path):
     async def scenario():
-        # Two: one alone that holds an attempt and has answered none is full, 0.09 s behind that attempt.
+        # Two caches: a single one with an attempt in flight and none answered is full 0.09 s after it.
         caches = [Cache(lambda c: "late" if c[1] == b"k1" else "hit") for _ in range(2)]
         async with fleet(tmp_path, caches) as made:
             busy, idle = await made.client(), await made.client()
@@ -571,7 +571,7 @@
             while made.service.lifecycle.phase is not Phase.LEAVING:
                 await trio.sleep(0.01)
             began = trio.current_time()
-            for _ in range(3):  # on the connection that it has
+            for _ in range(3):  # on its open connection
                 assert await steady.get("k2") == b"$5\r\nof k2\r\n"
             assert made.service.lifecycle.phase is Phase.LEAVING
             assert await hung.answer() == b"-ERR failed\r\n" and await hung.answer() is None
@@ -625,7 +625,7 @@
                 await trio.sleep(0.01)
             right = server.clock
             for part in (server.idle_reaper, server.registry, server.reply_writer):
-                part.clock = lambda: right() + 60.0  # no step of the loop in between
+                part.clock = lambda: right() + 60.0  # the loop does not run in between
             server.idle_reaper.sweep()
             assert len(server.connections) == 2 and not any(each.draining for each in server.connections)
             assert await idle.ask("PING") == b"+PONG\r\n"
@@ -637,7 +637,7 @@
 
 
 def test_clients_over_the_connection_limit_are_rejected_and_all_are_answered(tmp_path, monkeypatch):
-    # A busy machine takes longer to connect them all.
+    # A busy machine takes longer than the usual timeouts to connect all clients.
     monkeypatch.setattr(connection_registry, "NEW_CONNECTION_GRACE", 60.0)
     monkeypatch.setattr(idle_reaper, "IDLE_TIMEOUT", 60.0)
 
@@ -651,14 +651,14 @@
             assert any(a.startswith(b"$") for a in answers) and any(a.startswith(b"-BUSY") for a in answers)
             assert made.service.dispatcher.pool.open_connections <= 25
             crowd = [await made.client() for _ in range(40)]
-            for client in crowd[::-1]:  # commands that come while an earlier BUSY is written
+            for client in crowd[::-1]:  # commands that arrive while an earlier BUSY is written
                 for n in range(3):
                     await client.send("KV.GET", "k1", f"{id(client)}-{n}", "c=read,d=8000")
             for client in crowd:
                 got = [await client.answer() for _ in range(3)]
                 assert all(a is not None and a.startswith((b"$", b"-BUSY")) for a in got)
                 await client.stream.aclose()
-            fresh = await made.client()  # idle ones make room
+            fresh = await made.client()  # idle connections are closed to make room
             assert (await fresh.get("k0", "again")).startswith((b"$", b"-BUSY"))
 
     run(scenario)
@@ -698,7 +698,7 @@
     async def scenario():
         async with fleet(tmp_path, [Cache(lambda c: "late" if c[1] == b"k1" else "hit")]) as made:
             client = await made.client()
-            if said is None:  # one that was served and stays; while an answer is open nothing ends
+            if said is None:  # served, then idle; it is not closed while a reply is pending
                 assert await client.get("k1") == b"$5\r\nof k1\r\n"
             else:
                 await client.stream.send_all(said)
@@ -784,7 +784,7 @@
                 await other.stream.aclose()
             while len(registry.connections) > 1:
                 await trio.sleep(0.002)
-            registry.idle_grace = 0.0  # the look at which it is closed is due now
+            registry.idle_grace = 0.0  # the recheck that would close it is due now
             registry._recheck_over_limit(over)
             assert await client.get() == b"$5\r\nof k1\r\n"
 
@@ -793,7 +793,7 @@
 
 @both
 def test_a_client_just_answered_may_continue_on_a_connection_over_the_limit(tmp_path, monkeypatch):
-    # A busy machine takes longer to connect them all.
+    # A busy machine takes longer than the usual timeouts to connect all clients.
     monkeypatch.setattr(connection_registry, "NEW_CONNECTION_GRACE", 60.0)
     monkeypatch.setattr(idle_reaper, "IDLE_TIMEOUT", 60.0)
 
@@ -840,7 +840,7 @@
                     await trio.sleep(0.01)
                 os.kill(os.getpid(), signal.SIGTERM)
                 await made.ended.wait()
-            # Beside them those that a machine short of CPU made the door bounce: these were never taken.
+            # Also answered: requests rejected for want of CPU, which were never submitted.
             assert len(taken) == len(set(taken)) and set(taken) <= set(answered)
             assert len(answered) == len(set(answered))
 
@@ -886,7 +886,7 @@
                 await trio.sleep(0.01)
             assert calls[0].endswith("?index=1&wait=500") and calls[2] == "/discovery/hosts"
             assert calls[3].startswith("/discovery/hosts?index=7&")
-            before, client = len(made.caches[0].commands), await made.client()  # that one stood idle
+            before, client = len(made.caches[0].commands), await made.client()  # the first one was idle
             for n in range(8):
                 assert (await client.get(f"k{n}", f"j{n}")).startswith(b"$")
             assert len(made.caches[0].commands) == before and len(made.service.dispatcher.pool.endpoints) == 2
@@ -903,14 +903,14 @@
             router = made.service.dispatcher.router
             udp = socket.SOCK_DGRAM
             with socket.socket(type=udp) as stranger, socket.socket(type=udp) as friend:
-                friend.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # beside its reservation
+                friend.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # port is reserved
                 friend.bind(("127.0.0.1", peer))
                 stamp = made.service.gossip.stamp
                 stranger.sendto(stamp + struct.pack("<f", 3.0), ("127.0.0.1", own))
                 for payload in (b"x" * 300, b"x", struct.pack("<f", float("nan")), struct.pack("<f", -1.0)):
                     friend.sendto(stamp + payload, ("127.0.0.1", own))
-                friend.sendto(struct.pack("<f", 4.0), ("127.0.0.1", own))  # with no stamp,
-                friend.sendto(b"else" + struct.pack("<f", 4.0), ("127.0.0.1", own))  # or that of others
+                friend.sendto(struct.pack("<f", 4.0), ("127.0.0.1", own))  # without a stamp,
+                friend.sendto(b"else" + struct.pack("<f", 4.0), ("127.0.0.1", own))  # or a foreign one
                 friend.sendto(stamp + struct.pack("<f", 5.0), ("127.0.0.1", own))
                 while not router.gossip.peers:
                     await trio.sleep(0.01)
@@ -1014,7 +1014,9 @@
                 calls.append(target)
                 if target.startswith("/discovery/hosts?index=0&"):
                     return "stall"
-                whole = "index" not in target  # it counts anew, and tells a router that knows more so
+                whole = (
+                    "index" not in target
+                )  # its versions restart at 0, which it tells a router with a newer one
                 told = {"rev": 0, "all": whole, "targets": made.targets[1:] if whole else []}
                 return 200, "", json.dumps(told).encode()
 
@@ -1035,7 +1037,7 @@
                 assert calls or len(endpoints) == before
                 while not calls or not calls[-1].startswith("/discovery/hosts?index=0&"):
                     await trio.sleep(0.01)
-                if before == 3:  # known by version 1: asked by that, then for the whole list
+                if before == 3:  # the router has version 1: it asks from there, then for the whole list
                     assert calls[0].startswith("/discovery/hosts?index=1&") and calls[1] == "/discovery/hosts"
                 assert len(endpoints) == 2
             await hang_up(json.dumps({**config, "limits": {"sockets": 100}}))
