--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -71,8 +71,8 @@
         self.send.send_nowait({"rev": rev, "all": whole, "targets": targets})
 
 
-def answer(told) -> bytes:
-    body = json.dumps(told).encode()
+def answer(update) -> bytes:
+    body = json.dumps(update).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
@@ -82,14 +82,14 @@
     def __init__(self, service: Service) -> None:
         self.service, self.scope, self.ended = service, trio.CancelScope(), trio.Event()
         self.error: Exception | None = None
-        self.heard: list[int] = []  # revisions of the lists that it applied
-        take = service.on_endpoint_list
+        self.applied_revisions: list[int] = []  # revisions of the lists that it applied
+        apply = service.on_endpoint_list
 
-        def hear(update) -> None:
-            take(update)
-            self.heard.append(update.rev)
+        def apply_and_record(update) -> None:
+            apply(update)
+            self.applied_revisions.append(update.rev)
 
-        service.on_endpoint_list = hear
+        service.on_endpoint_list = apply_and_record
 
     async def run(self) -> None:
         try:
@@ -135,8 +135,8 @@
         config = {**self.config, **changes}
         path = self.path / "config.json"
         path.write_text(json.dumps({name: each for name, each in config.items() if each != "absent"}))
-        again = partial(read_configuration, {"LB_CONFIG": str(path)})
-        made = RouterProcess(Service(again(), again))
+        reread = partial(read_configuration, {"LB_CONFIG": str(path)})
+        made = RouterProcess(Service(reread(), reread))
         self.nursery.start_soon(made.run)
         await trio.testing.wait_all_tasks_blocked()
         return made
@@ -387,7 +387,7 @@
             )  # both servers, by the cached list
             changes = {"boot_ms": time.time() * 1000} if state == "anew" else {"state": state}
             made.discovery.publish(2, [made.entry(0, **changes)], whole=False)
-            await wait_until(lambda: new.heard == [2])
+            await wait_until(lambda: new.applied_revisions == [2])
             before = made.command_counts()
             assert answered(await reads(client, first=100))
             after = made.command_counts()
@@ -413,7 +413,7 @@
             assert made.command_counts()[0] == 0 and made.command_counts()[1] > 0
             # Once discovery lists it as ready, it is used.
             made.discovery.publish(8, made.targets)
-            await wait_until(lambda: new.heard == [8])
+            await wait_until(lambda: new.applied_revisions == [8])
             assert answered(await reads(await new.client(), first=100)) and made.command_counts()[0] > 0
 
     run_scenario(scenario)
@@ -465,7 +465,7 @@
             asked = "/discovery/hosts" + ("?index=3&wait=500" if known == "empty" else "")
             assert made.discovery.calls == [asked]
             made.discovery.publish(4, made.targets)
-            await wait_until(lambda: new.heard == [4])
+            await wait_until(lambda: new.applied_revisions == [4])
             assert await client.ask("PING") == b"+PONG\r\n"
             assert (await client.get("k0")).startswith(b"$") and sum(made.command_counts()) == 1
 
@@ -483,7 +483,7 @@
             assert new.service.lifecycle.phase is Phase.STARTING
             assert (await client.get("k0")).startswith(b"-BUSY") and sum(made.command_counts()) == 0
             made.discovery.publish(5, made.list_with(0, state="draining"))
-            await wait_until(lambda: new.heard == [5])
+            await wait_until(lambda: new.applied_revisions == [5])
             due, passed = new.service.clock() + 0.2, trio.Event()
             new.service.timers.call_at(due, passed.set)
             await passed.wait()  # by now the cached list would have been used
@@ -507,7 +507,7 @@
             client = await new.client()
             assert answered(await reads(client)) and all(made.command_counts())
             made.discovery.publish(0, made.list_with(0, state=state))  # it starts its versions again from 0
-            await wait_until(lambda: new.heard == [0])
+            await wait_until(lambda: new.applied_revisions == [0])
             before = made.command_counts()
             assert answered(await reads(client, first=100))
             assert made.command_counts()[0] == before[0] and made.command_counts()[1] > before[1]
@@ -527,7 +527,7 @@
         "moved": {"endpoint": made.targets[1 - number]["endpoint"]},
     }[how]
     made.discovery.publish(rev, [made.entry(number, **changes)], whole=False)
-    await wait_until(lambda: rev in new.heard)
+    await wait_until(lambda: rev in new.applied_revisions)
 
 
 async def key_served_by(made: Environment, client: Client, number: int) -> str:
@@ -694,7 +694,7 @@
         async with environment(tmp_path) as made:
             new = await made.start()
             made.discovery.publish(9, made.list_with(0, state=state))
-            await wait_until(lambda: new.heard == [9])
+            await wait_until(lambda: new.applied_revisions == [9])
             # From the same discovery service, by a replica that lags behind.
             made.discovery.publish(5, made.targets if whole else [made.targets[0]], whole)
             await wait_until(
@@ -721,7 +721,7 @@
             late = answer({"rev": 99, "all": True, "targets": made.targets})
             if when == "before":
                 old.publish(99, made.targets)
-                await wait_until(lambda: new.heard == [99])
+                await wait_until(lambda: new.applied_revisions == [99])
             if when == "with":
                 old.streams[0].socket._sock.send(late)  # sent but unread when the reload happens
                 new.service.reload()
@@ -729,12 +729,12 @@
                 signal.raise_signal(signal.SIGHUP)
             await wait_until(lambda: len(made.discovery.calls) == 1)
             made.discovery.publish(3, made.list_with(0, state="draining"))
-            await wait_until(lambda: new.heard[-1:] == [3])
+            await wait_until(lambda: new.applied_revisions[-1:] == [3])
             if when == "behind":
                 with suppress(trio.BrokenResourceError):
                     await old.streams[0].send_all(late)
             await trio.testing.wait_all_tasks_blocked(0.01)
-            assert new.heard == ([99, 3] if when == "before" else [3])
+            assert new.applied_revisions == ([99, 3] if when == "before" else [3])
             assert answered(await reads(await new.client()))
             assert made.command_counts()[0] == 0 and made.command_counts()[1] > 0
 
@@ -746,9 +746,9 @@
         async with environment(tmp_path) as made:
             new = await made.start()
             made.discovery.publish(2, [made.entry(0, boot_ms=5000, state="draining")], whole=False)
-            await wait_until(lambda: new.heard == [2])
+            await wait_until(lambda: new.applied_revisions == [2])
             made.discovery.publish(3, [made.entry(0, boot_ms=4000)], whole=False)
-            await wait_until(lambda: new.heard == [2, 3])
+            await wait_until(lambda: new.applied_revisions == [2, 3])
             assert answered(await reads(await new.client()))
             assert made.command_counts()[0] == 0 and made.command_counts()[1] > 0, made.command_counts()
 
@@ -762,14 +762,14 @@
             targets = made.targets[:2] + made.targets[3:]
             new = await made.start(known={"rev": 1, "all": True, "targets": targets})
             made.discovery.publish(2, [made.entry(0, boot_ms=5000, endpoint=there)], whole=False)
-            await wait_until(lambda: new.heard == [2])
+            await wait_until(lambda: new.applied_revisions == [2])
             assert (
                 answered(await reads(await new.client()))
                 and made.command_counts()[0] == 0
                 and made.command_counts()[2] > 0
             )
             made.discovery.publish(3, [made.entry(0, boot_ms=4000)], whole=False)
-            await wait_until(lambda: new.heard == [2, 3])
+            await wait_until(lambda: new.applied_revisions == [2, 3])
             assert answered(await reads(await new.client(), first=100))
             assert made.command_counts()[0] == 0, made.command_counts()
 
