--- a/gaugehinge/net/service.py
+++ b/gaugehinge/net/service.py
@@ -92,7 +92,7 @@
         reload_configuration(self)
 
     def on_endpoint_list(self, update: EndpointListUpdate) -> None:
-        """Apply an endpoint list from discovery; the router becomes ready with the first one."""
+        """Apply an endpoint list from discovery; a starting router then becomes ready."""
         self.dispatcher.on_endpoints_changed(update)
         self.startup.become_ready()
 
--- a/gaugehinge/net/startup.py
+++ b/gaugehinge/net/startup.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from .service import Service
 
-STARTUP_TIMEOUT = 2.0  # seconds after which clients are served at the latest, if there is no cached list
+STARTUP_TIMEOUT = 2.0  # seconds; without a usable cached list, clients are served after this at the latest
 
 
 def read_cached_list(configuration: Configuration) -> EndpointListUpdate | None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -28,10 +28,8 @@
 from tests.helper import SETTINGS, Bench, Cache, Client, Web, free_port, origin_row, row
 
 LONG_ABANDON_TRAFFIC = [{**each, "abandonTimeUs": 1_500_000} for each in SETTINGS["trafficTypes"]]
-LONG_ABANDON_SETTINGS = {
-    **SETTINGS,
-    "trafficTypes": LONG_ABANDON_TRAFFIC,
-}  # a router that shuts down spends some time in each phase
+# With these settings, a router that shuts down spends some time in each phase.
+LONG_ABANDON_SETTINGS = {**SETTINGS, "trafficTypes": LONG_ABANDON_TRAFFIC}
 PUSHED_SETTINGS = {**SETTINGS, "discovery": "pushed"}
 DIRECT_WRITE_SETTINGS = {**SETTINGS, "domain": {"mode": "", "originKind": 1}}  # writes go to servers
 
