--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -270,7 +270,7 @@
 def test_without_an_answer_of_the_agent_the_cached_list_is_used(tmp_path, monkeypatch):
     from gaugehinge.net import startup
 
-    monkeypatch.setattr(startup, "START_TIME", 0.2)
+    monkeypatch.setattr(startup, "STARTUP_TIMEOUT", 0.2)
 
     async def main():
         async with fleet(tmp_path, settings={**SETTINGS, "discovery": "pushed"}) as running:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -762,7 +762,7 @@
     setup, settings = RecoverySetup(tmp_path, doubt=1000.0), {**SETTINGS, "replicasOfMe": 1}
 
     def build(service, nursery):
-        store_snapshot(tmp_path, service.configuration.known["targets"])
+        store_snapshot(tmp_path, service.configuration.cached_list["targets"])
         return setup.build(service, nursery)
 
     async with fleet(tmp_path, [Cache()], settings=settings, build_extensions=build) as env:
--- a/tests/test_shutdown_answers.py
+++ b/tests/test_shutdown_answers.py
@@ -56,7 +56,7 @@
 
     async def stalled(shutdown, accepting):
         await stop(shutdown, accepting)
-        shutdown.end = shutdown.clock() - 0.001
+        shutdown.deadline = shutdown.clock() - 0.001
 
     monkeypatch.setattr(GracefulShutdown, "_stop_accepting", stalled)
 
@@ -107,7 +107,7 @@
 @pytest.fixture
 def killed_before_last_shutdown_step(monkeypatch):
     """The platform kills the router at the earliest permitted time, before its last shutdown step."""
-    monkeypatch.setattr(GracefulShutdown, "_forget_connections", lambda shutdown: None)
+    monkeypatch.setattr(GracefulShutdown, "_close_remaining", lambda shutdown: None)
 
 
 async def connect_with_small_buffer(port: int) -> Client:
