--- a/gaugehinge/hosted/authenticator.py
+++ b/gaugehinge/hosted/authenticator.py
@@ -17,9 +17,9 @@
 from .principal import UNAUTHENTICATED, Principal
 from .tenant_registry import TenantRegistry
 
-MAX_KNOWN = 4096  # secrets that were found right; the oldest goes first
-CHECKS = 2  # at a time: each takes a thread and its memory
-MAX_WAITING = 256  # checks that wait for one of these; more are told to come again
+MAX_CACHED_SECRETS = 4096  # secrets that were found right; the oldest goes first
+MAX_CONCURRENT_CHECKS = 2  # at a time: each takes a thread and its memory
+MAX_QUEUED_CHECKS = 256  # checks that wait for one of these; more are told to come again
 MIN_RETRY_AFTER = 100  # milliseconds
 OK = b"+OK\r\n"
 WRONG = b"-WRONGPASS invalid username-password pair or user is disabled.\r\n"  # whatever is wrong with it
@@ -49,8 +49,8 @@
         self.hasher = hasher
         self.attempts = attempts
         self.clock = clock
-        self._known: dict[bytes, str] = {}  # credential by digest
-        self._checks = trio.CapacityLimiter(CHECKS)
+        self._verified: dict[bytes, str] = {}  # credential by digest
+        self._check_limiter = trio.CapacityLimiter(MAX_CONCURRENT_CHECKS)
 
     async def check(self, source: str, name: str, secret: str) -> Authentication:
         """Whose a secret is. `source`: the client's address; `name`: as the client said, empty for none."""
@@ -61,7 +61,7 @@
         if principal is not None and name not in ("", "default", principal.name):
             principal = None  # a secret of another one
         digest = hashlib.sha256(secret.encode("utf-8", "surrogateescape")).digest()
-        if principal is None or self._known.get(digest) != ident:
+        if principal is None or self._verified.get(digest) != ident:
             reply = await self._check_hash(principal, f"{source} {ident}", source, secret)
             if reply is not None:
                 return _rejected(reply)
@@ -79,9 +79,9 @@
         alone, whoever knows it could keep its owner out.
         """
         wait = self.attempts.acquire(source, pair, self.clock())
-        if wait or self._checks.statistics().tasks_waiting >= MAX_WAITING:
+        if wait or self._check_limiter.statistics().tasks_waiting >= MAX_QUEUED_CHECKS:
             return _busy(wait)
-        async with self._checks:
+        async with self._check_limiter:
             # Whoever waited here came before the checks in front were found wrong. Checked regardless, a
             # crowd with an outdated secret would fail as often at once, and be kept out for minutes.
             now = self.clock()
@@ -96,9 +96,9 @@
         return None
 
     def _remember(self, digest: bytes, ident: str) -> None:
-        while len(self._known) >= MAX_KNOWN:
-            del self._known[next(iter(self._known))]
-        self._known[digest] = ident
+        while len(self._verified) >= MAX_CACHED_SECRETS:
+            del self._verified[next(iter(self._verified))]
+        self._verified[digest] = ident
 
 
 def _credential_in(secret: str) -> str:
--- a/gaugehinge/hosted/build.py
+++ b/gaugehinge/hosted/build.py
@@ -18,7 +18,7 @@
 from ..tenancy.credentials import SecretHasher
 from ..tenancy.feed import POLL_WAIT
 from .authenticator import Authenticator
-from .control_plane_client import CONNECT_TIME, ControlPlaneClient
+from .control_plane_client import CONNECT_TIMEOUT, ControlPlaneClient
 from .control_plane_watch import SLACK, ControlPlaneWatch
 from .endpoint_overrides import EndpointOverrides
 from .errors import SecretFileError
@@ -91,6 +91,6 @@
     return httpx.AsyncClient(
         base_url=f"http://{address}",
         headers={"Authorization": f"Bearer {secret}", "Content-Type": "application/json"},
-        timeout=httpx.Timeout(POLL_WAIT + SLACK, connect=CONNECT_TIME),
+        timeout=httpx.Timeout(POLL_WAIT + SLACK, connect=CONNECT_TIMEOUT),
         trust_env=False,
     )
--- a/gaugehinge/hosted/control_plane_client.py
+++ b/gaugehinge/hosted/control_plane_client.py
@@ -13,8 +13,8 @@
 from .errors import ControlPlaneError, FeedError
 
 FEED_PATH = "/v1/feed"
-CONNECT_TIME = 2.0  # seconds
-MAX_FEED = 16 << 20  # bytes
+CONNECT_TIMEOUT = 2.0  # seconds
+MAX_FEED_BYTES = 16 << 20  # bytes
 
 
 class ControlPlaneClient:
@@ -32,7 +32,7 @@
         The call fails `slack` seconds after the time for which the report lets it stand open. Raises
         httpx.HTTPError, msgspec.MsgspecError, FeedError, SecretFileError and ControlPlaneError.
         """
-        with trio.move_on_after(CONNECT_TIME + report.max_wait + slack):
+        with trio.move_on_after(CONNECT_TIMEOUT + report.max_wait + slack):
             answer = await self._post(msgspec.json.encode(report))
             if answer.status_code == httpx.codes.UNAUTHORIZED and self.read_secret is not None:
                 # A control plane whose disk was lost has none of the secrets. Routers that read theirs at the
@@ -40,7 +40,7 @@
                 self.http.headers["Authorization"] = f"Bearer {self.read_secret()}"
             if answer.status_code != httpx.codes.OK:
                 raise ControlPlaneError(f"status {answer.status_code}")
-            if len(answer.content) > MAX_FEED:
+            if len(answer.content) > MAX_FEED_BYTES:
                 raise FeedError("too long")
             return msgspec.json.decode(answer.content, type=Feed)
         raise ControlPlaneError("no answer in time")
--- a/gaugehinge/hosted/control_plane_watch.py
+++ b/gaugehinge/hosted/control_plane_watch.py
@@ -33,7 +33,7 @@
 # one that was cut off is to know within a second what it missed
 MAX_DOUBLINGS = 8
 SLACK = 5.0  # seconds over the wait, for an answer
-SAVE_REST = 0.1  # seconds between two snapshots: of many changes at once the last one counts
+SNAPSHOT_INTERVAL = 0.1  # seconds between two snapshots: of many changes at once the last one counts
 
 CALL_ERRORS = (httpx.HTTPError, msgspec.MsgspecError, FeedError, SecretFileError, ControlPlaneError)
 
@@ -58,7 +58,7 @@
         self.snapshot = snapshot
         self.tenant_slots = tenant_slots
         self.parts: tuple[FeedPart, ...] = ()  # in the order in which they follow; fixed before `run`
-        self.run_mark = os.urandom(8).hex()
+        self.run_id = os.urandom(8).hex()
         self.run_number = 0  # told with each report; `recovery` counts it on the router's files
         self.unreachable_since = 0.0  # 0: the control plane answers
         self.answered = False  # whether it ever did
@@ -96,7 +96,7 @@
         try:
             feed = self.snapshot.load()
             if feed is not None:
-                self._carry_out(self.registry.restore(feed))
+                self._apply_change(self.registry.restore(feed))
                 told = f"revision {feed.revision}, {len(feed.tenants)} tenants"
                 logger.info("tenants as in the snapshot: {}", told)
         except FeedError as error:
@@ -152,14 +152,14 @@
         at_once = self._first_call_at_once and not self.answered
         report = Report(
             router=self.service.configuration.name,
-            run=self.run_mark,
+            run=self.run_id,
             store_id=self.registry.store,
             known_revision=self.registry.revision,
             max_wait=0.0 if at_once else self.wait,
             in_flight=self.operations_in_flight(),
             run_number=self.run_number,
             parts={name: msgspec.Raw(body) for name, body in reports.items() if body is not None},
-            revision_digest=self.registry.mark,
+            revision_digest=self.registry.revision_digest,
         )
         self.calls += 1
         return await self.client.fetch_feed(report, self.slack)
@@ -169,7 +169,7 @@
         self.registry.reject_outdated(feed)  # before a part takes note of it
         for part in self.parts:
             feed = part.filter_feed(feed)
-        self._carry_out(self.registry.follow(feed))
+        self._apply_change(self.registry.follow(feed))
         for part in self.parts:
             part.hear(feed, asked_at)
 
@@ -183,7 +183,7 @@
             state = f"revision {self.registry.revision}, {len(self.registry.by_incarnation)} tenants"
             logger.warning("control plane unreachable: {}; serving on by {}", what, state)
         self._failures += 1
-        chance = crc32(f"{self.run_mark} {self._failures}".encode()) / 0x100000000
+        chance = crc32(f"{self.run_id} {self._failures}".encode()) / 0x100000000
         backoff = FIRST_BACKOFF * 2.0 ** min(self._failures - 1, MAX_DOUBLINGS)
         return min(backoff, MAX_BACKOFF) * (0.5 + 0.5 * chance)
 
@@ -200,7 +200,7 @@
 
     # -- changes
 
-    def _carry_out(self, change: RegistryChange | None) -> None:
+    def _apply_change(self, change: RegistryChange | None) -> None:
         self._flush_logs()
         if change is None:
             return
@@ -235,4 +235,4 @@
                 await trio.to_thread.run_sync(snapshot.save, self.registry.snapshot())
             except OSError as error:  # the disk is the snapshot's matter alone
                 logger.warning("snapshot not written: {}", error)
-            await trio.sleep(SAVE_REST)
+            await trio.sleep(SNAPSHOT_INTERVAL)
--- a/gaugehinge/hosted/front.py
+++ b/gaugehinge/hosted/front.py
@@ -66,12 +66,12 @@
 class HostedClientServer(ClientServer):
     """All connections of the platform's protocol at a hosted router."""
 
-    gate: Authenticator
+    authenticator: Authenticator
     wall_clock: Callable[[], float]
 
-    def require_authentication(self, gate: Authenticator, wall_clock: Callable[[], float]) -> None:
+    def require_authentication(self, authenticator: Authenticator, wall_clock: Callable[[], float]) -> None:
         """From now on connections authenticate. `wall_clock`: Unix time, by which credentials expire."""
-        self.gate, self.wall_clock = gate, wall_clock
+        self.authenticator, self.wall_clock = authenticator, wall_clock
         self.commands[b"AUTH"] = self._authenticate
 
     def new_connection(self, sock: socket.socket, now: float, source: str) -> ClientConnection:
@@ -119,7 +119,7 @@
     ) -> None:
         reply = AUTH_FAILED_REPLY
         try:
-            bearer, credential, reply = await self.gate.check(client.source, name, secret)
+            bearer, credential, reply = await self.authenticator.check(client.source, name, secret)
             if bearer is not None:
                 connection = cast(HostedConnection, client)
                 connection.bearer, connection.credential = bearer, credential
--- a/gaugehinge/hosted/tenant_registry.py
+++ b/gaugehinge/hosted/tenant_registry.py
@@ -30,7 +30,7 @@
 
     revision: int = 0
     store: str = ""
-    mark: str = ""  # of the revision, as it was told
+    revision_digest: str = ""  # of the revision, as it was told
     control_plane_run: str | None = None  # that told it; None: a snapshot did
     drained: frozenset[str] = frozenset()
     by_incarnation: dict[int, Principal] = field(default_factory=dict)
@@ -72,7 +72,7 @@
         reset_indexes = {index for index, each in by_index.items() if self._is_new_at(index, each, feed)}
         drained = frozenset(feed.drained_servers)
         drains_changed = drained != self.drained or not self.known
-        self._take(feed, standing, by_index)
+        self._apply(feed, standing, by_index)
         if not (principals or feed.removed_incarnations or feed.complete or drains_changed):
             return None
         self.drained = drained
@@ -91,7 +91,13 @@
         """All of it, as a feed that `follow` takes."""
         rows = [principal.row for principal in self.by_incarnation.values()]
         return Feed(
-            self.store, self.revision, True, rows, [], sorted(self.drained), revision_digest=self.mark
+            self.store,
+            self.revision,
+            True,
+            rows,
+            [],
+            sorted(self.drained),
+            revision_digest=self.revision_digest,
         )
 
     def _standing_after(self, feed: Feed, principals: list[Principal]) -> dict[int, Principal]:
@@ -114,7 +120,7 @@
             return True
         return not self._is_same_tenant(former, principal, feed)
 
-    def _take(self, feed: Feed, standing: dict[int, Principal], by_index: dict[int, Principal]) -> None:
+    def _apply(self, feed: Feed, standing: dict[int, Principal], by_index: dict[int, Principal]) -> None:
         for number, former in self.by_incarnation.items():
             newer = standing.get(number)
             if newer is None or not self._is_same_tenant(former, newer, feed):
@@ -128,7 +134,7 @@
         self.by_credential = {
             ident: principal for principal in standing.values() for ident in principal.credentials
         }
-        self.store, self.revision, self.mark = feed.store_id, feed.revision, feed.revision_digest
+        self.store, self.revision, self.revision_digest = feed.store_id, feed.revision, feed.revision_digest
         self.control_plane_run = feed.control_plane_run
 
     def _is_same_tenant(self, former: Principal, newer: Principal, feed: Feed) -> bool:
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -15,7 +15,7 @@
 from gaugehinge.admission.admission_control import FairAdmissionControl
 from gaugehinge.cli.main import main as command_line
 from gaugehinge.emulator.ports import Ports
-from gaugehinge.hosted.authenticator import CHECKS, Authenticator
+from gaugehinge.hosted.authenticator import MAX_CONCURRENT_CHECKS, Authenticator
 from gaugehinge.hosted.build import read_secret
 from gaugehinge.hosted.endpoint_overrides import EndpointOverrides
 from gaugehinge.hosted.errors import FeedError, SecretFileError
@@ -308,10 +308,10 @@
             for _ in range(4 * int(FAILURE_BURST)):
                 crowd.start_soon(comes)
         wrong = [reply for reply in replies if reply.startswith(b"-WRONGPASS")]
-        assert FAILURE_BURST <= len(wrong) < FAILURE_BURST + CHECKS
+        assert FAILURE_BURST <= len(wrong) < FAILURE_BURST + MAX_CONCURRENT_CHECKS
         assert all(reply.startswith(b"-BUSY") for reply in replies if reply not in wrong)
         assert (await authenticator.check("s", "acme", secret))[2].startswith(b"-BUSY")
-        now = CHECKS / FAILURE_REFILL_RATE
+        now = MAX_CONCURRENT_CHECKS / FAILURE_REFILL_RATE
         assert (await authenticator.check("s", "acme", secret))[2] == b"+OK\r\n"
 
     run(scene)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -509,9 +509,9 @@
             await cluster.wait_for_stage("same", "confined")
             for follower in cluster.nodes.followers:
                 registry = follower.registry
-                assert registry.mark == cluster.nodes.keeper.store.revision_digest(registry.revision), (
-                    "routers follow the history of the restored copy"
-                )
+                assert registry.revision_digest == cluster.nodes.keeper.store.revision_digest(
+                    registry.revision
+                ), "routers follow the history of the restored copy"
             assert (await cluster.send(0, "ap/1"))[0].startswith(b"$") and cluster.zones("ap/1") == {"c"}
             shown = await cluster.get("mine")
             await cluster.put("mine", ["us"], match=f'"{shown["revision"]}"')
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -149,7 +149,9 @@
         registry = self.registry
         parts = {"placement": msgspec.Raw(self.placement.report())}
         name = f"router-{self.number}"
-        return Report(name, self.run, registry.store, registry.revision, 1.0, {}, 0, parts, registry.mark)
+        return Report(
+            name, self.run, registry.store, registry.revision, 1.0, {}, 0, parts, registry.revision_digest
+        )
 
     def hear(self, feed, asked_at) -> None:
         with suppress(FeedError):
