--- a/gaugehinge/hosted/__init__.py
+++ b/gaugehinge/hosted/__init__.py
@@ -1,1 +1,1 @@
-"""A router that follows the keeper: tenants, credentials and orders of operators, without a restart."""
+"""Follows the control plane: tenants, credentials and operators' orders take effect without a restart."""
--- a/gaugehinge/hosted/authenticator.py
+++ b/gaugehinge/hosted/authenticator.py
@@ -1,7 +1,8 @@
-"""Who comes on a connection: secrets checked against the tenant registry, within bounds.
+"""Authenticates connections: checks secrets against the tenant registry, at a limited rate.
 
-A check costs tens of milliseconds of a thread. What was found is remembered by a digest of the secret; that a
-credential still stands is asked with each operation, so that taking one out works at once.
+A check takes tens of milliseconds of a thread. Successful checks are cached by a digest of the secret;
+whether the credential is still valid is checked with each operation, so that revoking one takes effect at
+once.
 """
 
 from __future__ import annotations
@@ -17,25 +18,25 @@
 from .principal import UNAUTHENTICATED, Principal
 from .tenant_registry import TenantRegistry
 
-MAX_CACHED_SECRETS = 4096  # secrets that were found right; the oldest goes first
-MAX_CONCURRENT_CHECKS = 2  # at a time: each takes a thread and its memory
-MAX_QUEUED_CHECKS = 256  # checks that wait for one of these; more are told to come again
+MAX_CACHED_SECRETS = 4096  # verified secrets; the oldest is evicted first
+MAX_CONCURRENT_CHECKS = 2  # concurrent checks; each takes a thread and its memory
+MAX_QUEUED_CHECKS = 256  # checks queued for a thread; further ones are rejected with -BUSY
 MIN_RETRY_AFTER = 100  # milliseconds
 OK = b"+OK\r\n"
-WRONG = b"-WRONGPASS invalid username-password pair or user is disabled.\r\n"  # whatever is wrong with it
+WRONG = b"-WRONGPASS invalid username-password pair or user is disabled.\r\n"  # the same whatever is wrong
 LOADING = b"-LOADING tenants are not known yet\r\n"
 
 
 class Authentication(NamedTuple):
-    """The outcome of a check."""
+    """The result of a check."""
 
-    principal: Principal | None  # None: nobody is let in
-    credential: str  # by which the principal came in
+    principal: Principal | None  # None: not authenticated
+    credential: str  # ID of the credential that was used
     reply: bytes
 
 
 class Authenticator:
-    """From secrets to principals."""
+    """Finds the principal that a secret belongs to."""
 
     def __init__(
         self,
@@ -44,22 +45,25 @@
         attempts: AttemptLimiter,
         clock: Callable[[], float],
     ) -> None:
-        """`clock`: Unix time, by which credentials end."""
+        """`clock`: Unix time, by which credentials expire."""
         self.registry = registry
         self.hasher = hasher
         self.attempts = attempts
         self.clock = clock
-        self._verified: dict[bytes, str] = {}  # credential by digest
+        self._verified: dict[bytes, str] = {}  # credential ID by digest of the secret
         self._check_limiter = trio.CapacityLimiter(MAX_CONCURRENT_CHECKS)
 
     async def check(self, source: str, name: str, secret: str) -> Authentication:
-        """Whose a secret is. `source`: the client's address; `name`: as the client said, empty for none."""
+        """Check a secret.
+
+        `source`: the client's address; `name`: the user name that the client sent, empty for none.
+        """
         if not self.registry.known:
             return _rejected(LOADING)
         ident = _credential_in(secret)
         principal = self.registry.by_credential.get(ident)
         if principal is not None and name not in ("", "default", principal.name):
-            principal = None  # a secret of another one
+            principal = None  # the secret belongs to another tenant
         digest = hashlib.sha256(secret.encode("utf-8", "surrogateescape")).digest()
         if principal is None or self._verified.get(digest) != ident:
             reply = await self._check_hash(principal, f"{source} {ident}", source, secret)
@@ -67,23 +71,24 @@
                 return _rejected(reply)
             self._remember(digest, ident)
         if principal is None or principal.rejection_reason(ident, self.clock()) == UNAUTHENTICATED:
-            return _rejected(WRONG)  # it ended while it was checked
+            return _rejected(WRONG)  # the credential expired or was revoked during the check
         return Authentication(principal, ident, OK)
 
     async def _check_hash(
         self, principal: Principal | None, pair: str, source: str, secret: str
     ) -> bytes | None:
-        """The reply to a secret that is wrong, or not checked now; None where it is right.
+        """Return the error reply for a secret that is wrong or cannot be checked now; None if it is right.
 
-        `pair`: source and credential together. The middle part of a secret is no secret, and bounded by it
-        alone, whoever knows it could keep its owner out.
+        `pair`: source and credential ID together. The credential ID, the middle part of a secret, is not
+        secret: if attempts were limited by it alone, anyone who knows it could lock out its owner.
         """
         wait = self.attempts.acquire(source, pair, self.clock())
         if wait or self._check_limiter.statistics().tasks_waiting >= MAX_QUEUED_CHECKS:
             return _busy(wait)
         async with self._check_limiter:
-            # Whoever waited here came before the checks in front were found wrong. Checked regardless, a
-            # crowd with an outdated secret would fail as often at once, and be kept out for minutes.
+            # A check that waited here was admitted before the checks ahead of it failed. Without a second
+            # test of the limit, many clients with an outdated secret would all fail at once and be locked out
+            # for minutes.
             now = self.clock()
             wait = self.attempts.failure_wait(source, pair, now)
             if wait:
@@ -102,7 +107,7 @@
 
 
 def _credential_in(secret: str) -> str:
-    """The part of a secret that names its credential; empty where it is no secret of ours."""
+    """Return the credential ID in a secret; empty if the secret does not have our format."""
     return secret.split("_")[1] if secret.count("_") >= 2 else ""
 
 
--- a/gaugehinge/hosted/build.py
+++ b/gaugehinge/hosted/build.py
@@ -1,4 +1,4 @@
-"""The installation file's `follow` to a running service that watches the control plane."""
+"""Builds the control plane watch of a service from the `follow` section of the installation file."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
     except (OSError, UnicodeDecodeError) as error:
         raise SecretFileError(f"cannot read {path}: {type(error).__name__}") from error
     if not secret or len(secret.split()) != 1:
-        raise SecretFileError(f"{path}: not one line with a secret")
+        raise SecretFileError(f"{path}: must hold one line with the secret")
     return secret
 
 
 def control_plane_watch_builder(
     installation: Installation, hasher: SecretHasher | None = None
 ) -> Callable[[Service, trio.Nursery], ControlPlaneWatch]:
-    """What makes a service watch the control plane and authenticate its clients.
+    """Return a function that makes a service watch the control plane and authenticate its clients.
 
     The secret is read now. Raises SecretFileError.
     """
@@ -67,20 +67,20 @@
 
 
 def tenant_of_connection(client: ClientConnection, name: str) -> int | None:
-    """Whose a command is by its connection, for admission control; None where it has to be read in full.
+    """Return a connection's tenant index for admission control; None if the command must be parsed in full.
 
-    `name`: the tenant that the command itself names, empty for none.
+    `name`: the tenant named in the command itself, empty for none.
     """
-    principal = getattr(client, "bearer", None)  # connections of every dialect that authenticates have one
+    principal = getattr(client, "bearer", None)  # set by every protocol dialect with authentication
     if principal is None or name not in ("", principal.name):
         return None
     return principal.tenant_index
 
 
 def _authenticate_clients(service: Service, registry: TenantRegistry, hasher: SecretHasher) -> None:
-    """From now on clients of each front say who they are, whichever dialect it speaks."""
+    """Require authentication on all fronts, whatever protocol dialect they speak."""
     if not isinstance(service.clients, HostedClientServer):
-        raise TypeError("its clients cannot say who they are")
+        raise TypeError("the service's client server does not support authentication")
     attempts = AttemptLimiter(service.configuration.settings.deployment.seed, time.time())
     authenticator = Authenticator(registry, hasher, attempts, time.time)
     for front in service.fronts:
--- a/gaugehinge/hosted/control_plane_watch.py
+++ b/gaugehinge/hosted/control_plane_watch.py
@@ -1,8 +1,8 @@
-"""Watches the control plane: calls for changes, carries them out, keeps a snapshot, reports operations.
+"""Polls the control plane: applies its changes, saves a snapshot and reports the operations in flight.
 
-With the control plane away the router serves on by what it was told last; so it does after a crash, by its
-snapshot. What was changed meanwhile it does not know: a tenant that was removed is served for as long as the
-router is cut off, in its own key space, which nobody else is ever given.
+While the control plane is unreachable, the router keeps serving by the last feed it received; after a crash
+it does so by its snapshot. It misses the changes made in the meantime: a tenant that was removed is served
+for as long as the router is cut off, but in its own key space, which is never given to another tenant.
 """
 
 from __future__ import annotations
@@ -29,17 +29,20 @@
 from .interfaces import TenantAdmission
 from .tenant_registry import RegistryChange, TenantRegistry
 
-FIRST_BACKOFF, MAX_BACKOFF = 0.2, 0.8  # seconds after a call that failed; doubled, a part of it by chance:
-# one that was cut off is to know within a second what it missed
+FIRST_BACKOFF, MAX_BACKOFF = 0.2, 0.8  # seconds after a failed call; doubled each time, with jitter. The
+# maximum is low so that a router that was cut off learns within a second what it missed.
 MAX_DOUBLINGS = 8
-SLACK = 5.0  # seconds over the wait, for an answer
-SNAPSHOT_INTERVAL = 0.1  # seconds between two snapshots: of many changes at once the last one counts
+SLACK = 5.0  # seconds beyond the long-poll wait until a call counts as failed
+SNAPSHOT_INTERVAL = 0.1  # seconds between two snapshots; of a burst of changes only the last is saved
 
 CALL_ERRORS = (httpx.HTTPError, msgspec.MsgspecError, FeedError, SecretFileError, ControlPlaneError)
 
 
 class ControlPlaneWatch:
-    """One router's watch. Operators' orders to drain make it an `EndpointListTransformer`, too."""
+    """Follows the control plane for one router.
+
+    It is also an `EndpointListTransformer`, as it applies the operators' drain orders to the endpoint list.
+    """
 
     def __init__(
         self,
@@ -50,47 +53,48 @@
         snapshot: FeedSnapshot | None,
         tenant_slots: int,
     ) -> None:
-        """`tenant_slots`: the size of the tables of admission control."""
+        """`tenant_slots`: the size of the tenant tables in admission control."""
         self.service = service
         self.registry = registry
         self.overrides = overrides
         self.client = client
         self.snapshot = snapshot
         self.tenant_slots = tenant_slots
-        self.parts: tuple[FeedPart, ...] = ()  # in the order in which they follow; fixed before `run`
+        self.parts: tuple[FeedPart, ...] = ()  # in the order in which they process a feed; fixed before `run`
         self.run_id = os.urandom(8).hex()
-        self.run_number = 0  # told with each report; `recovery` counts it on the router's files
-        self.unreachable_since = 0.0  # 0: the control plane answers
-        self.answered = False  # whether it ever did
+        self.run_number = 0  # sent with each report; `recovery` counts it in the router's files
+        self.unreachable_since = 0.0  # `trio.current_time` of the first failed call; 0: reachable
+        self.answered = False  # whether the control plane has ever answered
         self.calls = 0
-        self.wait = POLL_WAIT  # seconds that a call may stand open; less where leases are short
-        self.slack = SLACK  # over that, until a call counts as failed; less where leases are short
+        self.wait = POLL_WAIT  # seconds for which a long-poll call may stay open; less where leases are short
+        self.slack = SLACK  # seconds beyond `wait` until a call counts as failed; less where leases are short
         self._first_call_delay = 0.0  # seconds
-        self._first_call_at_once = False  # no call stands open until one was answered: it asks who is there
+        # No long polling until a call was answered: the first call only asks who is there.
+        self._first_call_at_once = False
         self._failures = 0
         self._changed = trio.Event()
 
-    # -- set up
+    # -- setup
 
     def add_part(self, part: FeedPart) -> None:
-        """Add a part of the feed, behind those before it. Only before `run`."""
+        """Append a part of the feed to those added before. To be called before `run` only."""
         self.parts = (*self.parts, part)
 
     def delay_first_call(self, seconds: float) -> None:
-        """Wait before the first call, and let no call stand open until one was answered."""
+        """Delay the first call, and do not use long polling until a call was answered."""
         self._first_call_delay = seconds
         self._first_call_at_once = True
 
     def limit_wait(self, seconds: float) -> None:
-        """Let no call stand open for longer."""
+        """Limit the time for which a long-poll call may stay open (seconds)."""
         self.wait = min(self.wait, seconds)
 
     def limit_slack(self, seconds: float) -> None:
-        """Count a call as failed no later than this after the time for which it may stand open."""
+        """Limit the time beyond `wait` after which a call counts as failed (seconds)."""
         self.slack = min(self.slack, seconds)
 
     def load_snapshot(self) -> None:
-        """Follow the snapshot, if there is a good one."""
+        """Apply the snapshot, if there is a valid one."""
         if self.snapshot is None:
             return
         try:
@@ -98,20 +102,20 @@
             if feed is not None:
                 self._apply_change(self.registry.restore(feed))
                 told = f"revision {feed.revision}, {len(feed.tenants)} tenants"
-                logger.info("tenants as in the snapshot: {}", told)
+                logger.info("tenants restored from the snapshot: {}", told)
         except FeedError as error:
             logger.warning("snapshot not used: {}", error)
 
     # -- endpoint lists
 
     def transform(self, update: EndpointListUpdate, cached: bool) -> EndpointListUpdate:
-        """Lay the operators' orders over an endpoint list."""
+        """Apply the operators' drain orders to an endpoint list."""
         return self.overrides.on_endpoints_changed(update)
 
     # -- calls
 
     async def run(self) -> None:
-        """Call for changes until cancelled."""
+        """Poll for changes until cancelled."""
         async with trio.open_nursery() as nursery:
             if self.snapshot is not None:
                 nursery.start_soon(self._save, self.snapshot)
@@ -127,7 +131,7 @@
                 self._on_followed(revision)
 
     async def report_now(self) -> None:
-        """Call once more, with nothing to wait for, and follow nothing of the answer.
+        """Send one more report without long polling, and ignore the feed that answers it.
 
         Raises one of CALL_ERRORS.
         """
@@ -135,7 +139,7 @@
         await self._call()
 
     def operations_in_flight(self) -> dict[str, int]:
-        """Operations by incarnation, those that wait for admission among them."""
+        """Count the operations by tenant incarnation, including those queued for admission."""
         counts = Counter(key.partition(b"/")[0] for key in self._keys_in_flight())
         return {str(int(number, 16)): count for number, count in counts.items()}
 
@@ -165,8 +169,8 @@
         return await self.client.fetch_feed(report, self.slack)
 
     def _follow(self, feed: Feed, asked_at: float) -> None:
-        """Carry out a feed. Raises FeedError."""
-        self.registry.reject_outdated(feed)  # before a part takes note of it
+        """Apply a feed. Raises FeedError."""
+        self.registry.reject_outdated(feed)  # before any part sees it
         for part in self.parts:
             feed = part.filter_feed(feed)
         self._apply_change(self.registry.follow(feed))
@@ -174,14 +178,14 @@
             part.hear(feed, asked_at)
 
     def _on_failed(self, error: Exception) -> float:
-        """Take note of a call that failed; how long to wait until the next one (seconds)."""
+        """Record a failed call; return the delay until the next one (seconds)."""
         for part in self.parts:
             part.away()
         if not self.unreachable_since:
             self.unreachable_since = trio.current_time()
             what = str(error) or type(error).__name__
             state = f"revision {self.registry.revision}, {len(self.registry.by_incarnation)} tenants"
-            logger.warning("control plane unreachable: {}; serving on by {}", what, state)
+            logger.warning("control plane unreachable: {}; still serving by {}", what, state)
         self._failures += 1
         chance = crc32(f"{self.run_id} {self._failures}".encode()) / 0x100000000
         backoff = FIRST_BACKOFF * 2.0 ** min(self._failures - 1, MAX_DOUBLINGS)
@@ -192,7 +196,7 @@
         if self.unreachable_since:
             away = trio.current_time() - self.unreachable_since
             logger.info(
-                "control plane back after {:.1f} s: revision {} to {}", away, former_revision, revision
+                "control plane reachable after {:.1f} s: revision {} to {}", away, former_revision, revision
             )
         self.unreachable_since, self._failures, self.answered = 0.0, 0, True
         if revision != former_revision:
@@ -233,6 +237,6 @@
             self._changed = trio.Event()
             try:
                 await trio.to_thread.run_sync(snapshot.save, self.registry.snapshot())
-            except OSError as error:  # the disk is the snapshot's matter alone
+            except OSError as error:  # a disk fault affects only the snapshot; the router keeps serving
                 logger.warning("snapshot not written: {}", error)
             await trio.sleep(SNAPSHOT_INTERVAL)
--- a/gaugehinge/hosted/endpoint_overrides.py
+++ b/gaugehinge/hosted/endpoint_overrides.py
@@ -1,7 +1,8 @@
-"""Operators' orders to drain beside the word of discovery, on one list of servers. No I/O.
+"""Combines the operators' drain orders with the endpoint list from discovery. Does no I/O.
 
-A server takes something new only where both let it: told to drain by either, it drains. An order stands until
-it is taken back, also over a server's end and return; discovery's own drain outlives an order's end.
+A server accepts new operations only if both allow it: it drains if either says so. An order stays in force
+until it is withdrawn, even if the server goes away and returns; a drain by discovery outlasts the end of an
+order.
 """
 
 from __future__ import annotations
@@ -11,22 +12,22 @@
 
 
 class EndpointOverrides:
-    """The list as discovery told it, and as the decisions are to see it. As long as the list."""
+    """The endpoint list as discovery sent it and as routing sees it. Grows and shrinks with it."""
 
     def __init__(self) -> None:
-        """No list and no order yet."""
-        self.drained: frozenset[str] = frozenset()  # by the list's names
-        self.log: list[str] = []  # emptied by the driver
-        self._discovered: dict[str, EndpointTarget] = {}  # by the list's names, without those that are gone
+        """Start without endpoints and drain orders."""
+        self.drained: frozenset[str] = frozenset()  # by the names (UIDs) in the endpoint list
+        self.log: list[str] = []  # messages to be logged; the caller empties it
+        self._discovered: dict[str, EndpointTarget] = {}  # by UID, without those that are gone
         self._revision = 0
 
     @property
     def discovered(self) -> list[EndpointTarget]:
-        """The list by discovery's word alone."""
+        """The endpoint list from discovery, without drain orders."""
         return list(self._discovered.values())
 
     def on_endpoints_changed(self, update: EndpointListUpdate) -> EndpointListUpdate:
-        """Discovery's list or changes of it, with the orders laid over."""
+        """Record a list or changes from discovery; return them with the drain orders applied."""
         if update.complete:
             self._discovered.clear()
         for target in update.targets:
@@ -38,12 +39,12 @@
         return EndpointListUpdate(update.rev, update.complete, tuple(map(self._overridden, update.targets)))
 
     def set_drained(self, drained: frozenset[str]) -> EndpointListUpdate | None:
-        """All orders that stand now; the changes of the list that follow, None where there is none."""
+        """Replace all drain orders; return the resulting endpoint changes, None if there are none."""
         changed = sorted(drained ^ self.drained)
         self.drained = drained
         for uid in changed:
-            what = "drains by order" if uid in drained else "is discovery's again"
-            self.log.append(f"server {uid} {what}: {len(drained)} orders stand")
+            what = "is drained by an operator" if uid in drained else "is no longer drained by an operator"
+            self.log.append(f"server {uid} {what}: {len(drained)} drain orders in force")
         targets = [self._overridden(self._discovered[uid]) for uid in changed if uid in self._discovered]
         return EndpointListUpdate(self._revision, False, tuple(targets)) if targets else None
 
--- a/gaugehinge/hosted/errors.py
+++ b/gaugehinge/hosted/errors.py
@@ -1,10 +1,10 @@
-"""What can go wrong between a router and its control plane."""
+"""Errors between a router and its control plane."""
 
 from __future__ import annotations
 
 
 class FeedError(ValueError):
-    """The control plane, or a snapshot, said what makes no sense. It counts as a call that failed."""
+    """A feed from the control plane or a snapshot is invalid. It counts as a failed call."""
 
 
 class SecretFileError(ValueError):
@@ -12,4 +12,4 @@
 
 
 class ControlPlaneError(Exception):
-    """The control plane did not answer, or refused to."""
+    """The control plane did not answer, or answered with an error status."""
--- a/gaugehinge/hosted/feed_parts.py
+++ b/gaugehinge/hosted/feed_parts.py
@@ -1,4 +1,4 @@
-"""What a subsystem implements to take part in the control plane's feed at a router."""
+"""The interface by which a subsystem of a router takes part in the control plane's feed."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
     name: str  # as in Report.parts and Feed.parts
 
     def report(self) -> bytes | None:
-        """JSON that goes with the next call; None: nothing to say."""
+        """Return JSON to send with the next call; None: nothing to report."""
         return None
 
     def filter_feed(self, feed: Feed) -> Feed:
-        """What of a feed is followed, before anything of it is. Raises BadFeed."""
+        """Return the part of a feed to apply; called before any of it is applied. Raises FeedError."""
         return feed
 
     def hear(self, feed: Feed, asked_at: float) -> None:
-        """Follow the answer to the call that was sent at `asked_at` (seconds, `trio.current_time`).
+        """Apply the feed that answered the call sent at `asked_at` (seconds, `trio.current_time`).
 
-        All of the feed is at hand, the part's own in `feed.parts`. Raises BadFeed, and then nothing has
-        changed in it.
+        The whole feed is passed; this subsystem's data is in `feed.parts`. Raises FeedError, in which case
+        nothing has changed in this part.
         """
 
     def away(self) -> None:
-        """A call failed. Leases run out by the clock alone; this is for what wants to say so early."""
+        """Handle a failed call. Leases expire by the clock alone; this allows an early warning."""
 
     def ready(self) -> bool:
-        """Whether it has what it needs of the control plane to serve clients."""
+        """Whether this part has received what it needs from the control plane to serve clients."""
         return True
 
     def state_to_keep(self) -> bytes | None:
-        """JSON that goes into the router's snapshot; None: nothing is kept."""
+        """Return JSON for the router's snapshot; None: nothing is saved."""
         return None
 
     def restore(self, state: bytes) -> None:
-        """Take what `state_to_keep` gave to the run before."""
+        """Restore the state that `state_to_keep` returned in the previous run."""
--- a/gaugehinge/hosted/feed_snapshot.py
+++ b/gaugehinge/hosted/feed_snapshot.py
@@ -1,4 +1,7 @@
-"""The feed that a router followed last, in a file: a digest, then the feed. Blocking; used from a thread."""
+"""Stores the feed that a router applied last in a file: a digest, then the feed.
+
+The methods block, so they are called from a thread.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +16,10 @@
 
 
 class FeedSnapshot:
-    """One file, written whole or not at all."""
+    """A snapshot file that is replaced atomically."""
 
     def __init__(self, path: str) -> None:
-        """`path`: the file; parts of it are written beside it."""
+        """`path`: the file; temporary files are written beside it."""
         self.path = Path(path)
         self._file = AtomicFile(path)
 
@@ -26,12 +29,12 @@
         self._file.replace(xxh3_128_hexdigest(body).encode() + b"\n" + body)
 
     def load(self) -> Feed | None:
-        """Read the file; None where there is none. Raises FeedError where it is not whole."""
+        """Read the file; None if there is none. Raises FeedError if it is unreadable or corrupt."""
         self._file.remove_abandoned_parts()
         try:
             digest, _, body = self.path.read_bytes().partition(b"\n")
             if digest.decode() != xxh3_128_hexdigest(body):
-                raise FeedError("snapshot: not whole")
+                raise FeedError("snapshot: digest does not match")
             return msgspec.json.decode(body, type=Feed)
         except FileNotFoundError:
             return None
--- a/gaugehinge/hosted/front.py
+++ b/gaugehinge/hosted/front.py
@@ -1,8 +1,8 @@
-"""Clients of a hosted router: each connection is one tenant's, by its secret, in a key space of its own.
+"""Client connections of a hosted router: each belongs to the tenant whose secret authenticated it.
 
-Two tenants' same key, idempotency key or request ID never meet: the tenant's incarnation stands before each
-of them from here on, at cache servers and origin alike. The label `t` is written here, whatever the client
-says.
+Each tenant has its own key space. Equal keys, idempotency keys or request IDs of two tenants never collide:
+from here on each is prefixed with the tenant's incarnation, at cache servers and the origin alike. The label
+`t` is always set here, whatever the client sends.
 """
 
 from __future__ import annotations
@@ -44,48 +44,48 @@
 
 
 class TenantRefusedError(RequestError):
-    """The connection's tenant may not send operations: it is not authenticated any more, or not active."""
+    """The connection may not send operations: it is not authenticated, or its tenant is not active."""
 
 
 class ValueTooLargeError(RequestError):
-    """A value is larger than the tenant's rules allow."""
+    """A value is larger than the tenant's limit."""
 
     def __init__(self, max_bytes: int) -> None:
-        """`max_bytes`: what the rules allow."""
+        """`max_bytes`: the tenant's limit."""
         super().__init__(f"value over {max_bytes} bytes")
 
 
 @dataclass(slots=True, eq=False)
 class HostedConnection(ClientConnection):
-    """One connection, and the tenant that authenticated on it."""
+    """A client connection and the tenant that authenticated on it."""
 
     bearer: Principal | None = None
     credential: str = ""
 
 
 class HostedClientServer(ClientServer):
-    """All connections of the platform's protocol at a hosted router."""
+    """Serves all connections of the platform's own protocol at a hosted router."""
 
     authenticator: Authenticator
     wall_clock: Callable[[], float]
 
     def require_authentication(self, authenticator: Authenticator, wall_clock: Callable[[], float]) -> None:
-        """From now on connections authenticate. `wall_clock`: Unix time, by which credentials expire."""
+        """Require authentication from now on. `wall_clock`: Unix time, by which credentials expire."""
         self.authenticator, self.wall_clock = authenticator, wall_clock
         self.commands[b"AUTH"] = self._authenticate
 
     def new_connection(self, sock: socket.socket, now: float, source: str) -> ClientConnection:
-        """The state of a connection that was just accepted; it is no tenant's yet."""
+        """Return the state of a newly accepted connection, which is not authenticated yet."""
         return HostedConnection(sock, now, idle_since=now, source=source)
 
     def new_request_parser(self) -> RequestParser:
-        """A parser that takes no tenant from labels: the connection says whose an operation is."""
+        """Return a parser that ignores tenants in labels: the connection determines an operation's tenant."""
         return RequestParser(self.settings, self.timers, self.request_ids, tenant_indexes={})
 
     def parse_request(
         self, client: ClientConnection, message: Message, is_write: bool, arrived_at: float
     ) -> ParsedRequest:
-        """Make an operation in the key space of the connection's tenant. Raises RequestError."""
+        """Parse an operation into the key space of the connection's tenant. Raises RequestError."""
         bearer = self._authenticated_bearer(cast(HostedConnection, client))
         rewritten = rewrite_request(message, is_write, bearer)
         request = super().parse_request(client, rewritten, is_write, arrived_at)
@@ -123,14 +123,14 @@
             if bearer is not None:
                 connection = cast(HostedConnection, client)
                 connection.bearer, connection.credential = bearer, credential
-        except Exception:  # a defect fails this check alone
+        except Exception:  # an unexpected error fails only this check
             logger.exception("authentication check failed")
         finally:
-            answer(reply)  # one that is not answered holds up all behind it
+            answer(reply)  # a missing reply would block all later replies on the connection
 
 
 def rewrite_request(message: Message, is_write: bool, bearer: Principal) -> Message:
-    """A command as it goes on: key, request ID, idempotency key and tenant are the bearer's own.
+    """Return the command with key, request ID, idempotency key and tenant label set for the bearer.
 
     Raises RequestError.
     """
@@ -161,7 +161,7 @@
 
 
 def _rewrite_class_and_wait(labels: dict[str, str], bearer: Principal) -> None:
-    """Check the labels against the tenant's rules and put the installation's values in place."""
+    """Check the labels against the tenant's rules and replace them by the installation's values."""
     if labels.get(TENANT_LABEL, bearer.name) != bearer.name:
         raise InvalidLabelError(TENANT_LABEL, "not the tenant of this connection")
     traffic_type = bearer.traffic_type(labels.get(CLASS_LABEL, ""))
@@ -171,12 +171,12 @@
         labels[CLASS_LABEL] = traffic_type
     max_wait = bearer.row.max_wait
     if max_wait and labels[WAIT_LABEL].isdigit():
-        # Shorter than its client waits is safe: it hears sooner that it comes to nothing.
+        # A wait shorter than the client's own is safe: it only learns earlier that there is no result.
         labels[WAIT_LABEL] = str(min(int(labels[WAIT_LABEL]), int(max_wait * MILLISECONDS)))
 
 
 def _encode(message: Message, parts: list[Frame], bodies: list[bytes]) -> Message:
-    """A message of other bodies, with the places of its parts as a parser would find them."""
+    """Return a message with the given bodies, its parts at the offsets that a parser would find."""
     raw, frames = b"*%d\r\n" % len(bodies), []
     for body, part in zip(bodies, parts, strict=True):
         start = len(raw)
--- a/gaugehinge/hosted/interfaces.py
+++ b/gaugehinge/hosted/interfaces.py
@@ -1,4 +1,4 @@
-"""What a hosted router asks of its fronts and of admission control beyond what every router does."""
+"""What a hosted router requires of its client servers and admission control beyond any other router."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class AuthenticatingServer(Protocol):
-    """A client server of whichever dialect whose clients say who they are."""
+    """A client server, of any protocol dialect, that can authenticate its clients."""
 
     def require_authentication(
         self, authenticator: Authenticator, unix_clock: Callable[[], float], /
     ) -> None:
-        """Authenticate clients from now on. `unix_clock`: the time by which credentials end."""
+        """Require authentication from now on. `unix_clock`: Unix time, by which credentials expire."""
 
 
 class TenantAdmission(Protocol):
-    """Admission control that knows tenants."""
+    """Admission control with a share for each tenant."""
 
     def queued_operations(self) -> Iterable[Any]:
         """The operations that wait for admission."""
 
     def set_shares(self, shares: Sequence[float], /) -> None:
-        """Set the shares of all tenants, by their indexes."""
+        """Set the shares of all tenants, by tenant index."""
--- a/gaugehinge/hosted/tenant_registry.py
+++ b/gaugehinge/hosted/tenant_registry.py
@@ -1,7 +1,8 @@
-"""Tenants as a router follows them, from the control plane's feed. No I/O, no clock of its own.
+"""The tenants that a router knows from the control plane's feed. Does no I/O and has no clock of its own.
 
-Each incarnation has an index in the routers' tables, the same at all of them. An index changes hands only
-after every router said that it has nothing of its tenant in flight; what a table knew of it is emptied then.
+Each incarnation of a tenant has an index in the routers' tables, the same at all routers. An index is
+reassigned only after every router reported that it has no operation of its tenant in flight; its table
+entries are then reset.
 """
 
 from __future__ import annotations
@@ -17,53 +18,54 @@
 
 @dataclass(slots=True, frozen=True)
 class RegistryChange:
-    """What the routing decisions are told of a feed."""
+    """The changes of a feed that routing has to apply."""
 
     tenants: tuple[Tenant, ...]
-    reset_indexes: set[int]  # whose tables are emptied: another incarnation stands there now
-    drained: frozenset[str] | None  # servers that operators drain, where these changed
+    reset_indexes: set[int]  # table entries to reset, as another incarnation has the index now
+    drained: frozenset[str] | None  # servers that operators drain; None: unchanged
 
 
 @dataclass(slots=True, eq=False)
 class TenantRegistry:
-    """All principals, by incarnation, index and credential."""
+    """All principals, by incarnation, tenant index and credential."""
 
     revision: int = 0
     store: str = ""
-    revision_digest: str = ""  # of the revision, as it was told
-    control_plane_run: str | None = None  # that told it; None: a snapshot did
+    revision_digest: str = ""  # digest of the revision, as the control plane sent it
+    control_plane_run: str | None = None  # the run that sent the revision; None: it is from a snapshot
     drained: frozenset[str] = frozenset()
     by_incarnation: dict[int, Principal] = field(default_factory=dict)
     by_index: dict[int, Principal] = field(default_factory=dict)
     by_credential: dict[str, Principal] = field(default_factory=dict)
-    log: list[str] = field(default_factory=list)  # emptied by the driver
+    log: list[str] = field(default_factory=list)  # messages to be logged; the caller empties it
 
     @property
     def known(self) -> bool:
-        """Whether any feed was ever followed."""
+        """Whether any feed was ever applied."""
         return bool(self.store)
 
     def restore(self, snapshot: Feed) -> RegistryChange | None:
-        """Follow what `snapshot` gave an earlier run of this router. Raises FeedError."""
+        """Apply a feed that `snapshot` returned in an earlier run of this router. Raises FeedError."""
         change = self.follow(snapshot)
         self.control_plane_run = None
         return change
 
     def reject_outdated(self, feed: Feed) -> None:
-        """Raise FeedError for a feed that is older than the one followed last.
+        """Raise FeedError for a feed that is older than the one applied last.
 
-        One run of the control plane goes back to no earlier revision, and a store is restored between two
-        runs alone. So it is a copy of an earlier response: changes would be laid over a wrong state.
+        Within one run of the control plane revisions never decrease, and a store is restored only between two
+        runs. So such a feed is a copy of an earlier response, and its changes would be applied to a wrong
+        state.
         """
         if feed.store_id != self.store or feed.revision >= self.revision:
             return
         if not feed.complete or feed.control_plane_run == self.control_plane_run:
-            raise FeedError(f"revision {feed.revision} behind revision {self.revision}")
+            raise FeedError(f"revision {feed.revision} is older than revision {self.revision}")
 
     def follow(self, feed: Feed) -> RegistryChange | None:
-        """Follow a feed; the change that the decisions are to be told, None where that is nothing.
+        """Apply a feed; return the changes for routing, None if there are none.
 
-        Raises FeedError, and then nothing has changed.
+        Raises FeedError, in which case nothing has changed.
         """
         self.reject_outdated(feed)
         principals = [read_principal(row) for row in feed.tenants]
@@ -79,7 +81,7 @@
         return RegistryChange(self.tenants(), reset_indexes, drained if drains_changed else None)
 
     def tenants(self) -> tuple[Tenant, ...]:
-        """The table by index, as the decisions take it; those that are not active have no quota."""
+        """Return the tenant table by index, for routing; tenants that are not active have no quota."""
         size = max(self.by_index, default=0) + 1
         table = [Tenant(0.0, 0.0)] * size
         for index, principal in self.by_index.items():
@@ -88,7 +90,7 @@
         return tuple(table)
 
     def snapshot(self) -> Feed:
-        """All of it, as a feed that `follow` takes."""
+        """Return the whole state as a feed that `follow` accepts."""
         rows = [principal.row for principal in self.by_incarnation.values()]
         return Feed(
             self.store,
@@ -101,14 +103,14 @@
         )
 
     def _standing_after(self, feed: Feed, principals: list[Principal]) -> dict[int, Principal]:
-        """Those that stand already and go on; the feed's own are still to be added."""
+        """Return the known principals that the feed keeps, without its own rows. Raises FeedError."""
         numbers = {principal.incarnation for principal in principals}
         if len(numbers) != len(principals) or not feed.store_id or feed.revision < 0:
-            raise FeedError("one incarnation told twice, or no store named")
+            raise FeedError("duplicate incarnation, no store ID or negative revision")
         if feed.complete:
             return {}
         if feed.store_id != self.store:
-            raise FeedError("changes of another store")
+            raise FeedError("changes are from another store")
         standing = dict(self.by_incarnation)
         for number in feed.removed_incarnations:
             standing.pop(number, None)
@@ -124,8 +126,8 @@
         for number, former in self.by_incarnation.items():
             newer = standing.get(number)
             if newer is None or not self._is_same_tenant(former, newer, feed):
-                former.removed = True  # connections that came in as it refer to it still
-                self.log.append(f"tenant {former.name} #{number} gone at revision {feed.revision}")
+                former.removed = True  # connections authenticated as this principal still refer to it
+                self.log.append(f"tenant {former.name} #{number} removed at revision {feed.revision}")
             elif newer is not former:
                 self._log_stage(former, newer, feed.revision)
                 former.update(newer)
@@ -138,11 +140,12 @@
         self.control_plane_run = feed.control_plane_run
 
     def _is_same_tenant(self, former: Principal, newer: Principal, feed: Feed) -> bool:
-        """Whether a number stands for the tenant that it stood for.
+        """Whether an incarnation number still denotes the same tenant.
 
-        Another store gives numbers again, also to tenants of the same name. Brought up to date, the principal
-        of the former tenant lets the connections of that one into the keys of the new one. Of another
-        store, only a credential that both have shows that it is the same tenant: its hash has a random salt.
+        Another store assigns the same numbers again, even to tenants of the same name. If the principal of
+        the former tenant were updated then, connections of that tenant could access the keys of the new one.
+        Across stores, only a shared credential proves that it is the same tenant, as its hash has a random
+        salt.
         """
         if newer.name != former.name:
             return False
@@ -159,11 +162,11 @@
 
 
 def _by_index(standing: dict[int, Principal], principals: list[Principal]) -> dict[int, Principal]:
-    """Add `principals` to `standing`; all of them by index. Raises FeedError where two have one."""
+    """Add `principals` to `standing`; return all by index. Raises FeedError if two have the same index."""
     numbers = {principal.incarnation for principal in principals}
     by_index = {each.tenant_index: each for each in standing.values() if each.incarnation not in numbers}
     for principal in principals:
         if principal.tenant_index in by_index:
-            raise FeedError(f"place {principal.tenant_index} told for two")
+            raise FeedError(f"tenant index {principal.tenant_index} is assigned twice")
         by_index[principal.tenant_index] = standing[principal.incarnation] = principal
     return by_index
