--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -37,62 +37,64 @@
 # -- the registry
 
 
-def row(name="acme", incarnation=1, place=0, stage="active", share=1.0, allowance=10.0, credentials=()):
-    return TenantRow(name, incarnation, place, stage, share, allowance, list(credentials))
+def tenant_row(
+    name="acme", incarnation=1, tenant_index=0, stage="active", quota=1.0, rate_limit=10.0, credentials=()
+):
+    return TenantRow(name, incarnation, tenant_index, stage, quota, rate_limit, list(credentials))
 
 
-def whole(*rows, revision=5, store="s", drained=()):
+def complete_feed(*rows, revision=5, store="s", drained=()):
     return Feed(store, revision, True, list(rows), [], list(drained))
 
 
-def news(*rows, revision=6, gone=(), store="s", drained=()):
-    return Feed(store, revision, False, list(rows), list(gone), list(drained))
+def incremental_feed(*rows, revision=6, removed=(), store="s", drained=()):
+    return Feed(store, revision, False, list(rows), list(removed), list(drained))
 
 
-def test_places_tell_the_module_who_is_new_and_those_that_take_nothing_have_no_share():
+def test_only_new_incarnations_reset_their_index_and_inactive_tenants_have_no_quota():
     registry = TenantRegistry()
-    change = registry.follow(whole(row(share=2.0), row("bolt", 2, 2, "suspended")))
+    change = registry.follow(complete_feed(tenant_row(quota=2.0), tenant_row("bolt", 2, 2, "suspended")))
     assert change.tenants == (Tenant(2.0, 10.0), Tenant(0.0, 0.0), Tenant(0.0, 0.0))
     assert change.reset_indexes == {0, 2} and change.drained == frozenset()
     acme = registry.by_incarnation[1]
-    change = registry.follow(news(row("acme", 1, 0, "leaving")))
+    change = registry.follow(incremental_feed(tenant_row("acme", 1, 0, "leaving")))
     assert (
         acme.stage.value == "leaving"
         and change.reset_indexes == set()
         and change.tenants[0] == Tenant(0.0, 0.0)
     )
     # Its name is another one's by now; its place is not, until it is gone.
-    registry.follow(news(row("acme", 3, 1), revision=7))
+    registry.follow(incremental_feed(tenant_row("acme", 3, 1), revision=7))
     assert registry.by_index[1].key_prefix == b"3/" and not acme.removed
-    change = registry.follow(news(row("cord", 4, 0), revision=8, gone=[1]))
+    change = registry.follow(incremental_feed(tenant_row("cord", 4, 0), revision=8, removed=[1]))
     assert (
         change.reset_indexes == {0}
         and acme.removed
         and acme.rejection_reason("any", 0.0) == "authentication required"
     )
-    assert registry.follow(news(revision=9)) is None and registry.revision == 9
+    assert registry.follow(incremental_feed(revision=9)) is None and registry.revision == 9
 
 
 @pytest.mark.parametrize(
     "feed",
     [
-        whole(row(), row()),
-        whole(row(), row("bolt", 2, 0)),
-        whole(row(place=-1)),
-        whole(row(place=1 << 20)),
-        whole(row(stage="asleep")),
-        whole(row(share=float("nan"))),
-        whole(row(allowance=-1.0)),
-        whole(row(name="")),
-        whole(store=""),
-        news(row("bolt", 2, 0)),
-        news(row("bolt", 2, 1), revision=4),
-        news(row("bolt", 2, 1), store="another"),
+        complete_feed(tenant_row(), tenant_row()),
+        complete_feed(tenant_row(), tenant_row("bolt", 2, 0)),
+        complete_feed(tenant_row(tenant_index=-1)),
+        complete_feed(tenant_row(tenant_index=1 << 20)),
+        complete_feed(tenant_row(stage="asleep")),
+        complete_feed(tenant_row(quota=float("nan"))),
+        complete_feed(tenant_row(rate_limit=-1.0)),
+        complete_feed(tenant_row(name="")),
+        complete_feed(store=""),
+        incremental_feed(tenant_row("bolt", 2, 0)),
+        incremental_feed(tenant_row("bolt", 2, 1), revision=4),
+        incremental_feed(tenant_row("bolt", 2, 1), store="another"),
     ],
 )
-def test_a_feed_that_makes_no_sense_changes_nothing(feed):
+def test_an_invalid_feed_changes_nothing(feed):
     registry = TenantRegistry()
-    registry.follow(whole(row("held", 7, 0)))
+    registry.follow(complete_feed(tenant_row("held", 7, 0)))
     with pytest.raises(FeedError):
         registry.follow(feed)
     assert registry.revision == 5 and list(registry.by_incarnation) == [7]
@@ -100,28 +102,30 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 10_000))
-def test_changes_in_order_come_to_what_the_whole_would(seed):
+def test_incremental_feeds_give_the_same_state_as_a_complete_feed(seed):
     draw = random.Random(seed)
     registry, standing, number = TenantRegistry(), {}, 0
-    registry.follow(whole())
+    registry.follow(complete_feed())
     for revision in range(6, 40):
-        gone, rows = [], []
+        removed, rows = [], []
         if standing and draw.random() < 0.3:
-            gone = [draw.choice(sorted(standing))]
-            del standing[gone[0]]
+            removed = [draw.choice(sorted(standing))]
+            del standing[removed[0]]
         if draw.random() < 0.5:
             number += 1
             taken = {each.slot for each in standing.values()}
-            place = next(i for i in range(99) if i not in taken)
-            rows.append(row(f"t{draw.randrange(5)}", number, place, draw.choice(["active", "created"])))
+            tenant_index = next(i for i in range(99) if i not in taken)
+            rows.append(
+                tenant_row(f"t{draw.randrange(5)}", number, tenant_index, draw.choice(["active", "created"]))
+            )
         elif standing:
             before = standing[draw.choice(sorted(standing))]
             rows.append(msgspec.structs.replace(before, quota=draw.random(), stage="suspended"))
         for each in rows:
             standing[each.incarnation] = each
-        registry.follow(news(*rows, revision=revision, gone=gone))
+        registry.follow(incremental_feed(*rows, revision=revision, removed=removed))
         other = TenantRegistry()
-        other.follow(whole(*standing.values(), revision=revision))
+        other.follow(complete_feed(*standing.values(), revision=revision))
         assert registry.tenants() == other.tenants()
         assert set(registry.by_incarnation) == set(other.by_incarnation) == set(standing)
         again = TenantRegistry()
@@ -129,69 +133,75 @@
         assert again.tenants() == registry.tenants() and again.revision == revision
 
 
-def test_a_number_that_another_store_gave_to_another_tenant_is_another_bearer():
+def test_an_incarnation_number_reused_by_another_store_is_another_principal():
     registry = TenantRegistry()
-    registry.follow(whole(row(), row("bolt", 2, 1), store="of another installation"))
+    registry.follow(complete_feed(tenant_row(), tenant_row("bolt", 2, 1), store="of another installation"))
     former = registry.by_incarnation[1]
-    change = registry.follow(whole(row("bolt", 1, 0), row("bolder", 2, 1)))
+    change = registry.follow(complete_feed(tenant_row("bolt", 1, 0), tenant_row("bolder", 2, 1)))
     assert [registry.by_incarnation[number].name for number in (1, 2)] == ["bolt", "bolder"]
     assert former.removed and former.rejection_reason("", 0.0) == "authentication required"
     assert change.reset_indexes == {0, 1}
 
 
-def test_a_credential_ends_by_the_clock_and_by_being_taken_out():
+def test_a_credential_ends_by_expiry_and_by_revocation():
     old, new = Credential("a", "h", 0.0, expires_at=100.0), Credential("b", "h", 1.0)
     registry = TenantRegistry()
-    registry.follow(whole(row(credentials=[old, new])))
+    registry.follow(complete_feed(tenant_row(credentials=[old, new])))
     bearer = registry.by_credential["a"]
     assert (
         bearer.rejection_reason("a", 99.0) == ""
         and bearer.rejection_reason("a", 100.0) == "authentication required"
     )
-    registry.follow(news(row(credentials=[new])))
+    registry.follow(incremental_feed(tenant_row(credentials=[new])))
     assert (
         bearer.rejection_reason("a", 50.0) == "authentication required"
         and bearer.rejection_reason("b", 50.0) == ""
     )
-    registry.follow(news(row(stage="suspended", credentials=[new]), revision=7))
+    registry.follow(incremental_feed(tenant_row(stage="suspended", credentials=[new]), revision=7))
     assert bearer.rejection_reason("b", 50.0) == "tenant suspended"
 
 
 # -- orders over the list
 
 
-def listed(uid: str, presence: EndpointState, started: float = 0.0) -> EndpointTarget:
+def endpoint_target(uid: str, presence: EndpointState, started: float = 0.0) -> EndpointTarget:
     where = None if presence is EndpointState.GONE else ("127.0.0.1", 1)
     return EndpointTarget(EndpointEntry(hash(uid), "a", "std", 0, presence, started), uid, where)
 
 
-def test_a_server_takes_something_new_only_where_order_and_discovery_both_let_it():
+def test_a_server_accepts_new_operations_only_if_orders_and_discovery_both_allow_it():
     overrides = EndpointOverrides()
 
     def seen(update: EndpointListUpdate) -> dict:
         return {target.uid: target.entry.state for target in update.targets}
 
     up, draining, gone = EndpointState.UP, EndpointState.DRAINING, EndpointState.GONE
-    overrides.on_endpoints_changed(EndpointListUpdate(1, True, (listed("a", up), listed("b", up))))
+    overrides.on_endpoints_changed(
+        EndpointListUpdate(1, True, (endpoint_target("a", up), endpoint_target("b", up)))
+    )
     assert seen(overrides.set_drained(frozenset("a"))) == {"a": draining}
     # Discovery's own drain comes between; the order's end does not undo it.
-    assert seen(overrides.on_endpoints_changed(EndpointListUpdate(2, False, (listed("a", draining),)))) == {
-        "a": draining
-    }
+    assert seen(
+        overrides.on_endpoints_changed(EndpointListUpdate(2, False, (endpoint_target("a", draining),)))
+    ) == {"a": draining}
     assert seen(overrides.set_drained(frozenset())) == {"a": draining}
-    assert seen(overrides.on_endpoints_changed(EndpointListUpdate(3, False, (listed("a", up),)))) == {"a": up}
+    assert seen(
+        overrides.on_endpoints_changed(EndpointListUpdate(3, False, (endpoint_target("a", up),)))
+    ) == {"a": up}
     # It ends and is back: the order still stands.
     overrides.set_drained(frozenset("a"))
-    assert seen(overrides.on_endpoints_changed(EndpointListUpdate(4, False, (listed("a", gone),)))) == {
-        "a": gone
-    }
+    assert seen(
+        overrides.on_endpoints_changed(EndpointListUpdate(4, False, (endpoint_target("a", gone),)))
+    ) == {"a": gone}
     assert overrides.set_drained(frozenset()) is None and overrides.set_drained(frozenset("a")) is None
-    assert seen(overrides.on_endpoints_changed(EndpointListUpdate(5, False, (listed("a", up, 9.0),)))) == {
-        "a": draining
-    }
+    assert seen(
+        overrides.on_endpoints_changed(EndpointListUpdate(5, False, (endpoint_target("a", up, 9.0),)))
+    ) == {"a": draining}
     # A whole list does not forget it either; an order of a server that nobody lists says nothing yet.
     assert seen(
-        overrides.on_endpoints_changed(EndpointListUpdate(6, True, (listed("a", up), listed("b", up))))
+        overrides.on_endpoints_changed(
+            EndpointListUpdate(6, True, (endpoint_target("a", up), endpoint_target("b", up)))
+        )
     ) == {
         "a": draining,
         "b": up,
@@ -204,10 +214,10 @@
 # -- a space of their own
 
 
-def bearing(number: int, **rules):
+def active_principal(number: int, **rules):
     """An active tenant of its own rules."""
     registry = TenantRegistry()
-    registry.follow(whole(msgspec.structs.replace(row("acme", number), **rules)))
+    registry.follow(complete_feed(msgspec.structs.replace(tenant_row("acme", number), **rules)))
     return registry.by_incarnation[number]
 
 
@@ -221,8 +231,8 @@
         ("c=agenda,d=90", b"v" * 11, "value over 10 bytes"),
     ],
 )
-def test_a_tenant_has_traffic_types_and_bounds_of_its_own(told, value, found):
-    bearer = bearing(5, traffic_types={"agenda": "read"}, max_wait=0.5, max_value_size=10)
+def test_a_tenant_has_its_own_traffic_types_and_limits(told, value, found):
+    bearer = active_principal(5, traffic_types={"agenda": "read"}, max_wait=0.5, max_value_size=10)
     parser = Parser()
     parser.feed(b"*5\r\n" + b"".join(map(bulk, [b"KV.SET", b"k", b"i", told.encode(), value])))
     if isinstance(found, str):
@@ -238,7 +248,9 @@
 
 @settings(max_examples=150, deadline=None)
 @given(WORD, PLAIN, PLAIN, st.none() | WORD, st.integers(1, 1 << 40), st.integers(1, 1 << 40))
-def test_no_two_incarnations_share_a_key_a_mark_or_an_id(key, ident, mark, value, one, other):
+def test_no_two_incarnations_share_a_key_an_idempotency_key_or_a_request_id(
+    key, ident, mark, value, one, other
+):
     if one == other:
         other += 1
     bodies = [b"KV.SET" if value else b"KV.GET", key, ident.encode(), f"c=put,k={mark},d=20".encode()]
@@ -247,7 +259,7 @@
     parser.feed(b"*%d\r\n" % len(bodies) + b"".join(map(bulk, bodies)))
     message, found = parser.next(), []
     for number in (one, other):
-        bearer = bearing(number)
+        bearer = active_principal(number)
         made = rewrite_request(message, bool(value), bearer)
         parser.feed(made.raw)
         again = parser.next()  # what goes on is a whole command like any other
@@ -258,24 +270,28 @@
     assert found[0][1].endswith(b"/" + key) and b"t=acme" in found[0][3].split(b",")
 
 
-def test_anothers_label_is_refused():
+def test_the_label_of_another_tenant_is_refused():
     parser = Parser()
     parser.feed(b"*4\r\n" + b"".join(map(bulk, [b"KV.GET", b"k", b"i", b"c=read,t=bolt,d=20"])))
     with pytest.raises(RequestError, match="label t"):
-        rewrite_request(parser.next(), False, bearing(1))
+        rewrite_request(parser.next(), False, active_principal(1))
 
 
 # -- who comes
 
 
-def test_wrong_secrets_are_told_one_thing_and_are_bounded():
-    async def scene():
+def test_wrong_secrets_all_get_the_same_reply_and_are_rate_limited():
+    async def scenario():
         registry = TenantRegistry()
         secret, credential = CHEAP.issue(0.0)
         other, theirs = CHEAP.issue(0.0)
         authenticator = Authenticator(registry, CHEAP, AttemptLimiter(1, 0.0), lambda: 0.0)
         assert (await authenticator.check("s", "", secret))[2].startswith(b"-LOADING")
-        registry.follow(whole(row(credentials=[credential]), row("bolt", 2, 1, credentials=[theirs])))
+        registry.follow(
+            complete_feed(
+                tenant_row(credentials=[credential]), tenant_row("bolt", 2, 1, credentials=[theirs])
+            )
+        )
         bearer, ident, reply = await authenticator.check("s", "acme", secret)
         assert (bearer.name, ident, reply) == ("acme", credential.credential_id, b"+OK\r\n")
         wrong = set()
@@ -287,26 +303,26 @@
         assert reply.startswith(b"-BUSY")
         # One that was found right is not checked again, so a crowd of wrong ones does not keep it out.
         assert (await authenticator.check("s", "", secret))[2] == b"+OK\r\n"
-        registry.follow(news(row(credentials=[])))
+        registry.follow(incremental_feed(tenant_row(credentials=[])))
         assert (await authenticator.check("elsewhere", "", secret))[2].startswith(b"-WRONGPASS")
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_crowd_with_an_outdated_secret_is_not_kept_out_for_each_of_its_connections():
-    async def scene():
+def test_clients_with_an_outdated_secret_are_not_locked_out_longer_for_each_connection():
+    async def scenario():
         now, replies = 0.0, []
         registry = TenantRegistry()
         secret, credential = CHEAP.issue(now)
-        registry.follow(whole(row(credentials=[credential])))
+        registry.follow(complete_feed(tenant_row(credentials=[credential])))
         authenticator = Authenticator(registry, CHEAP, AttemptLimiter(1, now), lambda: now)
 
-        async def comes():
+        async def authenticate():
             replies.append((await authenticator.check("s", "acme", "gh_outdated_x"))[2])
 
-        async with trio.open_nursery() as crowd:  # all are there before the first check is over
+        async with trio.open_nursery() as nursery:  # all are there before the first check is over
             for _ in range(4 * int(FAILURE_BURST)):
-                crowd.start_soon(comes)
+                nursery.start_soon(authenticate)
         wrong = [reply for reply in replies if reply.startswith(b"-WRONGPASS")]
         assert FAILURE_BURST <= len(wrong) < FAILURE_BURST + MAX_CONCURRENT_CHECKS
         assert all(reply.startswith(b"-BUSY") for reply in replies if reply not in wrong)
@@ -314,12 +330,12 @@
         now = MAX_CONCURRENT_CHECKS / FAILURE_REFILL_RATE
         assert (await authenticator.check("s", "acme", secret))[2] == b"+OK\r\n"
 
-    run(scene)
+    run(scenario)
 
 
 @pytest.mark.parametrize("new_door", [None, FairAdmissionControl])
-def test_a_connection_is_one_tenants_and_commands_wait_for_the_answer_to_auth(new_door):
-    async def scene():
+def test_a_connection_belongs_to_one_tenant_and_commands_wait_for_the_auth_reply(new_door):
+    async def scenario():
         async with hosting(new_door=new_door) as made:
             acme, bolt = await made.tenant("acme"), await made.tenant("bolt")
             await made.settle()
@@ -350,11 +366,11 @@
                 (b"2/k", "bolt"),
             }
 
-    run(scene)
+    run(scenario)
 
 
-def test_clients_of_the_cluster_dialect_come_in_by_secret_too():
-    async def scene():
+def test_clients_of_the_cluster_dialect_authenticate_by_secret():
+    async def scenario():
         port = Ports(23).free(["127.0.0.1"])
         commands = (
             CommandEntry("GET", "read"),
@@ -368,7 +384,7 @@
             secrets = {name: await made.tenant(name) for name in ("acme", "bolt")}
             await made.settle()
 
-            def many(call):
+            def retry_errors(call):
                 for _ in range(50):
                     try:
                         return call()
@@ -383,8 +399,8 @@
                     client.set("k", f"{name} k")
                     assert client.get("k") == f"{name} k".encode()
                     # Two at once may be more than a server is sent before its pace is known.
-                    many(lambda: client.mset({"{g}1": name, "{g}2": name}))
-                    found = many(lambda: client.mget("{g}1", "{g}2", "{g}3"))
+                    retry_errors(lambda: client.mset({"{g}1": name, "{g}2": name}))
+                    found = retry_errors(lambda: client.mget("{g}1", "{g}2", "{g}3"))
                     assert found == [name.encode(), name.encode(), b""]
 
             for name in secrets:
@@ -407,24 +423,24 @@
             assert await client.ask("RESET") == b"+RESET\r\n"
             assert (await client.ask("GET", "k")).startswith(b"-NOAUTH")
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_change_works_on_connections_that_stand():
-    async def scene():
+def test_tenant_changes_apply_to_open_connections():
+    async def scenario():
         async with hosting(routers=2) as made:
             acme = await made.tenant("acme", allowance=50, traffic={"read": "read"}, longest_wait=3)
             await made.settle()
             clients = [await made.client(number, acme) for number in range(2)]
 
-            async def told() -> set:
+            async def replies() -> set:
                 ident = f"i{made.keeper.revision}"
                 return {(await c.ask("KV.GET", "k", ident, "c=read,d=2000"))[:6] for c in clients}
 
-            assert await told() == {b"$0\r\n\r\n"}
+            assert await replies() == {b"$0\r\n\r\n"}
             async with made.desk() as desk:
 
-                async def tell(method, end="", body=None):
+                async def change_tenant(method, end="", body=None):
                     etag = (await desk.get("/v1/tenants/acme")).headers["etag"]
                     reply = await desk.request(
                         method, f"/v1/tenants/acme{end}", json=body, headers={"If-Match": etag}
@@ -432,26 +448,26 @@
                     assert reply.is_success
                     await made.settle()
 
-                await tell("POST", "/suspend")
-                assert await told() == {b"-ERR t"}
-                await tell("POST", "/activate")
-                await tell("PATCH", body={"traffic": {"other": "read"}})
-                assert await told() == {b"-ERR l"}
-                await tell("PATCH", body={"allowance": 7.0, "traffic": {}})
-                assert await told() == {b"$0\r\n\r\n"}
+                await change_tenant("POST", "/suspend")
+                assert await replies() == {b"-ERR t"}
+                await change_tenant("POST", "/activate")
+                await change_tenant("PATCH", body={"traffic": {"other": "read"}})
+                assert await replies() == {b"-ERR l"}
+                await change_tenant("PATCH", body={"allowance": 7.0, "traffic": {}})
+                assert await replies() == {b"$0\r\n\r\n"}
                 for service in made.services:
                     assert service.dispatcher.router.tenants[0] == Tenant(1.0, 7.0)
                 ident = acme.split("_")[1]
                 assert (await desk.delete(f"/v1/tenants/acme/credentials/{ident}")).is_success
                 await made.settle()
-                assert await told() == {b"-ERR a"}
+                assert await replies() == {b"-ERR a"}
                 assert (await clients[0].ask("AUTH", acme)).startswith(b"-WRONGPASS")
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_removed_tenants_marks_are_not_its_successors():
-    async def scene():
+def test_a_removed_tenants_idempotency_keys_do_not_apply_to_its_successor():
+    async def scenario():
         async with hosting() as made:
             old = await made.tenant("acme", memory=9)
             await made.settle()
@@ -498,11 +514,11 @@
             await made.settle()
             assert list(registry.by_incarnation) == [2]
 
-    run(scene)
+    run(scenario)
 
 
-def test_an_order_to_drain_reaches_the_decisions_and_outlives_a_restart_of_the_server():
-    async def scene():
+def test_a_drain_order_reaches_routing_and_survives_a_server_restart():
+    async def scenario():
         async with hosting(servers=3) as made:
             secret = await made.tenant("acme")
             async with made.desk() as desk:
@@ -510,16 +526,16 @@
                 await made.settle()
                 caches = made.services[0].dispatcher.router.endpoints
 
-                async def presences(wanted: int) -> None:
+                async def wait_for_up_servers(wanted: int) -> None:
                     with trio.fail_after(5):
                         while sum(c.state is EndpointState.UP for c in caches.values()) != wanted:
                             await trio.sleep(0.005)
 
-                await presences(2)
+                await wait_for_up_servers(2)
                 made.directory.change("c-1", state="gone")
                 made.directory.change("c-1", state="ready", boot_ms=5)
                 made.directory.change("c-2", state="draining")
-                await presences(1)
+                await wait_for_up_servers(1)
                 client = await made.client(0, secret)
                 for i in range(20):
                     reply = await client.ask("KV.GET", f"k{i}", f"i{i}", "c=read,d=2000")
@@ -527,14 +543,14 @@
                 assert {seen.server for seen in made.shelves.seen} == {"c-0"}
                 assert (await desk.get("/v1/servers")).json()["servers"][0]["server"] == "c-1"
                 assert (await desk.post("/v1/servers/c-1/restore")).json()["order"] == "none"
-                await presences(2)
+                await wait_for_up_servers(2)
                 assert (await desk.post(f"/v1/servers/{'x' * 300}/drain")).status_code == 422
 
-    run(scene)
+    run(scenario)
 
 
-def test_with_the_keeper_away_all_is_served_and_what_changed_is_heard_at_its_return():
-    async def scene():
+def test_a_router_serves_without_the_control_plane_and_gets_missed_changes_on_its_return():
+    async def scenario():
         async with hosting(routers=2) as made:
             acme = await made.tenant("acme")
             await made.settle()
@@ -565,11 +581,11 @@
             other = await made.client(0, bolt)
             assert await other.ask("KV.GET", "k", "i3", "c=read,d=2000") == b"$0\r\n\r\n"
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_router_that_missed_more_than_the_log_tells_gets_the_whole():
-    async def scene():
+def test_a_router_that_missed_compacted_changes_gets_a_complete_feed():
+    async def scenario():
         async with hosting() as made:
             follower = made.followers[0]
             await made.tenant("acme")
@@ -591,22 +607,22 @@
             assert len(follower.registry.by_incarnation) == 31
             assert follower.registry.by_incarnation[9].stage.value == "leaving"
 
-    run(scene)
+    run(scenario)
 
 
-@pytest.mark.parametrize("spoil", [b"", b"nonsense", b"0" * 32 + b"\n{}", "half"])
-def test_a_snapshot_that_is_not_whole_is_not_used(tmp_path, spoil):
+@pytest.mark.parametrize("damage", [b"", b"nonsense", b"0" * 32 + b"\n{}", "half"])
+def test_a_corrupt_snapshot_is_not_used(tmp_path, damage):
     snapshot = FeedSnapshot(str(tmp_path / "s"))
     assert snapshot.load() is None
-    snapshot.save(whole(row()))
-    assert snapshot.load() == whole(row()) and (tmp_path / "s").stat().st_mode & 0o777 == 0o600
-    (tmp_path / "s").write_bytes((tmp_path / "s").read_bytes()[:-9] if spoil == "half" else spoil)
+    snapshot.save(complete_feed(tenant_row()))
+    assert snapshot.load() == complete_feed(tenant_row()) and (tmp_path / "s").stat().st_mode & 0o777 == 0o600
+    (tmp_path / "s").write_bytes((tmp_path / "s").read_bytes()[:-9] if damage == "half" else damage)
     with pytest.raises(FeedError):
         snapshot.load()
 
 
-def test_the_feed_is_for_routers_and_routers_get_nothing_else():
-    async def scene():
+def test_only_routers_get_the_feed_and_they_get_nothing_else():
+    async def scenario():
         async with hosting() as made:
             async with made.desk() as desk:
                 assert (await desk.post("/v1/feed", json={"router": "r", "run": "x"})).status_code == 403
@@ -626,10 +642,10 @@
                 assert (await tier.post("/v1/feed", json={**told, "wait": 99})).status_code == 422
                 assert (await tier.post("/v1/feed", json={**told, "router": "a b"})).status_code == 422
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_secret_file_or_an_installation_that_cannot_be_says_where(tmp_path):
+def test_an_invalid_secret_file_or_installation_is_reported_with_its_field(tmp_path):
     (tmp_path / "two").write_text("a b\n")
     for name in ("two", "none"):
         with pytest.raises(SecretFileError):
@@ -652,10 +668,10 @@
 
 
 @pytest.mark.parametrize("seed", [1])
-def test_three_tenants_stay_apart_through_a_churn_of_changes(seed):
-    async def scene():
+def test_three_tenants_stay_isolated_through_many_changes(seed):
+    async def scenario():
         told = await churn(seed, lasts=4.0, changes=60, routers=2)
         assert told.breaks == [], told.breaks[:5]
         assert told.changes >= 60 and told.settled > 300 and told.turned_away > 50
 
-    run(scene)
+    run(scenario)
