--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -1,4 +1,4 @@
-"""Routers that follow a keeper: secrets, spaces of their own, orders, cuts, crashes, marks of the removed."""
+"""Hosted routers: authentication, tenant key spaces, drain orders, outages, crashes and removed tenants."""
 
 import random
 from dataclasses import replace
@@ -34,7 +34,7 @@
 from gaugehinge.tenancy.feed import Feed, TenantRow
 from tests.helper import run
 
-# -- the registry
+# -- the tenant registry
 
 
 def tenant_row(
@@ -63,7 +63,7 @@
         and change.reset_indexes == set()
         and change.tenants[0] == Tenant(0.0, 0.0)
     )
-    # Its name is another one's by now; its place is not, until it is gone.
+    # Its name now belongs to another incarnation; its tenant index does not until it is removed.
     registry.follow(incremental_feed(tenant_row("acme", 3, 1), revision=7))
     assert registry.by_index[1].key_prefix == b"3/" and not acme.removed
     change = registry.follow(incremental_feed(tenant_row("cord", 4, 0), revision=8, removed=[1]))
@@ -161,7 +161,7 @@
     assert bearer.rejection_reason("b", 50.0) == "tenant suspended"
 
 
-# -- orders over the list
+# -- drain orders and the endpoint list
 
 
 def endpoint_target(uid: str, presence: EndpointState, started: float = 0.0) -> EndpointTarget:
@@ -180,7 +180,7 @@
         EndpointListUpdate(1, True, (endpoint_target("a", up), endpoint_target("b", up)))
     )
     assert seen(overrides.set_drained(frozenset("a"))) == {"a": draining}
-    # Discovery's own drain comes between; the order's end does not undo it.
+    # Discovery drains the server in the meantime; the end of the order does not undo that.
     assert seen(
         overrides.on_endpoints_changed(EndpointListUpdate(2, False, (endpoint_target("a", draining),)))
     ) == {"a": draining}
@@ -188,7 +188,7 @@
     assert seen(
         overrides.on_endpoints_changed(EndpointListUpdate(3, False, (endpoint_target("a", up),)))
     ) == {"a": up}
-    # It ends and is back: the order still stands.
+    # The server goes away and returns: the order is still in force.
     overrides.set_drained(frozenset("a"))
     assert seen(
         overrides.on_endpoints_changed(EndpointListUpdate(4, False, (endpoint_target("a", gone),)))
@@ -197,7 +197,7 @@
     assert seen(
         overrides.on_endpoints_changed(EndpointListUpdate(5, False, (endpoint_target("a", up, 9.0),)))
     ) == {"a": draining}
-    # A whole list does not forget it either; an order of a server that nobody lists says nothing yet.
+    # A complete list keeps the order, too; an order for a server that is not listed has no effect yet.
     assert seen(
         overrides.on_endpoints_changed(
             EndpointListUpdate(6, True, (endpoint_target("a", up), endpoint_target("b", up)))
@@ -211,11 +211,11 @@
     }
 
 
-# -- a space of their own
+# -- key spaces of tenants
 
 
 def active_principal(number: int, **rules):
-    """An active tenant of its own rules."""
+    """Return an active tenant with the given rules."""
     registry = TenantRegistry()
     registry.follow(complete_feed(msgspec.structs.replace(tenant_row("acme", number), **rules)))
     return registry.by_incarnation[number]
@@ -262,7 +262,7 @@
         bearer = active_principal(number)
         made = rewrite_request(message, bool(value), bearer)
         parser.feed(made.raw)
-        again = parser.next()  # what goes on is a whole command like any other
+        again = parser.next()  # the rewritten command is complete and can be parsed again
         assert again.raw == made.raw and [p.body for p in again.top.body] == [p.body for p in made.top.body]
         assert [(p.start, p.end) for p in again.top.body] == [(p.start, p.end) for p in made.top.body]
         found.append([p.body for p in made.top.body])
@@ -277,7 +277,7 @@
         rewrite_request(parser.next(), False, active_principal(1))
 
 
-# -- who comes
+# -- authentication
 
 
 def test_wrong_secrets_all_get_the_same_reply_and_are_rate_limited():
@@ -301,7 +301,7 @@
         for _ in range(int(FAILURE_BURST)):
             reply = (await authenticator.check("s", "", "gh_x_y"))[2]
         assert reply.startswith(b"-BUSY")
-        # One that was found right is not checked again, so a crowd of wrong ones does not keep it out.
+        # A verified secret is not checked again, so many wrong ones do not lock it out.
         assert (await authenticator.check("s", "", secret))[2] == b"+OK\r\n"
         registry.follow(incremental_feed(tenant_row(credentials=[])))
         assert (await authenticator.check("elsewhere", "", secret))[2].startswith(b"-WRONGPASS")
@@ -320,7 +320,7 @@
         async def authenticate():
             replies.append((await authenticator.check("s", "acme", "gh_outdated_x"))[2])
 
-        async with trio.open_nursery() as nursery:  # all are there before the first check is over
+        async with trio.open_nursery() as nursery:  # all start before the first check ends
             for _ in range(4 * int(FAILURE_BURST)):
                 nursery.start_soon(authenticate)
         wrong = [reply for reply in replies if reply.startswith(b"-WRONGPASS")]
@@ -341,7 +341,7 @@
             await made.settle()
             client = await made.client(0)
             assert (await client.ask("KV.GET", "k", "i0", "c=read,d=2000")).startswith(b"-ERR auth")
-            # In one piece: what stands behind AUTH is taken as the tenant's, in order.
+            # Sent at once: the commands after AUTH are handled as the tenant's, in order.
             await client.stream.send_all(
                 b"".join(
                     b"*%d\r\n" % len(words) + b"".join(map(bulk, words))
@@ -357,7 +357,7 @@
             found = [await client.answer() for _ in range(5)]
             assert found[:2] == [b"+PONG\r\n", b"+OK\r\n"] and found[2].startswith(b"$")
             assert found[3].startswith(b"-WRONGPASS") and found[4] == b"$7\r\nof acme\r\n"
-            # The same id and key at the same time, by another one.
+            # Another tenant uses the same request ID and key at the same time.
             other = await made.client(0, "bolt", bolt)
             assert await other.ask("KV.GET", "k", "i2", "c=read,d=2000") == b"$0\r\n\r\n"
             assert (await other.ask("AUTH")).startswith(b"-ERR wrong number")
@@ -390,7 +390,7 @@
                         return call()
                     except redis.ResponseError:
                         pass
-                raise AssertionError("never settled")
+                raise AssertionError("every attempt returned an error")
 
             def use(name: str) -> None:
                 with redis.RedisCluster(
@@ -398,7 +398,7 @@
                 ) as client:
                     client.set("k", f"{name} k")
                     assert client.get("k") == f"{name} k".encode()
-                    # Two at once may be more than a server is sent before its pace is known.
+                    # Two operations at once may exceed what a server is sent before its speed is known.
                     retry_errors(lambda: client.mset({"{g}1": name, "{g}2": name}))
                     found = retry_errors(lambda: client.mget("{g}1", "{g}2", "{g}3"))
                     assert found == [name.encode(), name.encode(), b""]
@@ -480,7 +480,7 @@
                 assert (await desk.delete("/v1/tenants/acme", headers={"If-Match": etag})).is_success
             new = await made.tenant("acme", memory=9)
             await made.settle()
-            # Its tombstone keeps the place, so that figures of the two do not mix.
+            # Its tombstone keeps the tenant index, so that statistics of the two do not mix.
             registry = made.followers[0].registry
             assert {b.incarnation: (b.tenant_index, b.stage.value) for b in registry.by_index.values()} == {
                 1: (0, "leaving"),
@@ -490,10 +490,10 @@
             assert (await (await made.client(0)).ask("AUTH", "acme", old)).startswith(b"-WRONGPASS")
             other = await made.client(0, "acme", new)
             assert await other.ask("KV.GET", "k", "i0", "c=read,d=2000") == b"$0\r\n\r\n"
-            # The very same id, key and mark: an operation of its own, which takes effect.
+            # Same request ID, key and idempotency key: it is a separate operation and takes effect.
             assert (await other.ask(*move)).startswith(b"$")
             assert [seen.repeat for seen in made.shelves.seen if seen.write] == [False, False]
-            # It is gone once routers said that they hold nothing of it and its marks are forgotten.
+            # It is removed once routers report nothing of it in flight and its idempotency keys are forgotten.
             clock = made.keeper.clock
             assert await sweep_tombstones(made.administration) == 0
             with trio.fail_after(5):
@@ -566,7 +566,7 @@
             with trio.fail_after(10):
                 while not follower.unreachable_since:
                     await trio.sleep(0.01)
-            # A crash: it starts by its snapshot, with nobody to ask, and lets the tenant in.
+            # A crashed router starts from its snapshot without the control plane and accepts the tenant.
             made.crash_router(0)
             await trio.sleep(0.05)
             made.start_router(0)
