--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -493,7 +493,7 @@
             # Same request ID, key and idempotency key: it is a separate operation and takes effect.
             assert (await other.ask(*move)).startswith(b"$")
             assert [seen.repeat for seen in made.shelves.seen if seen.write] == [False, False]
-            # It is removed once routers report nothing of it in flight and its idempotency keys are forgotten.
+            # Removed once routers report nothing of it in flight and its idempotency keys are forgotten.
             clock = made.keeper.clock
             assert await sweep_tombstones(made.administration) == 0
             with trio.fail_after(5):
