--- a/gaugehinge/hosted/authenticator.py
+++ b/gaugehinge/hosted/authenticator.py
@@ -59,7 +59,7 @@
         `source`: the client's address; `name`: the user name that the client sent, empty for none.
         """
         if not self.registry.known:
-            return _rejected(LOADING)
+            return _not_authenticated(LOADING)
         ident = _credential_in(secret)
         principal = self.registry.by_credential.get(ident)
         if principal is not None and name not in ("", "default", principal.name):
@@ -68,10 +68,10 @@
         if principal is None or self._verified.get(digest) != ident:
             reply = await self._check_hash(principal, f"{source} {ident}", source, secret)
             if reply is not None:
-                return _rejected(reply)
+                return _not_authenticated(reply)
             self._remember(digest, ident)
         if principal is None or principal.rejection_reason(ident, self.clock()) == UNAUTHENTICATED:
-            return _rejected(WRONG)  # the credential expired or was revoked during the check
+            return _not_authenticated(WRONG)  # the credential expired or was revoked during the check
         return Authentication(principal, ident, OK)
 
     async def _check_hash(
@@ -115,5 +115,5 @@
     return b"-BUSY %d\r\n" % max(int(wait * 1000), MIN_RETRY_AFTER)
 
 
-def _rejected(reply: bytes) -> Authentication:
+def _not_authenticated(reply: bytes) -> Authentication:
     return Authentication(None, "", reply)
--- a/gaugehinge/hosted/control_plane_watch.py
+++ b/gaugehinge/hosted/control_plane_watch.py
@@ -101,8 +101,8 @@
             feed = self.snapshot.load()
             if feed is not None:
                 self._apply_change(self.registry.restore(feed))
-                told = f"revision {feed.revision}, {len(feed.tenants)} tenants"
-                logger.info("tenants restored from the snapshot: {}", told)
+                summary = f"revision {feed.revision}, {len(feed.tenants)} tenants"
+                logger.info("tenants restored from the snapshot: {}", summary)
         except FeedError as error:
             logger.warning("snapshot not used: {}", error)
 
@@ -124,11 +124,11 @@
                 revision = self.registry.revision
                 try:
                     asked_at = trio.current_time()
-                    self._follow(await self._call(), asked_at)
+                    self._apply_feed(await self._call(), asked_at)
                 except CALL_ERRORS as error:
-                    await trio.sleep(self._on_failed(error))
+                    await trio.sleep(self._on_call_failed(error))
                     continue
-                self._on_followed(revision)
+                self._on_call_succeeded(revision)
 
     async def report_now(self) -> None:
         """Send one more report without long polling, and ignore the feed that answers it.
@@ -168,7 +168,7 @@
         self.calls += 1
         return await self.client.fetch_feed(report, self.slack)
 
-    def _follow(self, feed: Feed, asked_at: float) -> None:
+    def _apply_feed(self, feed: Feed, asked_at: float) -> None:
         """Apply a feed. Raises FeedError."""
         self.registry.reject_outdated(feed)  # before any part sees it
         for part in self.parts:
@@ -177,7 +177,7 @@
         for part in self.parts:
             part.hear(feed, asked_at)
 
-    def _on_failed(self, error: Exception) -> float:
+    def _on_call_failed(self, error: Exception) -> float:
         """Record a failed call; return the delay until the next one (seconds)."""
         for part in self.parts:
             part.away()
@@ -191,12 +191,12 @@
         backoff = FIRST_BACKOFF * 2.0 ** min(self._failures - 1, MAX_DOUBLINGS)
         return min(backoff, MAX_BACKOFF) * (0.5 + 0.5 * chance)
 
-    def _on_followed(self, former_revision: int) -> None:
+    def _on_call_succeeded(self, former_revision: int) -> None:
         revision = self.registry.revision
         if self.unreachable_since:
-            away = trio.current_time() - self.unreachable_since
+            outage = trio.current_time() - self.unreachable_since
             logger.info(
-                "control plane reachable after {:.1f} s: revision {} to {}", away, former_revision, revision
+                "control plane reachable after {:.1f} s: revision {} to {}", outage, former_revision, revision
             )
         self.unreachable_since, self._failures, self.answered = 0.0, 0, True
         if revision != former_revision:
--- a/gaugehinge/hosted/tenant_registry.py
+++ b/gaugehinge/hosted/tenant_registry.py
@@ -69,12 +69,12 @@
         """
         self.reject_outdated(feed)
         principals = [read_principal(row) for row in feed.tenants]
-        standing = self._standing_after(feed, principals)
-        by_index = _by_index(standing, principals)
+        kept = self._kept_principals(feed, principals)
+        by_index = _by_index(kept, principals)
         reset_indexes = {index for index, each in by_index.items() if self._is_new_at(index, each, feed)}
         drained = frozenset(feed.drained_servers)
         drains_changed = drained != self.drained or not self.known
-        self._apply(feed, standing, by_index)
+        self._apply(feed, kept, by_index)
         if not (principals or feed.removed_incarnations or feed.complete or drains_changed):
             return None
         self.drained = drained
@@ -102,7 +102,7 @@
             revision_digest=self.revision_digest,
         )
 
-    def _standing_after(self, feed: Feed, principals: list[Principal]) -> dict[int, Principal]:
+    def _kept_principals(self, feed: Feed, principals: list[Principal]) -> dict[int, Principal]:
         """Return the known principals that the feed keeps, without its own rows. Raises FeedError."""
         numbers = {principal.incarnation for principal in principals}
         if len(numbers) != len(principals) or not feed.store_id or feed.revision < 0:
@@ -111,10 +111,10 @@
             return {}
         if feed.store_id != self.store:
             raise FeedError("changes are from another store")
-        standing = dict(self.by_incarnation)
+        kept = dict(self.by_incarnation)
         for number in feed.removed_incarnations:
-            standing.pop(number, None)
-        return standing
+            kept.pop(number, None)
+        return kept
 
     def _is_new_at(self, index: int, principal: Principal, feed: Feed) -> bool:
         former = self.by_index.get(index)
@@ -122,19 +122,19 @@
             return True
         return not self._is_same_tenant(former, principal, feed)
 
-    def _apply(self, feed: Feed, standing: dict[int, Principal], by_index: dict[int, Principal]) -> None:
+    def _apply(self, feed: Feed, kept: dict[int, Principal], by_index: dict[int, Principal]) -> None:
         for number, former in self.by_incarnation.items():
-            newer = standing.get(number)
+            newer = kept.get(number)
             if newer is None or not self._is_same_tenant(former, newer, feed):
                 former.removed = True  # connections authenticated as this principal still refer to it
                 self.log.append(f"tenant {former.name} #{number} removed at revision {feed.revision}")
             elif newer is not former:
                 self._log_stage(former, newer, feed.revision)
                 former.update(newer)
-                standing[number] = by_index[newer.tenant_index] = former
-        self.by_incarnation, self.by_index = standing, by_index
+                kept[number] = by_index[newer.tenant_index] = former
+        self.by_incarnation, self.by_index = kept, by_index
         self.by_credential = {
-            ident: principal for principal in standing.values() for ident in principal.credentials
+            ident: principal for principal in kept.values() for ident in principal.credentials
         }
         self.store, self.revision, self.revision_digest = feed.store_id, feed.revision, feed.revision_digest
         self.control_plane_run = feed.control_plane_run
@@ -161,12 +161,12 @@
     return {credential.secret_hash for credential in principal.credentials.values()}
 
 
-def _by_index(standing: dict[int, Principal], principals: list[Principal]) -> dict[int, Principal]:
-    """Add `principals` to `standing`; return all by index. Raises FeedError if two have the same index."""
+def _by_index(kept: dict[int, Principal], principals: list[Principal]) -> dict[int, Principal]:
+    """Add `principals` to `kept`; return all by index. Raises FeedError if two have the same index."""
     numbers = {principal.incarnation for principal in principals}
-    by_index = {each.tenant_index: each for each in standing.values() if each.incarnation not in numbers}
+    by_index = {each.tenant_index: each for each in kept.values() if each.incarnation not in numbers}
     for principal in principals:
         if principal.tenant_index in by_index:
             raise FeedError(f"tenant index {principal.tenant_index} is assigned twice")
-        by_index[principal.tenant_index] = standing[principal.incarnation] = principal
+        by_index[principal.tenant_index] = kept[principal.incarnation] = principal
     return by_index
