--- a/gaugehinge/rehearsal/allcases.py
+++ b/gaugehinge/rehearsal/allcases.py
@@ -31,7 +31,7 @@
 GUEST = "dora"  # the tenant that comes and goes
 LOOK = 0.25  # seconds between two calls of one operator
 ASKS = 2.0  # seconds that one read of the play's own waits
-REFUSED = "were other tenants': not served"
+REFUSED = "belonged to other tenants before: not served"
 KEY = "free/k1"  # that it reads: of no shard
 SERVES_BY = 60.0  # seconds in which every router serves each tenant again, on a machine with whatever load
 SPARE_BYTES = 8192  # of the keeper's log that a full disk still takes
--- a/gaugehinge/rehearsal/hardplay.py
+++ b/gaugehinge/rehearsal/hardplay.py
@@ -82,8 +82,8 @@
         found = []
         for line in self.all.log("keeper").splitlines():
             words = line.split()
-            if len(words) == 6 and words[2] == "roll" and words[5] == what:
-                found.append((self.supervisor._when(line), words[4]))
+            if len(words) == 8 and words[2:4] == ["rolling", "restart"] and words[6:] == ["is", what]:
+                found.append((self.supervisor._when(line), words[5]))
         return found
 
     def none_told(self, since: float, until: float, why: str) -> None:
--- a/gaugehinge/routing/router.py
+++ b/gaugehinge/routing/router.py
@@ -269,7 +269,7 @@
         operation.admitted = True
         self.deadlines.assign(operation)
         operation.over_quota = self.quotas.is_over_quota(operation.tenant)
-        # These writes put no load on the endpoints: shedding one would lose it and relieve no endpoint.
+        # These writes cause no load at the endpoints: shedding one would lose it and relieve no endpoint.
         bypasses_endpoints = operation.is_write and self.deployment.cache_aside
         if not bypasses_endpoints and self.shedder.sheds(operation):
             return self._give_up(operation, now)
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -773,7 +773,7 @@
                 text = log.read_text()
                 print(
                     f"{held()} at servers, failed: accept {text.count('accept failed')}, to a server "
-                    f"{text.count('no socket to be had')}"
+                    f"{text.count('cannot create a socket')}"
                 )
                 calls: list[str] = []
 
